--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -31,8 +31,10 @@
         print(fault, file=sys.stderr)
         return 2
     if given["NAME"] not in NAMES or not given["--seed"].isdigit():
-        print(f"no benchmark '{given['NAME']}', or a seed that is no number; there are: {', '.join(NAMES)}",
-              file=sys.stderr)
+        print(
+            f"no benchmark '{given['NAME']}', or a seed that is no number; there are: {', '.join(NAMES)}",
+            file=sys.stderr,
+        )
         return 2
     figures = import_module(f"benchmarks.{given['NAME']}").run(given["--quick"], int(given["--seed"]))
     line = json.dumps(figures)
--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -96,8 +96,9 @@
             self.do_router(api.Purge(None, group, branch.now - at))
         if branch.sharing:
             process = f"{branch.draw.getrandbits(64):016x}"
-            terms = ev.Terms(f"n{self.number}", process, tuple(branch.stores), branch.late, branch.sync,
-                             **branch.terms)
+            terms = ev.Terms(
+                f"n{self.number}", process, tuple(branch.stores), branch.late, branch.sync, **branch.terms
+            )
             self.sharing = Sharing(terms, branch.draw.randrange(2**32))
             self.do_sharing(api.Membership(api.ListKind.STORED, branch.members()))
             self.tick(self.life)
@@ -152,10 +153,22 @@
     """Fronts, caches, one parent and an origin; requests of Zipf names."""
 
     def __init__(
-        self, settings: api.Settings, fronts: int, seed: int, sharing: bool = True, stores: int = 1,
-        caches: int = 8, names: int = 2_000, room: int = 150, skew: float = 0.9, groups: int = 16,
-        link: float = 4.0, late: int = 10 * MS, sync: int = 50 * MS,
-        fill: tuple[int, int] = (60 * MS, 400 * MS), size: float = 50.0,
+        self,
+        settings: api.Settings,
+        fronts: int,
+        seed: int,
+        sharing: bool = True,
+        stores: int = 1,
+        caches: int = 8,
+        names: int = 2_000,
+        room: int = 150,
+        skew: float = 0.9,
+        groups: int = 16,
+        link: float = 4.0,
+        late: int = 10 * MS,
+        sync: int = 50 * MS,
+        fill: tuple[int, int] = (60 * MS, 400 * MS),
+        size: float = 50.0,
         **terms: Any,
     ) -> None:
         self.draw, self.settings, self.sharing, self.terms = random.Random(seed), settings, sharing, terms
@@ -179,10 +192,15 @@
         return self.now // MS
 
     def members(self) -> tuple[api.Listed, ...]:
-        rows = [api.Listed(name, api.State.READY, "standard", "west", 0, cache.link, cache.started)
-                for name, cache in self.caches.items()]
-        return (*rows, api.Listed("p", api.State.READY, "parent", "hub", 0, 40.0),
-                api.Listed("o", api.State.READY, "origin", "hub", 0, 40.0))
+        rows = [
+            api.Listed(name, api.State.READY, "standard", "west", 0, cache.link, cache.started)
+            for name, cache in self.caches.items()
+        ]
+        return (
+            *rows,
+            api.Listed("p", api.State.READY, "parent", "hub", 0, 40.0),
+            api.Listed("o", api.State.READY, "origin", "hub", 0, 40.0),
+        )
 
     # Time
 
@@ -214,8 +232,9 @@
         name = name or self.draw.choices(self.names, cum_weights=self.weights)[0]
         self.counts.requests += 1
         spec = next(iter(self.settings.classes.values()))
-        request = api.Request(f"r{self.counts.requests}", spec.name, name, spec.deadline, self.size,
-                              int(name, 16) % self.groups)
+        request = api.Request(
+            f"r{self.counts.requests}", spec.name, name, spec.deadline, self.size, int(name, 16) % self.groups
+        )
         front.requests[request.id] = request
         front.do_router(request)
 
@@ -277,8 +296,15 @@
         self.counts.older_than_purge += bool(old and self.now > told + 300 * MS)
 
     def _end(
-        self, front: Front, life: int, fetch: api.Fetch, number: int, status: api.Status, note: api.Note,
-        took: int, sent: int,
+        self,
+        front: Front,
+        life: int,
+        fetch: api.Fetch,
+        number: int,
+        status: api.Status,
+        note: api.Note,
+        took: int,
+        sent: int,
     ) -> None:
         def end() -> None:
             if life != front.life or fetch.id not in front.router._held:
@@ -311,8 +337,11 @@
 
         def gone() -> None:  # from here on no cache has such copies: fronts forget the purge
             for cache in self.caches.values():
-                for name in [name for name, born in cache.kept.items()
-                             if born < now and int(name.partition(".")[0], 16) % self.groups in groups]:
+                for name in [
+                    name
+                    for name, born in cache.kept.items()
+                    if born < now and int(name.partition(".")[0], 16) % self.groups in groups
+                ]:
                     del cache.kept[name]
 
         self.after(self.settings.purge_done, None, gone)
@@ -393,8 +422,11 @@
         life = self.stores[store].lives  # a store that forgot can't keep owners apart: their numbers do
         if last is not None and last[2] == life and last[1] > self.now:
             # Ended early by its own owner, else it would still run: only then may another have it.
-            gone = not any(f.sharing and f.sharing.claims.running(f.clock(self.now), op.name, op.generation)
-                           for f in self.fronts if f is not front)
+            gone = not any(
+                f.sharing and f.sharing.claims.running(f.clock(self.now), op.name, op.generation)
+                for f in self.fronts
+                if f is not front
+            )
             self.counts.overlaps += not gone
             self.counts.owned_twice += not gone
         self.claims[key] = number, self.now + op.span_ms * MS, life
--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -129,8 +129,11 @@
         """No cache has such copies from here on, as the fronts' settings say."""
         with self.lock:
             for kept in self.kept.values():
-                for name in [name for name, born in kept.items()
-                             if born < purged and group_of(name.partition(".")[0]) in groups]:
+                for name in [
+                    name
+                    for name, born in kept.items()
+                    if born < purged and group_of(name.partition(".")[0]) in groups
+                ]:
                     del kept[name]
 
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -49,8 +49,13 @@
 
     def __init__(self, *words: str, log: Path | None = None) -> None:
         self._log = log.open("wb") if log else subprocess.PIPE
-        self.made = subprocess.Popen([sys.executable, "-O", "-m", *words], stdin=subprocess.PIPE, cwd=ROOT,
-                                     stdout=self._log, stderr=subprocess.DEVNULL)
+        self.made = subprocess.Popen(
+            [sys.executable, "-O", "-m", *words],
+            stdin=subprocess.PIPE,
+            cwd=ROOT,
+            stdout=self._log,
+            stderr=subprocess.DEVNULL,
+        )
 
     def line(self) -> Any:
         assert self.made.stdout is not None
@@ -135,9 +140,7 @@
 
 
 @contextmanager
-def fleet(
-    fronts: int, caches: int, room: int, store: tuple[str, int] | None = None
-) -> Iterator[Fleet]:
+def fleet(fronts: int, caches: int, room: int, store: tuple[str, int] | None = None) -> Iterator[Fleet]:
     with tempfile.TemporaryDirectory() as folder:
         made = Fleet(Path(folder), fronts, caches, room, store)
         try:
@@ -184,12 +187,12 @@
     return tally
 
 
-def ask(
-    address: tuple[str, int], socks: dict[int, socket.socket], number: int, name: str, id_: int
-) -> bool:
+def ask(address: tuple[str, int], socks: dict[int, socket.socket], number: int, name: str, id_: int) -> bool:
     """One request, on a connection that is kept; whether it was served."""
-    text = (f"GET /api/v2/segment/{name}/slice-0 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id_:016x}\r\n"
-            f"X-Patience-Ms: 3000\r\nX-Set: {group_of(name) % GROUPS}\r\n\r\n").encode()
+    text = (
+        f"GET /api/v2/segment/{name}/slice-0 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id_:016x}\r\n"
+        f"X-Patience-Ms: 3000\r\nX-Set: {group_of(name) % GROUPS}\r\n\r\n"
+    ).encode()
     for _ in range(2):
         sock = socks.get(number)
         try:
@@ -200,8 +203,14 @@
             while b"\r\n\r\n" not in data:
                 data += _more(sock)
             head, _, body = data.partition(b"\r\n\r\n")
-            length = next((int(line.split(b":")[1]) for line in head.lower().split(b"\r\n")
-                           if line.startswith(b"content-length")), 0)
+            length = next(
+                (
+                    int(line.split(b":")[1])
+                    for line in head.lower().split(b"\r\n")
+                    if line.startswith(b"content-length")
+                ),
+                0,
+            )
             while len(body) < length:
                 body += _more(sock)
             return head.startswith(b"HTTP/1.1 200")
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -38,17 +38,46 @@
 def settings(fronts: int, wait: int = 10 * MS) -> api.Settings:
     """A branch of so many fronts, its links told."""
     spec = api.ClassSettings(
-        name="image", aim=300 * MS, aim_stretch=2.0, deadline=3 * SECOND, effect=api.Effect.SAFE,
-        scope=api.Scope.ALL, window=0, streaming=False, worth=1.0, late_worth=0.2, fresh=0, grace=0,
-        stale_worth=0.5, uncacheable=False,
+        name="image",
+        aim=300 * MS,
+        aim_stretch=2.0,
+        deadline=3 * SECOND,
+        effect=api.Effect.SAFE,
+        scope=api.Scope.ALL,
+        window=0,
+        streaming=False,
+        worth=1.0,
+        late_worth=0.2,
+        fresh=0,
+        grace=0,
+        stale_worth=0.5,
+        uncacheable=False,
     )
     return api.Settings(
-        classes={spec.name: spec}, zone="west", caches=api.Tier(fronts, 0.2, 10 * SECOND, 3.0),
-        parents=api.Tier(fronts, 0.1, 20 * SECOND, 2.0), parent_kind="parent", origin_kind="origin",
-        weights_told=True, pace_kb_per_s=1000.0, can_join=True, direct=False, siblings_as_source="off",
-        tells_hits=True, tells_causes=False, purge_done=6 * SECOND, fall_window=2 * SECOND,
-        ask_for_list=False, ask_within=10 * SECOND, max_attempts=6, may_cancel=True, second_copies=False,
-        retry_after=True, max_retry_after=SECOND, tick=2 * MS, store_wait=wait,
+        classes={spec.name: spec},
+        zone="west",
+        caches=api.Tier(fronts, 0.2, 10 * SECOND, 3.0),
+        parents=api.Tier(fronts, 0.1, 20 * SECOND, 2.0),
+        parent_kind="parent",
+        origin_kind="origin",
+        weights_told=True,
+        pace_kb_per_s=1000.0,
+        can_join=True,
+        direct=False,
+        siblings_as_source="off",
+        tells_hits=True,
+        tells_causes=False,
+        purge_done=6 * SECOND,
+        fall_window=2 * SECOND,
+        ask_for_list=False,
+        ask_within=10 * SECOND,
+        max_attempts=6,
+        may_cancel=True,
+        second_copies=False,
+        retry_after=True,
+        max_retry_after=SECOND,
+        tick=2 * MS,
+        store_wait=wait,
     )
 
 
@@ -89,8 +118,12 @@
     counts = made.caches.ask("stats")
     ups = [row["at_ms"] for row in made.events("sharing_up") if row["at_ms"] > back_ms - 50]
     return {
-        "service": tally.service, "p99_ms": tally.quantile_ms(0.99), "p50_ms": tally.quantile_ms(0.5),
-        "asked": tally.asked, "double": counts["double_fills"] / max(1, counts["fills"]), **counts,
+        "service": tally.service,
+        "p99_ms": tally.quantile_ms(0.99),
+        "p50_ms": tally.quantile_ms(0.5),
+        "asked": tally.asked,
+        "double": counts["double_fills"] / max(1, counts["fills"]),
+        **counts,
         "front_cpu_us": (made.cpu_s() - before[0]) / max(1, tally.asked) * 1e6,
         "store_cpu_us": (store.cpu_s() - before[1]) / max(1, tally.asked) * 1e6 if store else 0.0,
         "recovery_ms": max((up - back_ms for up in ups), default=0.0) if changes else 0.0,
@@ -114,8 +147,12 @@
         made.run(50 * MS)
         made.look_at_budgets()
     used = [made.cold_use(name) for name, cache in made.caches.items() if cache.started]
-    return (sum(sent for sent, _ in used) / sum(whole for _, whole in used), made.counts.over_whole,
-            made.counts.served, made.counts.requests)
+    return (
+        sum(sent for sent, _ in used) / sum(whole for _, whole in used),
+        made.counts.over_whole,
+        made.counts.served,
+        made.counts.requests,
+    )
 
 
 def doubles(job: tuple[bool, int, int]) -> float:
@@ -164,9 +201,14 @@
         made.look_at_budgets()
     made.run(8 * SECOND)
     counts = made.counts
-    return {"steps": counts.steps, "claims": counts.numbers, "owned_twice": counts.owned_twice,
-            "over_whole": counts.over_whole, "older": counts.older_than_purge,
-            "left_open": sum(len(front.router._held) for front in made.fronts)}
+    return {
+        "steps": counts.steps,
+        "claims": counts.numbers,
+        "owned_twice": counts.owned_twice,
+        "over_whole": counts.over_whole,
+        "older": counts.older_than_purge,
+        "left_open": sum(len(front.router._held) for front in made.fronts),
+    }
 
 
 def run(quick: bool, seed: int) -> dict[str, Any]:
@@ -186,7 +228,8 @@
         heavy, usual = (150, 100) if quick else (600, 300)
         budgets = {
             (on, whole): pool.map(budget, [(on, whole, seed + k, heavy) for k in range(jobs)])
-            for on in (False, True) for whole in ((False,) if quick else (False, True))
+            for on in (False, True)
+            for whole in ((False,) if quick else (False, True))
         }
         twelve = {on: pool.map(doubles, [(on, seed + k, usual) for k in range(jobs)]) for on in (False, True)}
         histories = list(pool.map(history, [(seed * 1_000 + k, moves) for k in range(seeds)]))
@@ -205,17 +248,23 @@
             return None
         return round(statistics.median(row[at] / row[3] if at else row[0] for row in rows), 4)
 
-    ratios = {name: statistics.median(on["service"] / max(1e-9, off["service"])
-                                      for off, on in zip(runs["off"], runs[name], strict=True))
-              for name in ("dead", "silent", "slow", "flapping")}
+    ratios = {
+        name: statistics.median(
+            on["service"] / max(1e-9, off["service"]) for off, on in zip(runs["off"], runs[name], strict=True)
+        )
+        for name in ("dead", "silent", "slow", "flapping")
+    }
     worst = max(ratios, key=lambda name: abs(ratios[name] - 1))
     return {
-        "fronts": FRONTS, "pairs": pairs, "requests_per_run": runs["off"][0]["asked"],
+        "fronts": FRONTS,
+        "pairs": pairs,
+        "requests_per_run": runs["off"][0]["asked"],
         "double_fill_share_off": round(middle("off", "double"), 4),
         "double_fill_share_on": round(middle("healthy", "double"), 4),
         "double_fill_share_off_12_fronts": round(double[False], 4),
         "double_fill_share_on_12_fronts": round(double[True], 4),
-        "service_ratio_dead_over_off": round(ratios[worst], 4), "service_ratio_worst_fault": worst,
+        "service_ratio_dead_over_off": round(ratios[worst], 4),
+        "service_ratio_worst_fault": worst,
         "service_ratios": {name: round(ratio, 4) for name, ratio in ratios.items()},
         "service_off": round(middle("off", "service"), 4),
         "answer_p99_ms_off": round(middle("off", "p99_ms"), 2),
@@ -225,7 +274,8 @@
         "answer_p50_added_ms_healthy": round(middle("healthy", "p50_ms") - middle("off", "p50_ms"), 2),
         "claims_tried": sum(row["claims"] for row in histories),
         "claims_owned_twice": sum(row["owned_twice"] for row in histories),
-        "model_seeds": seeds, "model_steps": sum(row["steps"] for row in histories),
+        "model_seeds": seeds,
+        "model_steps": sum(row["steps"] for row in histories),
         "model_left_open": sum(row["left_open"] for row in histories),
         "served_older_than_purge_off": sum(row["older_than_purge"] for row in runs["off"]),
         "served_older_than_purge": sum(row["older_than_purge"] for rows in runs.values() for row in rows)
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -191,8 +191,16 @@
 
 def entry(member: Member, kind: str = "standard", zone: str = "west", **more: Any) -> dict[str, Any]:
     """A member as the list has it."""
-    listed = {"id": member.id, "addr": member.address, "zone": zone, "kind": kind, "cell": 0,
-              "state": "in_service", "weight": 4, "started_ms": 0}
+    listed = {
+        "id": member.id,
+        "addr": member.address,
+        "zone": zone,
+        "kind": kind,
+        "cell": 0,
+        "state": "in_service",
+        "weight": 4,
+        "started_ms": 0,
+    }
     return {**listed, **more}
 
 
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -83,8 +83,9 @@
         return 0
     from olivepost.net.front import serve
 
-    return serve(config, lambda: load(os.environ, given["--config"]), operator,
-                 lambda: _operator(given["--operator"]))
+    return serve(
+        config, lambda: load(os.environ, given["--config"]), operator, lambda: _operator(given["--operator"])
+    )
 
 
 def _operator(path: str | None) -> OperatorSettings | None:
--- a/olivepost/config.py
+++ b/olivepost/config.py
@@ -303,8 +303,14 @@
 
 def fixed_keys(old: Config, new: Config) -> list[str]:
     """The keys that differ and that a running front can't take over."""
-    named = {"name": "name", "listen": "listen", "seed": "seed", "settings": "settings", "bounds": "limits",
-             "flow": "flow_bytes_per_s"}
+    named = {
+        "name": "name",
+        "listen": "listen",
+        "seed": "seed",
+        "settings": "settings",
+        "bounds": "limits",
+        "flow": "flow_bytes_per_s",
+    }
     return [key for field, key in named.items() if getattr(old, field) != getattr(new, field)]
 
 
--- a/olivepost/interface.py
+++ b/olivepost/interface.py
@@ -282,8 +282,19 @@
 
 
 Event = (
-    Membership | Request | Begun | Outcome | ClientLeft | Purge | TimerFired
-    | StoreState | Advice | Lend | Borrow | Doubt | Ending
+    Membership
+    | Request
+    | Begun
+    | Outcome
+    | ClientLeft
+    | Purge
+    | TimerFired
+    | StoreState
+    | Advice
+    | Lend
+    | Borrow
+    | Doubt
+    | Ending
 )
 
 
@@ -417,6 +428,18 @@
 
 
 Action = (
-    Fetch | Cancel | Refuse | Fail | Serve | Keep | SetTimer | Subscribe
-    | Consult | Settled | Misled | Short | Lent | Suspect
+    Fetch
+    | Cancel
+    | Refuse
+    | Fail
+    | Serve
+    | Keep
+    | SetTimer
+    | Subscribe
+    | Consult
+    | Settled
+    | Misled
+    | Short
+    | Lent
+    | Suspect
 )
--- a/olivepost/net/clients.py
+++ b/olivepost/net/clients.py
@@ -45,11 +45,21 @@
     """Accepts connections and keeps count of them."""
 
     def __init__(
-        self, bounds: Bounds, classes: Mapping[str, ClassSettings], rooms: Pool, clock: Clock, log: Log,
+        self,
+        bounds: Bounds,
+        classes: Mapping[str, ClassSettings],
+        rooms: Pool,
+        clock: Clock,
+        log: Log,
         post: Callable[[Arrived | Left], None],
     ) -> None:
         self.bounds, self.classes, self.rooms, self.clock, self.log, self.post = (
-            bounds, classes, rooms, clock, log, post,
+            bounds,
+            classes,
+            rooms,
+            clock,
+            log,
+            post,
         )
         self.draining = False
         self.writers = Writers(bounds.writers, log)
--- a/olivepost/net/engine.py
+++ b/olivepost/net/engine.py
@@ -222,8 +222,14 @@
         until = now if self._over else min(until, self._ending or until)
         ttl = max(0, until - now)
         request = api.Request(
-            exchange.id, exchange.class_name, exchange.object, ttl,
-            group=exchange.group, part=exchange.part, copy=copy, write=exchange.writes,
+            exchange.id,
+            exchange.class_name,
+            exchange.object,
+            ttl,
+            group=exchange.group,
+            part=exchange.part,
+            copy=copy,
+            write=exchange.writes,
         )
         self._do(self._router.handle(now, request))
 
@@ -237,9 +243,11 @@
             self._copies.purge(purge.object, purge.group, now - purge.age)
             self._do(self._router.handle(now, purge))
             back = self._withdraw(
-                lambda call: call.exchange.object == purge.object
-                if purge.object
-                else call.exchange.group == purge.group
+                lambda call: (
+                    call.exchange.object == purge.object
+                    if purge.object
+                    else call.exchange.group == purge.group
+                )
             )
         else:
             self._servers.update(event.places, event.what.kind is not api.ListKind.CHANGES)
--- a/olivepost/net/front.py
+++ b/olivepost/net/front.py
@@ -74,8 +74,12 @@
     """One front."""
 
     def __init__(
-        self, config: Config, log_to: int = 1, signals: Callable[[int], str] | None = None,
-        read_again: Callable[[], Config] | None = None, operator: OperatorSettings | None = None,
+        self,
+        config: Config,
+        log_to: int = 1,
+        signals: Callable[[int], str] | None = None,
+        read_again: Callable[[], Config] | None = None,
+        operator: OperatorSettings | None = None,
         operator_again: Callable[[], OperatorSettings | None] | None = None,
     ) -> None:
         self.config, bounds = config, config.bounds
@@ -180,14 +184,20 @@
         count = len(delays)
         shares = {"p50": count // 2, "p95": count * 95 // 100, "p99": count * 99 // 100, "most": count - 1}
         self.log.event(
-            "figures", open=self.engine.open,
-            connections=self.clients.open, most_connections=self.clients.peak,
+            "figures",
+            open=self.engine.open,
+            connections=self.clients.open,
+            most_connections=self.clients.peak,
             events=count,
             engine_delay_ms={name: delays[at] / MS for name, at in shares.items()} if count else {},
             cpu_s=[round(span, 1) for span in os.times()[:2]],  # the front's own code, the system's
-            descriptors=_descriptors(), **_process(),
-            buffers=self.pool.out, most_buffers=self.pool.peak, readers=self.rooms.out,
-            copies=len(self.copies), broken=invariants.broken(),
+            descriptors=_descriptors(),
+            **_process(),
+            buffers=self.pool.out,
+            most_buffers=self.pool.peak,
+            readers=self.rooms.out,
+            copies=len(self.copies),
+            broken=invariants.broken(),
             counts=self.log.totals(),
             **({"sharing": self.stores.figures()} if self.stores else {}),
         )
@@ -218,14 +228,21 @@
 
 
 def serve(
-    config: Config, read_again: Callable[[], Config], operator: OperatorSettings | None = None,
+    config: Config,
+    read_again: Callable[[], Config],
+    operator: OperatorSettings | None = None,
     operator_again: Callable[[], OperatorSettings | None] | None = None,
 ) -> int:
     """Runs a front until SIGTERM or SIGINT; SIGHUP has it read its configuration again. The exit code."""
     threading.stack_size(config.bounds.stack_size)
     sys.setswitchinterval(SWITCH)
-    front = Front(config, signals=Signals().wait, read_again=read_again, operator=operator,
-                  operator_again=operator_again)
+    front = Front(
+        config,
+        signals=Signals().wait,
+        read_again=read_again,
+        operator=operator,
+        operator_again=operator_again,
+    )
     try:
         front.start()
     except OSError as fault:
--- a/olivepost/net/http1.py
+++ b/olivepost/net/http1.py
@@ -6,9 +6,18 @@
 from dataclasses import dataclass
 
 REASONS = {
-    200: "OK", 304: "Not Modified", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-    408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-    500: "Internal Server Error", 501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable",
+    200: "OK",
+    304: "Not Modified",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    502: "Bad Gateway",
+    503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
 TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
--- a/olivepost/net/registry.py
+++ b/olivepost/net/registry.py
@@ -60,8 +60,13 @@
     started = row.whole("started_ms", 0) * MS
     address = ("", 0) if state is api.State.GONE and "addr" not in row.data else row.address("addr")
     listed = api.Listed(
-        address=id_, state=state, kind=row.text("kind", ""), zone=row.text("zone", ""),
-        cell=row.whole("cell", 0), weight=row.number("weight", 1.0), started=started,
+        address=id_,
+        state=state,
+        kind=row.text("kind", ""),
+        zone=row.text("zone", ""),
+        cell=row.whole("cell", 0),
+        weight=row.number("weight", 1.0),
+        started=started,
     )
     return listed, Place(id_, address, started, state)
 
--- a/olivepost/net/sockets.py
+++ b/olivepost/net/sockets.py
@@ -72,9 +72,7 @@
     return sock
 
 
-def send_parts(
-    sock: socket.socket, parts: Iterable[bytes | memoryview], flags: int = 0
-) -> list[memoryview]:
+def send_parts(sock: socket.socket, parts: Iterable[bytes | memoryview], flags: int = 0) -> list[memoryview]:
     """Writes all parts, in as few calls as the kernel allows.
 
     With MSG_DONTWAIT, returns what was not taken at once; without it, nothing is left.
--- a/olivepost/operator/units.py
+++ b/olivepost/operator/units.py
@@ -71,7 +71,8 @@
 
 
 HostPort = Annotated[
-    tuple[str, int], BeforeValidator(read_address),
+    tuple[str, int],
+    BeforeValidator(read_address),
     WithJsonSchema({"type": "string", "examples": ["10.0.0.4:6379"]}),
 ]
 SPAN_SCHEMA = WithJsonSchema({"type": "string", "pattern": SPAN.pattern, "examples": ["250ms"]})
--- a/olivepost/sharing/client.py
+++ b/olivepost/sharing/client.py
@@ -42,24 +42,33 @@
     if store.tls is not None:
         tls = store.tls
         extra = {
-            "ssl": True, "ssl_cert_reqs": "required", "ssl_check_hostname": True,
-            "ssl_ca_certs": str(tls.ca_file), "ssl_min_version": ssl.TLSVersion.TLSv1_2,
+            "ssl": True,
+            "ssl_cert_reqs": "required",
+            "ssl_check_hostname": True,
+            "ssl_ca_certs": str(tls.ca_file),
+            "ssl_min_version": ssl.TLSVersion.TLSv1_2,
             "ssl_certfile": str(tls.cert_file) if tls.cert_file else None,
             "ssl_keyfile": str(tls.key_file) if tls.key_file else None,
         }
     if store.password_file is not None:
         extra["credential_provider"] = PasswordFile(store.user, store.password_file)
     return redis.Redis(
-        host=host, port=port, db=store.database, protocol=3, decode_responses=False,
-        socket_timeout=settings.give_up / SECOND, socket_connect_timeout=settings.connect / SECOND,
-        retry=Retry(NoBackoff(), 0), max_connections=connections, health_check_interval=0,
-        maint_notifications_config=MaintNotificationsConfig(enabled=False), **extra,
+        host=host,
+        port=port,
+        db=store.database,
+        protocol=3,
+        decode_responses=False,
+        socket_timeout=settings.give_up / SECOND,
+        socket_connect_timeout=settings.connect / SECOND,
+        retry=Retry(NoBackoff(), 0),
+        max_connections=connections,
+        health_check_interval=0,
+        maint_notifications_config=MaintNotificationsConfig(enabled=False),
+        **extra,
     )
 
 
-def run(
-    client: redis.Redis, ops: list[Op], prefix: str, process: str, transaction: bool
-) -> list[object]:
+def run(client: redis.Redis, ops: list[Op], prefix: str, process: str, transaction: bool) -> list[object]:
     """Runs questions in one exchange; what each got: a reply, or the exception it raised.
 
     Raises redis.RedisError where the exchange as a whole failed: then none is known to have run or not."""
--- a/olivepost/sharing/core.py
+++ b/olivepost/sharing/core.py
@@ -111,7 +111,11 @@
         return self.stores[place(name, self.terms.stores)[0]]
 
     def _ask(
-        self, now: int, store: Standing, op: ev.Op, urgent: bool,
+        self,
+        now: int,
+        store: Standing,
+        op: ev.Op,
+        urgent: bool,
         then: Callable[[int, Asked, tuple[object, ...] | None], None],
     ) -> bool:
         if len(self._asked) >= MOST_ASKED:
@@ -158,8 +162,9 @@
         store.trust = Trust.NONE
         if store.raising:
             return
-        self._actions.append(ev.Note("store_forgot", {"store": store.name, "found": found,
-                                                      "known": store.generation}))
+        self._actions.append(
+            ev.Note("store_forgot", {"store": store.name, "found": found, "known": store.generation})
+        )
         store.raising = self._ask(now, store, ev.Raise(found, store.generation), False, self._raised)
 
     def _raised(self, now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
@@ -168,8 +173,12 @@
             self._adopt(now, asked.store, generation)
 
     def _adopt(self, now: int, store: Standing, generation: int) -> None:
-        self._actions.append(ev.Note("store_generation", {"store": store.name, "from": store.generation,
-                                                          "to": generation, "purges": len(self.purges)}))
+        self._actions.append(
+            ev.Note(
+                "store_generation",
+                {"store": store.name, "from": store.generation, "to": generation, "purges": len(self.purges)},
+            )
+        )
         store.adopt(generation, self.purges.chunks() if self.terms.purges else [])
         self._put_back(now, store)
 
@@ -190,8 +199,16 @@
         if up != self._up:
             self._up = up
             self._actions.append(ev.Tell(api.StoreState(up)))
-            self._actions.append(ev.Note("sharing_up" if up else "sharing_down", {"stores": {
-                name: [store.gate.value, store.trust.value] for name, store in self.stores.items()}}))
+            self._actions.append(
+                ev.Note(
+                    "sharing_up" if up else "sharing_down",
+                    {
+                        "stores": {
+                            name: [store.gate.value, store.trust.value] for name, store in self.stores.items()
+                        }
+                    },
+                )
+            )
 
     # Time
 
@@ -212,10 +229,19 @@
     def _sync(self, now: int, store: Standing) -> None:
         self._next_sync[store.name] = now + self.terms.sync
         sure = store.trust is Trust.SURE
-        needs = {key: record for key, record in (self.loans.needs(now) if self.terms.loans else {}).items()
-                 if self.store_of(key) is store} if sure else {}
+        needs = (
+            {
+                key: record
+                for key, record in (self.loans.needs(now) if self.terms.loans else {}).items()
+                if self.store_of(key) is store
+            }
+            if sure
+            else {}
+        )
         op = ev.Sync(
-            store.generation, store.next_serial(), store.cursor,
+            store.generation,
+            store.next_serial(),
+            store.cursor,
             tuple((self.loans.field(key), record) for key, record in needs.items()),
             self.suspicions.own(now) if sure and self.terms.suspicions else (),
         )
@@ -318,8 +344,15 @@
         purges = (f"o:{event.object}", f"g:{event.group}")
         record, span = b"", 0
         if claims:
-            record = pack(Claim(owner=self.terms.front, process=self.terms.incarnation, cache=ask.cache,
-                                source=ask.source, started=self._started(ask.cache)))
+            record = pack(
+                Claim(
+                    owner=self.terms.front,
+                    process=self.terms.incarnation,
+                    cache=ask.cache,
+                    source=ask.source,
+                    started=self._started(ask.cache),
+                )
+            )
             span = max(1, min(ask.span, self.terms.claim_most) // MS)
             self.counts["claims_tried"] += 1
         op = ev.Look(store.generation, ask.name, purges, record, span)
@@ -337,9 +370,7 @@
             waiting.told = True
             self._actions.append(ev.Tell(advice))
 
-    def _known(
-        self, now: int, asked: Asked, values: tuple[object, ...] | None, waiting: Waiting
-    ) -> None:
+    def _known(self, now: int, asked: Asked, values: tuple[object, ...] | None, waiting: Waiting) -> None:
         """The store's word on a name. Without one, whether the claim is this front's is not known."""
         ask = waiting.ask
         waiting.told |= now - asked.sent > ask.within  # the router has gone on: its next question is another
@@ -353,9 +384,7 @@
             self._note_odd(fault)
         self._advise(waiting, advice)
 
-    def _read_known(
-        self, now: int, asked: Asked, values: tuple[object, ...], waiting: Waiting
-    ) -> api.Advice:
+    def _read_known(self, now: int, asked: Asked, values: tuple[object, ...], waiting: Waiting) -> api.Advice:
         ask, word = waiting.ask, values[0]
         none = api.Advice(ask.id)
         if word == b"mine" and isinstance(asked.op, ev.Look) and asked.op.record:
@@ -398,8 +427,17 @@
         """The claim is this front's, unless the word comes past its end by this clock."""
         op, ask = asked.op, waiting.ask
         assert isinstance(op, ev.Look)
-        own = Own(ask.id, ask.name, asked.store.name, asked.generation, b"%d %b" % (number, op.record),
-                  number, ask.cache, asked.sent, asked.sent + op.span_ms * MS)
+        own = Own(
+            ask.id,
+            ask.name,
+            asked.store.name,
+            asked.generation,
+            b"%d %b" % (number, op.record),
+            number,
+            ask.cache,
+            asked.sent,
+            asked.sent + op.span_ms * MS,
+        )
         if not self.claims.add(own):
             self.counts["claims_fenced"] += 1
             return
@@ -425,8 +463,15 @@
         record, at_ms = b"", 0
         if settled.cache and self.terms.holders:
             at_ms = event.issued_ms or own.sent // MS
-            record = pack(Holder(cache=settled.cache, started=self._started(settled.cache), rank=settled.rank,
-                                 at_ms=at_ms, by=self.terms.front))
+            record = pack(
+                Holder(
+                    cache=settled.cache,
+                    started=self._started(settled.cache),
+                    rank=settled.rank,
+                    at_ms=at_ms,
+                    by=self.terms.front,
+                )
+            )
         op = ev.Settle(own.generation, own.name, own.claim, record, at_ms, self.terms.holder_keep // MS)
         self._ask(now, store, op, False, self._settled)
 
@@ -458,8 +503,11 @@
             field_name, at, need = row[0].decode(errors="replace"), whole(row[1]), unpack(Need, row[2])
             if field_name != f"{need.process}|{need.key}":
                 raise RecordError("a need under another's name")
-            oldest[need.key] = min((at, field_name, need), oldest.get(need.key, (at, field_name, need)),
-                                   key=lambda entry: entry[:2])
+            oldest[need.key] = min(
+                (at, field_name, need),
+                oldest.get(need.key, (at, field_name, need)),
+                key=lambda entry: entry[:2],
+            )
 
         for row in rows:
             self._read(note, row)
--- a/olivepost/sharing/events.py
+++ b/olivepost/sharing/events.py
@@ -143,8 +143,17 @@
 
 
 Event = (
-    Consulted | Ended | Reply | Lost | Purged | Tick
-    | api.Membership | api.Misled | api.Short | api.Lent | api.Suspect
+    Consulted
+    | Ended
+    | Reply
+    | Lost
+    | Purged
+    | Tick
+    | api.Membership
+    | api.Misled
+    | api.Short
+    | api.Lent
+    | api.Suspect
 )
 
 # Actions.
--- a/olivepost/sharing/host.py
+++ b/olivepost/sharing/host.py
@@ -86,8 +86,13 @@
             return
         host = self._host
         try:
-            replies = client.run(self._client, [command.op for command in commands], host.prefix,
-                                 host.incarnation, not self._urgent)
+            replies = client.run(
+                self._client,
+                [command.op for command in commands],
+                host.prefix,
+                host.incarnation,
+                not self._urgent,
+            )
         except Exception as fault:  # whatever it is, the tickets must come back
             # A connection left with half an answer would give the next question that.
             self._client.connection_pool.disconnect()
@@ -109,7 +114,12 @@
     """What the engine sees of the stores."""
 
     def __init__(
-        self, settings: SharingSettings, name: str, clock: Clock, log: Log, post: Callable[[api.Event], None],
+        self,
+        settings: SharingSettings,
+        name: str,
+        clock: Clock,
+        log: Log,
+        post: Callable[[api.Event], None],
     ) -> None:
         draw = random.SystemRandom()
         self.settings, self.clock, self.log, self._post = settings, clock, log, post
@@ -164,8 +174,10 @@
         """Counts since the start, and how each store stands."""
         return {
             "counts": dict(self.core.counts),
-            "stores": {name: {"gate": store.gate.value, "trust": store.trust.value,
-                              "generation": store.generation} for name, store in self.core.stores.items()},
+            "stores": {
+                name: {"gate": store.gate.value, "trust": store.trust.value, "generation": store.generation}
+                for name, store in self.core.stores.items()
+            },
         }
 
     def fault(self, fault: Exception) -> None:
--- a/olivepost/sharing/inspect.py
+++ b/olivepost/sharing/inspect.py
@@ -68,8 +68,12 @@
     made.ping()
     took = time.perf_counter() - began
     fronts = sum(1 for _ in _keys(made, f"{under}seen:*"))
-    return {"answers_ms": round(took * 1000, 3), "generation": int(generation), "processes": fronts,
-            "keys": made.dbsize()}
+    return {
+        "answers_ms": round(took * 1000, 3),
+        "generation": int(generation),
+        "processes": fronts,
+        "keys": made.dbsize(),
+    }
 
 
 def _keys(made: redis.Redis, pattern: str) -> Iterator[bytes]:
@@ -110,15 +114,21 @@
 
 
 def _forget(
-    settings: SharingSettings, made: Any, store: Store, prefix: str, generation: int, under: str,
+    settings: SharingSettings,
+    made: Any,
+    store: Store,
+    prefix: str,
+    generation: int,
+    under: str,
     names: list[str],
 ) -> ROWS:
     """Names by deleting what is known of them, everything by a new generation."""
     if names:
         stores = tuple(other.name for other in settings.stores)
         here = [name for name in names if place(name, stores)[0] == store.name]
-        return [{"name": name, "forgotten": made.delete(f"{under}c:{name}", f"{under}h:{name}")}
-                for name in here]
+        return [
+            {"name": name, "forgotten": made.delete(f"{under}c:{name}", f"{under}h:{name}")} for name in here
+        ]
     (reply,) = client.run(made, [ev.Raise(generation, generation)], prefix, "operator", False)
     if isinstance(reply, Exception):
         raise reply
--- a/olivepost/sharing/loans.py
+++ b/olivepost/sharing/loans.py
@@ -98,9 +98,15 @@
                 nonce = self._current[key] = f"{self._process}.{self._count}"
                 wanted = self._wanted[nonce] = Wanted(key, amount, now, now + self._span)
             if wanted.got < wanted.amount:
-                found[key] = pack(Need(
-                    process=self._process, key=key, nonce=nonce, amount=wanted.amount, span=self._span,
-                ))
+                found[key] = pack(
+                    Need(
+                        process=self._process,
+                        key=key,
+                        nonce=nonce,
+                        amount=wanted.amount,
+                        span=self._span,
+                    )
+                )
         self._current = {key: nonce for key, nonce in self._current.items() if nonce in self._wanted}
         return found
 
--- a/olivepost/sharing/scripts.py
+++ b/olivepost/sharing/scripts.py
@@ -55,7 +55,9 @@
 """
 
 # serial, after, count of needs, needs (field, record), suspects
-SYNC = _HEAD + f"""
+SYNC = (
+    _HEAD
+    + f"""
 redis.call('SET', P .. 'seen:' .. ARGV[3], ARGV[4], 'PX', {SEEN_LASTS})
 for _, key in ipairs({{'purges', 'log', 'number', 'floor', 'needs', 'suspects'}}) do
   redis.call('PEXPIRE', P .. key, {KEYS_LAST})
@@ -103,9 +105,13 @@
 end
 return {{gen, seen, purges, needs, pieces, suspects}}
 """
+)
 
 # name, span (0: only look), record, purge keys
-LOOK = _HEAD + _PURGED + f"""
+LOOK = (
+    _HEAD
+    + _PURGED
+    + f"""
 local holder = redis.call('HMGET', P .. 'h:' .. ARGV[4], 'rec', 'at')
 if holder[1] then
   local keys = {{}}
@@ -129,9 +135,12 @@
 redis.call('SET', P .. 'c:' .. ARGV[4], num(number) .. ' ' .. ARGV[6], 'PX', ARGV[5])
 return {{gen, seen, 'mine', num(number)}}
 """
+)
 
 # name, claim, record of a holder or empty, its time, how long it is kept
-SETTLE = _HEAD + """
+SETTLE = (
+    _HEAD
+    + """
 if redis.call('GET', P .. 'c:' .. ARGV[4]) ~= ARGV[5] then return {gen, seen, 'lost'} end
 redis.call('DEL', P .. 'c:' .. ARGV[4])
 if ARGV[6] ~= '' then
@@ -140,9 +149,12 @@
 end
 return {gen, seen, 'done'}
 """
+)
 
 # name, record, times
-WRONG = _HEAD + """
+WRONG = (
+    _HEAD
+    + """
 if redis.call('HGET', P .. 'h:' .. ARGV[4], 'rec') ~= ARGV[5] then return {gen, seen, 'other'} end
 if redis.call('HINCRBY', P .. 'h:' .. ARGV[4], 'wrong', ARGV[6]) >= 2 then
   redis.call('DEL', P .. 'h:' .. ARGV[4])
@@ -150,9 +162,12 @@
 end
 return {gen, seen, 'counted'}
 """
+)
 
 # purges: key, Unix millisecond
-PURGE = _HEAD + f"""
+PURGE = (
+    _HEAD
+    + f"""
 for i = 4, #ARGV, 2 do
   local at = math.min(tonumber(ARGV[i + 1]), now + 10000)
   local old = redis.call('HGET', P .. 'purges', ARGV[i])
@@ -174,9 +189,12 @@
 end
 return {{gen, seen, 'put'}}
 """
+)
 
 # field of the need, nonce, process it is for, amount, record of the piece
-GRANT = _HEAD + f"""
+GRANT = (
+    _HEAD
+    + f"""
 local need = redis.call('HGET', P .. 'needs', ARGV[4])
 if not need then return {{gen, seen, 'not wanted'}} end
 local stamp, fresh, left, record = string.match(need, '^(%d+) (%d+) (%S+) (.*)$')
@@ -191,6 +209,7 @@
 redis.call('PEXPIRE', P .. 'p:' .. ARGV[6], {PIECES_LAST})
 return {{gen, seen, 'handed'}}
 """
+)
 
 # KEYS: the generation's key. ARGV: the generation expected, the least
 RAISE = """
@@ -202,8 +221,15 @@
 return {text, '0'}
 """
 
-NAMES = {"sync": SYNC, "look": LOOK, "settle": SETTLE, "wrong": WRONG, "purge": PURGE, "grant": GRANT,
-         "raise": RAISE}
+NAMES = {
+    "sync": SYNC,
+    "look": LOOK,
+    "settle": SETTLE,
+    "wrong": WRONG,
+    "purge": PURGE,
+    "grant": GRANT,
+    "raise": RAISE,
+}
 DIGESTS = {name: sha1(text.encode()).hexdigest() for name, text in NAMES.items()}
 
 Word = bytes | str | int | float
--- a/olivepost/sharing/settings.py
+++ b/olivepost/sharing/settings.py
@@ -137,9 +137,19 @@
     def terms(self, front: str, incarnation: str) -> Terms:
         """What the deciding part needs of all this."""
         return Terms(
-            front, incarnation, tuple(store.name for store in self.stores), self.wait, self.sync,
-            claims=self.claims.on, claim_most=self.claims.most, holders=self.holders.on,
-            holder_keep=self.holders.keep, purges=self.purges.on, loans=self.budgets.on,
-            loan=self.budgets.loan, suspicions=self.suspicions.on, trial_first=self.trials.first,
+            front,
+            incarnation,
+            tuple(store.name for store in self.stores),
+            self.wait,
+            self.sync,
+            claims=self.claims.on,
+            claim_most=self.claims.most,
+            holders=self.holders.on,
+            holder_keep=self.holders.keep,
+            purges=self.purges.on,
+            loans=self.budgets.on,
+            loan=self.budgets.loan,
+            suspicions=self.suspicions.on,
+            trial_first=self.trials.first,
             trial_most=self.trials.most,
         )
--- a/standins/redis/keyspace.py
+++ b/standins/redis/keyspace.py
@@ -30,8 +30,9 @@
 
 Reply = Any  # bytes, int, float, None, Status, list, dict; in a transaction Wrong as well
 GROWS = frozenset({"SET", "INCR", "INCRBY", "HSET", "HINCRBY", "RPUSH", "LPUSH", "ZADD"})
-SHRINKS = frozenset({"DEL", "UNLINK", "HDEL", "ZREM", "EXPIRE", "PEXPIRE", "PERSIST", "GETDEL", "FLUSHALL",
-                     "FLUSHDB"})
+SHRINKS = frozenset(
+    {"DEL", "UNLINK", "HDEL", "ZREM", "EXPIRE", "PEXPIRE", "PERSIST", "GETDEL", "FLUSHALL", "FLUSHDB"}
+)
 
 
 def whole(text: bytes) -> int:
@@ -66,8 +67,12 @@
 
     def __post_init__(self) -> None:
         self._compiled: dict[str, Any] = {}
-        self._lua: Any = LuaRuntime(encoding=None, unpack_returned_tuples=True, register_eval=False,
-                                    attribute_filter=self._nothing_of_python)
+        self._lua: Any = LuaRuntime(
+            encoding=None,
+            unpack_returned_tuples=True,
+            register_eval=False,
+            attribute_filter=self._nothing_of_python,
+        )
         self._prepare()
 
     # Life
@@ -321,8 +326,11 @@
 
         (least, above), (most, below) = edge(low), edge(high)
         rows = sorted((score, name) for name, score in self._of(key, Scores).items())
-        rows = [row for row in rows if (least < row[0] if above else least <= row[0])
-                and (row[0] < most if below else row[0] <= most)]
+        rows = [
+            row
+            for row in rows
+            if (least < row[0] if above else least <= row[0]) and (row[0] < most if below else row[0] <= most)
+        ]
         words, scored = [option.upper() for option in options], False
         while words:
             word = words.pop(0)
@@ -339,8 +347,11 @@
         given = dict(zip([o.upper() for o in options[::2]], options[1::2], strict=True))
         pattern, count = given.get(b"MATCH", b"*").decode(errors="replace"), whole(given.get(b"COUNT", b"10"))
         keys, start = sorted(key for key in [*self.data] if self._live(key) is not None), whole(cursor)
-        found = [key for key in keys[start : start + count]
-                 if fnmatch.fnmatchcase(key.decode(errors="replace"), pattern)]
+        found = [
+            key
+            for key in keys[start : start + count]
+            if fnmatch.fnmatchcase(key.decode(errors="replace"), pattern)
+        ]
         return [b"%d" % (start + count if start + count < len(keys) else 0), found]
 
     def do_dbsize(self) -> Reply:
--- a/standins/redis/server.py
+++ b/standins/redis/server.py
@@ -130,12 +130,21 @@
             else:
                 raise Wrong("ERR Syntax error in HELLO")
         if not self.known:
-            raise Wrong("NOAUTH HELLO must be called with the client already authenticated, otherwise the "
-                        "HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and "
-                        "select the RESP protocol version at the same time")
+            raise Wrong(
+                "NOAUTH HELLO must be called with the client already authenticated, otherwise the "
+                "HELLO <proto> AUTH <user> <pass> option can be used to authenticate the client and "
+                "select the RESP protocol version at the same time"
+            )
         self.three = words[0] == b"3" if words else self.three
-        return {b"server": b"redis", b"version": b"7.4.0", b"proto": 3 if self.three else 2,
-                b"id": self.number, b"mode": b"standalone", b"role": b"master", b"modules": []}
+        return {
+            b"server": b"redis",
+            b"version": b"7.4.0",
+            b"proto": 3 if self.three else 2,
+            b"id": self.number,
+            b"mode": b"standalone",
+            b"role": b"master",
+            b"modules": [],
+        }
 
     def _client(self, verb: bytes, *rest: bytes) -> Reply:
         match verb.upper():
@@ -211,8 +220,13 @@
     """A store on a thread of its own; tests change `faults`, `users` and `keyspace` while it runs."""
 
     def __init__(
-        self, host: str = "127.0.0.1", port: int = 0, seed: int = 1, users: dict[str, str] | None = None,
-        now_ms: Callable[[], int] | None = None, schedule: list[Step] | None = None,
+        self,
+        host: str = "127.0.0.1",
+        port: int = 0,
+        seed: int = 1,
+        users: dict[str, str] | None = None,
+        now_ms: Callable[[], int] | None = None,
+        schedule: list[Step] | None = None,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self.faults, self.users = Faults(), users
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,9 +16,20 @@
 def make_class(name: str = "image", **changes: Any) -> api.ClassSettings:
     """A safe class with a long life."""
     spec = api.ClassSettings(
-        name=name, aim=300 * MS, aim_stretch=2.0, deadline=3 * SECOND, effect=api.Effect.SAFE,
-        scope=api.Scope.ALL, window=5 * SECOND, streaming=False, worth=1.0, late_worth=0.2, fresh=0,
-        grace=0, stale_worth=0.5, uncacheable=False,
+        name=name,
+        aim=300 * MS,
+        aim_stretch=2.0,
+        deadline=3 * SECOND,
+        effect=api.Effect.SAFE,
+        scope=api.Scope.ALL,
+        window=5 * SECOND,
+        streaming=False,
+        worth=1.0,
+        late_worth=0.2,
+        fresh=0,
+        grace=0,
+        stale_worth=0.5,
+        uncacheable=False,
     )
     return dataclasses.replace(spec, **changes)
 
@@ -26,12 +37,29 @@
 def make_settings(*classes: api.ClassSettings, **changes: Any) -> api.Settings:
     """A location with one front, a cache tier, parents and an origin."""
     settings = api.Settings(
-        classes={spec.name: spec for spec in classes or (make_class(),)}, zone="west",
-        caches=api.Tier(1, 0.2, 10 * SECOND, 2.0), parents=api.Tier(1, 0.1, 20 * SECOND, 2.0),
-        parent_kind="parent", origin_kind="origin", weights_told=False, pace_kb_per_s=1000.0, can_join=True,
-        direct=True, siblings_as_source="off", tells_hits=True, tells_causes=False, purge_done=6 * SECOND,
-        fall_window=2 * SECOND, ask_for_list=False, ask_within=10 * SECOND, max_attempts=6, may_cancel=True,
-        second_copies=False, retry_after=True, max_retry_after=SECOND, tick=2 * MS,
+        classes={spec.name: spec for spec in classes or (make_class(),)},
+        zone="west",
+        caches=api.Tier(1, 0.2, 10 * SECOND, 2.0),
+        parents=api.Tier(1, 0.1, 20 * SECOND, 2.0),
+        parent_kind="parent",
+        origin_kind="origin",
+        weights_told=False,
+        pace_kb_per_s=1000.0,
+        can_join=True,
+        direct=True,
+        siblings_as_source="off",
+        tells_hits=True,
+        tells_causes=False,
+        purge_done=6 * SECOND,
+        fall_window=2 * SECOND,
+        ask_for_list=False,
+        ask_within=10 * SECOND,
+        max_attempts=6,
+        may_cancel=True,
+        second_copies=False,
+        retry_after=True,
+        max_retry_after=SECOND,
+        tick=2 * MS,
     )
     return dataclasses.replace(settings, **changes)
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -47,11 +47,21 @@
         self.sock.close()
 
     @classmethod
-    def request(cls, name: str = NAME, class_name: str = "segment", piece: int = 3, patience: int = 1500,
-                **headers: str) -> bytes:
+    def request(
+        cls,
+        name: str = NAME,
+        class_name: str = "segment",
+        piece: int = 3,
+        patience: int = 1500,
+        **headers: str,
+    ) -> bytes:
         """A request as clients send it; a header given as '' is left out."""
-        lines = {"Host": "backend.local", "X-Call-Id": f"{next(cls._ids):016x}",
-                 "X-Patience-Ms": str(patience), "X-Set": "17"}
+        lines = {
+            "Host": "backend.local",
+            "X-Call-Id": f"{next(cls._ids):016x}",
+            "X-Patience-Ms": str(patience),
+            "X-Set": "17",
+        }
         lines |= {key.replace("_", "-"): value for key, value in headers.items()}
         text = "".join(f"{key}: {value}\r\n" for key, value in lines.items() if value)
         return f"GET /api/v2/{class_name}/{name}/slice-{piece} HTTP/1.1\r\n{text}\r\n".encode()
@@ -176,9 +186,7 @@
 
 
 @contextmanager
-def rig(
-    reply: Reply = serve_all, bounds: dict[str, int] | None = None, **changes: Any
-) -> Iterator[Rig]:
+def rig(reply: Reply = serve_all, bounds: dict[str, int] | None = None, **changes: Any) -> Iterator[Rig]:
     """A front under test, with the buffers and requests all accounted for at its end."""
     made = Rig(reply, bounds, **changes)
     try:
--- a/tests/sharing/test_branch.py
+++ b/tests/sharing/test_branch.py
@@ -260,8 +260,13 @@
     prefix = b"t:%d:" % generation
     store.call([b"HSET", prefix + b"needs", b"x|cold:c0@0", b"1 9999999999999 - garbage"])
     store.call([b"SET", prefix + f"h:{NAME}.0".encode(), b"a string where a hash should be"])
-    store.call([b"RPUSH", prefix + b"p:" + made.fronts[0].sharing.terms.incarnation.encode(),  # type: ignore
-                b"\x00" * 100])
+    store.call(
+        [
+            b"RPUSH",
+            prefix + b"p:" + made.fronts[0].sharing.terms.incarnation.encode(),  # type: ignore
+            b"\x00" * 100,
+        ]
+    )
     store.call([b"HSET", prefix + b"suspects", b"nobody", b"9999999999999"])
     made.request(made.fronts[0], NAME)
     made.run(SECOND)
@@ -296,7 +301,8 @@
         made.run(MS // 10)
         seen.add(standing.trust)
         if standing.trust is Trust.SURE and standing.generation in {
-            int(key.split(b":")[1]) for key in made.stores["s0"].data if key.endswith(b":purges")}:
+            int(key.split(b":")[1]) for key in made.stores["s0"].data if key.endswith(b":purges")
+        }:
             kept = made.stores["s0"].data[b"t:%d:purges" % standing.generation]
             assert len(kept) == made.groups
     assert Trust.RESTORING in seen and standing.up
--- a/tests/sharing/test_budgets.py
+++ b/tests/sharing/test_budgets.py
@@ -38,8 +38,12 @@
     def pause(self, number: int, span: int) -> None:
         self.made.fronts[number].paused_until = self.made.now + span * MS
 
-    @rule(lost=st.sampled_from([0.0, 0.5]), cut=st.sampled_from([0.0, 0.5]),
-          doubled=st.sampled_from([0.0, 0.8]), slow=st.sampled_from([0.0, 0.4]))
+    @rule(
+        lost=st.sampled_from([0.0, 0.5]),
+        cut=st.sampled_from([0.0, 0.5]),
+        doubled=st.sampled_from([0.0, 0.8]),
+        slow=st.sampled_from([0.0, 0.4]),
+    )
     def way(self, lost: float, cut: float, doubled: float, slow: float) -> None:
         way = self.made.ways["s0"]
         way.lost, way.cut, way.doubled, way.slow = lost, cut, doubled, slow
@@ -82,10 +86,18 @@
                 way.lost = way.cut = way.slow = 0.0
             self.made.run(8 * SECOND)
             assert not any(front.router._held for front in self.made.fronts)
-            assert all(not front.sharing or not front.sharing._asked or len(front.sharing._asked) < 4
-                       for front in self.made.fronts)
+            assert all(
+                not front.sharing or not front.sharing._asked or len(front.sharing._asked) < 4
+                for front in self.made.fronts
+            )
 
 
 TestBudgets = Budgets.TestCase
-TestBudgets.settings = settings(max_examples=25, stateful_step_count=30, derandomize=True, deadline=None,
-                                database=None, suppress_health_check=list(HealthCheck))
+TestBudgets.settings = settings(
+    max_examples=25,
+    stateful_step_count=30,
+    derandomize=True,
+    deadline=None,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+)
--- a/tests/sharing/test_front.py
+++ b/tests/sharing/test_front.py
@@ -41,8 +41,9 @@
         self._nowhere = os.open(os.devnull, os.O_WRONLY)
         self.fronts, self.addresses = [], []
         for name in ("n1", "n2"):
-            config = toy_config(name=name, coordinator=self.coordinator.address,
-                                known=self.coordinator.listed())
+            config = toy_config(
+                name=name, coordinator=self.coordinator.address, known=self.coordinator.listed()
+            )
             front = Front(read_config(config, {}), self._nowhere, operator=operator)
             self.fronts.append(front)
             self.addresses.append(front.start())
@@ -113,10 +114,19 @@
         assert made.until(lambda: router._purges.last(api.Request("i", "image", "x", 1, group=1)) > 0)
 
 
-@pytest.mark.parametrize("fault", [
-    {"silent": True}, {"pause": True}, {"refuse": True}, {"cut": 1.0}, {"garble": 1.0}, {"full": True},
-    {"read_only": True}, {"slow_ms": 400.0},
-])
+@pytest.mark.parametrize(
+    "fault",
+    [
+        {"silent": True},
+        {"pause": True},
+        {"refuse": True},
+        {"cut": 1.0},
+        {"garble": 1.0},
+        {"full": True},
+        {"read_only": True},
+        {"slow_ms": 400.0},
+    ],
+)
 def test_answers_go_on_whatever_the_store_does_and_it_is_used_again_after(fault: dict[str, Any]) -> None:
     with pair(wait="20ms", give_up="100ms") as made:
         assert made.up()
@@ -135,8 +145,15 @@
         assert made.up()
         before = made.fronts[0].stores.core.stores["s"].generation  # type: ignore[union-attr]
         made.server.call(lambda: made.server.change({"lose": True}))
-        assert made.until(lambda: {f.stores.core.stores["s"].generation > before  # type: ignore[union-attr]
-                                   for f in made.fronts} == {True})
+        assert made.until(
+            lambda: (
+                {
+                    f.stores.core.stores["s"].generation > before  # type: ignore[union-attr]
+                    for f in made.fronts
+                }
+                == {True}
+            )
+        )
         assert made.up() and made.ask(0, FILLED, patience=6000) == 200
 
 
@@ -157,8 +174,11 @@
         assert made.ask(0, FILLED, patience=6000) == 200
         assert made.until(lambda: made.count("claims_settled") == 1)
         path = tmp_path / "operator.yaml"
-        path.write_text("sharing:\n  branch: west\n  stores: [{{name: s, address: '{}:{}'}}]\n".format(
-            *made.server.address))
+        path.write_text(
+            "sharing:\n  branch: west\n  stores: [{{name: s, address: '{}:{}'}}]\n".format(
+                *made.server.address
+            )
+        )
 
         def run(*words: str) -> Any:
             assert main(["sharing", *words, "--operator", str(path), "--json"]) == 0
--- a/tests/sharing/test_operator.py
+++ b/tests/sharing/test_operator.py
@@ -37,22 +37,36 @@
     assert "can be used" in capsys.readouterr().out
 
 
-@pytest.mark.parametrize(("text", "told"), [
-    ("sharing:\n  branch: w\n" + STORE + "  wait: 3\n", ":4: sharing.wait: must be from 1ms to 100ms, not 3"),
-    ("sharing:\n  branch: w\n" + STORE + "  wait: soon\n", ":4: sharing.wait: must be a duration like 250ms"),
-    ("sharing:\n  branch: w\n" + STORE + "  riddle: 1\n", ":4: sharing.riddle: no such key"),
-    ("sharing:\n" + STORE, ":1: sharing.branch: is missing"),
-    ("sharing:\n  branch: w\n  stores:\n    - name: s\n      address: nowhere\n",
-     ":5: sharing.stores.0.address: must be an address like 10.0.0.4:6379"),
-    ("sharing:\n  branch: w\n  branch: x\n" + STORE, ":3: sharing.branch: stands twice"),
-    ("a: &x 1\nb: *x\n", ":2: aliases are not allowed"),
-    ("sharing: [\n", "not YAML"),
-    ("sharing:\n  branch: w\n  stores: []\n", ":3: sharing.stores: "),
-    ("sharing:\n  branch: w\n" + STORE + "  budgets: {loan: 3s}\n", ":4: sharing.budgets.loan: must be from"),
-    ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1'}, {name: s, address: 'h:2'}]\n", "same"),
-    ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1', user: u}]\n", "needs a password_file"),
-    ("sharing:\n  branch: w\n" + STORE + "  trials: {first: 2s, most: 1s}\n", ":4: sharing.trials: most"),
-])
+@pytest.mark.parametrize(
+    ("text", "told"),
+    [
+        (
+            "sharing:\n  branch: w\n" + STORE + "  wait: 3\n",
+            ":4: sharing.wait: must be from 1ms to 100ms, not 3",
+        ),
+        (
+            "sharing:\n  branch: w\n" + STORE + "  wait: soon\n",
+            ":4: sharing.wait: must be a duration like 250ms",
+        ),
+        ("sharing:\n  branch: w\n" + STORE + "  riddle: 1\n", ":4: sharing.riddle: no such key"),
+        ("sharing:\n" + STORE, ":1: sharing.branch: is missing"),
+        (
+            "sharing:\n  branch: w\n  stores:\n    - name: s\n      address: nowhere\n",
+            ":5: sharing.stores.0.address: must be an address like 10.0.0.4:6379",
+        ),
+        ("sharing:\n  branch: w\n  branch: x\n" + STORE, ":3: sharing.branch: stands twice"),
+        ("a: &x 1\nb: *x\n", ":2: aliases are not allowed"),
+        ("sharing: [\n", "not YAML"),
+        ("sharing:\n  branch: w\n  stores: []\n", ":3: sharing.stores: "),
+        (
+            "sharing:\n  branch: w\n" + STORE + "  budgets: {loan: 3s}\n",
+            ":4: sharing.budgets.loan: must be from",
+        ),
+        ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1'}, {name: s, address: 'h:2'}]\n", "same"),
+        ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1', user: u}]\n", "needs a password_file"),
+        ("sharing:\n  branch: w\n" + STORE + "  trials: {first: 2s, most: 1s}\n", ":4: sharing.trials: most"),
+    ],
+)
 def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, told: str) -> None:
     assert told in faults(tmp_path, text) and "operator.yaml" in faults(tmp_path, text)
 
@@ -90,10 +104,12 @@
 
 def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
     """Guards the platform's front against the memory and start of what is off."""
-    code = ("import sys, olivepost.cli, olivepost.net.front\n"
-            "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
-            " any(name.split('.')[0] in ('redis', 'hiredis', 'yaml', 'pydantic', 'msgspec', 'crc32c')\n"
-            "     or name.startswith(('olivepost.sharing', 'olivepost.operator')) for name in sys.modules))")
+    code = (
+        "import sys, olivepost.cli, olivepost.net.front\n"
+        "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
+        " any(name.split('.')[0] in ('redis', 'hiredis', 'yaml', 'pydantic', 'msgspec', 'crc32c')\n"
+        "     or name.startswith(('olivepost.sharing', 'olivepost.operator')) for name in sys.modules))"
+    )
     command = [sys.executable, "-c", code, str(CONFIG)]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60)
     assert done.returncode == 0, done.stderr
--- a/tests/sharing/test_parts.py
+++ b/tests/sharing/test_parts.py
@@ -59,11 +59,16 @@
     assert made.gate is Gate.SHUT
 
 
-@pytest.mark.parametrize(("reply", "verdict"), [
-    (ev.Reply(1, 7, 5), Verdict.COUNTS), (ev.Reply(1, 7, 4), Verdict.WENT_BACK),
-    (ev.Reply(1, 6, 9), Verdict.WENT_BACK), (ev.Reply(1, 8, 0), Verdict.MOVED),
-    (ev.Reply(1, 0, 0), Verdict.EMPTY),
-])
+@pytest.mark.parametrize(
+    ("reply", "verdict"),
+    [
+        (ev.Reply(1, 7, 5), Verdict.COUNTS),
+        (ev.Reply(1, 7, 4), Verdict.WENT_BACK),
+        (ev.Reply(1, 6, 9), Verdict.WENT_BACK),
+        (ev.Reply(1, 8, 0), Verdict.MOVED),
+        (ev.Reply(1, 0, 0), Verdict.EMPTY),
+    ],
+)
 def test_what_a_reply_says_of_its_store(reply: ev.Reply, verdict: Verdict) -> None:
     assert standing().judge(reply, 7, 5) is verdict
 
@@ -92,10 +97,17 @@
         made.take(901 * MS, piece)
 
 
-@pytest.mark.parametrize(("change", "at"), [
-    ({"nonce": "me.0"}, 0), ({"nonce": "other.1"}, 0), ({"key": "cold:d@1"}, 0), ({"amount": -1.0}, 0),
-    ({"amount": float("inf")}, 0), ({}, SECOND),
-])
+@pytest.mark.parametrize(
+    ("change", "at"),
+    [
+        ({"nonce": "me.0"}, 0),
+        ({"nonce": "other.1"}, 0),
+        ({"key": "cold:d@1"}, 0),
+        ({"amount": -1.0}, 0),
+        ({"amount": float("inf")}, 0),
+        ({}, SECOND),
+    ],
+)
 def test_a_piece_that_is_old_foreign_late_or_odd_is_worth_nothing(change: dict[str, object], at: int) -> None:
     """Each would pass the whole, since its lender may have the amount back already."""
     made, need = borrower()
@@ -161,8 +173,10 @@
         (reply,) = client.run(store, [ev.Raise(0, 0)], "b", "me", True)
         assert isinstance(reply, list)
         whole, cuts = server.faults.spoil, [True]
-        server.faults.spoil = lambda data, draw: (  # type: ignore[method-assign]
-            (data[:1], cuts.pop()) if cuts else whole(data, draw)
+        server.faults.spoil = (
+            lambda data, draw: (  # type: ignore[method-assign]
+                (data[:1], cuts.pop()) if cuts else whole(data, draw)
+            )
         )
         before = int(server.keyspace.data[b"b:generation"])
         with pytest.raises(redis.ConnectionError):
--- a/tests/sharing/test_router.py
+++ b/tests/sharing/test_router.py
@@ -211,8 +211,12 @@
 
 
 def test_a_front_that_lacks_a_budget_says_so() -> None:
-    made = Front(make_settings(weights_told=True, caches=api.Tier(64, 0.2, 20 * SECOND, 2.0),
-                               direct=False, store_wait=WAIT), FLEET)
+    made = Front(
+        make_settings(
+            weights_told=True, caches=api.Tier(64, 0.2, 20 * SECOND, 2.0), direct=False, store_wait=WAIT
+        ),
+        FLEET,
+    )
     made.do(api.StoreState(True))
     cold = tuple(cache(f"{name}:1", started=made.now) for name in "abc")
     made.do(api.Membership(api.ListKind.CHANGES, cold))
--- a/tests/sharing/test_wire.py
+++ b/tests/sharing/test_wire.py
@@ -30,8 +30,14 @@
 
 def client(server: Server, protocol: int = 3, **more: Any) -> Any:
     host, port = server.address
-    return redis.Redis(host=host, port=port, protocol=protocol, socket_timeout=0.3,
-                       retry=redis.retry.Retry(redis.backoff.NoBackoff(), 0), **more)
+    return redis.Redis(
+        host=host,
+        port=port,
+        protocol=protocol,
+        socket_timeout=0.3,
+        retry=redis.retry.Retry(redis.backoff.NoBackoff(), 0),
+        **more,
+    )
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
@@ -142,10 +148,16 @@
     assert client(server).get("a") == b"old"
 
 
-@pytest.mark.parametrize(("text", "named"), [
-    ("{", "not JSON"), ("{}", "not a list"), ('[{"at_s": -1}]', "entry 0"),
-    ('[{"at_s": 1, "riddle": 2}]', "riddle"), ('[{"at_s": 1, "silent": "x"}]', "silent"),
-])
+@pytest.mark.parametrize(
+    ("text", "named"),
+    [
+        ("{", "not JSON"),
+        ("{}", "not a list"),
+        ('[{"at_s": -1}]', "entry 0"),
+        ('[{"at_s": 1, "riddle": 2}]', "riddle"),
+        ('[{"at_s": 1, "silent": "x"}]', "silent"),
+    ],
+)
 def test_a_faulty_schedule_names_its_entry(text: str, named: str) -> None:
     with pytest.raises(ScheduleError, match=named):
         read_schedule(text)
@@ -180,8 +192,13 @@
     stranger.cert_pem.write_to_path(theirs)
 
     def ping(at: Server, ca_file: Path) -> bool:
-        store = {"name": "s", "address": "{}:{}".format(*at.address), "user": "olive",
-                 "password_file": secret, "tls": {"ca_file": ca_file}}
+        store = {
+            "name": "s",
+            "address": "{}:{}".format(*at.address),
+            "user": "olive",
+            "password_file": secret,
+            "tls": {"ca_file": ca_file},
+        }
         made = SharingSettings.model_validate({"branch": "b", "stores": [store]})
         with connect(made, made.stores[0]) as found:
             return bool(found.ping())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -47,8 +47,12 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(toy_config(listen=f"127.0.0.1:{taken.getsockname()[1]}")))
-        done = subprocess.run([sys.executable, "-m", "olivepost", "serve", "--config", str(path)],
-                              capture_output=True, text=True, timeout=60)
+        done = subprocess.run(
+            [sys.executable, "-m", "olivepost", "serve", "--config", str(path)],
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
     assert done.returncode == 1
     assert done.stderr.startswith("olivepost: can't listen on") and done.stderr.count("\n") == 1
 
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -63,36 +63,48 @@
 READ = {"name": "a", "deadline": 1_000_000_000, "effect": "read_like"}
 
 
-@pytest.mark.parametrize(("changes", "key"), [
-    ({"listen": "here"}, "listen"),
-    ({"listen": "127.0.0.1:99999"}, "listen"),
-    ({"listen": "300.0.0.1:80"}, "listen"),
-    ({"coordinator": 5}, "coordinator"),
-    ({"coordinator": None}, "coordinator"),
-    ({"seed": "xyz"}, "seed"),
-    ({"seed": [1]}, "seed"),
-    ({"limits": {"memory_mb": 1}}, "memory_mb"),
-    ({"limits": {"sockets": "many"}}, "sockets"),
-    ({"limits": 7}, "limits"),
-    ({"settings": None}, "settings"),
-    ({"settings": {"zone": "x", "classes": []}}, "classes"),
-    ({"settings": {"zone": "x", "classes": [{"name": "a"}]}}, "deadline"),
-    ({"settings": {"classes": [{"name": "a", "deadline": 1, "effect": "read_like"}]}}, "zone"),
-    ({"settings": {"zone": "x", "classes": [{"name": "a", "deadline": 1, "effect": "odd"}]}}, "effect"),
-    ({"name": 3}, "name"),
-    ({"settings": {"zone": "x", "classes": [{**READ, "deadline": 0}]}}, "deadline"),
-    ({"settings": {"zone": "x", "classes": [{**READ, "deadline": 1.5}]}}, "deadline"),
-    ({"settings": {"zone": "x", "classes": [{**READ, "aim": -1}]}}, "aim"),
-    ({"settings": {"zone": "x", "classes": [{**READ, "gain": -1}]}}, "gain"),
-    ({"settings": {"zone": "x", "classes": [READ, READ]}}, "name"),
-    ({"settings": {"zone": "x", "classes": [{**READ, "name": "two words"}]}}, "classes"),
-    ({"settings": {"zone": "x", "classes": [{**READ, "group": "odd"}]}}, "group"),
-    ({"settings": {"zone": "x", "classes": [READ], "family-info": {"max-age": ["long"]}}}, "max-age"),
-    ({"settings": {"zone": "x", "classes": [READ], "family-info": {"zone-balancers": [[]]},
-                   "failure-domains": ["x"]}}, "zone-balancers"),
-    ({"settings": {"zone": "x", "classes": [READ], "contract": {"cold-from": 7}}}, "cold-from"),
-    ({"flow_bytes_per_s": -1}, "flow_bytes_per_s"),
-])
+@pytest.mark.parametrize(
+    ("changes", "key"),
+    [
+        ({"listen": "here"}, "listen"),
+        ({"listen": "127.0.0.1:99999"}, "listen"),
+        ({"listen": "300.0.0.1:80"}, "listen"),
+        ({"coordinator": 5}, "coordinator"),
+        ({"coordinator": None}, "coordinator"),
+        ({"seed": "xyz"}, "seed"),
+        ({"seed": [1]}, "seed"),
+        ({"limits": {"memory_mb": 1}}, "memory_mb"),
+        ({"limits": {"sockets": "many"}}, "sockets"),
+        ({"limits": 7}, "limits"),
+        ({"settings": None}, "settings"),
+        ({"settings": {"zone": "x", "classes": []}}, "classes"),
+        ({"settings": {"zone": "x", "classes": [{"name": "a"}]}}, "deadline"),
+        ({"settings": {"classes": [{"name": "a", "deadline": 1, "effect": "read_like"}]}}, "zone"),
+        ({"settings": {"zone": "x", "classes": [{"name": "a", "deadline": 1, "effect": "odd"}]}}, "effect"),
+        ({"name": 3}, "name"),
+        ({"settings": {"zone": "x", "classes": [{**READ, "deadline": 0}]}}, "deadline"),
+        ({"settings": {"zone": "x", "classes": [{**READ, "deadline": 1.5}]}}, "deadline"),
+        ({"settings": {"zone": "x", "classes": [{**READ, "aim": -1}]}}, "aim"),
+        ({"settings": {"zone": "x", "classes": [{**READ, "gain": -1}]}}, "gain"),
+        ({"settings": {"zone": "x", "classes": [READ, READ]}}, "name"),
+        ({"settings": {"zone": "x", "classes": [{**READ, "name": "two words"}]}}, "classes"),
+        ({"settings": {"zone": "x", "classes": [{**READ, "group": "odd"}]}}, "group"),
+        ({"settings": {"zone": "x", "classes": [READ], "family-info": {"max-age": ["long"]}}}, "max-age"),
+        (
+            {
+                "settings": {
+                    "zone": "x",
+                    "classes": [READ],
+                    "family-info": {"zone-balancers": [[]]},
+                    "failure-domains": ["x"],
+                }
+            },
+            "zone-balancers",
+        ),
+        ({"settings": {"zone": "x", "classes": [READ], "contract": {"cold-from": 7}}}, "cold-from"),
+        ({"flow_bytes_per_s": -1}, "flow_bytes_per_s"),
+    ],
+)
 def test_a_fault_names_its_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(FieldError, match=key):
         read_config(toy_config(**changes), {})
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -219,8 +219,11 @@
     sock.close()
 
 
-@pytest.mark.parametrize("leave", [socket.socket.close, reset, lambda sock: sock.shutdown(socket.SHUT_WR)],
-                         ids=["close", "reset", "half-close"])
+@pytest.mark.parametrize(
+    "leave",
+    [socket.socket.close, reset, lambda sock: sock.shutdown(socket.SHUT_WR)],
+    ids=["close", "reset", "half-close"],
+)
 @pytest.mark.parametrize("who", ["engine", "reader"])
 def test_no_attempt_begins_for_a_client_that_has_left_while_its_request_waited(
     connecting: Connecting, monkeypatch: pytest.MonkeyPatch, leave: Leave, who: str
@@ -276,8 +279,7 @@
         for client in leaving:
             client.sock.close()
         assert made.until(lambda: made.front.engine.open == 0)
-        assert made.until(
-            lambda: {it.id for cache in made.caches for it in cache.seen("abort")} == sent)
+        assert made.until(lambda: {it.id for cache in made.caches for it in cache.seen("abort")} == sent)
         assert not any(member.doubt for member in made.front.engine._router._members.values())
 
 
@@ -475,8 +477,10 @@
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200
         call = made_call(made, client)
-        draining = [dataclasses.replace(server.place, state=api.State.DRAINING)
-                    for server in made.front.servers._servers.values()]
+        draining = [
+            dataclasses.replace(server.place, state=api.State.DRAINING)
+            for server in made.front.servers._servers.values()
+        ]
         before = len(made.fetches())
         call.moved = True
         told: list[Any] = []
@@ -731,7 +735,8 @@
         other.events = list(made.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining(made, 1)})
         made.front._read_again = lambda: dataclasses.replace(
-            made.front.config, coordinator=read_address(other.address))
+            made.front.config, coordinator=read_address(other.address)
+        )
         made.front.reload()
         assert made.until(lambda: drained(made)) and other.follows[0] == 1
         other.close()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -28,14 +28,17 @@
 )
 
 LINK, WORK = 5.0, 50 * MS
-COLD = (cache("a:1", weight=LINK, started=START),
-        parent("p:1", weight=LINK, started=START), ORIGIN)
+COLD = (cache("a:1", weight=LINK, started=START), parent("p:1", weight=LINK, started=START), ORIGIN)
 
 
 def total_work(fronts: int, restarts: int) -> dict[str, list[tuple[int, float]]]:
     """What all fronts send a cold cache and its cold parent while clients flood them for 16 seconds."""
-    settings = make_settings(caches=api.Tier(fronts, 0.2, 10 * SECOND, 2.0), weights_told=True, direct=False,
-                             parents=api.Tier(fronts, 0.1, 12 * SECOND, 2.0))
+    settings = make_settings(
+        caches=api.Tier(fronts, 0.2, 10 * SECOND, 2.0),
+        weights_told=True,
+        direct=False,
+        parents=api.Tier(fronts, 0.1, 12 * SECOND, 2.0),
+    )
     chance = random.Random(5)
     routers = [Router(settings, seed) for seed in range(fronts)]
     for router in routers:
@@ -74,8 +77,12 @@
     def __init__(self, fronts: int, caches: int, seed: int) -> None:
         self.chance = random.Random(seed)
         self.settings = make_settings(
-            caches=api.Tier(fronts, self.floor, self.warm, self.multiple), weights_told=True, direct=False,
-            fall_window=self.window, pace_kb_per_s=0.0)
+            caches=api.Tier(fronts, self.floor, self.warm, self.multiple),
+            weights_told=True,
+            direct=False,
+            fall_window=self.window,
+            pace_kb_per_s=0.0,
+        )
         self.names = [f"c{number}:1" for number in range(caches)]
         self.starts = [0] * fronts  # of the first cache, as each front was told
         self.routers = [self.start(front) for front in range(fronts)]
@@ -87,8 +94,10 @@
 
     def start(self, front: int, at: int = START) -> Router:
         router = Router(self.settings, self.chance.randrange(1 << 30))
-        caches = [cache(name, weight=LINK, started=self.starts[front] if name == self.names[0] else 0)
-                  for name in self.names]
+        caches = [
+            cache(name, weight=LINK, started=self.starts[front] if name == self.names[0] else 0)
+            for name in self.names
+        ]
         listed = (*caches, parent("p:1", weight=100.0), ORIGIN)
         router.handle(at, api.Membership(api.ListKind.STORED, listed))
         return router
@@ -112,8 +121,11 @@
         while self.out and self.out[0][0] <= now:
             at, front, number, id_, _, fills = heappop(self.out)
             served = fills or self.chance.random() < 0.75
-            status, note = ((api.Status.OK, api.Note.FILLED if fills else api.Note.HIT) if served
-                            else (api.Status.NO_COPY, api.Note.NOTHING))
+            status, note = (
+                (api.Status.OK, api.Note.FILLED if fills else api.Note.HIT)
+                if served
+                else (api.Status.NO_COPY, api.Note.NOTHING)
+            )
             outcome = api.Outcome(id_, number, status, self.work, served, note)
             self.do(front, at, self.routers[front].handle(at, outcome))
 
@@ -121,14 +133,17 @@
         self.until(now)
         self.count += 1
         front = self.chance.choices(range(len(self.routers)), self.traffic)[0]
-        request = api.Request(f"r{self.count}", "image", f"n{int(self.chance.paretovariate(0.6))}",
-                              3 * SECOND, group=1)
+        request = api.Request(
+            f"r{self.count}", "image", f"n{int(self.chance.paretovariate(0.6))}", 3 * SECOND, group=1
+        )
         self.do(front, now, self.routers[front].handle(now, request))
 
 
 @pytest.mark.parametrize("fronts", [3, 30, 200])
-@pytest.mark.parametrize(("caches", "load", "restarts", "late"),
-                         [(4, 0.7, 0.0, 0.0), (4, 1.0, 0.5, 0.0), (2, 2.0, 0.0, 1.0), (3, 1.5, 1.0, 1.0)])
+@pytest.mark.parametrize(
+    ("caches", "load", "restarts", "late"),
+    [(4, 0.7, 0.0, 0.0), (4, 1.0, 0.5, 0.0), (2, 2.0, 0.0, 1.0), (3, 1.5, 1.0, 1.0)],
+)
 def test_the_fleet_keeps_a_cold_cache_over_every_window(
     fronts: int, caches: int, load: float, restarts: float, late: float
 ) -> None:
@@ -142,10 +157,13 @@
         chance, cold = branch.chance, [START + 6 * SECOND, START + 12 * SECOND]
         events: list[tuple[int, int, int]] = []  # when, front, start told; a start of 0: it starts again
         for start in cold:
-            events += [(start + int(chance.random() * late * SECOND), front, start)
-                       for front in range(fronts)]
-        events += [(cold[0] + int(chance.random() * 10 * SECOND), chance.randrange(fronts), 0)
-                   for _ in range(int(restarts * fronts))]
+            events += [
+                (start + int(chance.random() * late * SECOND), front, start) for front in range(fronts)
+            ]
+        events += [
+            (cold[0] + int(chance.random() * 10 * SECOND), chance.randrange(fronts), 0)
+            for _ in range(int(restarts * fronts))
+        ]
         events.sort()
         total, span = int(load * caches * LINK * 20 * SECOND / branch.work), 20 * SECOND
         for now in sorted(START + int(chance.random() * span) for _ in range(total)):
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -46,19 +46,50 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.lists(st.one_of(st.binary(max_size=60), st.sampled_from(
-    [b"a HIT - 3\r\n", b"a HIT x=1,x=2 3\r\n", b"\n", b" ", b"a PONG\r\n", b"9999999", b"a SHED - 0\r\n\r\n"]
-)), max_size=8))
+@given(
+    st.lists(
+        st.one_of(
+            st.binary(max_size=60),
+            st.sampled_from(
+                [
+                    b"a HIT - 3\r\n",
+                    b"a HIT x=1,x=2 3\r\n",
+                    b"\n",
+                    b" ",
+                    b"a PONG\r\n",
+                    b"9999999",
+                    b"a SHED - 0\r\n\r\n",
+                ]
+            ),
+        ),
+        max_size=8,
+    )
+)
 def test_garbage_raises_only_its_own_error(pieces: list[bytes]) -> None:
     with contextlib.suppress(FrameError):
         read(pieces)
 
 
-@pytest.mark.parametrize("line", [
-    b"a HIT - 1001\r\n", b"a HIT - -1\r\n", b"a HIT - 1x\r\n", b"a HIT -\r\n", b" HIT - 1\r\n", b"a  - 1\r\n",
-    b"a HIT why 1\r\n", b"a HIT =x 1\r\n", b"a HIT - 1 1\r\n", b"a H\xc9T - 1\r\n", b"a HIT - 0\n",
-    b"a HIT - 0\r\nxx", b"x" * 2000, b"a HIT - \xc2\xb2\r\n", b"a HIT - \r\n",
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"a HIT - 1001\r\n",
+        b"a HIT - -1\r\n",
+        b"a HIT - 1x\r\n",
+        b"a HIT -\r\n",
+        b" HIT - 1\r\n",
+        b"a  - 1\r\n",
+        b"a HIT why 1\r\n",
+        b"a HIT =x 1\r\n",
+        b"a HIT - 1 1\r\n",
+        b"a H\xc9T - 1\r\n",
+        b"a HIT - 0\n",
+        b"a HIT - 0\r\nxx",
+        b"x" * 2000,
+        b"a HIT - \xc2\xb2\r\n",
+        b"a HIT - \r\n",
+    ],
+)
 def test_what_no_member_sends_is_an_error(line: bytes) -> None:
     with pytest.raises(FrameError):
         read([line])
--- a/tests/test_front.py
+++ b/tests/test_front.py
@@ -43,8 +43,10 @@
 
 
 def test_bodies_of_every_size() -> None:
-    sizes = {f"{size:016x}": bytes(range(256)) * (size // 256) + b"z" * (size % 256)
-             for size in (0, 1, 16_383, 16_384, 16_385, 240_000)}
+    sizes = {
+        f"{size:016x}": bytes(range(256)) * (size // 256) + b"z" * (size % 256)
+        for size in (0, 1, 16_383, 16_384, 16_385, 240_000)
+    }
 
     def reply(member: Member, command: Command) -> None:
         if command.verb == "fetch":
@@ -382,9 +384,17 @@
             client.sock.close()
 
 
-@pytest.mark.parametrize(("word", "status"), [
-    ("NONE", 503), ("SHED", 503), ("FAULT", 503), ("LATE", 503), ("RIDDLE", 503), ("VALID", 503),
-])
+@pytest.mark.parametrize(
+    ("word", "status"),
+    [
+        ("NONE", 503),
+        ("SHED", 503),
+        ("FAULT", 503),
+        ("LATE", 503),
+        ("RIDDLE", 503),
+        ("VALID", 503),
+    ],
+)
 def test_every_other_word_ends_in_a_refusal(word: str, status: int) -> None:
     def reply(member: Member, command: Command) -> None:
         if command.verb == "fetch":
@@ -395,12 +405,19 @@
         assert len(made.fetches()) >= 1
 
 
-@pytest.mark.parametrize("line", [
-    b"who knows\r\n", b"{id} HIT - 3000000000\r\nxx", b"x" * 2_000,
-    b"{id} HIT - 240001\r\n", b"{id} HIT - 3\r\nabcd\r\n",
-])
+@pytest.mark.parametrize(
+    "line",
+    [
+        b"who knows\r\n",
+        b"{id} HIT - 3000000000\r\nxx",
+        b"x" * 2_000,
+        b"{id} HIT - 240001\r\n",
+        b"{id} HIT - 3\r\nabcd\r\n",
+    ],
+)
 def test_a_link_that_speaks_nonsense_is_closed(line: bytes) -> None:
     """Its open attempt counts as broken off; the request gets another attempt or its final answer."""
+
     def reply(member: Member, command: Command) -> None:
         if command.verb == "fetch":
             command.sock.sendall(line.replace(b"{id}", command.id.encode()))
@@ -428,6 +445,7 @@
 
 def test_a_second_answer_is_not_taken_for_the_next_attempt() -> None:
     """The fill goes under the same id as the look; the look's second NONE must not end it."""
+
     def reply(member: Member, command: Command) -> None:
         serve_all(member, command)
         if command.verb == "fetch" and "miss" not in command.fields:
@@ -621,8 +639,9 @@
 
 def test_a_member_that_drains_gets_nothing_new() -> None:
     with rig() as made, made.client() as client:
-        made.coordinator.add(endpoints={"version": 2, "full": False, "servers": [
-            {**made.entries[0], "state": "terminating"}]})
+        made.coordinator.add(
+            endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
+        )
         placed = made.front.engine._router._members
         assert made.until(lambda: placed is not made.front.engine._router._members)
         for piece in range(20):
@@ -637,8 +656,13 @@
         old = made.caches[0]
         before = len(old.connections)
         assert before == 1
-        made.coordinator.add(endpoints={"version": 2, "full": False, "servers": [
-            {**made.entries[0], "state": "terminated"}, {**made.entries[0], "id": "new"}]})
+        made.coordinator.add(
+            endpoints={
+                "version": 2,
+                "full": False,
+                "servers": [{**made.entries[0], "state": "terminated"}, {**made.entries[0], "id": "new"}],
+            }
+        )
         assert made.until(lambda: "new" in made.front.engine._router._members)
         for piece in range(12):
             assert client.ask(piece=piece)[0] == 200
@@ -653,8 +677,11 @@
         purges = made.front.engine._router._purges
         assert made.until(lambda: len(purges._times) == 2)
         assert client.ask()[0] == 200 and client.ask("1" * 16)[0] == 200
-        first, bounded, other = made.fetches(3) if len(made.caches[0].seen()) in (0, 3) else sorted(
-            made.fetches(3), key=lambda it: it.id)
+        first, bounded, other = (
+            made.fetches(3)
+            if len(made.caches[0].seen()) in (0, 3)
+            else sorted(made.fetches(3), key=lambda it: it.id)
+        )
         assert "within" not in first.fields and "within" not in other.fields
         assert 500 <= int(bounded.fields["within"]) < 500 + WITHIN * 1000
 
@@ -746,8 +773,9 @@
 
 def test_a_coordinator_that_lags_behind_is_not_taken_for_a_new_one() -> None:
     with rig() as made:
-        made.coordinator.add(endpoints={"version": 2, "full": False, "servers": [
-            {**made.entries[0], "state": "terminating"}]})
+        made.coordinator.add(
+            endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
+        )
         assert made.until(lambda: made.front.registry._last == 2)
         lagging = Coordinator()
         lagging.events = made.coordinator.events[:1]
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -39,32 +39,44 @@
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
-@given(st.booleans(), st.lists(st.one_of(st.binary(max_size=80), st.sampled_from(
-    [b"GET / HTTP/1.1\r\n", b"HTTP/1.1 200 OK\r\n", b"\r\n", b"Content-Length: 3\r\n", b"a:\r\n"]
-)), max_size=8))
+@given(
+    st.booleans(),
+    st.lists(
+        st.one_of(
+            st.binary(max_size=80),
+            st.sampled_from(
+                [b"GET / HTTP/1.1\r\n", b"HTTP/1.1 200 OK\r\n", b"\r\n", b"Content-Length: 3\r\n", b"a:\r\n"]
+            ),
+        ),
+        max_size=8,
+    ),
+)
 def test_garbage_raises_only_its_own_error(answers: bool, pieces: list[bytes]) -> None:
     with contextlib.suppress(HttpError):
         read(pieces, answers)
 
 
-@pytest.mark.parametrize(("data", "status"), [
-    (b"GET /\r\n\r\n", 400),
-    (b"GET  / HTTP/1.1\r\n\r\n", 400),
-    (b"GET / HTTP/2.0\r\n\r\n", 505),
-    (b"G(T / HTTP/1.1\r\n\r\n", 400),
-    (b"\r\nGET / HTTP/1.1\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\na : b\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\na: b\r\n folded\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
-    (b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 501),
-    (b"GET / HTTP/1.1\r\nContent-Length: 101\r\n\r\n", 413),
-    (b"GET / HTTP/1.1\r\na: " + b"x" * 600, 431),
-    (b"GET / HTTP/1.1\r\na: " + b"x" * 600 + b"\r\n\r\n", 431),
-    (b"GET / HTTP/1.1\r\na: \x00\r\n\r\n", 400),
-])
+@pytest.mark.parametrize(
+    ("data", "status"),
+    [
+        (b"GET /\r\n\r\n", 400),
+        (b"GET  / HTTP/1.1\r\n\r\n", 400),
+        (b"GET / HTTP/2.0\r\n\r\n", 505),
+        (b"G(T / HTTP/1.1\r\n\r\n", 400),
+        (b"\r\nGET / HTTP/1.1\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nno colon\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\na : b\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\na: b\r\n folded\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nContent-Length: +1\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n", 400),
+        (b"GET / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 501),
+        (b"GET / HTTP/1.1\r\nContent-Length: 101\r\n\r\n", 413),
+        (b"GET / HTTP/1.1\r\na: " + b"x" * 600, 431),
+        (b"GET / HTTP/1.1\r\na: " + b"x" * 600 + b"\r\n\r\n", 431),
+        (b"GET / HTTP/1.1\r\na: \x00\r\n\r\n", 400),
+    ],
+)
 def test_requests_that_cannot_be_used(data: bytes, status: int) -> None:
     with pytest.raises(HttpError) as caught:
         read([data])
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -18,17 +18,23 @@
 STATUSES = [status for status in api.Status if status is not api.Status.CANCELLED]
 Step = tuple[str, object, object, object]
 STEP = st.one_of(
-    st.tuples(st.just("ask"), st.sampled_from([c.name for c in CLASSES]), st.sampled_from(OBJECTS),
-              st.integers(0, 3000)),
+    st.tuples(
+        st.just("ask"),
+        st.sampled_from([c.name for c in CLASSES]),
+        st.sampled_from(OBJECTS),
+        st.integers(0, 3000),
+    ),
     st.tuples(st.just("end"), st.integers(0, 30), st.sampled_from(STATUSES), st.sampled_from(list(api.Note))),
     st.tuples(st.just("wait"), st.integers(0, 1500), st.none(), st.none()),
-    st.tuples(st.just("list"), st.sampled_from(CACHES + PARENTS), st.sampled_from(list(api.State)),
-              st.booleans()),
+    st.tuples(
+        st.just("list"), st.sampled_from(CACHES + PARENTS), st.sampled_from(list(api.State)), st.booleans()
+    ),
     st.tuples(st.just("purge"), st.sampled_from([None, *OBJECTS]), st.integers(0, 400), st.none()),
     st.tuples(st.just("leave"), st.integers(0, 30), st.none(), st.none()),
     st.tuples(st.just("stale"), st.none(), st.none(), st.none()),
-    st.tuples(st.just("advice"), st.integers(0, 30), st.sampled_from((*CACHES, *PARENTS, "zz:9", "")),
-              st.booleans()),
+    st.tuples(
+        st.just("advice"), st.integers(0, 30), st.sampled_from((*CACHES, *PARENTS, "zz:9", "")), st.booleans()
+    ),
     st.tuples(st.just("store"), st.booleans(), st.none(), st.none()),
     st.tuples(st.just("lend"), st.sampled_from(CACHES), st.integers(0, 500), st.none()),
 )
@@ -38,8 +44,13 @@
     """Plays the other side and checks each action against the rules."""
 
     def __init__(self, direct: bool) -> None:
-        self.settings = make_settings(*CLASSES, direct=direct, caches=api.Tier(2, 0.2, 10 * SECOND, 2.0),
-                                      parents=api.Tier(2, 0.1, 20 * SECOND, 2.0), store_wait=10 * MS)
+        self.settings = make_settings(
+            *CLASSES,
+            direct=direct,
+            caches=api.Tier(2, 0.2, 10 * SECOND, 2.0),
+            parents=api.Tier(2, 0.1, 20 * SECOND, 2.0),
+            store_wait=10 * MS,
+        )
         self.states = dict.fromkeys(CACHES + PARENTS, api.State.READY)
         self.started = dict.fromkeys(CACHES + PARENTS, 0)
         self.owed: dict[str, tuple[api.Request, int]] = {}
@@ -170,8 +181,9 @@
             self.do(api.Membership(api.ListKind.FULL, self.members()))
 
 
-@settings(max_examples=150, derandomize=True, deadline=None, database=None,
-          suppress_health_check=list(HealthCheck))
+@settings(
+    max_examples=150, derandomize=True, deadline=None, database=None, suppress_health_check=list(HealthCheck)
+)
 @given(st.booleans(), st.lists(STEP, min_size=5, max_size=80))
 def test_rules_hold_over_hostile_sequences(direct: bool, steps: list[Step]) -> None:
     world = World(direct)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -16,25 +16,58 @@
 INFO = {
     "classes": [
         {"name": "image", "aim": 300000000, "aim-stretch": 2, "deadline": 3000000000, "effect": "read_like"},
-        {"name": "order", "aim": 300000000, "deadline": 3000000000, "effect": "idempotency_key",
-         "group": "zone", "window": 5000000000},
+        {
+            "name": "order",
+            "aim": 300000000,
+            "deadline": 3000000000,
+            "effect": "idempotency_key",
+            "group": "zone",
+            "window": 5000000000,
+        },
     ],
-    "zone": "west", "failure-domains": ["hub", "west"], "siblings": 3,
+    "zone": "west",
+    "failure-domains": ["hub", "west"],
+    "siblings": 3,
     "kinds": ["standard", "parent", "origin"],
-    "family-info": {"parent-kind": 1, "store-kind": 2, "zone-balancers": [0, 2], "can-join": True,
-                    "max-age": [8, 0], "usable-after": [30, 0], "pace-kb-per-s": 1000.0, "tells": "hit"},
+    "family-info": {
+        "parent-kind": 1,
+        "store-kind": 2,
+        "zone-balancers": [0, 2],
+        "can-join": True,
+        "max-age": [8, 0],
+        "usable-after": [30, 0],
+        "pace-kb-per-s": 1000.0,
+        "tells": "hit",
+    },
     "contract": {"cold-from": 0.2, "fall": 2000000000, "fall-multiple": 2.0, "warm-within": 9000000000},
     "limits": {"attempts-cap": 6, "cancel": True, "retry-after": True, "max-retry-after": 1000000000},
-    "tick": 2000000, "a-key-of-tomorrow": {"x": 1},
+    "tick": 2000000,
+    "a-key-of-tomorrow": {"x": 1},
 }
 SPAWN = {"kind": "Spawn", "front": 1, "entropy": 5, "info": INFO}
-MEMBERS = {"kind": "Registry", "front": 1, "scope": "disk", "version": 1, "members": [
-    {"cache": "10.0.0.1:1", "condition": "in_service", "family-type": "standard", "area": "west"},
-    {"cache": "10.0.0.2:1", "condition": "in_service", "family-type": "parent", "area": "hub"},
-    {"cache": "10.0.0.3:1", "condition": "in_service", "family-type": "origin", "area": "hub"},
-]}
-QUERY = {"kind": "Query", "front": 1, "ticket": "c:1", "grade": "image", "resource": "ab", "ttl": 240000000,
-         "bytes-k": 64, "batch-id": 3, "slice": 2, "unheard-of": True}
+MEMBERS = {
+    "kind": "Registry",
+    "front": 1,
+    "scope": "disk",
+    "version": 1,
+    "members": [
+        {"cache": "10.0.0.1:1", "condition": "in_service", "family-type": "standard", "area": "west"},
+        {"cache": "10.0.0.2:1", "condition": "in_service", "family-type": "parent", "area": "hub"},
+        {"cache": "10.0.0.3:1", "condition": "in_service", "family-type": "origin", "area": "hub"},
+    ],
+}
+QUERY = {
+    "kind": "Query",
+    "front": 1,
+    "ticket": "c:1",
+    "grade": "image",
+    "resource": "ab",
+    "ttl": 240000000,
+    "bytes-k": 64,
+    "batch-id": 3,
+    "slice": 2,
+    "unheard-of": True,
+}
 
 
 def lines(*batches: list[dict[str, object]]) -> bytes:
@@ -49,8 +82,17 @@
 
 
 def test_a_request_end_to_end() -> None:
-    done = {"kind": "Returned", "front": 1, "ticket": "c:1", "attempt": 0, "cache": "10.0.0.1:1", "rc": "OK",
-            "took": 5, "no-more": True, "remark": 1}
+    done = {
+        "kind": "Returned",
+        "front": 1,
+        "ticket": "c:1",
+        "attempt": 0,
+        "cache": "10.0.0.1:1",
+        "rc": "OK",
+        "took": 5,
+        "no-more": True,
+        "remark": 1,
+    }
     code, replies, errors = talk(lines([], [SPAWN, MEMBERS, QUERY], [done], [{"kind": "Halt", "front": 1}]))
     assert (code, errors, [r["turn"] for r in replies]) == (0, "", [1, 2, 3, 4])
     output = replies[1]["output"]
@@ -145,8 +187,13 @@
     bad = [{**error, "ticket": f"c:{n}"} for n in range(0, 80, 3)]
     data = lines([SPAWN, MEMBERS], queries, bad)
     runs = [
-        subprocess.run([sys.executable, "-m", "olivepost.simhost"], input=data, capture_output=True,
-                       check=True, env={**os.environ, "PYTHONHASHSEED": seed}).stdout
+        subprocess.run(
+            [sys.executable, "-m", "olivepost.simhost"],
+            input=data,
+            capture_output=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+        ).stdout
         for seed in ("0", "1", "4242")
     ]
     assert runs[0] == runs[1] == runs[2] and runs[0].count(b"\n") == 3
--- a/tests/test_writes.py
+++ b/tests/test_writes.py
@@ -61,12 +61,16 @@
         assert made.counted("own_copies") == 0
 
 
-@pytest.mark.parametrize(("request_", "status"), [
-    (b"PUT" + Client.request(class_name="image", Content_Length="1")[3:] + b"x", 405),
-    (put(X_Dedupe_Key="two words"), 400),
-    (b"PUT" + Client.request(Content_Length="60000000")[3:], 413),
-    (b"POST" + Client.request(Content_Length="1")[3:] + b"x", 405),
-], ids=["nobody writes it", "key", "length", "method"])
+@pytest.mark.parametrize(
+    ("request_", "status"),
+    [
+        (b"PUT" + Client.request(class_name="image", Content_Length="1")[3:] + b"x", 405),
+        (put(X_Dedupe_Key="two words"), 400),
+        (b"PUT" + Client.request(Content_Length="60000000")[3:], 413),
+        (b"POST" + Client.request(Content_Length="1")[3:] + b"x", 405),
+    ],
+    ids=["nobody writes it", "key", "length", "method"],
+)
 def test_writes_that_cant_be_used_reach_no_cache(request_: bytes, status: int) -> None:
     with rig(stored, settings=settings()) as made, made.client() as client:
         client.send(request_)
