--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -15,11 +15,11 @@
 from typing import Any, cast
 
 from olivepost import interface as api
-from olivepost.choice import Router
 from olivepost.config import MS, SECOND
-from olivepost.sharing import events as ev
-from olivepost.sharing import scripts
-from olivepost.sharing.core import Sharing
+from olivepost.routing.router import Router
+from olivepost.shared_store import messages as ev
+from olivepost.shared_store import scripts
+from olivepost.shared_store.coordinator import Sharing
 from standins.redis.keyspace import Keyspace, Wrong
 
 START = 1_800_000_000 * SECOND
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -46,7 +46,7 @@
 from olivepost.config import FieldError, load
 
 if TYPE_CHECKING:
-    from olivepost.operator.model import OperatorSettings
+    from olivepost.operator_config.model import OperatorSettings
 
 
 class Unusable(Exception):
@@ -81,7 +81,7 @@
         host, port = config.listen
         print(f"olivepost: the configuration can be used; {config.name} listens on {host}:{port}")
         return 0
-    from olivepost.net.front import serve
+    from olivepost.proxy.server import serve
 
     return serve(
         config, lambda: load(os.environ, given["--config"]), operator, lambda: _operator(given["--operator"])
@@ -94,14 +94,14 @@
     if not path:
         return None
     try:
-        from olivepost.operator.loader import load as load_operator
+        from olivepost.operator_config.loader import load as load_operator
     except ModuleNotFoundError as fault:
         raise Unusable(f"an operator's file needs the package '{fault.name}': pip install .[all]") from fault
     return load_operator(path)
 
 
 def _schema() -> int:
-    from olivepost.operator.loader import schema
+    from olivepost.operator_config.loader import schema
 
     print(orjson.dumps(schema(), option=orjson.OPT_INDENT_2).decode())
     return 0
@@ -110,7 +110,7 @@
 def _sharing(operator: OperatorSettings | None, given: dict[str, object]) -> int:
     if operator is None or operator.sharing is None:
         raise Unusable("no section 'sharing': name an operator's file that has one by --operator")
-    from olivepost.sharing.inspect import run
+    from olivepost.shared_store.inspect import run
 
     verb = next(verb for verb in ("ping", "claims", "purges", "forget") if given[verb])
     names, store = given["NAME"], given["--store"]
--- a/olivepost/operator/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -8,7 +8,7 @@
 from pydantic import ValidationError
 
 from olivepost.config import FieldError
-from olivepost.operator.model import OperatorSettings
+from olivepost.operator_config.model import OperatorSettings
 
 MOST_BYTES = 1 << 20
 
--- a/olivepost/operator/model.py
+++ b/olivepost/operator_config/model.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from olivepost.sharing.settings import SharingSettings
+from olivepost.shared_store.settings import SharingSettings
 
 
 class OperatorSettings(BaseModel):
--- a/olivepost/net/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -5,7 +5,7 @@
 import threading
 from collections.abc import Iterator
 
-from olivepost.net import invariants
+from olivepost.proxy import invariants
 
 
 class Pool:
--- /dev/null
+++ b/olivepost/proxy/discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Service discovery: the endpoint list and invalidations, by long poll."""
--- a/olivepost/net/registry.py
+++ b/olivepost/proxy/discovery/client.py
@@ -12,11 +12,11 @@
 
 from olivepost import interface as api
 from olivepost.config import MS, SECOND, STATES, Address, FieldError, Fields
-from olivepost.net import http1, sockets
-from olivepost.net.clock import Clock
-from olivepost.net.http1 import HttpError
-from olivepost.net.log import Log
-from olivepost.net.servers import PLAIN, Place
+from olivepost.proxy import http1, sockets
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import Log
+from olivepost.proxy.http1 import HttpError
+from olivepost.proxy.upstream.pool import PLAIN, Place
 
 WAIT = 1 * SECOND  # of one poll: short, so that a dead one is noticed well before an event counts as told
 # An answer's last byte, beyond the poll's own wait, counted from when the poll was sent. Guards against a
--- /dev/null
+++ b/olivepost/proxy/downstream/__init__.py
@@ -0,0 +1,1 @@
+"""The side of the clients: listener, connections, response writers."""
--- a/olivepost/net/clients.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -17,12 +17,12 @@
 
 from olivepost.config import MS, SECOND, Address, Bounds
 from olivepost.interface import ClassSettings
-from olivepost.net import http1, sockets
-from olivepost.net.buffers import Pool
-from olivepost.net.clock import Clock
-from olivepost.net.exchange import Answer, Arrived, Exchange, Left, Verdict
-from olivepost.net.http1 import HttpError, Message
-from olivepost.net.log import Log
+from olivepost.proxy import http1, sockets
+from olivepost.proxy.buffers import Pool
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import Log
+from olivepost.proxy.exchange import Answer, Arrived, Exchange, Left, Verdict
+from olivepost.proxy.http1 import HttpError, Message
 
 HEALTH = "/-/healthy"
 TARGET = re.compile(r"/api/v2/([^/]+)/([0-9a-f]{16})/slice-(0|[1-9][0-9]{0,8})", re.ASCII)
--- a/olivepost/net/log.py
+++ b/olivepost/proxy/event_log.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from olivepost.net.clock import Clock
+from olivepost.proxy.clock import Clock
 
 
 class Log:
--- a/olivepost/net/engine.py
+++ b/olivepost/proxy/event_loop.py
@@ -12,15 +12,15 @@
 from typing import Protocol
 
 from olivepost import interface as api
-from olivepost.choice import Router
 from olivepost.config import MS, SECOND
-from olivepost.net import invariants
-from olivepost.net.clock import Clock
-from olivepost.net.copies import Copies, Kept, answer_of
-from olivepost.net.exchange import Answer, Arrived, Exchange, Left, Verdict
-from olivepost.net.log import Log
-from olivepost.net.registry import Heard, Told
-from olivepost.net.servers import Aborted, Call, Ended, Servers, Unsent, fetch_fields
+from olivepost.proxy import invariants
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.discovery.client import Heard, Told
+from olivepost.proxy.event_log import Log
+from olivepost.proxy.exchange import Answer, Arrived, Exchange, Left, Verdict
+from olivepost.proxy.response_cache import Copies, Kept, answer_of
+from olivepost.proxy.upstream.pool import Aborted, Call, Ended, Servers, Unsent, fetch_fields
+from olivepost.routing.router import Router
 
 LATE_TIMER = 5 * MS  # a timer that fires later than this is counted
 MOST_DELAYS = 100_000
--- a/olivepost/net/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from olivepost.net import invariants
-from olivepost.net.buffers import Body
+from olivepost.proxy import invariants
+from olivepost.proxy.buffers import Body
 
 
 class Verdict(Enum):
--- a/olivepost/net/copies.py
+++ b/olivepost/proxy/response_cache.py
@@ -5,8 +5,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-from olivepost.net.buffers import Body
-from olivepost.net.exchange import Answer, Exchange, Verdict
+from olivepost.proxy.buffers import Body
+from olivepost.proxy.exchange import Answer, Exchange, Verdict
 
 Key = tuple[str, str, int]
 
--- a/olivepost/net/front.py
+++ b/olivepost/proxy/server.py
@@ -15,21 +15,21 @@
 from typing import TYPE_CHECKING
 
 from olivepost import __version__
-from olivepost.choice import Router
 from olivepost.config import MS, SECOND, Config, FieldError, fixed_keys
-from olivepost.net import invariants
-from olivepost.net.buffers import Pool
-from olivepost.net.clients import STOP_WITHIN, Clients
-from olivepost.net.clock import Clock
-from olivepost.net.copies import Copies
-from olivepost.net.engine import Advised, Ending, Engine, Stop
-from olivepost.net.log import Log
-from olivepost.net.registry import Registry
-from olivepost.net.servers import Servers, Tools
+from olivepost.proxy import invariants
+from olivepost.proxy.buffers import Pool
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.discovery.client import Registry
+from olivepost.proxy.downstream.listener import STOP_WITHIN, Clients
+from olivepost.proxy.event_log import Log
+from olivepost.proxy.event_loop import Advised, Ending, Engine, Stop
+from olivepost.proxy.response_cache import Copies
+from olivepost.proxy.upstream.pool import Servers, Tools
+from olivepost.routing.router import Router
 
 if TYPE_CHECKING:
-    from olivepost.operator.model import OperatorSettings
-    from olivepost.sharing.host import Host
+    from olivepost.operator_config.model import OperatorSettings
+    from olivepost.shared_store.host import Host
 
 FIGURES_EVERY = 10 * SECOND
 TERM_ACCEPTS = 700 * MS  # after SIGTERM for which clients still come, and a busy front has to read it
@@ -102,7 +102,7 @@
         self.registry = Registry(config.coordinator, self.clock, self.log, self.engine.post, config.seed)
         self.stores: Host | None = None
         if sharing:  # what is off is not even imported
-            from olivepost.sharing.host import Host
+            from olivepost.shared_store.host import Host
 
             self.stores = Host(
                 sharing, config.name, self.clock, self.log, lambda event: self.engine.post(Advised(event))
--- a/olivepost/net/servers.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -17,12 +17,12 @@
 
 from olivepost import interface as api
 from olivepost.config import MS, SECOND, Address, Bounds
-from olivepost.net import invariants, sockets
-from olivepost.net.buffers import Body, Pool
-from olivepost.net.clock import Clock
-from olivepost.net.exchange import Answer, Exchange, Verdict
-from olivepost.net.frames import Answers, End, FrameError, Head, command
-from olivepost.net.log import Log
+from olivepost.proxy import invariants, sockets
+from olivepost.proxy.buffers import Body, Pool
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import Log
+from olivepost.proxy.exchange import Answer, Exchange, Verdict
+from olivepost.proxy.upstream.line_protocol import Answers, End, FrameError, Head, command
 
 NOTES = {
     "warm": api.Note.HIT,
--- a/olivepost/choice.py
+++ b/olivepost/routing/router.py
@@ -1,4 +1,4 @@
-"""Every decision of a front; its settings, events and actions stand in olivepost/interface.py.
+"""Every decision of a front; its settings, events and actions stand in olivepost/interface.
 
 No clock, no I/O. Parts: levels (f-TTL), pressure, names, placement, health, purges; `Router` has the rest.
 """
--- a/olivepost/sharing/client.py
+++ b/olivepost/shared_store/client.py
@@ -13,10 +13,10 @@
 from redis.retry import Retry
 
 from olivepost.config import SECOND
-from olivepost.operator.units import read_secret
-from olivepost.sharing.events import Op
-from olivepost.sharing.scripts import DIGESTS, NAMES, script_of
-from olivepost.sharing.settings import SharingSettings, Store
+from olivepost.operator_config.units import read_secret
+from olivepost.shared_store.messages import Op
+from olivepost.shared_store.scripts import DIGESTS, NAMES, script_of
+from olivepost.shared_store.settings import SharingSettings, Store
 
 
 class PasswordFile(CredentialProvider):
--- a/olivepost/sharing/core.py
+++ b/olivepost/shared_store/coordinator.py
@@ -13,15 +13,25 @@
 from dataclasses import dataclass
 
 from olivepost import interface as api
-from olivepost.choice import place
 from olivepost.config import MS, SECOND
-from olivepost.sharing import events as ev
-from olivepost.sharing.claims import Own, OwnClaims
-from olivepost.sharing.loans import Loans, Offer
-from olivepost.sharing.purges import KnownPurges
-from olivepost.sharing.records import Claim, Holder, Need, Piece, PurgeKey, RecordError, pack, unpack, whole
-from olivepost.sharing.standing import Gate, Standing, Trust, Verdict
-from olivepost.sharing.suspicions import Suspicions
+from olivepost.routing.router import place
+from olivepost.shared_store import messages as ev
+from olivepost.shared_store.fill_leases import Own, OwnClaims
+from olivepost.shared_store.invalidations import KnownPurges
+from olivepost.shared_store.outlier_reports import Suspicions
+from olivepost.shared_store.quota_transfers import Loans, Offer
+from olivepost.shared_store.records import (
+    Claim,
+    Holder,
+    Need,
+    Piece,
+    PurgeKey,
+    RecordError,
+    pack,
+    unpack,
+    whole,
+)
+from olivepost.shared_store.store_health import Gate, Standing, Trust, Verdict
 
 MOST_ASKED = 4_096  # questions that are out, all stores together; beyond, advice is dropped, not requests
 ODD_EVERY = 60 * SECOND  # a line of the log on records that can't be used, at most
--- a/olivepost/sharing/host.py
+++ b/olivepost/shared_store/host.py
@@ -17,13 +17,13 @@
 
 from olivepost import interface as api
 from olivepost.config import MS, SECOND
-from olivepost.net.clock import Clock
-from olivepost.net.log import Log
-from olivepost.sharing import client
-from olivepost.sharing import events as ev
-from olivepost.sharing.core import Sharing
-from olivepost.sharing.scripts import read_reply
-from olivepost.sharing.settings import SharingSettings, Store
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import Log
+from olivepost.shared_store import client
+from olivepost.shared_store import messages as ev
+from olivepost.shared_store.coordinator import Sharing
+from olivepost.shared_store.scripts import read_reply
+from olivepost.shared_store.settings import SharingSettings, Store
 
 TICK = 10 * MS
 BATCH = 64
--- a/olivepost/sharing/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -13,11 +13,11 @@
 from rich.console import Console
 from rich.table import Table
 
-from olivepost.choice import place
-from olivepost.sharing import client
-from olivepost.sharing import events as ev
-from olivepost.sharing.records import Claim, Holder, PurgeKey, RecordError, unpack
-from olivepost.sharing.settings import SharingSettings, Store
+from olivepost.routing.router import place
+from olivepost.shared_store import client
+from olivepost.shared_store import messages as ev
+from olivepost.shared_store.records import Claim, Holder, PurgeKey, RecordError, unpack
+from olivepost.shared_store.settings import SharingSettings, Store
 
 MOST_KEYS = 100_000  # read by one call
 ROWS = list[dict[str, object]]
--- a/olivepost/sharing/purges.py
+++ b/olivepost/shared_store/invalidations.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from olivepost.sharing.records import PurgeKey
+from olivepost.shared_store.records import PurgeKey
 
 MOST, CHUNK = 4_096, 256
 
--- a/olivepost/sharing/loans.py
+++ b/olivepost/shared_store/quota_transfers.py
@@ -12,7 +12,7 @@
 
 from dataclasses import dataclass
 
-from olivepost.sharing.records import Need, Piece, RecordError, pack
+from olivepost.shared_store.records import Need, Piece, RecordError, pack
 
 DRIFT = 0.01  # by which the fronts' clocks may run apart in rate; a lender waits for so much longer
 MOST_NEEDS, MOST_PIECES = 64, 1_024
--- a/olivepost/sharing/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -25,8 +25,8 @@
 from dataclasses import dataclass
 from hashlib import sha1
 
-from olivepost.sharing import events as ev
-from olivepost.sharing.records import MOST_BYTES, RecordError, whole
+from olivepost.shared_store import messages as ev
+from olivepost.shared_store.records import MOST_BYTES, RecordError, whole
 
 MOST_PURGES = 8_192  # a store keeps
 MOST_ROWS = 256  # needs, pieces, suspicions and purges of one sync
--- a/olivepost/sharing/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -8,8 +8,8 @@
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
 from olivepost.config import MS, SECOND
-from olivepost.operator.units import SPAN_SCHEMA, HostPort, span_within, write_span
-from olivepost.sharing.events import Terms
+from olivepost.operator_config.units import SPAN_SCHEMA, HostPort, span_within, write_span
+from olivepost.shared_store.messages import Terms
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 
--- a/olivepost/sharing/standing.py
+++ b/olivepost/shared_store/store_health.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from olivepost.sharing.events import Reply
+from olivepost.shared_store.messages import Reply
 
 BAD_IN_A_ROW, LAST, BAD_SHARE, GOOD_TRIALS = 5, 20, 0.5, 2
 
--- a/olivepost/simhost/host.py
+++ b/olivepost/simulator_adapter/host.py
@@ -4,9 +4,9 @@
 
 from typing import IO
 
-from olivepost.choice import Router
 from olivepost.config import FieldError
-from olivepost.simhost import codec
+from olivepost.routing.router import Router
+from olivepost.simulator_adapter import codec
 
 
 class Host:
@@ -44,7 +44,7 @@
         try:
             sink.write(host.reply(line))
         except FieldError as fault:
-            print(f"olivepost.simhost: line {number}: {fault}", file=errors)
+            print(f"olivepost.simulator_adapter: line {number}: {fault}", file=errors)
             return 2
         sink.flush()
     return 0
--- a/tests/sharing/test_operator.py
+++ b/tests/config/test_operator_config.py
@@ -13,8 +13,8 @@
 
 from examples.toy_server import CONFIG
 from olivepost.cli import main
-from olivepost.operator.loader import OperatorError, load
-from olivepost.operator.units import read_secret, read_span, write_span
+from olivepost.operator_config.loader import OperatorError, load
+from olivepost.operator_config.units import read_secret, read_span, write_span
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "examples" / "sharing.yaml"
 STORE = "  stores: [{name: s, address: '127.0.0.1:1'}]\n"
@@ -105,10 +105,11 @@
 def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
     """Guards the platform's front against the memory and start of what is off."""
     code = (
-        "import sys, olivepost.cli, olivepost.net.front\n"
+        "import sys, olivepost.cli, olivepost.proxy.server\n"
         "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
         " any(name.split('.')[0] in ('redis', 'hiredis', 'yaml', 'pydantic', 'msgspec', 'crc32c')\n"
-        "     or name.startswith(('olivepost.sharing', 'olivepost.operator')) for name in sys.modules))"
+        "     or name.startswith(('olivepost.shared_store', 'olivepost.operator_config'))"
+        "     for name in sys.modules))"
     )
     command = [sys.executable, "-c", code, str(CONFIG)]
     done = subprocess.run(command, capture_output=True, text=True, timeout=60)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from olivepost.net import sockets
+from olivepost.proxy import sockets
 
 
 @pytest.fixture
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from olivepost import interface as api
-from olivepost.choice import Router
+from olivepost.routing.router import Router
 
 MS, SECOND = 1_000_000, 1_000_000_000
 START = 1_000 * SECOND
--- a/tests/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -19,10 +19,12 @@
 from examples.toy_server import Command, Coordinator, Member, body_of, serve_all
 from olivepost import interface as api
 from olivepost.config import SECOND, read_address, read_config
-from olivepost.net import front, registry, servers, sockets
-from olivepost.net.clients import Connection
-from olivepost.net.engine import Engine, Stop
-from olivepost.net.servers import Link
+from olivepost.proxy import server, sockets
+from olivepost.proxy.discovery import client as discovery
+from olivepost.proxy.downstream.listener import Connection
+from olivepost.proxy.event_loop import Engine, Stop
+from olivepost.proxy.upstream import pool
+from olivepost.proxy.upstream.pool import Link
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig, toy_config
 
 MS = 1_000_000
@@ -348,7 +350,7 @@
     with rig(settings=settings_of("idempotency_key", window=5 * SECOND)) as made, made.client() as client:
         send = made.front.servers.send
 
-        def sent(call: servers.Call) -> None:
+        def sent(call: pool.Call) -> None:
             made.front.servers.send = send  # type: ignore[method-assign]
             call.begin_by = made.front.clock.now() + 50 * MS  # as the router gives it to a repeat
             send(call)
@@ -447,7 +449,7 @@
         post = tools.post
 
         def noted(event: Any) -> None:
-            if isinstance(event, servers.Ended) and event.status is api.Status.BROKEN_OFF:
+            if isinstance(event, pool.Ended) and event.status is api.Status.BROKEN_OFF:
                 assert event.call.link is not None and event.call.link._sock is not None
                 ended.append(sockets.ended(event.call.link._sock))
             post(event)
@@ -493,12 +495,12 @@
         assert len(made.fetches()) == before
 
 
-def made_call(made: Rig, client: Client) -> servers.Call:
+def made_call(made: Rig, client: Client) -> pool.Call:
     """A call that has been on a link."""
-    kept: list[servers.Call] = []
+    kept: list[pool.Call] = []
     send = made.front.servers.send
 
-    def noted(call: servers.Call) -> None:
+    def noted(call: pool.Call) -> None:
         kept.append(call)
         send(call)
 
@@ -514,10 +516,10 @@
 @pytest.fixture
 def short_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """The platform kills one and a half seconds after SIGTERM, however long the deadlines are."""
-    monkeypatch.setattr(front, "TERM_LONGEST", 1100 * MS)
-    monkeypatch.setattr(front, "TERM_ACCEPTS", 400 * MS)
-    monkeypatch.setattr(front, "TERM_SPARE", 600 * MS)
-    monkeypatch.setattr(front, "TERM_LINGERS", 0.05)
+    monkeypatch.setattr(server, "TERM_LONGEST", 1100 * MS)
+    monkeypatch.setattr(server, "TERM_ACCEPTS", 400 * MS)
+    monkeypatch.setattr(server, "TERM_SPARE", 600 * MS)
+    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
 
 
 def end(made: Rig) -> tuple[threading.Thread, int]:
@@ -577,7 +579,7 @@
 
 def test_one_that_waits_for_a_place_at_the_end_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The accept thread holds it while all places are busy; the listener's end must not lose it."""
-    monkeypatch.setattr(front, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
     held = Held()
     with rig(held, limits={"sockets": 64, "memory_mb": 64}) as made:
         busy = [made.client() for _ in range(made.front.config.bounds.clients)]
@@ -611,8 +613,8 @@
 def test_an_answer_half_written_to_a_slow_reader_is_finished_before_the_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(front, "TERM_LINGERS", 0.05)
-    monkeypatch.setattr(front, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
+    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
     with rig(large) as made:
         sock = ask_narrowly(made, patience=15_000)
         assert made.until(lambda: made.counted("slow_clients") == 1 and made.front.engine.open == 0)
@@ -629,8 +631,8 @@
 
 
 def test_a_request_half_read_at_the_end_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "TERM_LINGERS", 0.05)
-    monkeypatch.setattr(front, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
+    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
     with rig() as made, made.client() as client:
         request = Client.request(patience=15_000)
         client.send(request[:30])
@@ -649,7 +651,7 @@
     held = Held()
     with rig(held) as made, made.client() as client:
         told = iter(["reload", "end", "reload", "end"])
-        made.front._signals = lambda span: next(told, "") or front._none(min(span, 10 * MS))
+        made.front._signals = lambda span: next(told, "") or server._none(min(span, 10 * MS))
         client.send(Client.request(patience=15_000))
         made.fetches()
         ending, _ = end(made)
@@ -708,8 +710,8 @@
 
 def test_drains_told_within_a_silence_are_heard_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """The open poll falls silent, and the next one too; the cache drains meanwhile and stays up."""
-    monkeypatch.setattr(registry, "WAIT", 100 * MS)
-    monkeypatch.setattr(registry, "ANSWER_FIRST", 100 * MS)
+    monkeypatch.setattr(discovery, "WAIT", 100 * MS)
+    monkeypatch.setattr(discovery, "ANSWER_FIRST", 100 * MS)
     with rig() as made, made.client() as client:
         other = Mute(2)
         other.events = list(made.coordinator.events)
@@ -772,7 +774,7 @@
     with rig() as other:
         config = toy_config(coordinator=coordinator.address, known=other.coordinator.listed())
         nowhere = os.open(os.devnull, os.O_WRONLY)
-        made = front.Front(read_config(config, {}), nowhere)
+        made = server.Front(read_config(config, {}), nowhere)
         with Client(made.start()) as client:
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert client.read()[0] == 200
--- a/tests/test_frames.py
+++ b/tests/proxy/test_frames.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivepost.net.frames import END, Answers, FrameError, Head, command, read_fields
+from olivepost.proxy.upstream.line_protocol import END, Answers, FrameError, Head, command, read_fields
 from tests.helpers import split
 
 STREAM = (
--- a/tests/test_front.py
+++ b/tests/proxy/test_front.py
@@ -12,8 +12,8 @@
 from examples.toy_server import Command, Coordinator, Member, body_of, entry, serve_all, tag_of
 from olivepost import interface as api
 from olivepost.config import read_address
-from olivepost.net.clients import Clients, Connection
-from olivepost.net.engine import VOUCHED
+from olivepost.proxy.downstream.listener import Clients, Connection
+from olivepost.proxy.event_loop import VOUCHED
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig
 
 FILLED = "0a3a9c21e0b4d655"  # no toy cache keeps it
--- a/tests/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivepost.net.http1 import HttpError, Message, Parser, answer_head
+from olivepost.proxy.http1 import HttpError, Message, Parser, answer_head
 from tests.helpers import split
 
 STREAM = (
--- a/tests/test_parts.py
+++ b/tests/proxy/test_parts.py
@@ -10,13 +10,13 @@
 import orjson
 import pytest
 
-from olivepost.net import invariants
-from olivepost.net.buffers import Body, Pool
-from olivepost.net.clock import Clock
-from olivepost.net.copies import Copies, answer_of
-from olivepost.net.exchange import Answer, Exchange, Verdict
-from olivepost.net.log import Log
-from olivepost.net.sockets import _span
+from olivepost.proxy import invariants
+from olivepost.proxy.buffers import Body, Pool
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import Log
+from olivepost.proxy.exchange import Answer, Exchange, Verdict
+from olivepost.proxy.response_cache import Copies, answer_of
+from olivepost.proxy.sockets import _span
 
 
 def test_buffers_are_used_again() -> None:
@@ -128,8 +128,8 @@
 
 
 RELEASE = """
-from olivepost.net import invariants
-from olivepost.net.buffers import Pool
+from olivepost.proxy import invariants
+from olivepost.proxy.buffers import Pool
 assert False, "no assertions in this build"
 pool = Pool(2, 10)
 taken = pool.take(1)
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,8 +16,8 @@
 from examples.toy_server import CONFIG, Command, Coordinator, Member, Reply, entry, serve_all
 from olivepost import interface as api
 from olivepost.config import read_config
-from olivepost.net.engine import Stop
-from olivepost.net.front import Front
+from olivepost.proxy.event_loop import Stop
+from olivepost.proxy.server import Front
 
 NAME = "7f3a9c21e0b4d655"
 WITHIN = 20.0  # seconds that a test waits for what must come
--- a/tests/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from olivepost import choice
 from olivepost import interface as api
-from olivepost.choice import Router
+from olivepost.routing import router as choice
+from olivepost.routing.router import Router
 from tests.helpers import (
     FLEET,
     MS,
--- a/tests/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from olivepost.choice import LONGEST, LOW, MIDDLE, TOP, Levels, NameTable, Pressure, place
+from olivepost.routing.router import LONGEST, LOW, MIDDLE, TOP, Levels, NameTable, Pressure, place
 from tests.helpers import SECOND, Front, fetches, make_settings
 
 
@@ -69,7 +69,7 @@
 
 
 def test_full_table_drops_the_earliest_ending(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("olivepost.choice.MOST_NAMES", 2)
+    monkeypatch.setattr("olivepost.routing.router.MOST_NAMES", 2)
     table = NameTable()
     for name, end in (("a", 30), ("b", 10), ("c", 20)):
         table.put(name, end, LOW, 1.0)
@@ -77,7 +77,7 @@
 
 
 def test_name_table_stays_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("olivepost.choice.MOST_NAMES", 10)
+    monkeypatch.setattr("olivepost.routing.router.MOST_NAMES", 10)
     table = NameTable()
     for turn in range(1000):
         table.left(0, "x")
--- a/tests/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -5,8 +5,8 @@
 import tomllib
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
-CHOICE = (ROOT / "olivepost" / "choice.py").read_text(encoding="utf-8")
+ROOT = Path(__file__).parents[2]
+CHOICE = (ROOT / "olivepost" / "routing" / "router.py").read_text(encoding="utf-8")
 
 
 def test_module_is_short_enough_to_audit() -> None:
@@ -16,7 +16,7 @@
 
 
 def test_module_names_its_interface_at_the_top() -> None:
-    assert "interface.py" in "\n".join(CHOICE.splitlines()[:3])
+    assert "olivepost/interface" in "\n".join(CHOICE.splitlines()[:3])
 
 
 def test_module_imports_only_the_standard_library_and_the_interface() -> None:
@@ -35,7 +35,7 @@
 
 
 def test_deploy_file_names_only_the_module() -> None:
-    assert 'policy = ["olivepost/choice.py"]' in (ROOT / "deploy" / "balancer.toml").read_text()
+    assert 'policy = ["olivepost/routing/router.py"]' in (ROOT / "deploy" / "balancer.toml").read_text()
 
 
 def test_what_run_imports_is_compiled_by_build() -> None:
--- a/tests/test_router.py
+++ b/tests/routing/test_router.py
@@ -6,7 +6,7 @@
 import pytest
 
 from olivepost import interface as api
-from olivepost.choice import RETRY_SAVED, Router
+from olivepost.routing.router import RETRY_SAVED, Router
 from tests.helpers import (
     FLEET,
     MS,
@@ -305,7 +305,7 @@
 
 def test_cold_cache_gets_no_more_than_its_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     """Budget by hand: 2.0 x 0.2 x 2 transfers x 2 s = 1.6 s of work; each request is 0.05 s."""
-    monkeypatch.setattr("olivepost.choice.PRESS_MOST", 0.0)
+    monkeypatch.setattr("olivepost.routing.router.PRESS_MOST", 0.0)
     front = Front(make_settings(direct=False), (cache("a:1", started=START), parent("p:1"), ORIGIN))
     sent = sum(len(fetches(front.ask(str(i), f"n{i}"))) for i in range(100))
     assert sent == 32
@@ -424,7 +424,7 @@
 
 
 def test_purge_table_is_bounded_and_forgets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("olivepost.choice.MOST_PURGES", 3)
+    monkeypatch.setattr("olivepost.routing.router.MOST_PURGES", 3)
     front = Front(make_settings())
     for index in range(9):
         front.do(api.Purge(f"n{index}", index, 0))
--- a/tests/sharing/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -8,12 +8,12 @@
 
 from benchmarks.branch import Branch
 from olivepost import interface as api
-from olivepost.choice import place
-from olivepost.sharing import events as ev
-from olivepost.sharing import scripts
-from olivepost.sharing.standing import Gate, Trust
+from olivepost.routing.router import place
+from olivepost.shared_store import messages as ev
+from olivepost.shared_store import scripts
+from olivepost.shared_store.store_health import Gate, Trust
 from tests.helpers import MS, SECOND
-from tests.sharing.model import branch, counted
+from tests.shared_store.model import branch, counted
 
 NAME = "000007"
 
--- a/tests/sharing/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -8,7 +8,7 @@
 
 from benchmarks.branch import Branch
 from tests.helpers import MS, SECOND
-from tests.sharing.model import branch
+from tests.shared_store.model import branch
 
 FRONT = st.integers(0, 3)
 
--- a/tests/sharing/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -16,9 +16,9 @@
 from olivepost import interface as api
 from olivepost.cli import main
 from olivepost.config import read_config
-from olivepost.net.engine import Stop
-from olivepost.net.front import Front
-from olivepost.operator.model import OperatorSettings
+from olivepost.operator_config.model import OperatorSettings
+from olivepost.proxy.event_loop import Stop
+from olivepost.proxy.server import Front
 from standins.redis.server import Server
 from tests.rig import Client, toy_config
 
--- a/tests/sharing/test_parts.py
+++ b/tests/shared_store/test_parts.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivepost.sharing import client, records
-from olivepost.sharing import events as ev
-from olivepost.sharing.loans import Loans
-from olivepost.sharing.purges import MOST, KnownPurges
-from olivepost.sharing.records import Claim, Holder, Need, Piece, PurgeKey, RecordError, pack, unpack
-from olivepost.sharing.settings import SharingSettings
-from olivepost.sharing.standing import BAD_IN_A_ROW, Gate, Standing, Trust, Verdict
+from olivepost.shared_store import client, records
+from olivepost.shared_store import messages as ev
+from olivepost.shared_store.invalidations import MOST, KnownPurges
+from olivepost.shared_store.quota_transfers import Loans
+from olivepost.shared_store.records import Claim, Holder, Need, Piece, PurgeKey, RecordError, pack, unpack
+from olivepost.shared_store.settings import SharingSettings
+from olivepost.shared_store.store_health import BAD_IN_A_ROW, Gate, Standing, Trust, Verdict
 from standins.redis.server import Server
 from tests.helpers import MS, SECOND
 
@@ -173,11 +173,11 @@
         (reply,) = client.run(store, [ev.Raise(0, 0)], "b", "me", True)
         assert isinstance(reply, list)
         whole, cuts = server.faults.spoil, [True]
-        server.faults.spoil = (
-            lambda data, draw: (  # type: ignore[method-assign]
-                (data[:1], cuts.pop()) if cuts else whole(data, draw)
-            )
-        )
+
+        def spoil(data: bytes, draw: random.Random) -> tuple[bytes, bool]:
+            return (data[:1], cuts.pop()) if cuts else whole(data, draw)
+
+        server.faults.spoil = spoil  # type: ignore[method-assign]
         before = int(server.keyspace.data[b"b:generation"])
         with pytest.raises(redis.ConnectionError):
             client.run(store, [ev.Raise(before, before)], "b", "me", False)
--- a/tests/sharing/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -15,8 +15,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivepost.sharing.client import connect
-from olivepost.sharing.settings import SharingSettings
+from olivepost.shared_store.client import connect
+from olivepost.shared_store.settings import SharingSettings
 from standins.redis.faults import ScheduleError, read_schedule
 from standins.redis.server import Server
 
--- a/tests/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -10,8 +10,8 @@
 
 from olivepost import interface as api
 from olivepost.config import read_settings
-from olivepost.simhost import codec
-from olivepost.simhost.host import run
+from olivepost.simulator_adapter import codec
+from olivepost.simulator_adapter.host import run
 
 INFO = {
     "classes": [
@@ -172,7 +172,7 @@
 def test_malformed_input_ends_with_one_plain_line(data: bytes) -> None:
     code, _, errors = talk(data)
     assert code != 0
-    assert errors.startswith("olivepost.simhost: ") and errors.count("\n") == 1
+    assert errors.startswith("olivepost.simulator_adapter: ") and errors.count("\n") == 1
 
 
 def test_a_stopped_front_may_start_again_in_the_same_batch() -> None:
@@ -188,7 +188,7 @@
     data = lines([SPAWN, MEMBERS], queries, bad)
     runs = [
         subprocess.run(
-            [sys.executable, "-m", "olivepost.simhost"],
+            [sys.executable, "-m", "olivepost.simulator_adapter"],
             input=data,
             capture_output=True,
             check=True,
