--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -16,7 +16,8 @@
 
 from olivepost import interface as api
 from olivepost.config import MS, SECOND
-from olivepost.routing.router import Router
+from olivepost.router import Router
+from olivepost.routing import capacity
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store import scripts
 from olivepost.shared_store.coordinator import Sharing
@@ -91,16 +92,16 @@
         self.requests: dict[str, api.Request] = {}
         self.router = Router(branch.settings, branch.draw.randrange(2**32))
         self.sharing: Sharing | None = None
-        self.do_router(api.Membership(api.ListKind.STORED, branch.members()))
+        self.do_router(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, branch.members()))
         for group, at in branch.purges.items():  # the coordinator tells of them at a start
-            self.do_router(api.Purge(None, group, branch.now - at))
+            self.do_router(api.Invalidation(None, group, branch.now - at))
         if branch.sharing:
             process = f"{branch.draw.getrandbits(64):016x}"
             terms = ev.Terms(
                 f"n{self.number}", process, tuple(branch.stores), branch.late, branch.sync, **branch.terms
             )
             self.sharing = Sharing(terms, branch.draw.randrange(2**32))
-            self.do_sharing(api.Membership(api.ListKind.STORED, branch.members()))
+            self.do_sharing(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, branch.members()))
             self.tick(self.life)
 
     def tick(self, life: int) -> None:
@@ -131,17 +132,17 @@
         branch, life = self.branch, self.life
         match action:
             case api.SetTimer():
-                token = action.token
+                token = action.timer_id
                 branch.after(int(action.delay / self.rate) + 1, self, lambda: self.fire(life, token))
-            case api.Fetch():
+            case api.ForwardAttempt():
                 branch.fetch(self, action)
-            case api.Consult():
+            case api.LookUpHint():
                 branch.counts.consults += 1
-                request = self.requests[action.id]
+                request = self.requests[action.request_id]
                 self.do_sharing(ev.Consulted(action, request.object, request.group))
-            case api.Settled():
+            case api.ReleaseLease():
                 self.do_sharing(ev.Ended(action))
-            case api.Misled() | api.Short() | api.Lent() | api.Suspect():
+            case api.ReportStaleHint() | api.RequestQuota() | api.DonateQuota() | api.ReportOutlier():
                 self.do_sharing(action)
 
     def fire(self, life: int, token: int) -> None:
@@ -191,15 +192,17 @@
     def now_ms(self) -> int:
         return self.now // MS
 
-    def members(self) -> tuple[api.Listed, ...]:
+    def members(self) -> tuple[api.EndpointMetadata, ...]:
         rows = [
-            api.Listed(name, api.State.READY, "standard", "west", 0, cache.link, cache.started)
+            api.EndpointMetadata(
+                name, api.EndpointState.READY, "standard", "west", 0, cache.link, cache.started
+            )
             for name, cache in self.caches.items()
         ]
         return (
             *rows,
-            api.Listed("p", api.State.READY, "parent", "hub", 0, 40.0),
-            api.Listed("o", api.State.READY, "origin", "hub", 0, 40.0),
+            api.EndpointMetadata("p", api.EndpointState.READY, "parent", "hub", 0, 40.0),
+            api.EndpointMetadata("o", api.EndpointState.READY, "origin", "hub", 0, 40.0),
         )
 
     # Time
@@ -250,28 +253,39 @@
 
         come()
 
-    def fetch(self, front: Front, fetch: api.Fetch) -> None:
+    def fetch(self, front: Front, fetch: api.ForwardAttempt) -> None:
         """An attempt at a modelled cache: what it has, joins, or fills."""
-        request, life, now = front.requests[fetch.id], front.life, self.now
-        number = front.router._held[fetch.id].sends - 1
+        request, life, now = front.requests[fetch.request_id], front.life, self.now
+        number = front.router.pending[fetch.request_id].attempt_count - 1
         name, cache = f"{request.object}.{request.part}", self.caches.get(fetch.cache)
         if cache is None:  # straight to a parent
-            self._end(front, life, fetch, number, api.Status.OK, api.Note.FILLED, 80 * MS, now)
+            self._end(front, life, fetch, number, api.AttemptStatus.OK, api.CacheStatus.FILLED, 80 * MS, now)
             return
-        work = request.size_kb / self.settings.pace_kb_per_s * SECOND
+        work = request.size_kb / self.settings.transfer_rate_kb_per_s * SECOND
         cache.work.append((now, work))
         born = cache.kept.get(name)
-        bound = fetch.max_age or self.settings.classes[request.class_name].fresh
+        bound = fetch.max_age or self.settings.classes[request.class_name].freshness_lifetime
         if born is not None and bound and now - born > bound:
             born = None
         if born is not None:
             cache.kept[name] = cache.kept.pop(name)  # used last
             self._check_age(request, born)
-            self._end(front, life, fetch, number, api.Status.OK, api.Note.HIT, int(work), now)
+            self._end(front, life, fetch, number, api.AttemptStatus.OK, api.CacheStatus.HIT, int(work), now)
         elif (end := cache.filling.get(name, 0)) > now:
-            self._end(front, life, fetch, number, api.Status.OK, api.Note.JOINED, end - now + 5 * MS, now)
+            self._end(
+                front,
+                life,
+                fetch,
+                number,
+                api.AttemptStatus.OK,
+                api.CacheStatus.COLLAPSED,
+                end - now + 5 * MS,
+                now,
+            )
         elif fetch.source == fetch.cache:
-            self._end(front, life, fetch, number, api.Status.NO_COPY, api.Note.NOTHING, 2 * MS, now)
+            self._end(
+                front, life, fetch, number, api.AttemptStatus.NOT_CACHED, api.CacheStatus.UNKNOWN, 2 * MS, now
+            )
         else:
             self.counts.fills += 1
             others = [other for other in self.caches.values() if other is not cache]
@@ -281,7 +295,9 @@
             span = self.draw.randrange(*self.fill)
             cache.filling[name] = now + span
             self.after(span, None, lambda: self._filled(cache, name, now))
-            self._end(front, life, fetch, number, api.Status.OK, api.Note.FILLED, span + 5 * MS, now)
+            self._end(
+                front, life, fetch, number, api.AttemptStatus.OK, api.CacheStatus.FILLED, span + 5 * MS, now
+            )
 
     def _filled(self, cache: Cache, name: str, born: int) -> None:
         if cache.filling.pop(name, 0) and cache.started <= born:
@@ -299,20 +315,22 @@
         self,
         front: Front,
         life: int,
-        fetch: api.Fetch,
+        fetch: api.ForwardAttempt,
         number: int,
-        status: api.Status,
-        note: api.Note,
+        status: api.AttemptStatus,
+        note: api.CacheStatus,
         took: int,
         sent: int,
     ) -> None:
         def end() -> None:
-            if life != front.life or fetch.id not in front.router._held:
+            if life != front.life or fetch.request_id not in front.router.pending:
                 return
-            final = status is api.Status.OK
-            if final and number in front.router._held[fetch.id].out:
+            final = status is api.AttemptStatus.OK
+            if final and number in front.router.pending[fetch.request_id].in_flight:
                 self.counts.served += 1
-            front.do_router(api.Outcome(fetch.id, number, status, self.now - sent, final, note))
+            front.do_router(
+                api.AttemptOutcome(fetch.request_id, number, status, self.now - sent, final, note)
+            )
 
         self.after(took, front, end)
 
@@ -320,7 +338,7 @@
 
     def list_anew(self) -> None:
         """Tells all fronts the list as it is."""
-        told = api.Membership(api.ListKind.FULL, self.members())
+        told = api.EndpointUpdate(api.EndpointUpdateKind.FULL, self.members())
         for front in self.fronts:
             front.do_router(told)
             front.do_sharing(told)
@@ -344,11 +362,11 @@
                 ]:
                     del cache.kept[name]
 
-        self.after(self.settings.purge_done, None, gone)
+        self.after(self.settings.invalidation_lifetime, None, gone)
         for group in groups:
             self.purges[group] = self.now
             for front in self.fronts:
-                event = api.Purge(None, group, 0)
+                event = api.Invalidation(None, group, 0)
                 front.do_router(event)
                 front.do_sharing(ev.Purged(event, self.now // MS))
 
@@ -443,15 +461,22 @@
             slots = bound = 0.0
             for front in self.fronts:
                 router, at = front.router, front.clock(self.now)
-                member = router._members.get(name)
-                if member is None or member.listed.started != cache.started:
+                member = router.state.endpoints.by_id.get(name)
+                if member is None or member.metadata.started_at != cache.started:
                     continue
-                share = router._share(at - s.fall_window, member)
-                part = s.caches.fall_multiple * share * s.fall_window * router._sure(member)
-                total += max(0.0, part + router._moved(at, key, part))
+                share = capacity.slow_start_share(router.state, at - s.overload_window, member)
+                part = (
+                    s.caches.overload_multiple
+                    * share
+                    * s.overload_window
+                    * capacity.certain_link(router.state, member)
+                )
+                total += max(0.0, part + capacity.transferred(router.state, at, key, part))
                 most += part
-                held = router._part(at, member)
-                slots += max(0.0, held + router._moved(at, f"open:{name}@{cache.started}", held))
+                held = capacity.concurrency_part(router.state, at, member)
+                slots += max(
+                    0.0, held + capacity.transferred(router.state, at, f"open:{name}@{cache.started}", held)
+                )
                 bound += held
             self.counts.looks += 1
             self.counts.over_whole += total > most * (1 + 1e-9) + 1e-6
@@ -462,14 +487,17 @@
         s, cache = self.settings, self.caches[name]
         sent = whole = 0.0
         at = cache.started
-        while at + s.fall_window <= min(self.now, cache.started + s.caches.warm_within):
+        while at + s.overload_window <= min(self.now, cache.started + s.caches.slow_start_duration):
             part = self._whole(cache, at - cache.started)
-            inside = sum(work for when, work in cache.work if at <= when < at + s.fall_window)
+            inside = sum(work for when, work in cache.work if at <= when < at + s.overload_window)
             sent, whole = sent + inside, whole + part
-            at += s.fall_window // 4
+            at += s.overload_window // 4
         return sent, whole
 
     def _whole(self, cache: Cache, age: int) -> float:
-        tier, window = self.settings.caches, self.settings.fall_window
-        share = tier.cold_from + (1 - tier.cold_from) * age / tier.warm_within
-        return tier.fall_multiple * share * window * cache.link
+        tier, window = self.settings.caches, self.settings.overload_window
+        share = (
+            tier.slow_start_initial_share
+            + (1 - tier.slow_start_initial_share) * age / tier.slow_start_duration
+        )
+        return tier.overload_multiple * share * window * cache.link
--- a/olivepost/config/__init__.py
+++ b/olivepost/config/__init__.py
@@ -28,14 +28,14 @@
 FOREVER = 1 << 62  # ns: the longest span that a key may hold
 
 EFFECTS = {
-    "read_like": api.Effect.SAFE,
-    "idempotency_key": api.Effect.KEYED,
-    "non_idempotent": api.Effect.UNSAFE,
+    "read_like": api.Idempotency.IDEMPOTENT,
+    "idempotency_key": api.Idempotency.WITH_KEY,
+    "non_idempotent": api.Idempotency.NOT_IDEMPOTENT,
 }
 STATES = {
-    "in_service": api.State.READY,
-    "terminating": api.State.DRAINING,
-    "terminated": api.State.GONE,
+    "in_service": api.EndpointState.READY,
+    "terminating": api.EndpointState.DRAINING,
+    "terminated": api.EndpointState.REMOVED,
 }
 PLAIN = re.compile(r"[!#-*\-.0-9:-<>-~]{1,200}", re.ASCII)  # a class's name, in a target and in a field
 ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
@@ -144,19 +144,21 @@
         deadline = row.span("deadline", least=1)
         classes[name] = api.ClassSettings(
             name=name,
-            aim=row.span("aim", deadline),
-            aim_stretch=row.within("aim-stretch", 0, 1e6, 0.0),
+            latency_objective=row.span("aim", deadline),
+            latency_objective_stretch=row.within("aim-stretch", 0, 1e6, 0.0),
             deadline=deadline,
-            effect=row.word("effect", EFFECTS),
-            scope=row.word("group", {scope.value: scope for scope in api.Scope}, "all"),
-            window=row.span("window", 0),
-            streaming=row.flag("streaming"),
-            worth=row.within("gain", 0, 1e12, 1.0),
-            late_worth=row.number("late-worth", 0.0),
-            fresh=family.at("max-age", index).span("max-age", 0),
-            grace=family.at("usable-after", index).span("usable-after", 0),
-            stale_worth=family.at("class-stale-worth", index).number("class-stale-worth", 0.0),
-            uncacheable=family.at("pass-on", index).flag("pass-on"),
+            idempotency=row.word("effect", EFFECTS),
+            deduplication_scope=row.word(
+                "group", {scope.value: scope for scope in api.DeduplicationScope}, "all"
+            ),
+            idempotency_window=row.span("window", 0),
+            is_streaming=row.flag("streaming"),
+            priority_weight=row.within("gain", 0, 1e12, 1.0),
+            late_priority_weight=row.number("late-worth", 0.0),
+            freshness_lifetime=family.at("max-age", index).span("max-age", 0),
+            stale_grace=family.at("usable-after", index).span("usable-after", 0),
+            stale_priority_weight=family.at("class-stale-worth", index).number("class-stale-worth", 0.0),
+            is_uncacheable=family.at("pass-on", index).flag("pass-on"),
         )
     place = zones.index(zone) if zone in zones else -1
     places = (family.whole("parent-kind", -1), family.whole("store-kind", -1))
@@ -165,37 +167,37 @@
     return api.Settings(
         classes=classes,
         zone=zone,
-        caches=api.Tier(
-            fronts=max(1, own),
-            cold_from=contract.within("cold-from", 0, 1, 0.0),
-            warm_within=max(1, contract.whole("warm-within", 0)),
-            fall_multiple=contract.within("fall-multiple", 0, 1e6, 0.0),
+        caches=api.TierSettings(
+            proxies=max(1, own),
+            slow_start_initial_share=contract.within("cold-from", 0, 1, 0.0),
+            slow_start_duration=max(1, contract.whole("warm-within", 0)),
+            overload_multiple=contract.within("fall-multiple", 0, 1e6, 0.0),
         ),
-        parents=api.Tier(
-            fronts=max(1, fronts),
-            cold_from=family.within("parent-floor", 0, 1, 0.0),
-            warm_within=max(1, family.whole("parent-cold", 0)),
-            fall_multiple=family.within("parent-breaks-at", 0, 1e6, 0.0),
+        parents=api.TierSettings(
+            proxies=max(1, fronts),
+            slow_start_initial_share=family.within("parent-floor", 0, 1, 0.0),
+            slow_start_duration=max(1, family.whole("parent-cold", 0)),
+            overload_multiple=family.within("parent-breaks-at", 0, 1e6, 0.0),
         ),
         parent_kind=kind[0],
         origin_kind=kind[1],
-        weights_told=info.text("weights", "off") != "off",
-        pace_kb_per_s=family.within("pace-kb-per-s", 0, 1e12, 0.0),
-        can_join=family.flag("can-join"),
-        direct=family.flag("direct"),
-        siblings_as_source=family.text("lateral", "off"),
-        tells_hits=family.text("tells", "off") != "off",
-        tells_causes=family.text("tells", "off") == "all",
-        purge_done=family.span("gone-everywhere", 0),
-        fall_window=contract.span("fall", 0),
-        ask_for_list=info.text("registry-mode", "push") == "ask",
-        ask_within=contract.span("ask-within", 0),
+        has_endpoint_weights=info.text("weights", "off") != "off",
+        transfer_rate_kb_per_s=family.within("pace-kb-per-s", 0, 1e12, 0.0),
+        can_collapse_fills=family.flag("can-join"),
+        allows_direct_forwarding=family.flag("direct"),
+        sibling_sources=family.text("lateral", "off"),
+        reports_hits=family.text("tells", "off") != "off",
+        reports_failure_causes=family.text("tells", "off") == "all",
+        invalidation_lifetime=family.span("gone-everywhere", 0),
+        overload_window=contract.span("fall", 0),
+        subscribes_to_endpoints=info.text("registry-mode", "push") == "ask",
+        subscription_timeout=contract.span("ask-within", 0),
         max_attempts=max(1, limits.whole("attempts-cap", 1)),
-        may_cancel=limits.flag("cancel"),
-        second_copies=limits.flag("second-copies"),
-        retry_after=limits.flag("retry-after"),
+        can_cancel_attempts=limits.flag("cancel"),
+        allows_hedged_requests=limits.flag("second-copies"),
+        supports_retry_after=limits.flag("retry-after"),
         max_retry_after=limits.span("max-retry-after", 0),
-        tick=info.span("tick", 0),
+        deadline_margin=info.span("tick", 0),
     )
 
 
@@ -342,8 +344,8 @@
     if odd := next((name for name in settings.classes if not PLAIN.fullmatch(name)), None):
         raise FieldError(f"settings has a wrong 'classes': the name {odd[:80]!r} can't stand in a request")
     shortest = min(spec.deadline for spec in settings.classes.values())
-    tick = max(settings.tick, min(TURN, shortest // TURN_SHARE))
-    settings = replace(settings, own_transfers=link / flow if flow else 0.0, tick=tick)
+    tick = max(settings.deadline_margin, min(TURN, shortest // TURN_SHARE))
+    settings = replace(settings, local_transfer_capacity=link / flow if flow else 0.0, deadline_margin=tick)
     return Config(
         name=environment.get("BALANCER_NAME") or top.text("name", "front"),
         listen=address,
--- /dev/null
+++ b/olivepost/interface/actions.py
@@ -0,0 +1,148 @@
+"""Actions that a router asks for."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class ForwardAttempt:
+    """Send one attempt to a cache, or straight to a parent or the origin."""
+
+    request_id: str
+    cache: str
+    source: str  # that a miss is filled from; equal to `cache`: no fill
+    rank: int  # with which the response is cached; 0: not at all
+    timeout: int
+    max_age: int  # 0: the class's freshness lifetime
+    collapse_fills: bool = False  # join a fill of the same object that is in flight
+    refresh: bool = False  # renew the cached response behind this one
+    start_before: int = 0  # the attempt must not begin later (rule 2); 0: no bound
+
+
+@dataclass(slots=True)
+class CancelAttempt:
+    """Stop waiting for an attempt."""
+
+    request_id: str
+    attempt: int
+
+
+@dataclass(slots=True)
+class Reject:
+    """Final response: rejected; trying again is harmless."""
+
+    request_id: str
+    retry_after: int = 0  # 0: no advice
+
+
+@dataclass(slots=True)
+class Fail:
+    """Final response: failed, with no promise about its effect."""
+
+    request_id: str
+
+
+@dataclass(slots=True)
+class ServeCachedResponse:
+    """Final response: the cached response that came with the request."""
+
+    request_id: str
+
+
+@dataclass(slots=True)
+class StoreResponse:
+    """Keep the response that has just come in the proxy's own cache, as long as there is capacity."""
+
+    request_id: str
+
+
+@dataclass(slots=True)
+class SetTimer:
+    """Ask for a `TimerFired` after `delay`."""
+
+    delay: int
+    timer_id: int
+
+
+@dataclass(slots=True)
+class Subscribe:
+    """Ask for changes of the endpoint list from now on."""
+
+
+@dataclass(slots=True)
+class LookUpHint:
+    """Ask the shared store about a name; a `CacheHint` counts only within the timeout.
+
+    With a source, the lease of its fill by `cache` from there is asked for too.
+    """
+
+    request_id: str
+    name: str
+    cache: str
+    source: str  # empty: only who has the name
+    timeout: int
+    lease_duration: int  # at most
+
+
+@dataclass(slots=True)
+class ReleaseLease:
+    """A request that asked for a fill lease is over."""
+
+    request_id: str
+    cache: str = ""  # that has the object now; empty: the fill came to nothing
+    rank: int = 0
+
+
+@dataclass(slots=True)
+class ReportStaleHint:
+    """The cache that the shared store named for a request does not have the object."""
+
+    request_id: str
+    name: str
+    cache: str
+
+
+@dataclass(slots=True)
+class RequestQuota:
+    """So much of a quota was lacking just now: `cold:ENDPOINT@START`, `open:ENDPOINT@START` or `retry`."""
+
+    key: str
+    amount: float
+
+
+@dataclass(slots=True)
+class DonateQuota:
+    """What was given up for a `QuotaRequested`, from now until it expires; 0 where nothing can be spared.
+
+    A `QuotaReceived` of the same amount until the same time gives it back.
+    """
+
+    transfer_id: int
+    amount: float
+    expires_at: int
+
+
+@dataclass(slots=True)
+class ReportOutlier:
+    """This proxy has ejected an endpoint by its own evidence."""
+
+    endpoint_id: str
+
+
+Action = (
+    ForwardAttempt
+    | CancelAttempt
+    | Reject
+    | Fail
+    | ServeCachedResponse
+    | StoreResponse
+    | SetTimer
+    | Subscribe
+    | LookUpHint
+    | ReleaseLease
+    | ReportStaleHint
+    | RequestQuota
+    | DonateQuota
+    | ReportOutlier
+)
--- /dev/null
+++ b/olivepost/interface/events.py
@@ -0,0 +1,217 @@
+"""Events that a router handles."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+
+class EndpointState(Enum):
+    """Where an endpoint stands in its life, by the endpoint list."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    REMOVED = "gone"
+
+
+class EndpointUpdateKind(Enum):
+    """What an endpoint update holds."""
+
+    INCREMENTAL = "changes"
+    FULL = "full"
+    RESTORED = "stored"  # the list that was known before the start
+    FAILED = "failed"  # nothing: the list could not be had
+
+
+class AttemptStatus(Enum):
+    """How an attempt ended."""
+
+    OK = "ok"
+    ERROR = "error"
+    REJECTED = "turned away"
+    TIMED_OUT = "timed out"
+    CONNECT_FAILED = "not connected"
+    CONNECTION_LOST = "broken off"
+    CANCELLED = "cancelled"
+    NOT_SENT = "never sent"
+    NOT_CACHED = "no copy"
+
+
+NOT_EXECUTED = frozenset(
+    {
+        AttemptStatus.REJECTED,
+        AttemptStatus.CONNECT_FAILED,
+        AttemptStatus.NOT_SENT,
+        AttemptStatus.NOT_CACHED,
+    }
+)
+
+
+class CacheStatus(Enum):
+    """How a cache came by its response, or why a fill failed (compare RFC 9211)."""
+
+    UNKNOWN = 0
+    HIT = 1
+    FILLED = 2
+    FILLED_FROM_ORIGIN = 3
+    COLLAPSED = 4
+    STALE_HIT = 5
+    SOURCE_REJECTED = 6
+    SOURCE_DISCONNECTED = 7
+    SOURCE_MISS = 8
+    FILL_LIMIT_REACHED = 9
+    ORIGIN_FAILED = 10
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointMetadata:
+    """One endpoint as the endpoint list has it."""
+
+    id: str
+    state: EndpointState
+    kind: str = ""
+    zone: str = ""
+    cell: int = 0
+    weight: float = 1.0
+    started_at: int = 0  # 0: long ago
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointUpdate:
+    """The endpoint list, whole or changed."""
+
+    kind: EndpointUpdateKind
+    endpoints: tuple[EndpointMetadata, ...]
+
+
+@dataclass(slots=True)
+class CachedResponse:
+    """A response in the proxy's own cache: its age, and its transfer time on the proxy's own link."""
+
+    age: int
+    transfer_time: int
+
+
+@dataclass(slots=True)
+class Request:
+    """A client's request."""
+
+    id: str
+    class_name: str
+    object: str
+    timeout: int
+    size_kb: float = 0.0  # 0: not told
+    group: int | None = None  # of objects that are invalidated together; None: not told
+    part: int = 0
+    is_write: bool = False
+    cached_response: CachedResponse | None = None
+
+
+@dataclass(slots=True)
+class ResponseStarted:
+    """A streamed response has begun; its attempt is the client's now."""
+
+    request_id: str
+    attempt: int
+
+
+@dataclass(slots=True)
+class AttemptOutcome:
+    """An attempt has ended."""
+
+    request_id: str
+    attempt: int
+    status: AttemptStatus
+    elapsed: int
+    is_final: bool = False  # the request is over
+    cache_status: CacheStatus = CacheStatus.UNKNOWN
+    is_repeated_loss: bool = False  # by the end of a connection that another outcome has reported already
+    is_not_modified: bool = False  # the client's copy is current, which takes no transfer time
+
+
+@dataclass(slots=True)
+class ClientDisconnected:
+    """The client has gone; nothing more is owed."""
+
+    request_id: str
+
+
+@dataclass(slots=True)
+class Shutdown:
+    """The proxy ends now: every pending request gets its final response."""
+
+
+@dataclass(slots=True)
+class Invalidation:
+    """Responses for an object, or (with no object) for a whole group, that are older than `age` are stale."""
+
+    object: str | None
+    group: int | None
+    age: int
+
+
+@dataclass(slots=True)
+class TimerFired:
+    """A timer that the router set has come due."""
+
+    timer_id: int
+
+
+@dataclass(slots=True)
+class StoreAvailability:
+    """Whether the shared store may be asked; at the start it may not."""
+
+    is_available: bool
+
+
+@dataclass(slots=True)
+class CacheHint:
+    """What the shared store knows of a name that was looked up."""
+
+    request_id: str
+    cache: str = ""  # that has the object or fills it; empty: none, or the fill lease is this proxy's
+    is_filling: bool = False
+    ready_in: int = 0  # until its fill is over, by the lease's word
+
+
+@dataclass(slots=True)
+class QuotaRequested:
+    """Another proxy lacks quota: donate up to `max_amount` of the own part until the transfer expires."""
+
+    transfer_id: int
+    key: str
+    max_amount: float
+    expires_at: int
+
+
+@dataclass(slots=True)
+class QuotaReceived:
+    """Another proxy has donated quota until the transfer expires."""
+
+    key: str
+    amount: float
+    expires_at: int
+
+
+@dataclass(slots=True)
+class OutlierReported:
+    """Several other proxies have ejected an endpoint: weak evidence, never enough alone."""
+
+    endpoint_id: str
+
+
+Event = (
+    EndpointUpdate
+    | Request
+    | ResponseStarted
+    | AttemptOutcome
+    | ClientDisconnected
+    | Invalidation
+    | TimerFired
+    | StoreAvailability
+    | CacheHint
+    | QuotaRequested
+    | QuotaReceived
+    | OutlierReported
+    | Shutdown
+)
--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -36,7 +36,7 @@
 class Told:
     """One event of the coordinator; `places` says where the members of a list are."""
 
-    what: api.Membership | api.Purge
+    what: api.EndpointUpdate | api.Invalidation
     places: list[Place]
 
 
@@ -52,21 +52,23 @@
     told: Told | None  # None: it could not be read
 
 
-def _read_member(item: object) -> tuple[api.Listed, Place]:
+def _read_member(item: object) -> tuple[api.EndpointMetadata, Place]:
     row = Fields("server", item)
     id_, state = row.text("id"), row.word("state", STATES, "in_service")
     if not PLAIN.fullmatch(id_):
         raise FieldError("server has a wrong 'id'")
     started = row.whole("started_ms", 0) * MS
-    address = ("", 0) if state is api.State.GONE and "addr" not in row.data else row.address("addr")
-    listed = api.Listed(
-        address=id_,
+    address = (
+        ("", 0) if state is api.EndpointState.REMOVED and "addr" not in row.data else row.address("addr")
+    )
+    listed = api.EndpointMetadata(
+        id=id_,
         state=state,
         kind=row.text("kind", ""),
         zone=row.text("zone", ""),
         cell=row.whole("cell", 0),
         weight=row.number("weight", 1.0),
-        started=started,
+        started_at=started,
     )
     return listed, Place(id_, address, started, state)
 
@@ -80,11 +82,13 @@
         if not name and group is None:
             raise FieldError("evict lacks 'ref' and 'shard'")
         age = max(0, now - evict.whole("unix_ms") * MS)
-        return Told(api.Purge(name or None, group, age), [])
+        return Told(api.Invalidation(name or None, group, age), [])
     row = row.inner("endpoints")
-    kind = api.ListKind.FULL if row.flag("full") else api.ListKind.CHANGES
+    kind = api.EndpointUpdateKind.FULL if row.flag("full") else api.EndpointUpdateKind.INCREMENTAL
     members = [_read_member(item) for item in row.items("servers")]
-    return Told(api.Membership(kind, tuple(listed for listed, _ in members)), [place for _, place in members])
+    return Told(
+        api.EndpointUpdate(kind, tuple(listed for listed, _ in members)), [place for _, place in members]
+    )
 
 
 class Registry:
@@ -177,13 +181,13 @@
     @staticmethod
     def _is_whole(update: Update) -> bool:
         what = update.told.what if update.told else None
-        return isinstance(what, api.Membership) and what.kind is api.ListKind.FULL
+        return isinstance(what, api.EndpointUpdate) and what.kind is api.EndpointUpdateKind.FULL
 
     def _as_first(self, told: Told) -> Told:
         """The first list after a start is the one stored."""
-        if isinstance(told.what, api.Membership):
+        if isinstance(told.what, api.EndpointUpdate):
             self._whole = True
-            return Told(api.Membership(api.ListKind.STORED, told.what.members), told.places)
+            return Told(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, told.what.endpoints), told.places)
         return told
 
 
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -439,7 +439,7 @@
         if match is None or match[1] not in self._side.classes:
             raise HttpError(404, "unknown target")
         writes = method == "PUT"
-        if writes and not self._side.classes[match[1]].uncacheable:
+        if writes and not self._side.classes[match[1]].is_uncacheable:
             raise HttpError(405, "a class that nobody writes")
         self._exchange = exchange = Exchange(
             id=_value(message, "x-call-id", CALL_ID),
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -20,7 +20,7 @@
 from olivepost.proxy.exchange import Answer, Arrived, Exchange, Left, Verdict
 from olivepost.proxy.response_cache import Copies, Kept, answer_of
 from olivepost.proxy.upstream.pool import Aborted, Call, Ended, Servers, Unsent, fetch_fields
-from olivepost.routing.router import Router
+from olivepost.router import Router
 
 LATE_TIMER = 5 * MS  # a timer that fires later than this is counted
 MOST_DELAYS = 100_000
@@ -48,10 +48,17 @@
 class Stores(Protocol):
     """The shared stores, as the engine sees them: nothing here waits for them."""
 
-    def consult(self, ask: api.Consult, object_: str, group: int | None) -> None: ...
-    def settle(self, settled: api.Settled, issued: int) -> None: ...
-    def tell(self, event: api.Membership | api.Misled | api.Short | api.Lent | api.Suspect) -> None: ...
-    def purged(self, purge: api.Purge, now: int) -> None: ...
+    def consult(self, ask: api.LookUpHint, object_: str, group: int | None) -> None: ...
+    def settle(self, settled: api.ReleaseLease, issued: int) -> None: ...
+    def tell(
+        self,
+        event: api.EndpointUpdate
+        | api.ReportStaleHint
+        | api.RequestQuota
+        | api.DonateQuota
+        | api.ReportOutlier,
+    ) -> None: ...
+    def purged(self, purge: api.Invalidation, now: int) -> None: ...
 
 
 @dataclass(slots=True, eq=False)
@@ -75,7 +82,9 @@
 
     def __init__(self, router: Router, clock: Clock, log: Log, copies: Copies, flow: float) -> None:
         self._router, self._clock, self._log, self._copies, self._flow = router, clock, log, copies, flow
-        self._alone = not router.settings.second_copies  # two attempts of a request are never out together
+        self._alone = (
+            not router.settings.allows_hedged_requests
+        )  # two attempts of a request are never out together
         self._heard = 0  # when the coordinator was last heard
         self._servers: Servers
         self._stores: Stores | None = None
@@ -146,14 +155,14 @@
         held = self._held.get(exchange.id)
         if held and held.exchange is exchange:
             self._close(held, answer)
-            self._do(self._router.handle(now, api.ClientLeft(exchange.id)), held)
+            self._do(self._router.handle(now, api.ClientDisconnected(exchange.id)), held)
 
     def _fire(self) -> None:
         """Fires what has come due."""
         if 0 < self._ending <= (now := self._clock.now()):
             self._ending, self._over = 0, True
             try:
-                self._do(self._router.handle(now, api.Ending()))
+                self._do(self._router.handle(now, api.Shutdown()))
             except Exception:
                 self._log.fault("engine_fault", kind="ending")
         while self._timers and self._timers[0][0] <= (now := self._clock.now()):
@@ -197,14 +206,14 @@
                 self._told(now, event)
                 if self._stores is not None:
                     self._share(now, self._stores, event.what)
-            case Advised() if isinstance(event.event, api.Purge):  # as if the coordinator had told it
+            case Advised() if isinstance(event.event, api.Invalidation):  # as if the coordinator had told it
                 self._told(now, Told(event.event, []))
             case Advised():
                 self._do(self._router.handle(now, event.event))
 
     @staticmethod
-    def _share(now: int, stores: Stores, what: api.Membership | api.Purge) -> None:
-        if isinstance(what, api.Purge):
+    def _share(now: int, stores: Stores, what: api.EndpointUpdate | api.Invalidation) -> None:
+        if isinstance(what, api.Invalidation):
             stores.purged(what, now)
         else:
             stores.tell(what)
@@ -216,7 +225,11 @@
             return
         # Without word of the coordinator a purge may have come that no copy here has heard of.
         kept = self._copies.find(exchange) if self._flow and now - self._heard < VOUCHED else None
-        copy = api.Copy(max(0, now - kept.issued), int(kept.body.length / self._flow * 1e9)) if kept else None
+        copy = (
+            api.CachedResponse(max(0, now - kept.issued), int(kept.body.length / self._flow * 1e9))
+            if kept
+            else None
+        )
         self._held[exchange.id] = Held(exchange, kept)
         until = exchange.arrived + exchange.patience
         until = now if self._over else min(until, self._ending or until)
@@ -228,8 +241,8 @@
             ttl,
             group=exchange.group,
             part=exchange.part,
-            copy=copy,
-            write=exchange.writes,
+            cached_response=copy,
+            is_write=exchange.writes,
         )
         self._do(self._router.handle(now, request))
 
@@ -238,7 +251,7 @@
 
         A call may wait for its connection; rules 3 and 5 count its first byte, not its decision.
         """
-        if isinstance(event.what, api.Purge):
+        if isinstance(event.what, api.Invalidation):
             purge = event.what
             self._copies.purge(purge.object, purge.group, now - purge.age)
             self._do(self._router.handle(now, purge))
@@ -250,12 +263,12 @@
                 )
             )
         else:
-            self._servers.update(event.places, event.what.kind is not api.ListKind.CHANGES)
+            self._servers.update(event.places, event.what.kind is not api.EndpointUpdateKind.INCREMENTAL)
             self._do(self._router.handle(now, event.what))
-            closed = {place.id for place in event.places if place.state is not api.State.READY}
+            closed = {place.id for place in event.places if place.state is not api.EndpointState.READY}
             back = self._withdraw(lambda call: bool(closed & {call.cache, call.source}))
         for call in back:
-            self._ended(now, Ended(call, api.Status.NEVER_SENT, now))
+            self._ended(now, Ended(call, api.AttemptStatus.NOT_SENT, now))
 
     def _withdraw(self, concerns: Callable[[Call], bool]) -> list[Call]:
         """Takes back calls that nobody has begun to write."""
@@ -280,7 +293,7 @@
         if call is not None:
             if call.link is not None:
                 call.link.abort(call)
-            self._ended(now, Ended(call, api.Status.TIMED_OUT, now))
+            self._ended(now, Ended(call, api.AttemptStatus.TIMED_OUT, now))
 
     def _ended(self, now: int, event: Ended) -> None:
         """An attempt's outcome; the first good answer goes to the client at once."""
@@ -292,7 +305,7 @@
                 answer.release()
             return
         del held.calls[call.number]
-        if event.status is not api.Status.OK:
+        if event.status is not api.AttemptStatus.OK:
             self._log.count(f"attempts_{event.status.name.lower()}")
         held.issued = answer.issued if answer else 0
         body = answer.body.share() if answer and answer.body else None  # for the router's word on keeping it
@@ -300,12 +313,12 @@
             self._close(held, answer)
         took = max(0, event.at - call.sent)
         final, bare = answer is not None, answer is not None and answer.verdict is Verdict.CURRENT
-        outcome = api.Outcome(
+        outcome = api.AttemptOutcome(
             call.exchange.id, call.number, event.status, took, final, event.note, event.shared, bare
         )
         try:
             actions = self._router.handle(now, outcome)
-            if answer is not None and api.Keep(call.exchange.id) in actions:
+            if answer is not None and api.StoreResponse(call.exchange.id) in actions:
                 self._copies.keep(call.exchange, answer)
         finally:
             if body is not None:
@@ -323,59 +336,61 @@
         for action in actions:
             match action:
                 case api.SetTimer():
-                    self._after(action.delay, action.token)
-                case api.Fetch():
+                    self._after(action.delay, action.timer_id)
+                case api.ForwardAttempt():
                     self._send(action)
-                case api.Cancel():
-                    held = self._held.get(action.id) or over.get(action.id)
+                case api.CancelAttempt():
+                    held = self._held.get(action.request_id) or over.get(action.request_id)
                     call = held.calls.pop(action.attempt, None) if held else None
                     if call is not None:
                         self._calls.pop(call.timer, None)
                         if call.link is not None and held is not None:
-                            held.aborting += call.link.abort(call, self._alone and action.id in self._held)
-                case api.Refuse() | api.Fail():
-                    held = self._held.get(action.id)
+                            held.aborting += call.link.abort(
+                                call, self._alone and action.request_id in self._held
+                            )
+                case api.Reject() | api.Fail():
+                    held = self._held.get(action.request_id)
                     if invariants.check(held is not None, "final_answer_is_owed") and held is not None:
-                        over[action.id] = held
+                        over[action.request_id] = held
                         answer = (
                             Answer(Verdict.REFUSED, retry_after=action.retry_after)
-                            if isinstance(action, api.Refuse)
+                            if isinstance(action, api.Reject)
                             else Answer(Verdict.FAILED)
                         )
                         self._close(held, answer)
-                case api.Serve():
-                    held = self._held.get(action.id)
+                case api.ServeCachedResponse():
+                    held = self._held.get(action.request_id)
                     if invariants.check(held is not None, "final_answer_is_owed") and held and held.copy:
                         self._log.count("own_copies")
                         self._close(held, answer_of(held.exchange, held.copy))
-                case api.Keep():
+                case api.StoreResponse():
                     pass  # done with the outcome that it goes with
                 case api.Subscribe():  # the long poll is always on
-                    self.post(Told(api.Membership(api.ListKind.CHANGES, ()), []))
+                    self.post(Told(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, ()), []))
                 case _ if self._stores is not None:
                     self._consult(self._stores, action, over)
 
     def _consult(self, stores: Stores, action: api.Action, over: dict[str, Held]) -> None:
         """What the router has for the shared stores."""
         match action:
-            case api.Consult():
-                held = self._held.get(action.id)
+            case api.LookUpHint():
+                held = self._held.get(action.request_id)
                 if invariants.check(held is not None, "consults_for_what_is_held") and held is not None:
                     stores.consult(action, held.exchange.object, held.exchange.group)
-            case api.Settled():
-                closed = over.get(action.id)
+            case api.ReleaseLease():
+                closed = over.get(action.request_id)
                 stores.settle(action, closed.issued if closed else 0)
-            case api.Misled() | api.Short() | api.Lent() | api.Suspect():
+            case api.ReportStaleHint() | api.RequestQuota() | api.DonateQuota() | api.ReportOutlier():
                 stores.tell(action)
 
-    def _send(self, fetch: api.Fetch) -> None:
-        held = self._held.get(fetch.id)
+    def _send(self, fetch: api.ForwardAttempt) -> None:
+        held = self._held.get(fetch.request_id)
         if not invariants.check(held is not None, "nothing_sent_after_the_answer") or held is None:
             return
         exchange, number = held.exchange, held.sends
         held.sends += 1
         fields, now = fetch_fields(exchange, fetch), self._clock.now()
-        call = Call(exchange, number, fetch.cache, fetch.source, now, fields, fetch.begin_by)
+        call = Call(exchange, number, fetch.cache, fetch.source, now, fields, fetch.start_before)
         held.calls[number] = call
         self._serial += 1
         call.timer = self._serial
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -25,7 +25,7 @@
 from olivepost.proxy.event_loop import Advised, Ending, Engine, Stop
 from olivepost.proxy.response_cache import Copies
 from olivepost.proxy.upstream.pool import Servers, Tools
-from olivepost.routing.router import Router
+from olivepost.router import Router
 
 if TYPE_CHECKING:
     from olivepost.operator_config.model import OperatorSettings
@@ -91,7 +91,7 @@
         self.rooms = Pool(bounds.readers, bounds.buffer_size)  # to read into
         self.copies = Copies(bounds.copies)
         sharing = operator.sharing if operator else None
-        settings = replace(config.settings, store_wait=sharing.wait) if sharing else config.settings
+        settings = replace(config.settings, shared_store_timeout=sharing.wait) if sharing else config.settings
         router = Router(settings, config.seed)
         self.engine = Engine(router, self.clock, self.log, self.copies, config.flow)
         self.servers = Servers(Tools(bounds, self.pool, self.rooms, self.clock, self.log, self.engine.post))
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -25,22 +25,22 @@
 from olivepost.proxy.upstream.line_protocol import Answers, End, FrameError, Head, command
 
 NOTES = {
-    "warm": api.Note.HIT,
-    "fill": api.Note.FILLED,
-    "deep_fill": api.Note.FILLED_BY_ORIGIN,
-    "piggy": api.Note.JOINED,
-    "aged": api.Note.STALE_HIT,
-    "bounced": api.Note.SOURCE_REFUSED,
-    "dropped": api.Note.SOURCE_LOST,
-    "lacking": api.Note.SOURCE_LACKS,
-    "jammed": api.Note.NO_FILL_PLACE,
-    "backfire": api.Note.ORIGIN_FAILED,
+    "warm": api.CacheStatus.HIT,
+    "fill": api.CacheStatus.FILLED,
+    "deep_fill": api.CacheStatus.FILLED_FROM_ORIGIN,
+    "piggy": api.CacheStatus.COLLAPSED,
+    "aged": api.CacheStatus.STALE_HIT,
+    "bounced": api.CacheStatus.SOURCE_REJECTED,
+    "dropped": api.CacheStatus.SOURCE_DISCONNECTED,
+    "lacking": api.CacheStatus.SOURCE_MISS,
+    "jammed": api.CacheStatus.FILL_LIMIT_REACHED,
+    "backfire": api.CacheStatus.ORIGIN_FAILED,
 }
 UNSERVED = {
-    "NONE": api.Status.NO_COPY,
-    "SHED": api.Status.TURNED_AWAY,
-    "FAULT": api.Status.ERROR,
-    "LATE": api.Status.NEVER_SENT,
+    "NONE": api.AttemptStatus.NOT_CACHED,
+    "SHED": api.AttemptStatus.REJECTED,
+    "FAULT": api.AttemptStatus.ERROR,
+    "LATE": api.AttemptStatus.NOT_SENT,
 }
 PLAIN = re.compile(r"[!#-*\-.-<>-~]{1,200}", re.ASCII)  # what a field's value may hold on this wire
 MOST_PAST = 256  # ids a link remembers, of which more answers may still be on the way
@@ -91,9 +91,9 @@
     """
 
     call: Call
-    status: api.Status
+    status: api.AttemptStatus
     at: int
-    note: api.Note = api.Note.NOTHING
+    note: api.CacheStatus = api.CacheStatus.UNKNOWN
     answer: Answer | None = None
     shared: bool = False
 
@@ -119,10 +119,10 @@
     id: str
     address: Address
     started: int
-    state: api.State
+    state: api.EndpointState
 
 
-def fetch_fields(exchange: Exchange, fetch: api.Fetch) -> dict[str, str]:
+def fetch_fields(exchange: Exchange, fetch: api.ForwardAttempt) -> dict[str, str]:
     """The fields of a request, as the router decided them.
 
     Spans are cut to whole milliseconds, so that no wait and no copy's age is longer than was decided;
@@ -136,7 +136,7 @@
         fields["prio"] = str(fetch.rank)
     if fetch.max_age:
         fields["within"] = str(max(1, fetch.max_age // MS))
-    if hows := [word for word, set_ in (("join", fetch.join), ("renew", fetch.renew)) if set_]:
+    if hows := [word for word, set_ in (("join", fetch.collapse_fills), ("renew", fetch.refresh)) if set_]:
         fields["f"] = "+".join(hows)
     if exchange.tag:
         fields["mine"] = exchange.tag
@@ -312,7 +312,7 @@
                     else:
                         order.stage = Stage.WRITING
                 if late:
-                    self._tools.post(Ended(order, api.Status.NEVER_SENT, now))
+                    self._tools.post(Ended(order, api.AttemptStatus.NOT_SENT, now))
                     continue
                 exchange = order.exchange  # framed here, so that a body is not held once more while it waits
                 self._send(sock, command("fetch", exchange.id, order.fields, exchange.payload), order)
@@ -443,7 +443,7 @@
             if call is None or call.stage is Stage.OVER:
                 return
             self._close(call)
-        note = NOTES.get(head.fields.get("why", ""), api.Note.NOTHING)
+        note = NOTES.get(head.fields.get("why", ""), api.CacheStatus.UNKNOWN)
         tag = head.fields.get("entity", "")
         answer = None
         if head.word == "HIT" and call.body is not None:
@@ -453,13 +453,13 @@
         elif head.word == "VALID" and tag and tag == call.exchange.tag:  # that very copy, by its name
             answer = Answer(Verdict.CURRENT, tag)
         if answer is not None:
-            status = api.Status.OK
+            status = api.AttemptStatus.OK
         elif call.short:
-            status = api.Status.CANCELLED  # for want of room here: nothing to say of the member
+            status = api.AttemptStatus.CANCELLED  # for want of room here: nothing to say of the member
         elif head.word in UNSERVED:
             status = UNSERVED[head.word]
         else:
-            status = api.Status.ERROR
+            status = api.AttemptStatus.ERROR
             self._tools.log.count("odd_answer")
         self._tools.post(Ended(call, status, at, note, answer))
 
@@ -493,7 +493,7 @@
             if not call.begun and self._sock is not None and not call.moved:
                 self._tools.post(Unsent(call))
                 continue
-            status = api.Status.BROKEN_OFF if call.begun else api.Status.NOT_CONNECTED
+            status = api.AttemptStatus.CONNECTION_LOST if call.begun else api.AttemptStatus.CONNECT_FAILED
             self._tools.post(Ended(call, status, now, shared=shared))
             shared = True
 
@@ -524,7 +524,7 @@
             else:
                 self._retire(place.id)
                 self._servers[place.id] = Server(place)
-            if place.state is api.State.GONE:
+            if place.state is api.EndpointState.REMOVED:
                 self._retire(place.id)
         for id_ in [id_ for id_ in self._servers if whole and id_ not in named]:
             self._retire(id_)
@@ -542,10 +542,10 @@
     def send(self, call: Call) -> None:
         """Puts a call on a link: the one with the fewest open calls, or a new one where all are full."""
         server = self._servers.get(call.cache)
-        known = server is not None and server.place.state is api.State.READY
+        known = server is not None and server.place.state is api.EndpointState.READY
         # One whose link broke before its first byte may come back here after its member has begun to drain.
         if not invariants.check(known or call.moved, "only_to_ready_members") or not known or server is None:
-            self._tools.post(Ended(call, api.Status.NOT_CONNECTED, call.sent))
+            self._tools.post(Ended(call, api.AttemptStatus.CONNECT_FAILED, call.sent))
             return
         server.links = [link for link in server.links if not link.over]
         able = [link for link in server.links if link.bears(call)]
@@ -555,13 +555,13 @@
         self._links = [link for link in self._links if not link.closed]
         if len(server.links) >= self._tools.bounds.links or len(self._links) >= self._tools.bounds.all_links:
             self._tools.log.count("links_full")
-            self._tools.post(Ended(call, api.Status.NEVER_SENT, call.sent))
+            self._tools.post(Ended(call, api.AttemptStatus.NOT_SENT, call.sent))
             return
         try:
             link = Link(self._tools, server.place)
         except RuntimeError:
             self._tools.log.count("threads_short")
-            self._tools.post(Ended(call, api.Status.NOT_CONNECTED, call.sent))
+            self._tools.post(Ended(call, api.AttemptStatus.CONNECT_FAILED, call.sent))
             return
         server.links.append(link)
         self._links.append(link)
--- /dev/null
+++ b/olivepost/routing/adaptive_ttl.py
@@ -0,0 +1,74 @@
+"""f-TTL: two adaptive levels per class, and the cache ranks that follow from them.
+
+After "Adaptive TTL-Based Caching for Content Delivery", III to V; docs/design.md lists what is adapted.
+"""
+
+from olivepost import interface as api
+from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RoutingState
+from olivepost.units import SECOND
+
+MAX_LIFETIME = 60 * SECOND  # L
+LEVEL_STEP = 0.01  # η
+SIZE_STEP = 0.0001  # ηs
+SMOOTHING_WIDTH = 0.1  # ε
+HIT_TARGET = 0.8  # h*, above what caches reach, so that θ stays long enough to tell repeats
+SIZE_TARGET = 5 * SECOND  # s*
+INITIAL_LEVEL = 0.5
+INITIAL_SHALLOW_LEVEL = 0.0
+UNRANKED, RANK_LOW, RANK_MIDDLE, RANK_TOP = range(4)  # unranked: caches keep nothing
+TOP_RANK_SHARE = 0.1  # of the live names' bytes, which span more time than caches do
+MAX_NAMES = 40_000
+
+
+def lifetime(levels: ClassLevels) -> float:
+    """θ = L·ϑ, the lifetime of a name."""
+    return MAX_LIFETIME * levels.level
+
+
+def shallow_lifetime(levels: ClassLevels) -> float:
+    """θs = L·ϑ·Γ, that of a name seen once (paper, equation 5)."""
+    above = max(0.0, levels.level - 1 + 1.5 * SMOOTHING_WIDTH) ** 4
+    below = max(0.0, 1 - SMOOTHING_WIDTH / 2 - levels.level) ** 4
+    gamma = levels.shallow_level + (1 - levels.shallow_level) * above / (above + below)
+    return lifetime(levels) * gamma
+
+
+def move_levels(levels: ClassLevels, is_hit: bool, sample: float, size: float) -> None:
+    """Moves both levels by one response (paper, algorithm 2)."""
+    levels.mean_size += (size - levels.mean_size) * (LEVEL_STEP if levels.mean_size else 1.0)
+    shallow_step = SIZE_STEP * (size / levels.mean_size) * (SIZE_TARGET - sample) / SIZE_TARGET
+    levels.level = min(1.0, max(0.0, levels.level + LEVEL_STEP * (HIT_TARGET - is_hit)))
+    levels.shallow_level = min(1.0, max(0.0, levels.shallow_level + shallow_step))
+
+
+def rank_request(state: RoutingState, now: int, name: str, request: api.Request) -> tuple[int, int | None]:
+    """Ranks a request and resets its name's timer; the rank, and what remained of that timer."""
+    if state.settings.classes[request.class_name].is_uncacheable or request.is_write:
+        return UNRANKED, None
+    levels = state.levels[request.class_name]
+    remaining = state.names.remaining(now, name)
+    is_lifted = state.random.random() * lifetime(levels) < shallow_lifetime(levels)
+    if remaining is not None and top_has_room(state, name):
+        rank = RANK_TOP
+    elif remaining is not None or is_lifted:
+        rank = RANK_MIDDLE
+    else:
+        rank = RANK_LOW
+    state.names.put(name, NameEntry(now + int(lifetime(levels)), rank, request.size_kb or 1.0))
+    return rank, remaining
+
+
+def top_has_room(state: RoutingState, name: str) -> bool:
+    """Whether the top rank, this name apart, holds under its share of bytes."""
+    total = state.names.total_bytes()
+    return total <= 0 or state.names.bytes_in(RANK_TOP, name) < TOP_RANK_SHARE * total
+
+
+def learn_from_response(state: RoutingState, pending: PendingRequest, is_hit: bool) -> None:
+    """Takes the sample of a hit or a fill: θ less the time left, θ on a virtual hit, θs on a miss."""
+    levels = state.levels[pending.request_class.name]
+    if is_hit:
+        sample = lifetime(levels) - (pending.name_remaining or 0)
+    else:
+        sample = shallow_lifetime(levels) if pending.name_remaining is None else lifetime(levels)
+    move_levels(levels, is_hit, max(0.0, sample), pending.request.size_kb or 1.0)
--- /dev/null
+++ b/olivepost/routing/admission.py
@@ -0,0 +1,27 @@
+"""Admission under overload: levels that full caches and late fills raise, and the cost they admit."""
+
+from olivepost.routing_state import OverloadLevel, PendingRequest, RoutingState
+
+ARRIVAL_STEP = 0.04  # for each arrival, which may find all caches full
+ARRIVAL_TARGET = 0.1  # share of such arrivals that leaves the level alone
+FILL_STEP = 0.2  # for each fill, which may be late or rejected
+FILL_TARGET = 0.1  # share of such fills that leaves the level alone
+LEVEL_CEILING = 0.9
+COST_CUTOFF = 4.0  # times the mean cost: admitted at a level of one half
+COST_STEP = 0.05  # of the mean cost towards each request's
+
+
+def record_sample(overload: OverloadLevel, step: float, target: float, is_overloaded: bool) -> None:
+    """Moves a level by one sample: as ϑ, by step·(sample - target)."""
+    level = overload.level + step * (is_overloaded - target)
+    overload.level = min(LEVEL_CEILING, max(0.0, level))
+
+
+def is_too_expensive(state: RoutingState, pending: PendingRequest, overload: OverloadLevel) -> bool:
+    """Whether a request of such work for its priority weight is rejected now; unknown sizes by chance."""
+    work = state.work_of(pending.request, pending.request_class)
+    cost = work / (pending.request_class.priority_weight or 1.0)
+    overload.mean_cost += (cost - overload.mean_cost) * (COST_STEP if overload.mean_cost else 1.0)
+    if not pending.request.size_kb:
+        cost *= state.random.expovariate(1.0)
+    return cost * overload.level > COST_CUTOFF * (1 - overload.level) * overload.mean_cost
--- /dev/null
+++ b/olivepost/routing/capacity.py
@@ -0,0 +1,115 @@
+"""What an endpoint can take: the work of requests, slow start budgets, concurrency limits.
+
+Each proxy has its part of what an endpoint bears; a shared store may transfer quota between proxies.
+"""
+
+import math
+
+from olivepost import interface as api
+from olivepost.routing_state import Endpoint, QuotaPart, QuotaTransfer, Role, RoutingState
+from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
+from olivepost.units import SECOND
+
+WORK_STEP = 0.05  # of a class's mean work towards each response's
+RATE_MEMORY = 10 * SECOND  # of the work that warm endpoints did
+MIN_LINK_TRANSFERS = 2.0  # that every endpoint surely carries at once, over all proxies
+DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}  # where no weight is told
+IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}
+CHANCE_DEVIATIONS = 3.0  # room for chance, since one of many proxies sees few requests, in clumps
+MIN_LIMIT_FACTOR = 0.5  # of the concurrency limit, which follows the share of late responses,
+MAX_LIMIT_FACTOR = 1.5  # between these two,
+LATE_SLOPE = 2.5  # with this slope
+DONATED_SHARE = 0.75  # of a proxy's part, at most
+MAX_TRANSFER_DURATION = 2 * SECOND
+
+
+def slow_start_share(state: RoutingState, now: int, endpoint: Endpoint) -> float:
+    """The share of its link that an endpoint surely has by now."""
+    tier = state.tier_of(endpoint)
+    started_at = endpoint.metadata.started_at
+    age = now - started_at if started_at and endpoint.role is not Role.ORIGIN else tier.slow_start_duration
+    initial = tier.slow_start_initial_share
+    return min(1.0, initial + (1 - initial) * max(0, age) / tier.slow_start_duration)
+
+
+def has_slow_start_budget(state: RoutingState, now: int, endpoint: Endpoint, work: float) -> bool:
+    """Rule 4: whether this proxy's part of a cold endpoint's budget bears one more attempt."""
+    window = state.settings.overload_window
+    share = slow_start_share(state, now - window, endpoint)
+    multiple = state.tier_of(endpoint).overload_multiple
+    if share >= 1 or not multiple:
+        return True
+    is_known = state.endpoints.first_listed_at <= max(endpoint.metadata.started_at, now - window)
+    budget_per_link = multiple * share * window if is_known else 0.0
+    link = certain_link(state, endpoint)
+    extra = 0.0
+    if state.settings.shared_store_timeout:
+        extra = transferred(state, now, slow_start_key(endpoint), budget_per_link * link)
+    link = max(link, state.warm_rates[endpoint.role].per_nanosecond(now))
+    return endpoint.work.total(now) + work <= budget_per_link * link + extra
+
+
+def has_concurrency(state: RoutingState, now: int, endpoint: Endpoint) -> bool:
+    """Whether one more attempt stays within the endpoint's concurrency limit."""
+    return endpoint.in_flight + 1 <= concurrency_limit(state, now, endpoint)
+
+
+def concurrency_limit(state: RoutingState, now: int, endpoint: Endpoint) -> float:
+    """Attempts in flight: of the link that it has by now, as far as responses have been in time."""
+    part = concurrency_part(state, now, endpoint)
+    mean = max(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR - LATE_SLOPE * endpoint.late_share) * part
+    limit = mean + CHANCE_DEVIATIONS * math.sqrt(mean * (1 - 1 / state.tier_of(endpoint).proxies))
+    if state.settings.shared_store_timeout:
+        limit += transferred(state, now, concurrency_key(endpoint), part)
+    return max(1.0, limit)
+
+
+def concurrency_part(state: RoutingState, now: int, endpoint: Endpoint) -> float:
+    has_weights = state.settings.has_endpoint_weights
+    transfers = endpoint.metadata.weight if has_weights else DEFAULT_LINK_TRANSFERS[endpoint.role]
+    link = slow_start_share(state, now, endpoint) * transfers
+    return IN_FLIGHT_PER_TRANSFER[endpoint.role] * link / state.tier_of(endpoint).proxies
+
+
+def certain_link(state: RoutingState, endpoint: Endpoint) -> float:
+    """This proxy's part of a link, in transfers, by configuration alone: it never falls."""
+    weight = endpoint.metadata.weight if state.settings.has_endpoint_weights else 0.0
+    return max(MIN_LINK_TRANSFERS, weight) / state.tier_of(endpoint).proxies
+
+
+def transferred(state: RoutingState, now: int, key: str, part: float) -> float:
+    """What transfers add to a part, or take off it; what may still be donated of an earlier process is."""
+    balance = state.quotas.balance(now, key)
+    return balance if now >= _settled_at(state) else balance - DONATED_SHARE * part
+
+
+def _settled_at(state: RoutingState) -> int:
+    """From when on no donation of this proxy's earlier process, which it can't know, is in use."""
+    return state.endpoints.first_listed_at + MAX_TRANSFER_DURATION + state.settings.overload_window
+
+
+def quota_part(state: RoutingState, now: int, key: str, endpoint: Endpoint | None) -> QuotaPart:
+    """This proxy's part of an endpoint's quota, by configuration alone: what was observed may shrink."""
+    if endpoint is not None and key == concurrency_key(endpoint):
+        return QuotaPart(concurrency_part(state, now, endpoint), float(endpoint.in_flight))
+    if endpoint is None or key != slow_start_key(endpoint):
+        return QuotaPart(0.0, 0.0)
+    window = state.settings.overload_window
+    share = slow_start_share(state, now - window, endpoint)
+    budget_per_link = state.tier_of(endpoint).overload_multiple * share * window
+    part = budget_per_link * certain_link(state, endpoint)
+    # It returns a window after the transfer's end: what the receiver sent last counts as long.
+    return QuotaPart(part, endpoint.work.total(now), return_delay=window)
+
+
+def donate(state: RoutingState, now: int, request: api.QuotaRequested, part: QuotaPart) -> api.DonateQuota:
+    """Gives up what can be spared of a part."""
+    amount = 0.0
+    if _settled_at(state) <= now < request.expires_at <= now + MAX_TRANSFER_DURATION:
+        donated = state.quotas.balance(now, request.key, max_amount=0.0)
+        unused = part.amount + state.quotas.balance(now, request.key) - part.used
+        amount = max(0.0, min(request.max_amount, DONATED_SHARE * part.amount + donated, unused))
+    returns_at = request.expires_at + part.return_delay
+    if amount:
+        state.quotas.record(now, QuotaTransfer(returns_at, request.key, -amount))
+    return api.DonateQuota(request.transfer_id, amount, returns_at)
--- /dev/null
+++ b/olivepost/routing/health.py
@@ -0,0 +1,63 @@
+"""Endpoint health: failure scores, ejection, half-open trials, and the share of late responses."""
+
+import math
+
+from olivepost.routing_state import Endpoint
+from olivepost.units import SECOND
+
+SUCCESS_FACTOR = 0.6  # what a success leaves of the failure score
+EJECTION_SCORE = 1.0
+FIRST_EJECTION = 1 * SECOND
+MAX_EJECTION = 4 * SECOND
+DEAD_ODDS = 200.0  # two silences eject where one good response in twenty takes as long
+MIN_SLOW_SHARE = 0.02
+REPORTED_SCORE = 0.4  # what other proxies' reports make of a failure score at most: never enough alone
+LATE_STEP = 0.1  # of the late share towards each response
+INITIAL_LATE_SHARE = 0.2
+
+
+def record_success(endpoint: Endpoint, now: int) -> None:
+    """The endpoint has answered: any ejection is over."""
+    factor = 0.0 if endpoint.ejected_until else SUCCESS_FACTOR
+    endpoint.failure_score *= factor
+    endpoint.last_success_at = now
+    endpoint.has_trial_in_flight = False
+    endpoint.ejected_until = 0
+    endpoint.ejection_duration = 0
+
+
+def record_failure(endpoint: Endpoint, now: int, weight: float) -> None:
+    """Adds to the failure score; enough of it, or a failed trial, ejects the endpoint, longer each time."""
+    endpoint.failure_score += weight
+    is_due = endpoint.failure_score >= EJECTION_SCORE and now >= endpoint.ejected_until
+    if endpoint.has_trial_in_flight or is_due:  # what was in flight before an ejection says nothing new
+        eject_endpoint(endpoint, now)
+
+
+def eject_endpoint(endpoint: Endpoint, now: int) -> None:
+    """Keeps requests away from an endpoint until its next half-open trial."""
+    longer = min(MAX_EJECTION, 2 * endpoint.ejection_duration)
+    endpoint.ejection_duration = longer if endpoint.ejected_until else FIRST_EJECTION
+    endpoint.ejected_until = now + endpoint.ejection_duration
+    endpoint.has_trial_in_flight = False
+
+
+def record_outlier_report(endpoint: Endpoint) -> None:
+    """Several other proxies have ejected the endpoint: weak evidence."""
+    endpoint.failure_score = max(endpoint.failure_score, REPORTED_SCORE)
+
+
+def is_available(endpoint: Endpoint, now: int) -> bool:
+    """Whether the endpoint is not ejected, or is due for its one trial request."""
+    until = endpoint.ejected_until
+    return not until or (now >= until and not endpoint.has_trial_in_flight)
+
+
+def silence_weight(slow_share: float) -> float:
+    """What one silence adds to a failure score: less, the more good responses take as long."""
+    return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(DEAD_ODDS)
+
+
+def record_lateness(endpoint: Endpoint, is_late: bool) -> None:
+    """Follows the share of late responses: hits at a cache, fills at a source."""
+    endpoint.late_share += LATE_STEP * (is_late - endpoint.late_share)
--- /dev/null
+++ b/olivepost/routing/hints.py
@@ -0,0 +1,30 @@
+"""Departure: what others cache or fill, by the shared store, is not filled again."""
+
+from olivepost import interface as api
+from olivepost.routing_state import PendingRequest, RoutingState
+
+MAX_TIME_SHARE = 0.02  # of a request's time, the most that waits for the shared store
+
+
+def should_look_up(state: RoutingState, pending: PendingRequest, cache: str, source: str) -> bool:
+    """Whether the store is asked first: for a new name, and before its fill."""
+    if not (state.is_store_available and pending.rank) or pending.hint is not None:
+        return False
+    is_new = pending.name_remaining is None and not pending.attempt_count
+    if source == cache:
+        return is_new and not pending.has_looked_up_location
+    is_fill = bool(pending.missed_cache) or not pending.request_class.freshness_lifetime
+    return (is_new or is_fill) and not pending.has_looked_up_fill
+
+
+def lookup_timeout(state: RoutingState, now: int, pending: PendingRequest) -> int:
+    """How long the attempt waits for the store's answer."""
+    limit = min(state.settings.shared_store_timeout, int(MAX_TIME_SHARE * (pending.deadline - now)))
+    return max(0, limit - pending.hint_time)
+
+
+def fill_delay(state: RoutingState, now: int, pending: PendingRequest, hint: api.CacheHint) -> int:
+    """How long to wait for a fill that can't be joined: until its end, half the time left at most."""
+    if not hint.is_filling or state.settings.can_collapse_fills:
+        return 0
+    return min(hint.ready_in, (pending.deadline - now) // 2)
--- /dev/null
+++ b/olivepost/routing/invalidation.py
@@ -0,0 +1,47 @@
+"""How old a response may be: invalidations, freshness, and the proxy's own response cache (rule 5)."""
+
+from olivepost import interface as api
+from olivepost.routing_state import PendingRequest, RoutingState
+from olivepost.units import SECOND
+
+MAX_INVALIDATIONS = 4_096
+PROPAGATION_MARGIN = 1 * SECOND  # beyond the time by which an invalidation is carried out everywhere
+
+
+def age_bound(state: RoutingState, now: int, request: api.Request) -> int | None:
+    """The age bound of invalidations that some cache may not have carried out; None: there are none."""
+    age = now - state.invalidations.latest(request)
+    lifetime = state.settings.invalidation_lifetime + PROPAGATION_MARGIN
+    return max(1, age) if age <= min(now, lifetime) else None
+
+
+def max_age(state: RoutingState, now: int, pending: PendingRequest, source: str) -> int:
+    """The age bound of an attempt; 0: none. In a fault a stale response earns more than a late one."""
+    max_age = pending.request_class.freshness_lifetime
+    is_degraded = pending.attempt_count > 0 or state.endpoints.by_id[source].ejected_until > 0
+    if max_age and is_degraded:
+        max_age += pending.request_class.stale_grace
+    bound = age_bound(state, now, pending.request)
+    return max_age if bound is None else min(max_age or bound, bound)
+
+
+def serve_cached(state: RoutingState, now: int, request: api.Request) -> bool:
+    """Departure: whether the proxy's own cached response is served; if so its transfer begins.
+
+    It is fresh, younger than any invalidation, even one long carried out, and the own link has capacity.
+    """
+    state.transfer_ends = [end for end in state.transfer_ends if end > now]
+    cached = request.cached_response
+    if cached is None or len(state.transfer_ends) + 1 > state.settings.local_transfer_capacity:
+        return False
+    freshness = state.settings.classes[request.class_name].freshness_lifetime or now
+    if cached.age > min(now - state.invalidations.latest(request), freshness):
+        return False
+    state.transfer_ends.append(now + cached.transfer_time)
+    return True
+
+
+def should_store(state: RoutingState, pending: PendingRequest) -> bool:
+    """Whether the response that has just come goes into the proxy's own cache: that of a repeated name."""
+    is_repeat = pending.name_remaining is not None and bool(pending.storing_cache)
+    return pending.rank > 0 and is_repeat and state.settings.local_transfer_capacity > 0
--- /dev/null
+++ b/olivepost/routing/retries.py
@@ -0,0 +1,99 @@
+"""What bounds retries: a budget for the whole proxy, deadlines, and idempotency for each request."""
+
+from olivepost import interface as api
+from olivepost.routing_state import PendingRequest, QuotaPart, RoutingState
+from olivepost.routing_state.quota_keys import RETRY_KEY
+from olivepost.units import SECOND
+
+RETRIES_PER_REQUEST = 0.2  # earned by each request, so that faults don't feed themselves
+MAX_RETRIES = 10.0  # that are saved up
+DONATION_FLOOR = 0.5  # of the most that is saved up: what stays when quota is donated
+MEAN_RETRY_AFTER = SECOND // 2
+SUBSCRIPTIONS_IN_TIME = 4  # that may be tried within the time the settings allow for one
+
+
+def subscription_delay(settings: api.Settings) -> int:
+    """How long after a failed subscription to the endpoint list the next is made."""
+    return settings.subscription_timeout // SUBSCRIPTIONS_IN_TIME
+
+
+def earn(state: RoutingState) -> None:
+    """A request has come; under overload it earns less."""
+    earned = RETRIES_PER_REQUEST * (1 - state.arrivals.level)
+    state.retry_balance = min(MAX_RETRIES, state.retry_balance + earned)
+
+
+def request_quota(state: RoutingState, cost: int) -> None:
+    """Tells other proxies, where there is a shared store, that the budget is short."""
+    if state.is_store_available and state.retry_balance < cost:
+        state.actions.append(api.RequestQuota(RETRY_KEY, 1.0))
+
+
+def quota_part(state: RoutingState) -> QuotaPart:
+    """What may be donated of the budget to other proxies."""
+    return QuotaPart(MAX_RETRIES, (1 + DONATION_FLOOR) * MAX_RETRIES - state.retry_balance)
+
+
+def cost_of(pending: PendingRequest, outcome: api.AttemptOutcome) -> int:
+    """What a retry draws on the budget: a connection's end pays once, a second word on an error nothing."""
+    return 0 if outcome.is_repeated_loss or pending.suspicion is not None else 1
+
+
+def allows_attempt(state: RoutingState, now: int, pending: PendingRequest, target: str, cost: int) -> bool:
+    """Whether one more attempt, at this target, is in time, within the budget and idempotent enough."""
+    settings = state.settings
+    is_late = pending.deadline - now <= settings.deadline_margin
+    if pending.attempt_count >= settings.max_attempts or is_late or state.retry_balance < cost:
+        return False
+    return is_idempotent_at(state, now, pending, target)
+
+
+def is_idempotent_at(state: RoutingState, now: int, pending: PendingRequest, target: str) -> bool:
+    """Rule 2: whether one more attempt, at this target, can take no effect twice."""
+    request_class = pending.request_class
+    if not pending.executed or request_class.idempotency is api.Idempotency.IDEMPOTENT:
+        return True
+    first = pending.executed[0]
+    before = state.endpoints.by_id.get(first.endpoint_id)
+    there = state.endpoints.by_id[target].metadata
+    zone, cell = (before.metadata.zone, before.metadata.cell) if before else ("", 0)
+    match request_class.deduplication_scope:
+        case api.DeduplicationScope.ALL:
+            is_same_group = True
+        case api.DeduplicationScope.ZONE:
+            is_same_group = there.zone == zone
+        case api.DeduplicationScope.CELL:
+            is_same_group = (there.zone, there.cell) == (zone, cell)
+    return is_same_group and now < latest_start(state, pending)
+
+
+def latest_start(state: RoutingState, pending: PendingRequest) -> int:
+    """When a retry must have begun at the latest, since it may wait for its connection; 0: no bound."""
+    request_class = pending.request_class
+    if not pending.executed or request_class.idempotency is not api.Idempotency.WITH_KEY:
+        return 0
+    window_end = pending.executed[0].sent_at + request_class.idempotency_window
+    return window_end - state.settings.deadline_margin
+
+
+def may_abandon_attempt(state: RoutingState, pending: PendingRequest) -> bool:
+    """Whether a silent attempt may be left for a retry, which its endpoint may execute all the same."""
+    if pending.request_class.idempotency is not api.Idempotency.IDEMPOTENT:
+        return False
+    has_attempts = pending.attempt_count < state.settings.max_attempts
+    return state.settings.can_cancel_attempts and has_attempts and state.retry_balance >= 1
+
+
+def final_response(state: RoutingState, pending: PendingRequest) -> api.Reject | api.Fail:
+    """The final response of a request that is given up: a rejection where trying again is harmless."""
+    request_class = pending.request_class
+    is_keyed = request_class.idempotency is api.Idempotency.WITH_KEY
+    is_harmless = request_class.idempotency is api.Idempotency.IDEMPOTENT
+    is_harmless |= is_keyed and request_class.deduplication_scope is api.DeduplicationScope.ALL
+    is_harmless |= not (pending.executed or pending.in_flight)
+    retry_after = 0
+    if state.settings.supports_retry_after:
+        retry_after = int(MEAN_RETRY_AFTER * (0.5 + state.random.random()))
+    if not is_harmless:
+        return api.Fail(pending.request.id)
+    return api.Reject(pending.request.id, min(state.settings.max_retry_after, retry_after))
--- /dev/null
+++ b/olivepost/routing/selection.py
@@ -0,0 +1,98 @@
+"""Endpoint selection: rendezvous hashing over the listed endpoints, past those that can't take more."""
+
+from functools import lru_cache
+from hashlib import blake2b
+from zlib import crc32
+
+from olivepost import interface as api
+from olivepost.routing import capacity, health
+from olivepost.routing_state import PendingRequest, RoutingState
+from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
+
+MAX_CACHED_ORDERS = 16_384
+SHED_FROM = 0.2  # late share beyond the best peer's, from which an endpoint sheds names,
+SHED_RANGE = 0.4  # over which it would shed all,
+MAX_SHED_SHARE = 0.9  # and what it sheds at most
+
+
+@lru_cache(MAX_CACHED_ORDERS)
+def rendezvous_order(name: str, endpoint_ids: tuple[str, ...]) -> tuple[str, ...]:
+    """The endpoints for a name by their hashes, its home first."""
+    return tuple(
+        sorted(endpoint_ids, key=lambda it: blake2b(f"{it} {name}".encode(), digest_size=8).digest())
+    )
+
+
+def all_caches_full(state: RoutingState, now: int, name: str) -> bool:
+    """Whether every available cache has reached its concurrency limit."""
+    caches = (state.endpoints.by_id[it] for it in rendezvous_order(name, state.endpoints.caches))
+    available = (endpoint for endpoint in caches if health.is_available(endpoint, now))
+    return not any(capacity.has_concurrency(state, now, endpoint) for endpoint in available)
+
+
+def select_cache(state: RoutingState, now: int, pending: PendingRequest) -> str | None:
+    """The cache for an attempt: the hint's, past its concurrency limit, since a hit or a join is no fill."""
+    hint = pending.hint
+    if hint is not None and hint.cache in state.endpoints.caches:
+        endpoint = state.endpoints.by_id[hint.cache]
+        work = state.mean_work(pending.request_class)
+        is_able = health.is_available(endpoint, now)
+        is_able = is_able and capacity.has_slow_start_budget(state, now, endpoint, work)
+        if is_able and hint.cache not in pending.avoided:
+            return hint.cache
+    return _select(state, now, state.endpoints.caches, pending)
+
+
+def select_source(state: RoutingState, now: int, pending: PendingRequest, cache: str | None) -> str:
+    """The source of a fill; the cache itself where it is only asked for what it has; empty: there is none."""
+    if cache is not None and _is_lookup_only(state, now, pending, cache):
+        return cache
+    return _select(state, now, state.endpoints.parents, pending) or state.endpoints.origin
+
+
+def _is_lookup_only(state: RoutingState, now: int, pending: PendingRequest, cache: str) -> bool:
+    """Departure: a cache is first asked for what it has.
+
+    Many proxies share a location, so a name new here may well be cached there; a miss is known before a
+    source is named, and silence is the cache's own.
+    """
+    hint = pending.hint
+    if hint is not None and hint.is_filling and hint.cache == cache:
+        return not state.settings.can_collapse_fills  # else the fill is joined
+    if not pending.rank or pending.request_class.freshness_lifetime or pending.missed_cache == cache:
+        return False
+    is_warm = capacity.slow_start_share(state, now, state.endpoints.by_id[cache]) >= 1
+    return is_warm and pending.attempt_count + 1 < state.settings.max_attempts
+
+
+def _select(state: RoutingState, now: int, ids: tuple[str, ...], pending: PendingRequest) -> str | None:
+    """The first available endpoint below its limits; with none, the first that may be used at all."""
+    order = rendezvous_order(pending.name, ids)
+    if not order:
+        return None
+    work = state.mean_work(pending.request_class)
+    by_id = state.endpoints.by_id
+    home = by_id[order[0]]
+    is_free = home.late_share <= SHED_FROM and health.is_available(home, now)
+    is_free = is_free and order[0] not in pending.avoided and capacity.has_concurrency(state, now, home)
+    if is_free and capacity.has_slow_start_budget(state, now, home, work):
+        return order[0]  # as below, in a fraction of the time
+    usable = [it for it in order if capacity.has_slow_start_budget(state, now, by_id[it], work)]
+    fresh = [it for it in usable if it not in pending.avoided]
+    available = [it for it in fresh if health.is_available(by_id[it], now)]
+    free = [it for it in available if capacity.has_concurrency(state, now, by_id[it])]
+    if state.is_store_available and order[0] in available and order[0] not in free:
+        state.actions.append(api.RequestQuota(concurrency_key(home), 1.0))
+    elif state.is_store_available and order[0] not in usable:
+        state.actions.append(api.RequestQuota(slow_start_key(home), work))
+    prompt = _without_shed_names(state, free, pending.name)
+    return next(iter(prompt or free or available or fresh or usable), None)
+
+
+def _without_shed_names(state: RoutingState, endpoint_ids: list[str], name: str) -> list[str]:
+    """Leaves out endpoints that are late more often than their best peer, by degrees: a hash's share."""
+    late_shares = {it: state.endpoints.by_id[it].late_share for it in endpoint_ids}
+    tolerated = min(late_shares.values(), default=0.0) + SHED_FROM
+    hash_share = crc32(name.encode()) / 2**32
+    shed = {it: min(MAX_SHED_SHARE, (late - tolerated) / SHED_RANGE) for it, late in late_shares.items()}
+    return [it for it in endpoint_ids if shed[it] <= hash_share]
--- a/olivepost/routing_state/__init__.py
+++ b/olivepost/routing_state/__init__.py
@@ -1,1 +1,46 @@
-"""Data that the routing package keeps between events. Nothing here decides or holds a tuned value."""
+"""Data that routing keeps between events. Nothing here decides or holds a tuned value."""
+
+from olivepost.routing_state.averages import DecayingRate, MovingAverage, MovingAverages
+from olivepost.routing_state.endpoint import Endpoint, Role
+from olivepost.routing_state.endpoint_table import EndpointTable
+from olivepost.routing_state.invalidation_table import InvalidationTable
+from olivepost.routing_state.levels import ClassLevels, OverloadLevel
+from olivepost.routing_state.name_table import ExpiringNameTable, NameEntry
+from olivepost.routing_state.pending_request import (
+    Attempt,
+    ExecutedAttempt,
+    HintWait,
+    PendingRequest,
+    Suspicion,
+)
+from olivepost.routing_state.quota_ledger import QuotaLedger, QuotaPart, QuotaTransfer
+from olivepost.routing_state.routing_state import RoutingState, Tuning
+from olivepost.routing_state.sliding_window import SlidingWindowSum
+from olivepost.routing_state.timer_table import TimerCallback, TimerTable
+
+__all__ = [
+    "Attempt",
+    "ClassLevels",
+    "DecayingRate",
+    "Endpoint",
+    "EndpointTable",
+    "ExecutedAttempt",
+    "ExpiringNameTable",
+    "HintWait",
+    "InvalidationTable",
+    "MovingAverage",
+    "MovingAverages",
+    "NameEntry",
+    "OverloadLevel",
+    "PendingRequest",
+    "QuotaLedger",
+    "QuotaPart",
+    "QuotaTransfer",
+    "Role",
+    "RoutingState",
+    "SlidingWindowSum",
+    "Suspicion",
+    "TimerCallback",
+    "TimerTable",
+    "Tuning",
+]
--- /dev/null
+++ b/olivepost/routing_state/averages.py
@@ -0,0 +1,69 @@
+"""Averages that follow their samples."""
+
+from __future__ import annotations
+
+
+class MovingAverage:
+    """An exponentially weighted moving average."""
+
+    __slots__ = ("_step", "value")
+
+    def __init__(self, step: float, value: float) -> None:
+        self._step = step
+        self.value = value
+
+    def add(self, sample: float) -> None:
+        """Moves the average towards a sample."""
+        self.value += self._step * (sample - self.value)
+
+
+class MovingAverages:
+    """Moving averages by name; the first sample of a name is its first value."""
+
+    __slots__ = ("_averages", "_step")
+
+    def __init__(self, step: float) -> None:
+        self._step = step
+        self._averages: dict[str, MovingAverage] = {}
+
+    def __contains__(self, name: str) -> bool:
+        return name in self._averages
+
+    def get(self, name: str, default: float) -> float:
+        """The present value, or the default before the first sample."""
+        average = self._averages.get(name)
+        return default if average is None else average.value
+
+    def add(self, name: str, sample: float) -> None:
+        """Moves the average of a name towards a sample."""
+        average = self._averages.get(name)
+        if average is None:
+            self._averages[name] = MovingAverage(self._step, sample)
+        else:
+            average.add(sample)
+
+
+class DecayingRate:
+    """A rate over a memory span, within which amounts fade linearly."""
+
+    __slots__ = ("_memory", "_total", "_updated_at")
+
+    def __init__(self, memory: int) -> None:
+        self._memory = memory
+        self._updated_at: int | None = None
+        self._total = 0.0
+
+    def add(self, now: int, amount: float) -> None:
+        """Adds an amount at the present time."""
+        self._fade(now)
+        self._total += amount
+
+    def per_nanosecond(self, now: int) -> float:
+        """The present rate."""
+        self._fade(now)
+        return self._total / self._memory
+
+    def _fade(self, now: int) -> None:
+        if self._updated_at is not None:
+            self._total *= max(0.0, 1 - (now - self._updated_at) / self._memory)
+        self._updated_at = now
--- /dev/null
+++ b/olivepost/routing_state/endpoint.py
@@ -0,0 +1,34 @@
+"""An upstream endpoint as routing sees it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from enum import Enum
+
+from olivepost import interface as api
+from olivepost.routing_state.sliding_window import SlidingWindowSum
+
+
+class Role(Enum):
+    """What an endpoint is to this proxy."""
+
+    CACHE = "cache"
+    PARENT = "parent"
+    ORIGIN = "origin"
+    OTHER_ZONE = "other zone"
+
+
+@dataclass(slots=True)
+class Endpoint:
+    """A cache, parent or origin: its metadata, its health, and the work that was sent to it lately."""
+
+    metadata: api.EndpointMetadata
+    role: Role
+    work: SlidingWindowSum  # sent to it within the overload window
+    late_share: float  # of its responses lately: hits at a cache, fills at a source
+    last_success_at: int = -1
+    failure_score: float = 0.0
+    ejection_duration: int = 0
+    ejected_until: int = 0  # 0: not ejected
+    has_trial_in_flight: bool = False
+    in_flight: int = 0
--- /dev/null
+++ b/olivepost/routing_state/endpoint_table.py
@@ -0,0 +1,82 @@
+"""The endpoints that the endpoint list names."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from olivepost import interface as api
+from olivepost.routing_state.endpoint import Endpoint, Role
+from olivepost.routing_state.sliding_window import SlidingWindowSum
+
+LISTED_ROLES = (Role.CACHE, Role.PARENT, Role.ORIGIN)
+
+
+def role_of(settings: api.Settings, metadata: api.EndpointMetadata) -> Role:
+    """What a listed endpoint is to this proxy, by its kind and zone."""
+    if metadata.kind and metadata.kind == settings.origin_kind:
+        return Role.ORIGIN
+    if metadata.kind and metadata.kind == settings.parent_kind:
+        return Role.PARENT
+    return Role.CACHE if metadata.zone == settings.zone else Role.OTHER_ZONE
+
+
+@dataclass(slots=True)
+class EndpointTable:
+    """All listed endpoints by id, and the ids of the ready ones by role, sorted."""
+
+    work_window: int  # of the work that was sent to an endpoint
+    initial_late_share: float
+    by_id: dict[str, Endpoint] = field(default_factory=dict)
+    caches: tuple[str, ...] = ()
+    parents: tuple[str, ...] = ()
+    origin: str = ""  # empty: none is ready
+    long_running: dict[Role, int] = field(default_factory=dict)  # ready endpoints of no told start, by role
+    first_listed_at: int = 0  # when this proxy first had an endpoint list
+
+    def update(self, now: int, update: api.EndpointUpdate, settings: api.Settings) -> None:
+        """Takes a list, whole or changed. What drains is no longer ready, what is removed is forgotten."""
+        self.first_listed_at = self.first_listed_at or now
+        before = self.by_id
+        is_whole = update.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.RESTORED)
+        self.by_id = {} if is_whole else dict(before)
+        for metadata in update.endpoints:
+            self.by_id.pop(metadata.id, None)
+            role = role_of(settings, metadata)
+            endpoint = self._listed(metadata, role, before.get(metadata.id))
+            if role in LISTED_ROLES and metadata.state is not api.EndpointState.REMOVED:
+                self.by_id[metadata.id] = endpoint
+        ready = {role: self._ready(role) for role in LISTED_ROLES}
+        self.caches = ready[Role.CACHE]
+        self.parents = ready[Role.PARENT]
+        self.origin = next(iter(ready[Role.ORIGIN]), "")
+        for role, endpoint_ids in ready.items():
+            started = [self.by_id[endpoint_id].metadata.started_at for endpoint_id in endpoint_ids]
+            self.long_running[role] = started.count(0)
+
+    def _listed(self, metadata: api.EndpointMetadata, role: Role, known: Endpoint | None) -> Endpoint:
+        """A listed endpoint; health and warmth of another process at its id start anew."""
+        if known is not None and known.metadata.started_at == metadata.started_at:
+            known.metadata = metadata
+            return known
+        work = known.work if known is not None else SlidingWindowSum(self.work_window)
+        return Endpoint(metadata, role, work, self.initial_late_share)
+
+    def _ready(self, role: Role) -> tuple[str, ...]:
+        ready = (it for it in self.by_id.values() if it.metadata.state is api.EndpointState.READY)
+        return tuple(sorted(endpoint.metadata.id for endpoint in ready if endpoint.role is role))
+
+    def open_attempt(self, now: int, endpoint_ids: tuple[str, ...], work: float) -> None:
+        """Counts an attempt at its endpoints; at an ejected one it is the half-open trial."""
+        for endpoint_id in dict.fromkeys(endpoint_ids):
+            endpoint = self.by_id[endpoint_id]
+            endpoint.in_flight += 1
+            endpoint.work.add(now, work)
+            endpoint.has_trial_in_flight = endpoint.ejected_until > 0
+
+    def close_attempt(self, endpoint_ids: tuple[str, ...]) -> None:
+        """An attempt at these endpoints is no longer in flight."""
+        for endpoint_id in dict.fromkeys(endpoint_ids):
+            endpoint = self.by_id.get(endpoint_id)
+            if endpoint is not None:
+                endpoint.in_flight = max(0, endpoint.in_flight - 1)
+                endpoint.has_trial_in_flight = False
--- /dev/null
+++ b/olivepost/routing_state/invalidation_table.py
@@ -0,0 +1,45 @@
+"""A bounded table of invalidations by object and by group."""
+
+from __future__ import annotations
+
+from olivepost import interface as api
+
+NEVER = -1
+
+
+class InvalidationTable:
+    """The latest invalidation of each object and group.
+
+    One evicted for want of room counts for every object, so that no invalidation is ever forgotten.
+    """
+
+    def __init__(self, capacity: int) -> None:
+        self._capacity = capacity
+        self._times: dict[tuple[str, object], int] = {}
+        self._evicted_at = NEVER
+
+    def __len__(self) -> int:
+        return len(self._times)
+
+    def add(self, now: int, invalidation: api.Invalidation) -> None:
+        """Records an invalidation of one object, or of a group where no object is named."""
+        if invalidation.object:
+            key: tuple[str, object] = ("object", invalidation.object)
+        else:
+            key = ("group", invalidation.group)
+        self._times[key] = max(now - invalidation.age, self._times.pop(key, 0))
+        while len(self._times) > self._capacity:
+            oldest = next(iter(self._times))
+            self._evicted_at = max(self._evicted_at, self._times.pop(oldest))
+
+    def latest(self, request: api.Request) -> int:
+        """When the object or its group was last invalidated, or NEVER.
+
+        Any group counts where the request does not name its own.
+        """
+        keys: list[tuple[str, object]] = [("object", request.object), ("group", None)]
+        if request.group is None:
+            keys += [key for key in self._times if key[0] == "group"]
+        else:
+            keys.append(("group", request.group))
+        return max(self._evicted_at, *(self._times.get(key, NEVER) for key in keys))
--- /dev/null
+++ b/olivepost/routing_state/pending_request.py
@@ -0,0 +1,69 @@
+"""A request that this proxy owes a response, and its attempts."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from olivepost import interface as api
+
+
+@dataclass(slots=True)
+class Attempt:
+    """One attempt in flight."""
+
+    number: int
+    cache: str
+    source: str
+    sent_at: int
+    patience: int = 0  # after so long without a response it is checked for silence, again and again
+
+
+@dataclass(frozen=True, slots=True)
+class ExecutedAttempt:
+    """An attempt that is over and may have been executed."""
+
+    sent_at: int
+    endpoint_id: str
+
+
+@dataclass(frozen=True, slots=True)
+class Suspicion:
+    """Whom a request's only error so far is charged to, unless a second endpoint fails it too."""
+
+    endpoint_id: str
+    weight: float
+
+
+@dataclass(slots=True, eq=False)
+class HintWait:
+    """An attempt that waits for a cache hint, and what it draws on the retry budget."""
+
+    since: int
+    retry_cost: int
+
+
+@dataclass(slots=True)
+class PendingRequest:
+    """A request that this proxy owes a response."""
+
+    request: api.Request
+    request_class: api.ClassSettings
+    name: str  # of the object's part, as caches keep it
+    deadline: int
+    rank: int  # with which caches keep the response; 0: they don't
+    name_remaining: int | None  # of the name's lifetime when the request came; None: the name was not known
+    in_flight: dict[int, Attempt] = field(default_factory=dict)
+    attempt_count: int = 0
+    is_response_started: bool = False
+    missed_cache: str = ""  # the cache that was found to lack the object
+    suspicion: Suspicion | None = None
+    timer_ids: list[int] = field(default_factory=list)
+    avoided: set[str] = field(default_factory=set)  # endpoints that failed this request
+    executed: list[ExecutedAttempt] = field(default_factory=list)
+    hint_time: int = 0  # spent so far waiting for the shared store
+    has_looked_up_location: bool = False
+    has_looked_up_fill: bool = False
+    hint_wait: HintWait | None = None
+    hint: api.CacheHint | None = None
+    hinted_cache: str = ""  # the cache of the hint that the last attempt followed
+    storing_cache: str = ""  # that has the object by its response
--- /dev/null
+++ b/olivepost/routing_state/routing_state.py
@@ -0,0 +1,95 @@
+"""Everything that the routing decisions of one proxy rest on."""
+
+from __future__ import annotations
+
+import math
+import random
+from dataclasses import dataclass, replace
+
+from olivepost import interface as api
+from olivepost.routing_state.averages import DecayingRate, MovingAverage, MovingAverages
+from olivepost.routing_state.endpoint import Endpoint, Role
+from olivepost.routing_state.endpoint_table import LISTED_ROLES, EndpointTable
+from olivepost.routing_state.invalidation_table import InvalidationTable
+from olivepost.routing_state.levels import ClassLevels, OverloadLevel
+from olivepost.routing_state.name_table import ExpiringNameTable
+from olivepost.routing_state.quota_ledger import QuotaLedger
+from olivepost.units import SECOND
+
+
+@dataclass(frozen=True, slots=True)
+class Tuning:
+    """Sizes, steps and first values of the state, as the routing package chooses them."""
+
+    initial_levels: ClassLevels
+    ranks: int
+    max_names: int
+    max_invalidations: int
+    work_step: float
+    rate_memory: int  # ns
+    share_step: float
+    initial_late_share: float
+    initial_slow_share: float
+    initial_retries: float
+
+
+class RoutingState:
+    """The state of one router, which alone may change it. Not thread-safe."""
+
+    __slots__ = (
+        "actions",
+        "arrivals",
+        "class_work",
+        "endpoints",
+        "fills",
+        "invalidations",
+        "is_store_available",
+        "levels",
+        "names",
+        "quotas",
+        "random",
+        "request_fault_share",
+        "retry_balance",
+        "settings",
+        "slow_share",
+        "transfer_ends",
+        "warm_rates",
+    )
+
+    def __init__(self, settings: api.Settings, seed: int, tuning: Tuning) -> None:
+        self.settings = settings
+        self.random = random.Random(seed)
+        self.actions: list[api.Action] = []  # of the event in hand, in order
+        self.endpoints = EndpointTable(settings.overload_window, tuning.initial_late_share)
+        self.levels = {name: replace(tuning.initial_levels) for name in settings.classes}
+        self.names = ExpiringNameTable(tuning.max_names, tuning.ranks)
+        self.invalidations = InvalidationTable(tuning.max_invalidations)
+        self.arrivals = OverloadLevel()
+        self.fills = OverloadLevel()
+        self.quotas = QuotaLedger()
+        self.is_store_available = False
+        self.retry_balance = tuning.initial_retries
+        self.transfer_ends: list[int] = []  # of responses that are served from the proxy's own cache
+        # The time that sending a response of a class takes, and the work that a mean warm endpoint does.
+        self.class_work = MovingAverages(tuning.work_step)
+        self.warm_rates = {role: DecayingRate(tuning.rate_memory) for role in LISTED_ROLES}
+        # Of good responses lately, those that outlasted their patience.
+        self.slow_share = MovingAverage(tuning.share_step, tuning.initial_slow_share)
+        # Of errors lately, those that a second endpoint confirmed.
+        self.request_fault_share = MovingAverage(tuning.share_step, 0.0)
+
+    def own_work(self, request: api.Request) -> float:
+        """The time that sending a request's response takes at full rate; 0 where its size is not told."""
+        return request.size_kb * SECOND / (self.settings.transfer_rate_kb_per_s or math.inf)
+
+    def mean_work(self, request_class: api.ClassSettings) -> float:
+        """The mean work of a class, at first its latency objective."""
+        return self.class_work.get(request_class.name, float(request_class.latency_objective))
+
+    def work_of(self, request: api.Request, request_class: api.ClassSettings) -> float:
+        """A request's own work, its class's mean where its size is not told."""
+        return self.own_work(request) or self.mean_work(request_class)
+
+    def tier_of(self, endpoint: Endpoint) -> api.TierSettings:
+        """How the endpoints of a role start, and how many proxies share them."""
+        return self.settings.parents if endpoint.role is Role.PARENT else self.settings.caches
--- /dev/null
+++ b/olivepost/routing_state/sliding_window.py
@@ -0,0 +1,39 @@
+"""A running sum over a sliding window of time."""
+
+from __future__ import annotations
+
+from collections import deque
+
+
+class SlidingWindowSum:
+    """Amounts by time, and the sum of those within the window.
+
+    The sum is kept as amounts come and go: adding them up for each routing decision took most of a busy
+    proxy's time.
+    """
+
+    __slots__ = ("_amounts", "_total", "_window")
+
+    def __init__(self, window: int) -> None:
+        self._window = window
+        self._amounts: deque[tuple[int, float]] = deque()
+        self._total = 0.0
+
+    def __len__(self) -> int:
+        return len(self._amounts)
+
+    def add(self, now: int, amount: float) -> None:
+        """Adds an amount at the present time."""
+        self._amounts.append((now, amount))
+        self._total += amount
+        self._evict(now)
+
+    def total(self, now: int) -> float:
+        """The sum of what was added within the window."""
+        self._evict(now)
+        return self._total
+
+    def _evict(self, now: int) -> None:
+        amounts = self._amounts
+        while amounts and amounts[0][0] <= now - self._window:
+            self._total -= amounts.popleft()[1]
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -14,7 +14,7 @@
 
 from olivepost import interface as api
 from olivepost.config import MS, SECOND
-from olivepost.routing.router import place
+from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store.fill_leases import Own, OwnClaims
 from olivepost.shared_store.invalidations import KnownPurges
@@ -55,7 +55,7 @@
 class Waiting:
     """A consultation, until its advice is given and its claim's fate known."""
 
-    ask: api.Consult
+    ask: api.LookUpHint
     object: str
     group: int | None
     told: bool = False
@@ -77,7 +77,7 @@
         self._tickets = 0
         self._waiting: dict[str, Waiting] = {}
         self._hints: dict[str, tuple[Standing, int, str, bytes]] = {}  # followed, by request
-        self._members: dict[str, api.Listed] = {}
+        self._members: dict[str, api.EndpointMetadata] = {}
         self.claims, self.purges = OwnClaims(), KnownPurges()
         self.loans, self.suspicions = Loans(terms.incarnation, terms.loan), Suspicions()
         self._lending: dict[int, Standing] = {}
@@ -101,16 +101,16 @@
                 self._tick(now)
             case ev.Purged():
                 self._purged(now, event)
-            case api.Membership():
+            case api.EndpointUpdate():
                 self._list(event)
-            case api.Misled():
+            case api.ReportStaleHint():
                 self._misled(now, event)
-            case api.Short() if self.terms.loans:
+            case api.RequestQuota() if self.terms.loans:
                 self.loans.short(now, event.key, event.amount)
-            case api.Lent():
+            case api.DonateQuota():
                 self._lent(now, event)
-            case api.Suspect() if self.terms.suspicions:
-                self.suspicions.suspect(now, event.address)
+            case api.ReportOutlier() if self.terms.suspicions:
+                self.suspicions.suspect(now, event.endpoint_id)
         self._tell_state()
         return self._actions
 
@@ -118,7 +118,7 @@
 
     def store_of(self, name: str) -> Standing:
         """The store that a name, or a budget, belongs to: by rendezvous, so a lost one costs its share."""
-        return self.stores[place(name, self.terms.stores)[0]]
+        return self.stores[rendezvous_order(name, self.terms.stores)[0]]
 
     def _ask(
         self,
@@ -208,7 +208,7 @@
         up = any(store.up for store in self.stores.values())
         if up != self._up:
             self._up = up
-            self._actions.append(ev.Tell(api.StoreState(up)))
+            self._actions.append(ev.Tell(api.StoreAvailability(up)))
             self._actions.append(
                 ev.Note(
                     "sharing_up" if up else "sharing_down",
@@ -294,13 +294,13 @@
 
     # Members and purges
 
-    def _list(self, event: api.Membership) -> None:
-        if event.kind in (api.ListKind.FULL, api.ListKind.STORED):
+    def _list(self, event: api.EndpointUpdate) -> None:
+        if event.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.RESTORED):
             self._members = {}
-        for listed in event.members:
-            self._members.pop(listed.address, None)
-            if listed.state is not api.State.GONE:
-                self._members[listed.address] = listed
+        for listed in event.endpoints:
+            self._members.pop(listed.id, None)
+            if listed.state is not api.EndpointState.REMOVED:
+                self._members[listed.id] = listed
         self.suspicions.forget(set(self._members))
 
     def _purged(self, now: int, event: ev.Purged) -> None:
@@ -332,7 +332,7 @@
         if self.purges.note(key, at_ms) and self.terms.purges:
             self.counts["purges_heard"] += 1
             # Ahead of this clock counts as now: nothing that is out is younger.
-            purge = api.Purge(key.object, key.group, max(0, now - at_ms * MS))
+            purge = api.Invalidation(key.object, key.group, max(0, now - at_ms * MS))
             self._actions.append(ev.Tell(purge))
 
     # Names
@@ -346,10 +346,10 @@
         own = self.claims.running(now, ask.name, store.generation)
         if own is not None and store.up:  # another request of this front's fills it: no need to ask
             self.counts["claims_shared"] += 1
-            self._advise(waiting, api.Advice(ask.id, own.cache, True, max(0, own.until - now)))
+            self._advise(waiting, api.CacheHint(ask.request_id, own.cache, True, max(0, own.until - now)))
             return
-        if not (wanted and store.up and ask.within > 0):
-            self._advise(waiting, api.Advice(ask.id))
+        if not (wanted and store.up and ask.timeout > 0):
+            self._advise(waiting, api.CacheHint(ask.request_id))
             return
         purges = (f"o:{event.object}", f"g:{event.group}")
         record, span = b"", 0
@@ -363,7 +363,7 @@
                     started=self._started(ask.cache),
                 )
             )
-            span = max(1, min(ask.span, self.terms.claim_most) // MS)
+            span = max(1, min(ask.lease_duration, self.terms.claim_most) // MS)
             self.counts["claims_tried"] += 1
         op = ev.Look(store.generation, ask.name, purges, record, span)
 
@@ -371,11 +371,11 @@
             self._known(then, asked, values, waiting)
 
         if not self._ask(now, store, op, True, known):
-            self._advise(waiting, api.Advice(ask.id))
+            self._advise(waiting, api.CacheHint(ask.request_id))
         elif claims:
-            self._waiting[ask.id] = waiting
+            self._waiting[ask.request_id] = waiting
 
-    def _advise(self, waiting: Waiting, advice: api.Advice) -> None:
+    def _advise(self, waiting: Waiting, advice: api.CacheHint) -> None:
         if not waiting.told:
             waiting.told = True
             self._actions.append(ev.Tell(advice))
@@ -383,10 +383,10 @@
     def _known(self, now: int, asked: Asked, values: tuple[object, ...] | None, waiting: Waiting) -> None:
         """The store's word on a name. Without one, whether the claim is this front's is not known."""
         ask = waiting.ask
-        waiting.told |= now - asked.sent > ask.within  # the router has gone on: its next question is another
-        if self._waiting.get(ask.id) is waiting:
-            del self._waiting[ask.id]
-        advice = api.Advice(ask.id)
+        waiting.told |= now - asked.sent > ask.timeout  # the router has gone on: its next question is another
+        if self._waiting.get(ask.request_id) is waiting:
+            del self._waiting[ask.request_id]
+        advice = api.CacheHint(ask.request_id)
         try:
             if values:
                 advice = self._read_known(now, asked, values, waiting)
@@ -394,9 +394,11 @@
             self._note_odd(fault)
         self._advise(waiting, advice)
 
-    def _read_known(self, now: int, asked: Asked, values: tuple[object, ...], waiting: Waiting) -> api.Advice:
+    def _read_known(
+        self, now: int, asked: Asked, values: tuple[object, ...], waiting: Waiting
+    ) -> api.CacheHint:
         ask, word = waiting.ask, values[0]
-        none = api.Advice(ask.id)
+        none = api.CacheHint(ask.request_id)
         if word == b"mine" and isinstance(asked.op, ev.Look) and asked.op.record:
             self._granted(now, asked, whole(values[1]), waiting)
         elif word == b"taken":
@@ -404,7 +406,7 @@
             if self._usable(claim.cache, claim.started):
                 self.counts["claims_followed"] += 1
                 left = max(0, min(whole(values[2]), self.terms.claim_most // MS)) * MS
-                return api.Advice(ask.id, claim.cache, True, left)
+                return api.CacheHint(ask.request_id, claim.cache, True, left)
         elif word == b"held" and self.terms.holders:
             record = values[1] if isinstance(values[1], bytes) else b""
             holder = unpack(Holder, record)
@@ -414,31 +416,31 @@
                 self.counts["hints_given"] += 1
                 while len(self._hints) >= MOST_ASKED:  # most are right, and no word of them comes back
                     del self._hints[next(iter(self._hints))]
-                self._hints[ask.id] = asked.store, asked.generation, ask.name, record
-                return api.Advice(ask.id, holder.cache)
+                self._hints[ask.request_id] = asked.store, asked.generation, ask.name, record
+                return api.CacheHint(ask.request_id, holder.cache)
         elif word not in (b"none", b"held"):
             raise RecordError(f"a word on a name that is none: {word!r:.40}")
         return none
 
     def _usable(self, cache: str, started: int) -> bool:
         listed = self._members.get(cache)
-        return listed is not None and listed.state is api.State.READY and listed.started == started
+        return listed is not None and listed.state is api.EndpointState.READY and listed.started_at == started
 
     def _stale(self, holder: Holder, waiting: Waiting) -> bool:
         """Older than a purge, or of a cache that has restarted or is gone: of no use to anybody."""
         listed = self._members.get(holder.cache)
         purged = holder.at_ms <= self.purges.last_ms(waiting.object, waiting.group)
-        return purged or listed is None or listed.started > holder.started
+        return purged or listed is None or listed.started_at > holder.started
 
     def _started(self, cache: str) -> int:
-        return self._members[cache].started if cache in self._members else 0
+        return self._members[cache].started_at if cache in self._members else 0
 
     def _granted(self, now: int, asked: Asked, number: int, waiting: Waiting) -> None:
         """The claim is this front's, unless the word comes past its end by this clock."""
         op, ask = asked.op, waiting.ask
         assert isinstance(op, ev.Look)
         own = Own(
-            ask.id,
+            ask.request_id,
             ask.name,
             asked.store.name,
             asked.generation,
@@ -458,10 +460,10 @@
     def _ended(self, now: int, event: ev.Ended) -> None:
         """Publishes what came of an own claim, or frees the name for others at once."""
         settled = event.settled
-        self._hints.pop(settled.id, None)
-        own = self.claims.pop(settled.id)
+        self._hints.pop(settled.request_id, None)
+        own = self.claims.pop(settled.request_id)
         if own is None:
-            if waiting := self._waiting.get(settled.id):
+            if waiting := self._waiting.get(settled.request_id):
                 waiting.over = event
             return
         store = self.stores[own.store]
@@ -489,8 +491,8 @@
         done = bool(values) and values is not None and values[0] == b"done"
         self.counts["claims_settled" if done else "claims_not_published"] += 1
 
-    def _misled(self, now: int, event: api.Misled) -> None:
-        hint = self._hints.pop(event.id, None)
+    def _misled(self, now: int, event: api.ReportStaleHint) -> None:
+        hint = self._hints.pop(event.request_id, None)
         if hint is not None:
             store, generation, name, record = hint
             self.counts["hints_wrong"] += 1
@@ -525,12 +527,14 @@
             self._tickets += 1
             if offer := self.loans.answer(now, self._tickets, field_name, need):
                 self._lending[self._tickets] = store
-                self._actions.append(ev.Tell(api.Lend(self._tickets, need.key, need.amount, offer.until)))
+                self._actions.append(
+                    ev.Tell(api.QuotaRequested(self._tickets, need.key, need.amount, offer.until))
+                )
 
-    def _lent(self, now: int, event: api.Lent) -> None:
+    def _lent(self, now: int, event: api.DonateQuota) -> None:
         """The router has taken a piece off its part: it is the other's now, whatever the store does."""
-        store = self._lending.pop(event.ticket, None)
-        made = self.loans.lent(event.ticket, event.amount, event.until)
+        store = self._lending.pop(event.transfer_id, None)
+        made = self.loans.lent(event.transfer_id, event.amount, event.expires_at)
         if made is None or store is None:
             return
         offer, piece = made
@@ -549,13 +553,13 @@
         self.loans.done(offer.need.nonce)
         if values[0] == b"not wanted" and now < offer.until:
             self.counts["pieces_back"] += 1
-            self._actions.append(ev.Tell(api.Borrow(offer.need.key, offer.amount, offer.until)))
+            self._actions.append(ev.Tell(api.QuotaReceived(offer.need.key, offer.amount, offer.until)))
 
     def _hear_piece(self, now: int, row: object) -> None:
         piece = unpack(Piece, row)
         amount, until = self.loans.take(now, piece)
         self.counts["pieces_borrowed"] += 1
-        self._actions.append(ev.Tell(api.Borrow(piece.key, amount, until)))
+        self._actions.append(ev.Tell(api.QuotaReceived(piece.key, amount, until)))
 
     def _hear_suspect(self, now: int, row: object) -> None:
         text = row.decode(errors="replace") if isinstance(row, bytes) else ""
@@ -565,7 +569,7 @@
         listed = address in self._members and process != self.terms.incarnation
         if self.terms.suspicions and self.suspicions.hear(now, address, process, listed):
             self.counts["suspicions_heard"] += 1
-            self._actions.append(ev.Tell(api.Doubt(address)))
+            self._actions.append(ev.Tell(api.OutlierReported(address)))
 
 
 def _nothing(now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -158,16 +158,23 @@
 
     # What the engine calls
 
-    def consult(self, ask: api.Consult, object_: str, group: int | None) -> None:
+    def consult(self, ask: api.LookUpHint, object_: str, group: int | None) -> None:
         self.put(ev.Consulted(ask, object_, group))
 
-    def settle(self, settled: api.Settled, issued: int) -> None:
+    def settle(self, settled: api.ReleaseLease, issued: int) -> None:
         self.put(ev.Ended(settled, issued // MS))
 
-    def tell(self, event: api.Membership | api.Misled | api.Short | api.Lent | api.Suspect) -> None:
+    def tell(
+        self,
+        event: api.EndpointUpdate
+        | api.ReportStaleHint
+        | api.RequestQuota
+        | api.DonateQuota
+        | api.ReportOutlier,
+    ) -> None:
         self.put(event)
 
-    def purged(self, purge: api.Purge, now: int) -> None:
+    def purged(self, purge: api.Invalidation, now: int) -> None:
         self.put(ev.Purged(purge, (now - purge.age) // MS))
 
     def figures(self) -> dict[str, object]:
@@ -213,7 +220,7 @@
         except Exception:  # one event's fault must not end the rest
             self.log.fault("sharing_fault", kind=type(event).__name__)
             if isinstance(event, ev.Consulted):
-                self._post(api.Advice(event.ask.id))
+                self._post(api.CacheHint(event.ask.request_id))
             return
         for action in actions:
             match action:
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from olivepost.routing.router import place
+from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import client
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store.records import Claim, Holder, PurgeKey, RecordError, unpack
@@ -125,7 +125,7 @@
     """Names by deleting what is known of them, everything by a new generation."""
     if names:
         stores = tuple(other.name for other in settings.stores)
-        here = [name for name in names if place(name, stores)[0] == store.name]
+        here = [name for name in names if rendezvous_order(name, stores)[0] == store.name]
         return [
             {"name": name, "forgotten": made.delete(f"{under}c:{name}", f"{under}h:{name}")} for name in here
         ]
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -98,7 +98,7 @@
 class Consulted:
     """The router consults the store about a request's name."""
 
-    ask: api.Consult
+    ask: api.LookUpHint
     object: str
     group: int | None
 
@@ -107,7 +107,7 @@
 class Ended:
     """A request that claimed a fill is over; `issued_ms` 0: the copy's time was not told."""
 
-    settled: api.Settled
+    settled: api.ReleaseLease
     issued_ms: int = 0
 
 
@@ -133,7 +133,7 @@
 class Purged:
     """The coordinator tells of a purge."""
 
-    purge: api.Purge
+    purge: api.Invalidation
     at_ms: int
 
 
@@ -149,11 +149,11 @@
     | Lost
     | Purged
     | Tick
-    | api.Membership
-    | api.Misled
-    | api.Short
-    | api.Lent
-    | api.Suspect
+    | api.EndpointUpdate
+    | api.ReportStaleHint
+    | api.RequestQuota
+    | api.DonateQuota
+    | api.ReportOutlier
 )
 
 # Actions.
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -10,21 +10,21 @@
 from olivepost.config import STATES, FieldError, Fields, read_settings
 
 LIST_KINDS = {
-    "diff": api.ListKind.CHANGES,
-    "snapshot": api.ListKind.FULL,
-    "disk": api.ListKind.STORED,
-    "error": api.ListKind.FAILED,
+    "diff": api.EndpointUpdateKind.INCREMENTAL,
+    "snapshot": api.EndpointUpdateKind.FULL,
+    "disk": api.EndpointUpdateKind.RESTORED,
+    "error": api.EndpointUpdateKind.FAILED,
 }
 STATUSES = {
-    "OK": api.Status.OK,
-    "INTERNAL": api.Status.ERROR,
-    "RESOURCE_EXHAUSTED": api.Status.TURNED_AWAY,
-    "DEADLINE_EXCEEDED": api.Status.TIMED_OUT,
-    "UNAVAILABLE": api.Status.NOT_CONNECTED,
-    "ABORTED": api.Status.BROKEN_OFF,
-    "CANCELLED": api.Status.CANCELLED,
-    "TOO_LATE": api.Status.NEVER_SENT,
-    "NOT_FOUND": api.Status.NO_COPY,
+    "OK": api.AttemptStatus.OK,
+    "INTERNAL": api.AttemptStatus.ERROR,
+    "RESOURCE_EXHAUSTED": api.AttemptStatus.REJECTED,
+    "DEADLINE_EXCEEDED": api.AttemptStatus.TIMED_OUT,
+    "UNAVAILABLE": api.AttemptStatus.CONNECT_FAILED,
+    "ABORTED": api.AttemptStatus.CONNECTION_LOST,
+    "CANCELLED": api.AttemptStatus.CANCELLED,
+    "TOO_LATE": api.AttemptStatus.NOT_SENT,
+    "NOT_FOUND": api.AttemptStatus.NOT_CACHED,
 }
 JOIN, RENEW = 1, 8
 UNASKED = frozenset({"ProbeDone", "Message"})
@@ -73,16 +73,16 @@
     return read_settings(fields.data.get("info")), fields.whole("entropy")
 
 
-def _read_listed(item: object) -> api.Listed:
+def _read_listed(item: object) -> api.EndpointMetadata:
     row = Fields("member", item)
-    return api.Listed(
-        address=row.text("cache"),
+    return api.EndpointMetadata(
+        id=row.text("cache"),
         state=row.word("condition", STATES, "in_service"),
         kind=row.text("family-type", ""),
         zone=row.text("area", ""),
         cell=row.whole("stripe", 0),
         weight=row.number("capacity-hint", 1.0),
-        started=row.whole("up-since", 0),
+        started_at=row.whole("up-since", 0),
     )
 
 
@@ -93,26 +93,26 @@
         id=row.text("ticket"),
         class_name=row.text("grade"),
         object=row.text("resource", ""),
-        ttl=row.whole("ttl"),
+        timeout=row.whole("ttl"),
         size_kb=row.number("bytes-k", 0.0),
         group=row.whole("batch-id") if "batch-id" in row.data else None,
         part=row.whole("slice", 0),
-        write=row.flag("write"),
+        is_write=row.flag("write"),
     )
 
 
-def _read_outcome(row: Fields) -> api.Outcome:
+def _read_outcome(row: Fields) -> api.AttemptOutcome:
     try:
-        note = api.Note(row.whole("remark", 0))
+        note = api.CacheStatus(row.whole("remark", 0))
     except ValueError:
-        note = api.Note.NOTHING
-    return api.Outcome(
-        id=row.text("ticket"),
+        note = api.CacheStatus.UNKNOWN
+    return api.AttemptOutcome(
+        request_id=row.text("ticket"),
         attempt=row.whole("attempt", 0),
         status=row.word("rc", STATUSES),
-        took=row.whole("took", 0),
-        final=row.flag("no-more"),
-        note=note,
+        elapsed=row.whole("took", 0),
+        is_final=row.flag("no-more"),
+        cache_status=note,
     )
 
 
@@ -127,17 +127,17 @@
     if kind == "Ring":
         return api.TimerFired(row.whole("ref"))
     if kind == "Headers":
-        return api.Begun(row.text("ticket"), row.whole("attempt", 0))
+        return api.ResponseStarted(row.text("ticket"), row.whole("attempt", 0))
     if kind == "ClientGone":
-        return api.ClientLeft(row.text("ticket"))
+        return api.ClientDisconnected(row.text("ticket"))
     if kind == "Registry":
-        return api.Membership(
+        return api.EndpointUpdate(
             row.word("scope", LIST_KINDS), tuple(_read_listed(item) for item in row.items("members"))
         )
     if kind == "Invalidated":
         name = row.text("resource", "")
         group = row.whole("family-id") if "family-id" in row.data else None
-        return api.Purge(name or None, group, row.whole("oldness", 0))
+        return api.Invalidation(name or None, group, row.whole("oldness", 0))
     if kind in UNASKED:
         return None
     raise FieldError(f"unknown message kind: {kind}")
@@ -146,28 +146,28 @@
 def write_action(front: int, action: api.Action) -> dict[str, object]:
     """One action as the wire has it."""
     match action:
-        case api.Fetch():
+        case api.ForwardAttempt():
             body: dict[str, object] = {
                 "kind": "AnswerFrom",
-                "ticket": action.id,
+                "ticket": action.request_id,
                 "cache": action.cache,
                 "feeder": action.source,
                 "admit": action.rank,
                 "timeout": action.timeout,
                 "oldness": action.max_age,
-                "mode": JOIN * action.join | RENEW * action.renew,
+                "mode": JOIN * action.collapse_fills | RENEW * action.refresh,
             }
-        case api.Cancel():
-            body = {"kind": "StopAttempt", "ticket": action.id, "attempt": action.attempt}
-        case api.Refuse():
-            body = {"kind": "Decline", "ticket": action.id, "wait": action.retry_after}
+        case api.CancelAttempt():
+            body = {"kind": "StopAttempt", "ticket": action.request_id, "attempt": action.attempt}
+        case api.Reject():
+            body = {"kind": "Decline", "ticket": action.request_id, "wait": action.retry_after}
         case api.Fail():
-            body = {"kind": "ReportFailure", "ticket": action.id}
+            body = {"kind": "ReportFailure", "ticket": action.request_id}
         case api.SetTimer():
-            body = {"kind": "Timer", "delay": action.delay, "ref": action.token}
+            body = {"kind": "Timer", "delay": action.delay, "ref": action.timer_id}
         case api.Subscribe():
             body = {"kind": "Watch", "want": True}
-        case api.Serve() | api.Keep():
+        case api.ServeCachedResponse() | api.StoreResponse():
             raise ValueError("copies of a front's own are not on this wire")
     return {"front": front, **body}
 
--- a/olivepost/simulator_adapter/host.py
+++ b/olivepost/simulator_adapter/host.py
@@ -5,7 +5,7 @@
 from typing import IO
 
 from olivepost.config import FieldError
-from olivepost.routing.router import Router
+from olivepost.router import Router
 from olivepost.simulator_adapter import codec
 
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -16,25 +16,25 @@
     config = load({}, str(CONFIG))
     assert config.name == "example" and config.listen == ("127.0.0.1", 8080)
     assert config.coordinator == ("127.0.0.1", 7370) and config.seed == 0x8C1F30D27A5BE964
-    assert config.settings.classes["image"].effect is api.Effect.SAFE
+    assert config.settings.classes["image"].idempotency is api.Idempotency.IDEMPOTENT
     bounds = config.bounds
     assert bounds.streams == 32 and bounds.connect == 400_000_000 and bounds.idle == 30_000_000_000
     assert bounds.clients >= 1024 // 3 and bounds.bodies * bounds.buffer_size <= 192 * 1_048_576 // 2
-    assert bounds.copies < bounds.bodies and config.settings.own_transfers == 0 == config.flow
+    assert bounds.copies < bounds.bodies and config.settings.local_transfer_capacity == 0 == config.flow
     assert bounds.links * bounds.streams >= bounds.clients
 
 
 def test_own_link_in_transfers() -> None:
     config = read_config(toy_config(flow_bytes_per_s=1000, link_bytes_per_s=4500.0), {})
-    assert config.settings.own_transfers == 4.5 and config.flow == 1000
+    assert config.settings.local_transfer_capacity == 4.5 and config.flow == 1000
 
 
 def test_the_module_gives_up_in_time_for_a_front_that_is_busy() -> None:
     config = read_config(toy_config(), {})
-    assert config.settings.tick == TURN
+    assert config.settings.deadline_margin == TURN
     slow = toy_config()
     slow["settings"]["tick"] = 2 * TURN
-    assert read_config(slow, {}).settings.tick == 2 * TURN
+    assert read_config(slow, {}).settings.deadline_margin == 2 * TURN
 
 
 def test_variables_win_over_the_file() -> None:
@@ -134,7 +134,7 @@
         settings = {"zone": "x", "classes": classes, "limits": given, "contract": {"fall": 2e9}}
         config = read_config(toy_config(settings=settings), {})
         assert len(config.settings.classes) == 30 and config.settings.max_attempts == 1
-        assert config.settings.fall_window == 2_000_000_000
+        assert config.settings.overload_window == 2_000_000_000
         assert config.bounds.streams == 32 and config.bounds.connect == 400_000_000
 
 
@@ -142,4 +142,4 @@
 def test_a_short_deadline_is_not_mostly_given_up(deadline_ms: int) -> None:
     spec = {**READ, "deadline": deadline_ms * 1_000_000}
     config = read_config(toy_config(settings={"zone": "x", "classes": [spec]}), {})
-    assert 0 < config.settings.tick <= deadline_ms * 1_000_000 // 8
+    assert 0 < config.settings.deadline_margin <= deadline_ms * 1_000_000 // 8
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from olivepost import interface as api
-from olivepost.routing.router import Router
+from olivepost.router import Router
 
 MS, SECOND = 1_000_000, 1_000_000_000
 START = 1_000 * SECOND
@@ -17,19 +17,19 @@
     """A safe class with a long life."""
     spec = api.ClassSettings(
         name=name,
-        aim=300 * MS,
-        aim_stretch=2.0,
+        latency_objective=300 * MS,
+        latency_objective_stretch=2.0,
         deadline=3 * SECOND,
-        effect=api.Effect.SAFE,
-        scope=api.Scope.ALL,
-        window=5 * SECOND,
-        streaming=False,
-        worth=1.0,
-        late_worth=0.2,
-        fresh=0,
-        grace=0,
-        stale_worth=0.5,
-        uncacheable=False,
+        idempotency=api.Idempotency.IDEMPOTENT,
+        deduplication_scope=api.DeduplicationScope.ALL,
+        idempotency_window=5 * SECOND,
+        is_streaming=False,
+        priority_weight=1.0,
+        late_priority_weight=0.2,
+        freshness_lifetime=0,
+        stale_grace=0,
+        stale_priority_weight=0.5,
+        is_uncacheable=False,
     )
     return dataclasses.replace(spec, **changes)
 
@@ -39,43 +39,47 @@
     settings = api.Settings(
         classes={spec.name: spec for spec in classes or (make_class(),)},
         zone="west",
-        caches=api.Tier(1, 0.2, 10 * SECOND, 2.0),
-        parents=api.Tier(1, 0.1, 20 * SECOND, 2.0),
+        caches=api.TierSettings(1, 0.2, 10 * SECOND, 2.0),
+        parents=api.TierSettings(1, 0.1, 20 * SECOND, 2.0),
         parent_kind="parent",
         origin_kind="origin",
-        weights_told=False,
-        pace_kb_per_s=1000.0,
-        can_join=True,
-        direct=True,
-        siblings_as_source="off",
-        tells_hits=True,
-        tells_causes=False,
-        purge_done=6 * SECOND,
-        fall_window=2 * SECOND,
-        ask_for_list=False,
-        ask_within=10 * SECOND,
+        has_endpoint_weights=False,
+        transfer_rate_kb_per_s=1000.0,
+        can_collapse_fills=True,
+        allows_direct_forwarding=True,
+        sibling_sources="off",
+        reports_hits=True,
+        reports_failure_causes=False,
+        invalidation_lifetime=6 * SECOND,
+        overload_window=2 * SECOND,
+        subscribes_to_endpoints=False,
+        subscription_timeout=10 * SECOND,
         max_attempts=6,
-        may_cancel=True,
-        second_copies=False,
-        retry_after=True,
+        can_cancel_attempts=True,
+        allows_hedged_requests=False,
+        supports_retry_after=True,
         max_retry_after=SECOND,
-        tick=2 * MS,
+        deadline_margin=2 * MS,
     )
     return dataclasses.replace(settings, **changes)
 
 
-def cache(address: str, state: api.State = api.State.READY, started: int = 0, **changes: Any) -> api.Listed:
+def cache(
+    address: str, state: api.EndpointState = api.EndpointState.READY, started: int = 0, **changes: Any
+) -> api.EndpointMetadata:
     """A cache of the front's own location."""
-    listed = api.Listed(address, state, "standard", "west", 0, 1.0, started)
+    listed = api.EndpointMetadata(address, state, "standard", "west", 0, 1.0, started)
     return dataclasses.replace(listed, **changes)
 
 
-def parent(address: str, state: api.State = api.State.READY, started: int = 0, **changes: Any) -> api.Listed:
+def parent(
+    address: str, state: api.EndpointState = api.EndpointState.READY, started: int = 0, **changes: Any
+) -> api.EndpointMetadata:
     """A parent in a hub."""
     return cache(address, state, started, **{"kind": "parent", "zone": "hub", **changes})
 
 
-ORIGIN = api.Listed("origin:1", api.State.READY, "origin", "hub")
+ORIGIN = api.EndpointMetadata("origin:1", api.EndpointState.READY, "origin", "hub")
 FLEET = (cache("a:1"), cache("b:1"), cache("c:1"), parent("p:1"), parent("q:1"), ORIGIN)
 
 
@@ -83,19 +87,19 @@
     """A router under test, with its timers kept and fired in order."""
 
     def __init__(
-        self, settings: api.Settings, members: tuple[api.Listed, ...] = FLEET, seed: int = 7
+        self, settings: api.Settings, members: tuple[api.EndpointMetadata, ...] = FLEET, seed: int = 7
     ) -> None:
         self.router = Router(settings, seed)
         self.now = START
         self.timers: list[tuple[int, int]] = []
-        self.do(api.Membership(api.ListKind.STORED, members))
+        self.do(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, members))
 
     def do(self, event: api.Event) -> list[api.Action]:
         """Hands over one event now."""
         actions = self.router.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.SetTimer):
-                self.timers.append((self.now + action.delay, action.token))
+                self.timers.append((self.now + action.delay, action.timer_id))
         return actions
 
     def wait(self, span: int) -> list[api.Action]:
@@ -118,22 +122,24 @@
         """A request arrives, and its cache says that it lacks the object."""
         looked = fetches(self.ask(request_id, name, **changes))
         assert looked and looked[0].source == looked[0].cache
-        return self.end(request_id, 0, api.Status.NO_COPY)
+        return self.end(request_id, 0, api.AttemptStatus.NOT_CACHED)
 
-    def end(self, request_id: str, attempt: int, status: api.Status, **changes: Any) -> list[api.Action]:
+    def end(
+        self, request_id: str, attempt: int, status: api.AttemptStatus, **changes: Any
+    ) -> list[api.Action]:
         """An attempt ends."""
-        outcome = api.Outcome(request_id, attempt, status, 50 * MS, status is api.Status.OK)
+        outcome = api.AttemptOutcome(request_id, attempt, status, 50 * MS, status is api.AttemptStatus.OK)
         return self.do(dataclasses.replace(outcome, **changes))
 
 
-def fetches(actions: list[api.Action]) -> list[api.Fetch]:
+def fetches(actions: list[api.Action]) -> list[api.ForwardAttempt]:
     """The attempts among the actions."""
-    return [action for action in actions if isinstance(action, api.Fetch)]
+    return [action for action in actions if isinstance(action, api.ForwardAttempt)]
 
 
-def finals(actions: list[api.Action]) -> list[api.Refuse | api.Fail]:
+def finals(actions: list[api.Action]) -> list[api.Reject | api.Fail]:
     """The final answers among the actions."""
-    return [action for action in actions if isinstance(action, (api.Refuse, api.Fail))]
+    return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
 def split(stream: bytes, cuts: list[int]) -> list[bytes]:
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -264,8 +264,8 @@
         client.sock.close()
         with made.client() as other:  # the link goes on
             assert other.ask(piece=7)[0] == 200
-        assert made.front.engine._router._members["a"].doubt == 0
-        assert made.front.engine._router._members["b"].doubt == 0
+        assert made.front.engine._router.state.endpoints.by_id["a"].failure_score == 0
+        assert made.front.engine._router.state.endpoints.by_id["b"].failure_score == 0
 
 
 def test_what_a_burst_of_leaving_clients_had_out_is_aborted() -> None:
@@ -282,7 +282,9 @@
             client.sock.close()
         assert made.until(lambda: made.front.engine.open == 0)
         assert made.until(lambda: {it.id for cache in made.caches for it in cache.seen("abort")} == sent)
-        assert not any(member.doubt for member in made.front.engine._router._members.values())
+        assert not any(
+            member.failure_score for member in made.front.engine._router.state.endpoints.by_id.values()
+        )
 
 
 # Links to caches
@@ -449,7 +451,7 @@
         post = tools.post
 
         def noted(event: Any) -> None:
-            if isinstance(event, pool.Ended) and event.status is api.Status.BROKEN_OFF:
+            if isinstance(event, pool.Ended) and event.status is api.AttemptStatus.CONNECTION_LOST:
                 assert event.call.link is not None and event.call.link._sock is not None
                 ended.append(sockets.ended(event.call.link._sock))
             post(event)
@@ -480,7 +482,7 @@
         assert client.ask()[0] == 200
         call = made_call(made, client)
         draining = [
-            dataclasses.replace(server.place, state=api.State.DRAINING)
+            dataclasses.replace(server.place, state=api.EndpointState.DRAINING)
             for server in made.front.servers._servers.values()
         ]
         before = len(made.fetches())
@@ -491,7 +493,7 @@
         made.front.servers.update(draining, False)
         made.front.servers.send(call)
         tools.post = post
-        assert [it.status for it in told] == [api.Status.NOT_CONNECTED]
+        assert [it.status for it in told] == [api.AttemptStatus.CONNECT_FAILED]
         assert len(made.fetches()) == before
 
 
@@ -694,7 +696,7 @@
 
 
 def drained(made: Rig) -> bool:
-    return made.front.engine._router._members["a"].listed.state is api.State.DRAINING
+    return made.front.engine._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
 
 
 def test_a_list_in_pieces_is_read() -> None:
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -210,7 +210,9 @@
         taken = made.front.pool.take(made.front.config.bounds.bodies)
         assert taken is not None
         assert client.ask(patience=15_000)[0] == 503 and made.counted("pool_empty") >= 1
-        assert not any(member.doubt for member in made.front.engine._router._members.values())
+        assert not any(
+            member.failure_score for member in made.front.engine._router.state.endpoints.by_id.values()
+        )
         with made.client() as other:
             other.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert other.read()[0] == 200
@@ -545,7 +547,7 @@
         for piece, client in enumerate(clients):
             client.send(Client.request(piece=piece, patience=15_000))
         outcomes = made.outcomes("BROKEN_OFF", 24)
-        assert sum(not outcome.shared for outcome in outcomes) == made.counted("links_broken") == 2
+        assert sum(not outcome.is_repeated_loss for outcome in outcomes) == made.counted("links_broken") == 2
         for client in clients:
             assert client.read()[0] in (200, 503)
             client.sock.close()
@@ -642,8 +644,8 @@
         made.coordinator.add(
             endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
         )
-        placed = made.front.engine._router._members
-        assert made.until(lambda: placed is not made.front.engine._router._members)
+        placed = made.front.engine._router.state.endpoints.by_id
+        assert made.until(lambda: placed is not made.front.engine._router.state.endpoints.by_id)
         for piece in range(20):
             assert client.ask(piece=piece)[0] == 200
         assert made.caches[0].seen() == [] and len(made.caches[1].seen()) == 20
@@ -663,7 +665,7 @@
                 "servers": [{**made.entries[0], "state": "terminated"}, {**made.entries[0], "id": "new"}],
             }
         )
-        assert made.until(lambda: "new" in made.front.engine._router._members)
+        assert made.until(lambda: "new" in made.front.engine._router.state.endpoints.by_id)
         for piece in range(12):
             assert client.ask(piece=piece)[0] == 200
         assert len(old.connections) == 2
@@ -674,8 +676,8 @@
         assert client.ask()[0] == 200
         made.coordinator.add(evict={"ref": NAME, "unix_ms": time.time_ns() // 1_000_000 - 500})
         made.coordinator.add(evict={"shard": 18, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.front.engine._router._purges
-        assert made.until(lambda: len(purges._times) == 2)
+        purges = made.front.engine._router.state.invalidations
+        assert made.until(lambda: len(purges) == 2)
         assert client.ask()[0] == 200 and client.ask("1" * 16)[0] == 200
         first, bounded, other = (
             made.fetches(3)
@@ -697,7 +699,7 @@
                 {"index": 6, "endpoints": whole},
             ]
             made.coordinator._change.notify_all()
-        assert made.until(lambda: "a" not in made.front.engine._router._members)
+        assert made.until(lambda: "a" not in made.front.engine._router.state.endpoints.by_id)
         assert client.ask()[0] == 200
 
 
@@ -706,7 +708,7 @@
         made.coordinator.add(endpoints={"servers": [{"id": "x y", "addr": "127.0.0.1:1"}]})
         made.coordinator.add(evict={})
         made.coordinator.add(evict={"ref": NAME, "unix_ms": time.time_ns() // 1_000_000})
-        assert made.until(lambda: len(made.front.engine._router._purges._times) == 1)
+        assert made.until(lambda: len(made.front.engine._router.state.invalidations) == 1)
         assert made.counted("updates_odd") == 2 and client.ask()[0] == 200
 
 
@@ -722,14 +724,14 @@
     with rig() as made:
         other = Coordinator()
         made.coordinator.add(evict={"shard": 1, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.front.engine._router._purges
-        assert made.until(lambda: len(purges._times) == 1)
+        purges = made.front.engine._router.state.invalidations
+        assert made.until(lambda: len(purges) == 1)
         other.events = list(made.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         assert made.front.registry.follow(read_address(other.address))
         assert not made.front.registry.follow(read_address(other.address))
         made.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # to nobody
-        assert made.until(lambda: len(purges._times) == 2)
+        assert made.until(lambda: len(purges) == 2)
         assert other.wait_for_poll(2) and other.follows[0] == 2
         other.add(evict={"shard": 4, "unix_ms": time.time_ns() // 1_000_000})
         assert made.until(lambda: ("group", 4) in purges._times)
@@ -763,7 +765,7 @@
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         began = time.monotonic()
         made.front.registry.follow(read_address(other.address))
-        purges = made.front.engine._router._purges
+        purges = made.front.engine._router.state.invalidations
         assert made.until(lambda: ("group", 2) in purges._times)
         assert other.stopped and time.monotonic() - began >= 1  # the poll's own wait was left to it
         assert made.counted("polls_failed") <= 2
@@ -784,9 +786,11 @@
         assert made.until(lambda: made.front.registry._lower >= 1)
         lagging.events = list(made.coordinator.events)
         lagging.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.front.engine._router._purges
+        purges = made.front.engine._router.state.invalidations
         assert made.until(lambda: ("group", 2) in purges._times)
-        assert made.front.engine._router._members["a"].listed.state is api.State.DRAINING
+        assert (
+            made.front.engine._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
+        )
         assert 0 not in lagging.follows
         lagging.close()
 
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -123,12 +123,12 @@
         self._nowhere = os.open(os.devnull, os.O_WRONLY)
         read = read_config(config, {})
         self.front = Front(replace(read, bounds=replace(read.bounds, **(bounds or {}))), self._nowhere)
-        self.told: list[api.Outcome] = []
+        self.told: list[api.AttemptOutcome] = []
         router = self.front.engine._router
         handle = router.handle
 
         def noted(now: int, event: api.Event) -> list[api.Action]:
-            self.told += [event] if isinstance(event, api.Outcome) else []
+            self.told += [event] if isinstance(event, api.AttemptOutcome) else []
             return handle(now, event)
 
         router.handle = noted  # type: ignore[method-assign]
@@ -156,7 +156,7 @@
             pause.wait(0.005)
         return False
 
-    def outcomes(self, status: str, count: int) -> list[api.Outcome]:
+    def outcomes(self, status: str, count: int) -> list[api.AttemptOutcome]:
         """The outcomes of a kind that the router was told of, once there are so many."""
         assert self.until(lambda: len([it for it in self.told if it.status.name == status]) >= count)
         return [it for it in self.told if it.status.name == status]
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -11,8 +11,8 @@
 import pytest
 
 from olivepost import interface as api
-from olivepost.routing import router as choice
-from olivepost.routing.router import Router
+from olivepost.router import Router
+from olivepost.routing import selection
 from tests.helpers import (
     FLEET,
     MS,
@@ -28,32 +28,32 @@
 )
 
 LINK, WORK = 5.0, 50 * MS
-COLD = (cache("a:1", weight=LINK, started=START), parent("p:1", weight=LINK, started=START), ORIGIN)
+COLD = (cache("a:1", weight=LINK, started_at=START), parent("p:1", weight=LINK, started_at=START), ORIGIN)
 
 
 def total_work(fronts: int, restarts: int) -> dict[str, list[tuple[int, float]]]:
     """What all fronts send a cold cache and its cold parent while clients flood them for 16 seconds."""
     settings = make_settings(
-        caches=api.Tier(fronts, 0.2, 10 * SECOND, 2.0),
-        weights_told=True,
-        direct=False,
-        parents=api.Tier(fronts, 0.1, 12 * SECOND, 2.0),
+        caches=api.TierSettings(fronts, 0.2, 10 * SECOND, 2.0),
+        has_endpoint_weights=True,
+        allows_direct_forwarding=False,
+        parents=api.TierSettings(fronts, 0.1, 12 * SECOND, 2.0),
     )
     chance = random.Random(5)
     routers = [Router(settings, seed) for seed in range(fronts)]
     for router in routers:
-        router.handle(START, api.Membership(api.ListKind.STORED, COLD))
+        router.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, COLD))
     sent: dict[str, list[tuple[int, float]]] = {"a:1": [], "p:1": []}
     for count in range(6400):
         now, number = START + count * 16 * SECOND // 6400, chance.randrange(fronts)
         if restarts and count % (6400 // restarts) == 3000 // restarts:
             routers[number] = Router(settings, 1000 + count)
-            routers[number].handle(now, api.Membership(api.ListKind.STORED, COLD))
+            routers[number].handle(now, api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, COLD))
         request = api.Request(f"r{count}", "image", f"n{count}", 2 * SECOND, 50.0, 1)
         for fetch in fetches(routers[number].handle(now, request)):
             for address in {fetch.cache, fetch.source} & sent.keys():
                 sent[address].append((now, WORK))
-        routers[number].handle(now, api.ClientLeft(f"r{count}"))
+        routers[number].handle(now, api.ClientDisconnected(f"r{count}"))
     return sent
 
 
@@ -77,11 +77,11 @@
     def __init__(self, fronts: int, caches: int, seed: int) -> None:
         self.chance = random.Random(seed)
         self.settings = make_settings(
-            caches=api.Tier(fronts, self.floor, self.warm, self.multiple),
-            weights_told=True,
-            direct=False,
-            fall_window=self.window,
-            pace_kb_per_s=0.0,
+            caches=api.TierSettings(fronts, self.floor, self.warm, self.multiple),
+            has_endpoint_weights=True,
+            allows_direct_forwarding=False,
+            overload_window=self.window,
+            transfer_rate_kb_per_s=0.0,
         )
         self.names = [f"c{number}:1" for number in range(caches)]
         self.starts = [0] * fronts  # of the first cache, as each front was told
@@ -95,17 +95,17 @@
     def start(self, front: int, at: int = START) -> Router:
         router = Router(self.settings, self.chance.randrange(1 << 30))
         caches = [
-            cache(name, weight=LINK, started=self.starts[front] if name == self.names[0] else 0)
+            cache(name, weight=LINK, started_at=self.starts[front] if name == self.names[0] else 0)
             for name in self.names
         ]
         listed = (*caches, parent("p:1", weight=100.0), ORIGIN)
-        router.handle(at, api.Membership(api.ListKind.STORED, listed))
+        router.handle(at, api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, listed))
         return router
 
     def tell(self, front: int, at: int, started: int) -> None:
         self.starts[front] = started
-        row = cache(self.names[0], weight=LINK, started=started)
-        self.routers[front].handle(at, api.Membership(api.ListKind.CHANGES, (row,)))
+        row = cache(self.names[0], weight=LINK, started_at=started)
+        self.routers[front].handle(at, api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
 
     def do(self, front: int, now: int, actions: list[api.Action]) -> None:
         for fetch in fetches(actions):
@@ -114,19 +114,22 @@
             free = self.free[fetch.cache]
             slot = min(range(len(free)), key=free.__getitem__)
             free[slot] = max(now, free[slot]) + int(self.chance.expovariate(1 / self.work))
-            number = self.numbers[fetch.id] = self.numbers.get(fetch.id, -1) + 1
-            heappush(self.out, (free[slot], front, number, fetch.id, self.count, fetch.cache != fetch.source))
+            number = self.numbers[fetch.request_id] = self.numbers.get(fetch.request_id, -1) + 1
+            heappush(
+                self.out,
+                (free[slot], front, number, fetch.request_id, self.count, fetch.cache != fetch.source),
+            )
 
     def until(self, now: int) -> None:
         while self.out and self.out[0][0] <= now:
             at, front, number, id_, _, fills = heappop(self.out)
             served = fills or self.chance.random() < 0.75
             status, note = (
-                (api.Status.OK, api.Note.FILLED if fills else api.Note.HIT)
+                (api.AttemptStatus.OK, api.CacheStatus.FILLED if fills else api.CacheStatus.HIT)
                 if served
-                else (api.Status.NO_COPY, api.Note.NOTHING)
+                else (api.AttemptStatus.NOT_CACHED, api.CacheStatus.UNKNOWN)
             )
-            outcome = api.Outcome(id_, number, status, self.work, served, note)
+            outcome = api.AttemptOutcome(id_, number, status, self.work, served, note)
             self.do(front, at, self.routers[front].handle(at, outcome))
 
     def ask(self, now: int) -> None:
@@ -196,13 +199,15 @@
         hashed.append(data)
         return plain(data, digest_size=digest_size)
 
-    monkeypatch.setattr(choice, "blake2b", counted)
-    choice.place.cache_clear()
+    monkeypatch.setattr(selection, "blake2b", counted)
+    selection.rendezvous_order.cache_clear()
     others = tuple(cache(f"e{i}:1", zone=f"zone{i % 40}") for i in range(elsewhere))
     front = Front(make_settings(), (*FLEET, *others))
     front.fill("1", "x")
-    assert len(hashed) == 5 and len(front.router._members) == len(FLEET)
-    front.do(api.Membership(api.ListKind.CHANGES, others))  # and a list line of theirs forgets no order
+    assert len(hashed) == 5 and len(front.router.state.endpoints.by_id) == len(FLEET)
+    front.do(
+        api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, others)
+    )  # and a list line of theirs forgets no order
     front.fill("2", "x")
     assert len(hashed) == 5
 
@@ -216,20 +221,24 @@
 
 def test_stored_list_of_a_fleet_that_was_wholly_replaced() -> None:
     """Every stored member refuses connections: answers come at once, then the new list is used."""
-    front = Front(make_settings(direct=False))
+    front = Front(make_settings(allows_direct_forwarding=False))
     for i in range(30):
         actions = front.ask(str(i), f"n{i}")
         for number in range(6):
             if finals(actions):
                 break
-            actions = front.end(str(i), number, api.Status.NOT_CONNECTED)
-        assert str(i) not in front.router._held
-    front.do(api.Membership(api.ListKind.FULL, (cache("new:1", started=front.now), parent("p9:1"), ORIGIN)))
+            actions = front.end(str(i), number, api.AttemptStatus.CONNECT_FAILED)
+        assert str(i) not in front.router.pending
+    front.do(
+        api.EndpointUpdate(
+            api.EndpointUpdateKind.FULL, (cache("new:1", started_at=front.now), parent("p9:1"), ORIGIN)
+        )
+    )
     assert {f.cache for f in fetches(front.ask("x", "y"))} <= {"new:1"}
 
 
 def test_one_cache_that_all_parents_have_left_fills_from_the_origin() -> None:
-    gone = tuple(dataclasses.replace(m, state=api.State.GONE) for m in FLEET if m.kind == "parent")
+    gone = tuple(dataclasses.replace(m, state=api.EndpointState.REMOVED) for m in FLEET if m.kind == "parent")
     front = Front(make_settings())
-    front.do(api.Membership(api.ListKind.CHANGES, gone))
+    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
     assert fetches(front.fill("1"))[0].source == "origin:1"
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -1,44 +1,70 @@
-"""The bounds that the module's readers rely on."""
+"""The bounds that readers of the decision code rely on."""
 
 import ast
 import sys
 import tomllib
 from pathlib import Path
 
+import pytest
+
 ROOT = Path(__file__).parents[2]
-CHOICE = (ROOT / "olivepost" / "routing" / "router.py").read_text(encoding="utf-8")
+DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
+POLICY = {path: (ROOT / path).read_text(encoding="utf-8") for path in DEPLOY["policy"]}
+MECHANICS = [ROOT / "olivepost" / "router.py", *(ROOT / "olivepost" / "routing_state").glob("*.py")]
+ALLOWED_PACKAGES = ("olivepost.routing", "olivepost.routing_state", "olivepost.units")
 
 
-def test_module_is_short_enough_to_audit() -> None:
-    lines = CHOICE.splitlines()
+def test_policy_is_short_enough_to_audit() -> None:
+    lines = [line for text in POLICY.values() for line in text.splitlines()]
     assert sum(bool(line.strip()) for line in lines) <= 580
     assert max(map(len, lines)) <= 110
 
 
-def test_module_names_its_interface_at_the_top() -> None:
-    assert "olivepost/interface" in "\n".join(CHOICE.splitlines()[:3])
+def test_policy_is_the_whole_routing_package() -> None:
+    package = ROOT / "olivepost" / "routing"
+    modules = {path.relative_to(ROOT).as_posix() for path in package.glob("**/*.py")}
+    assert modules - set(POLICY) == {"olivepost/routing/__init__.py"}
+    assert len(ast.parse((package / "__init__.py").read_text(encoding="utf-8")).body) == 1  # its docstring
+
+
+def test_router_names_its_interface_at_the_top() -> None:
+    docstring = ast.get_docstring(ast.parse(MECHANICS[0].read_text(encoding="utf-8")))
+    assert docstring is not None and "olivepost/interface" in docstring
 
 
-def test_module_imports_only_the_standard_library_and_the_interface() -> None:
-    for node in ast.walk(ast.parse(CHOICE)):
+@pytest.mark.parametrize("path", POLICY)
+def test_policy_imports_only_the_standard_library_the_interface_and_its_state(path: str) -> None:
+    for node in ast.walk(ast.parse(POLICY[path])):
         if isinstance(node, ast.Import):
             assert all(alias.name in sys.stdlib_module_names for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            top = (node.module or "").partition(".")[0]
+            module = node.module or ""
+            top = module.partition(".")[0]
             assert top == "olivepost" or top in sys.stdlib_module_names
-            assert top != "olivepost" or [alias.name for alias in node.names] == ["interface"]
+            if module == "olivepost":
+                assert [alias.name for alias in node.names] == ["interface"]
+            elif top == "olivepost":
+                assert module.startswith(ALLOWED_PACKAGES)
 
 
-def test_module_uses_no_clock_and_no_unstable_hash() -> None:
-    names = {node.id for node in ast.walk(ast.parse(CHOICE)) if isinstance(node, ast.Name)}
+@pytest.mark.parametrize("path", POLICY)
+def test_policy_uses_no_clock_and_no_unstable_hash(path: str) -> None:
+    names = {node.id for node in ast.walk(ast.parse(POLICY[path])) if isinstance(node, ast.Name)}
     assert not names & {"hash", "print", "time", "globals"}
 
 
-def test_deploy_file_names_only_the_module() -> None:
-    assert 'policy = ["olivepost/routing/router.py"]' in (ROOT / "deploy" / "balancer.toml").read_text()
+@pytest.mark.parametrize("path", MECHANICS, ids=lambda path: path.stem)
+def test_no_tuned_value_stands_outside_the_policy(path: Path) -> None:
+    """The router and its state hold no numbers but the neutral ones; steps and sizes come from the policy."""
+    numbers = {
+        node.value
+        for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))
+        if isinstance(node, ast.Constant) and isinstance(node.value, (int, float))
+    }
+    bound_of_memory = {4} if path.stem == "name_table" else set()
+    assert numbers - bound_of_memory <= {-1, 0, 1}
 
 
 def test_what_run_imports_is_compiled_by_build() -> None:
     """The platform's files can't be written: each start would compile all modules anew, on part of a core."""
-    deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
-    assert " -O " in deploy["run"] and "-O -m compileall -q olivepost" in deploy["build"]
+    assert " -O " in DEPLOY["run"] and "-O -m compileall -q olivepost" in DEPLOY["build"]
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -6,7 +6,9 @@
 import pytest
 
 from olivepost import interface as api
-from olivepost.routing.router import RETRY_SAVED, Router
+from olivepost.router import Router
+from olivepost.routing import capacity, health, outcomes
+from olivepost.routing.retries import MAX_RETRIES
 from tests.helpers import (
     FLEET,
     MS,
@@ -22,16 +24,16 @@
     parent,
 )
 
-OK, Status, Note = api.Status.OK, api.Status, api.Note
+OK, Status, Note = api.AttemptStatus.OK, api.AttemptStatus, api.CacheStatus
 
 
 def test_request_goes_to_its_place_with_its_parent_as_source() -> None:
     front = Front(make_settings())
     look = fetches(front.ask("0"))[0]
-    first, second = fetches(front.end("0", 0, Status.NO_COPY))[0], fetches(front.fill("1"))[0]
+    first, second = fetches(front.end("0", 0, Status.NOT_CACHED))[0], fetches(front.fill("1"))[0]
     assert (first.cache, first.source) == (second.cache, second.source)
     assert first.cache == look.cache == look.source and first.source in {"p:1", "q:1"}
-    assert first.rank > 0 and first.join
+    assert first.rank > 0 and first.collapse_fills
 
 
 def test_parts_are_placed_by_themselves() -> None:
@@ -54,7 +56,7 @@
 def test_empty_list_is_refused_at_once_with_advice() -> None:
     front = Front(make_settings(), ())
     actions = front.ask("1")
-    assert isinstance(finals(actions)[0], api.Refuse)
+    assert isinstance(finals(actions)[0], api.Reject)
     assert finals(actions) and 0 < finals(actions)[0].retry_after <= SECOND  # type: ignore[union-attr]
 
 
@@ -62,17 +64,17 @@
     members = (parent("p:1"), ORIGIN)
     straight = fetches(Front(make_settings(), members).ask("1"))[0]
     assert (straight.cache, straight.source) == ("p:1", "origin:1")
-    assert finals(Front(make_settings(direct=False), members).ask("1"))
+    assert finals(Front(make_settings(allows_direct_forwarding=False), members).ask("1"))
 
 
 def test_uncacheable_class_keeps_nothing() -> None:
-    front = Front(make_settings(make_class(uncacheable=True)))
+    front = Front(make_settings(make_class(is_uncacheable=True)))
     assert fetches(front.ask("1"))[0].rank == 0
 
 
 def test_backstop_answers_before_the_deadline() -> None:
-    front = Front(make_settings(may_cancel=False))
-    front.ask("1", ttl=SECOND)
+    front = Front(make_settings(can_cancel_attempts=False))
+    front.ask("1", timeout=SECOND)
     assert not finals(front.wait(SECOND - 3 * MS))
     assert len(finals(front.wait(2 * MS))) == 1
     assert not front.end("1", 0, OK)  # late outcomes are ignored
@@ -80,18 +82,18 @@
 
 
 def test_begun_stream_has_no_deadline() -> None:
-    front = Front(make_settings(make_class(streaming=True)))
+    front = Front(make_settings(make_class(is_streaming=True)))
     front.ask("1")
-    front.do(api.Begun("1", 0))
+    front.do(api.ResponseStarted("1", 0))
     assert not finals(front.wait(20 * SECOND))
-    assert not fetches(front.end("1", 0, Status.BROKEN_OFF, final=True))
+    assert not fetches(front.end("1", 0, Status.CONNECTION_LOST, is_final=True))
 
 
 def test_client_left_cancels_what_is_out() -> None:
     front = Front(make_settings())
     front.ask("1")
-    assert front.do(api.ClientLeft("1")) == [api.Cancel("1", 0)]
-    assert front.do(api.ClientLeft("1")) == []
+    assert front.do(api.ClientDisconnected("1")) == [api.CancelAttempt("1", 0)]
+    assert front.do(api.ClientDisconnected("1")) == []
 
 
 def test_failing_cache_is_left_then_tried_once() -> None:
@@ -99,16 +101,16 @@
     front = Front(make_settings())
     home = fetches(front.ask("0"))[0].cache
     assert fetches(front.end("0", 0, Status.ERROR))[0].cache != home
-    front.end("0", 1, OK, note=Note.HIT)
+    front.end("0", 1, OK, cache_status=Note.HIT)
     assert fetches(front.ask("1"))[0].cache == home
     front.end("1", 0, Status.ERROR)
-    front.end("1", 1, OK, note=Note.HIT)
+    front.end("1", 1, OK, cache_status=Note.HIT)
     assert fetches(front.ask("2"))[0].cache != home
-    front.do(api.ClientLeft("2"))
+    front.do(api.ClientDisconnected("2"))
     front.wait(1100 * MS)
     assert fetches(front.ask("3"))[0].cache == home  # the one trial
     assert fetches(front.ask("4"))[0].cache != home
-    front.end("3", 0, OK, note=Note.HIT)
+    front.end("3", 0, OK, cache_status=Note.HIT)
     assert fetches(front.ask("5"))[0].cache == home
 
 
@@ -117,7 +119,7 @@
     front = Front(make_settings())
     home = fetches(front.ask("1"))[0].cache
     actions = front.wait(SECOND)
-    assert api.Cancel("1", 0) in actions
+    assert api.CancelAttempt("1", 0) in actions
     assert fetches(actions)[0].cache != home
 
 
@@ -125,15 +127,15 @@
     front = Front(make_settings())
     home = fetches(front.ask("1"))[0].cache
     front.wait(MS)
-    front.router._members[home].works(front.now)
-    front.router._members[fetches(front.ask("2"))[0].source].works(front.now)
-    assert api.Cancel("1", 0) not in front.wait(500 * MS)
+    health.record_success(front.router.state.endpoints.by_id[home], front.now)
+    health.record_success(front.router.state.endpoints.by_id[fetches(front.ask("2"))[0].source], front.now)
+    assert api.CancelAttempt("1", 0) not in front.wait(500 * MS)
 
 
 def test_refused_fill_blames_the_source_where_told() -> None:
-    front = Front(make_settings(tells_causes=True))
+    front = Front(make_settings(reports_failure_causes=True))
     first = fetches(front.fill("1"))[0]
-    again = fetches(front.end("1", 1, Status.TURNED_AWAY, note=Note.SOURCE_LOST))[0]
+    again = fetches(front.end("1", 1, Status.REJECTED, cache_status=Note.SOURCE_DISCONNECTED))[0]
     assert again.cache == first.cache and again.source != first.source
 
 
@@ -155,8 +157,8 @@
             sent += len(fetches(actions))
             if finals(actions):
                 break
-            actions = front.end(str(index), number, Status.BROKEN_OFF)
-        assert str(index) not in front.router._held
+            actions = front.end(str(index), number, Status.CONNECTION_LOST)
+        assert str(index) not in front.router.pending
     assert sent < 60 + 10 + 0.2 * 60 + 1
 
 
@@ -171,10 +173,10 @@
             caches.add(fetches(again)[0].cache)
             assert len(caches) == 2
             again = front.end(held, 1, Status.ERROR)
-        assert isinstance(finals(again)[0], api.Refuse)  # at once
-    members = front.router._members.values()
-    assert not any(member.until for member in members)
-    assert front.router._retries == RETRY_SAVED
+        assert isinstance(finals(again)[0], api.Reject)  # at once
+    members = front.router.state.endpoints.by_id.values()
+    assert not any(member.ejected_until for member in members)
+    assert front.router.state.retry_balance == MAX_RETRIES
 
 
 def test_while_most_errors_are_the_requests_own_a_new_names_is_not_asked_about() -> None:
@@ -187,9 +189,9 @@
             sent += 1
             front.end(str(index), 1, Status.ERROR)
     assert sent < 300 + 60
-    front.router._faulty = 1.0
+    front.router.state.request_fault_share.value = 1.0
     front.ask("live", "known")
-    front.end("live", 0, OK, note=Note.HIT)
+    front.end("live", 0, OK, cache_status=Note.HIT)
     front.ask("again", "known")  # a name that lives is asked about all the same
     assert fetches(front.end("again", 0, Status.ERROR))
 
@@ -198,9 +200,9 @@
     front = Front(make_settings())
     home = fetches(front.ask("1"))[0].cache
     front.end("1", 0, Status.ERROR)
-    assert front.router._members[home].doubt == 0
-    front.end("1", 1, OK, note=Note.HIT)
-    assert front.router._members[home].doubt == 0.5
+    assert front.router.state.endpoints.by_id[home].failure_score == 0
+    front.end("1", 1, OK, cache_status=Note.HIT)
+    assert front.router.state.endpoints.by_id[home].failure_score == 0.5
 
 
 def test_one_links_end_is_one_piece_of_evidence() -> None:
@@ -208,12 +210,15 @@
     front = Front(make_settings())
     homes = {held: fetches(front.ask(held, "x"))[0].cache for held in map(str, range(6))}
     (home,) = set(homes.values())
-    saved = front.router._retries
+    saved = front.router.state.retry_balance
     for held in homes:
-        moved = front.end(held, 0, Status.BROKEN_OFF, shared=held != "0")
+        moved = front.end(held, 0, Status.CONNECTION_LOST, is_repeated_loss=held != "0")
         assert fetches(moved)[0].cache != home  # all go elsewhere
-    member = front.router._members[home]
-    assert (member.doubt, member.until) == (0.5, 0) and front.router._retries == saved - 1
+    member = front.router.state.endpoints.by_id[home]
+    assert (member.failure_score, member.ejected_until) == (
+        0.5,
+        0,
+    ) and front.router.state.retry_balance == saved - 1
 
 
 def test_what_was_out_before_a_suspension_does_not_lengthen_it() -> None:
@@ -222,8 +227,8 @@
     for held in "12345":
         front.ask(held, "x")
     for held in "012345":
-        front.end(held, 0, Status.BROKEN_OFF)
-    assert front.router._members[home].until == front.now + SECOND
+        front.end(held, 0, Status.CONNECTION_LOST)
+    assert front.router.state.endpoints.by_id[home].ejected_until == front.now + SECOND
 
 
 def test_an_answer_without_bytes_is_no_sending_time() -> None:
@@ -231,55 +236,55 @@
     front = Front(make_settings())
     for index, bare in enumerate((True, False)):
         front.ask(str(index), size_kb=0.0)
-        front.end(str(index), 0, OK, note=Note.HIT, bare=bare)
-        assert ("image" in front.router._times) is not bare
+        front.end(str(index), 0, OK, cache_status=Note.HIT, is_not_modified=bare)
+        assert ("image" in front.router.state.class_work) is not bare
 
 
 def test_a_request_that_is_over_leaves_no_timer_behind() -> None:
     front = Front(make_settings())
     for index in range(50):
         front.fill(str(index), f"n{index}")
-        front.end(str(index), 1, OK, note=Note.FILLED)
-    assert front.router._timers == {} and front.router._held == {}
+        front.end(str(index), 1, OK, cache_status=Note.FILLED)
+    assert len(front.router.timers) == 0 and front.router.pending == {}
 
 
 def test_patience_beyond_the_deadline_is_the_deadlines() -> None:
     front = Front(make_settings())
-    front.ask("1", ttl=10**18)
-    assert finals(front.wait(3 * SECOND)) and front.router._held == {}
+    front.ask("1", timeout=10**18)
+    assert finals(front.wait(3 * SECOND)) and front.router.pending == {}
 
 
 def test_unsafe_request_is_never_sent_twice_nor_refused_once_it_may_have_run() -> None:
-    spec = make_class(effect=api.Effect.UNSAFE)
+    spec = make_class(idempotency=api.Idempotency.NOT_IDEMPOTENT)
     front = Front(make_settings(spec))
     front.ask("1")
-    assert finals(front.end("1", 0, Status.BROKEN_OFF)) == [api.Fail("1")]
+    assert finals(front.end("1", 0, Status.CONNECTION_LOST)) == [api.Fail("1")]
     front.ask("2")
-    assert fetches(front.end("2", 0, Status.NOT_CONNECTED))  # known not to have run
+    assert fetches(front.end("2", 0, Status.CONNECT_FAILED))  # known not to have run
     front.ask("3")
     assert not fetches(front.wait(2 * SECOND))  # a silent one is waited for
 
 
 def test_keyed_request_stays_in_its_group_and_window() -> None:
-    spec = make_class(effect=api.Effect.KEYED, scope=api.Scope.CELL)
+    spec = make_class(idempotency=api.Idempotency.WITH_KEY, deduplication_scope=api.DeduplicationScope.CELL)
     fleet = (cache("a:1", cell=1), cache("b:1", cell=2), cache("c:1", cell=1), parent("p:1"), ORIGIN)
     front = Front(make_settings(spec), fleet)
-    cells = {m.address: m.cell for m in fleet}
+    cells = {m.id: m.cell for m in fleet}
     for index in range(20):
         first = fetches(front.ask(str(index), f"n{index}"))[0]
         actions = front.end(str(index), 0, Status.ERROR)
         for fetch in fetches(actions):
             assert cells[fetch.cache] == cells[first.cache]
-        assert not any(isinstance(action, api.Refuse) for action in actions)
-        front.do(api.ClientLeft(str(index)))
+        assert not any(isinstance(action, api.Reject) for action in actions)
+        front.do(api.ClientDisconnected(str(index)))
 
 
-@pytest.mark.parametrize("state", [api.State.DRAINING, api.State.GONE])
-def test_told_draining_or_gone_is_neither_cache_nor_source(state: api.State) -> None:
+@pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
+def test_told_draining_or_gone_is_neither_cache_nor_source(state: api.EndpointState) -> None:
     front = Front(make_settings())
     fetch = fetches(front.ask("1"))[0]
     changed = (cache(fetch.cache, state), parent(fetch.source, state))
-    front.do(api.Membership(api.ListKind.CHANGES, changed))
+    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, changed))
     for index in range(30):
         for sent in fetches(front.ask(f"x{index}", f"n{index}")):
             assert fetch.cache != sent.cache and fetch.source != sent.source
@@ -287,26 +292,28 @@
 
 def test_member_missing_from_a_full_list_is_gone() -> None:
     front = Front(make_settings())
-    front.do(api.Membership(api.ListKind.FULL, (cache("a:1"), ORIGIN)))
+    front.do(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (cache("a:1"), ORIGIN)))
     assert {(f.cache, f.source) for i in range(9) for f in fetches(front.fill(str(i), f"n{i}"))} == {
         ("a:1", "origin:1")
     }
 
 
 def test_failed_subscription_is_asked_for_again() -> None:
-    settings = make_settings(ask_for_list=True)
+    settings = make_settings(subscribes_to_endpoints=True)
     router = Router(settings, 1)
-    timer = router.handle(START, api.Membership(api.ListKind.STORED, FLEET))[0]
+    timer = router.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, FLEET))[0]
     assert isinstance(timer, api.SetTimer) and timer.delay == 0
-    assert router.handle(START, api.TimerFired(timer.token)) == [api.Subscribe()]
-    again = router.handle(START, api.Membership(api.ListKind.FAILED, ()))[0]
-    assert isinstance(again, api.SetTimer) and 0 < again.delay < settings.ask_within
+    assert router.handle(START, api.TimerFired(timer.timer_id)) == [api.Subscribe()]
+    again = router.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ()))[0]
+    assert isinstance(again, api.SetTimer) and 0 < again.delay < settings.subscription_timeout
 
 
 def test_cold_cache_gets_no_more_than_its_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     """Budget by hand: 2.0 x 0.2 x 2 transfers x 2 s = 1.6 s of work; each request is 0.05 s."""
-    monkeypatch.setattr("olivepost.routing.router.PRESS_MOST", 0.0)
-    front = Front(make_settings(direct=False), (cache("a:1", started=START), parent("p:1"), ORIGIN))
+    monkeypatch.setattr("olivepost.routing.admission.LEVEL_CEILING", 0.0)
+    front = Front(
+        make_settings(allows_direct_forwarding=False), (cache("a:1", started_at=START), parent("p:1"), ORIGIN)
+    )
     sent = sum(len(fetches(front.ask(str(i), f"n{i}"))) for i in range(100))
     assert sent == 32
     front.wait(SECOND)
@@ -315,7 +322,7 @@
 
 def test_cold_parent_gets_no_more_than_its_budget() -> None:
     """Budget by hand: 2.0 x 0.1 x 2 transfers x 2 s = 0.8 s of work; each request is 0.05 s."""
-    members = (cache("a:1"), parent("p:1", started=START), ORIGIN)
+    members = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
     front = Front(make_settings(), members)
     sources = [fetches(front.fill(str(i)))[0].source for i in range(20)]
     assert sources.count("p:1") == 16 and sources.count("origin:1") == 4
@@ -323,49 +330,50 @@
 
 def test_a_look_costs_a_cold_parent_nothing_and_a_cold_cache_is_not_looked_at() -> None:
     """Every attempt counts at a cold cache; at a cold parent only what fills from it does."""
-    members = (cache("a:1"), parent("p:1", started=START), ORIGIN)
+    members = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
     front = Front(make_settings(), members)
     for index in range(40):
         front.ask(str(index))
-    assert not front.router._members["p:1"].sent
-    cold = Front(make_settings(), (cache("a:1", started=START), parent("p:1"), ORIGIN))
+    assert not front.router.state.endpoints.by_id["p:1"].work
+    cold = Front(make_settings(), (cache("a:1", started_at=START), parent("p:1"), ORIGIN))
     assert fetches(cold.ask("1"))[0].source == "p:1"
 
 
 def test_cold_budget_does_not_swell_as_warm_members_leave() -> None:
     """Incident i0667f8: a release replaced the warm caches and the guess of a link grew with each."""
     fleet = (*[cache(f"w{i}:1") for i in range(6)], ORIGIN)
-    front = Front(make_settings(direct=False), fleet)
+    front = Front(make_settings(allows_direct_forwarding=False), fleet)
     for index in range(200):
         if fetches(front.ask(str(index), f"n{index}")):
-            front.end(str(index), 0, OK, note=Note.HIT)
-    cold = cache("z:1", started=front.now)
-    front.do(api.Membership(api.ListKind.CHANGES, (cold,)))
-    member = front.router._members["z:1"]
+            front.end(str(index), 0, OK, cache_status=Note.HIT)
+    cold = cache("z:1", started_at=front.now)
+    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cold,)))
+    member = front.router.state.endpoints.by_id["z:1"]
 
     def room() -> int:
-        member.charge(front.now + 1, 0)  # forgets what was sent before
+        # Forgets what was sent before.
+        member.work.total(front.now + front.router.settings.overload_window + 1)
         for work in range(100_000):
-            if not front.router._room(front.now, member, 0.01 * SECOND):
+            if not capacity.has_slow_start_budget(front.router.state, front.now, member, 0.01 * SECOND):
                 return work
-            member.charge(front.now, front.router.settings.fall_window, 0.01 * SECOND)
+            member.work.add(front.now, 0.01 * SECOND)
         raise AssertionError("no bound on what a cold member is sent")
 
     before = room()
-    gone = tuple(cache(f"w{i}:1", api.State.GONE) for i in range(5))
-    front.do(api.Membership(api.ListKind.CHANGES, gone))
+    gone = tuple(cache(f"w{i}:1", api.EndpointState.REMOVED) for i in range(5))
+    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
     assert room() <= before
 
 
 def own(front: Front, request_id: str, age: int, span: int = 100 * MS, **changes: Any) -> bool:
     """Whether a request that comes with an own copy is answered from it."""
-    actions = front.ask(request_id, copy=api.Copy(age, span), **changes)
-    assert (api.Serve(request_id) in actions) is not bool(fetches(actions))
-    return api.Serve(request_id) in actions
+    actions = front.ask(request_id, cached_response=api.CachedResponse(age, span), **changes)
+    assert (api.ServeCachedResponse(request_id) in actions) is not bool(fetches(actions))
+    return api.ServeCachedResponse(request_id) in actions
 
 
 def test_own_copies_are_served_while_the_own_link_has_room() -> None:
-    front = Front(make_settings(own_transfers=2.5))
+    front = Front(make_settings(local_transfer_capacity=2.5))
     assert own(front, "1", 0) and own(front, "2", 50 * SECOND) and not own(front, "3", 0)
     front.wait(100 * MS)
     assert own(front, "4", 0)
@@ -373,39 +381,47 @@
 
 
 def test_own_copies_are_fresh_and_younger_than_any_purge() -> None:
-    front = Front(make_settings(make_class(fresh=8 * SECOND, grace=30 * SECOND), own_transfers=9.0))
+    front = Front(
+        make_settings(
+            make_class(freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND), local_transfer_capacity=9.0
+        )
+    )
     assert own(front, "1", 8 * SECOND) and not own(front, "2", 8 * SECOND + 1)
-    front.do(api.Purge(None, 1, 2 * SECOND))
+    front.do(api.Invalidation(None, 1, 2 * SECOND))
     assert not own(front, "3", 2 * SECOND + 1) and own(front, "4", 2 * SECOND)
     assert own(front, "5", 3 * SECOND, group=2)
 
 
 def test_a_purge_counts_for_good_against_own_copies() -> None:
     """An answer that crossed the purge was kept, and served once caches had nothing older."""
-    front = Front(make_settings(own_transfers=9.0))
-    front.do(api.Purge(None, 1, 0))
+    front = Front(make_settings(local_transfer_capacity=9.0))
+    front.do(api.Invalidation(None, 1, 0))
     front.wait(60 * SECOND)
     assert not own(front, "1", 60 * SECOND + 1) and own(front, "2", 59 * SECOND)
 
 
 def test_only_names_that_come_again_are_kept() -> None:
-    front = Front(make_settings(own_transfers=2.5))
+    front = Front(make_settings(local_transfer_capacity=2.5))
     kept = []
     for request_id in ("1", "2"):
         front.ask(request_id)
-        kept += [a for a in front.end(request_id, 0, OK, note=Note.HIT) if isinstance(a, api.Keep)]
-    assert kept == [api.Keep("2")]
+        kept += [
+            a for a in front.end(request_id, 0, OK, cache_status=Note.HIT) if isinstance(a, api.StoreResponse)
+        ]
+    assert kept == [api.StoreResponse("2")]
     front = Front(make_settings())
     for request_id in ("1", "2"):
         front.ask(request_id)
-        assert not any(isinstance(a, api.Keep) for a in front.end(request_id, 0, OK, note=Note.HIT))
+        assert not any(
+            isinstance(a, api.StoreResponse) for a in front.end(request_id, 0, OK, cache_status=Note.HIT)
+        )
 
 
 @pytest.mark.parametrize("by_group", [True, False])
 def test_purge_bounds_the_age_until_gone_everywhere(by_group: bool) -> None:
     front = Front(make_settings())
     assert fetches(front.ask("0"))[0].max_age == 0
-    front.do(api.Purge(None if by_group else "x", 1, 40 * MS))
+    front.do(api.Invalidation(None if by_group else "x", 1, 40 * MS))
     front.wait(500 * MS)
     assert fetches(front.ask("1"))[0].max_age == 540 * MS
     again = fetches(front.end("1", 0, Status.ERROR))[0]
@@ -418,25 +434,25 @@
 
 def test_group_purge_binds_where_the_group_is_not_told() -> None:
     front = Front(make_settings())
-    front.do(api.Purge(None, 9, 0))
+    front.do(api.Invalidation(None, 9, 0))
     front.wait(MS)
     assert fetches(front.ask("1", group=None))[0].max_age == MS
 
 
 def test_purge_table_is_bounded_and_forgets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("olivepost.routing.router.MOST_PURGES", 3)
+    monkeypatch.setattr("olivepost.routing.invalidation.MAX_INVALIDATIONS", 3)
     front = Front(make_settings())
     for index in range(9):
-        front.do(api.Purge(f"n{index}", index, 0))
+        front.do(api.Invalidation(f"n{index}", index, 0))
     front.wait(MS)
-    assert len(front.router._purges._times) <= 3
+    assert len(front.router.state.invalidations) <= 3
     assert 0 < fetches(front.ask("1", "n0"))[0].max_age <= MS
 
 
 def test_stale_copies_only_after_a_failure() -> None:
-    front = Front(make_settings(make_class(fresh=8 * SECOND, grace=30 * SECOND)))
+    front = Front(make_settings(make_class(freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND)))
     first = fetches(front.ask("1"))[0]
-    assert first.max_age == 8 * SECOND and first.renew
+    assert first.max_age == 8 * SECOND and first.refresh
     assert fetches(front.end("1", 0, Status.ERROR))[0].max_age == 38 * SECOND
 
 
@@ -445,7 +461,7 @@
     front = Front(make_settings())
     sends = [fetches(front.ask(str(i))) for i in range(150)]
     assert {f.cache for fs in sends for f in fs} == {"a:1", "b:1", "c:1"}
-    assert front.router._pressure.level > 0.5
+    assert front.router.state.arrivals.level > 0.5
 
 
 def test_late_fills_refuse_the_dearest_fills_and_leave_hits_alone() -> None:
@@ -453,13 +469,13 @@
     front = Front(make_settings())
     for index in range(40):
         front.fill(f"slow{index}", size_kb=20.0)
-        front.end(f"slow{index}", 1, OK, note=Note.FILLED, took=350 * MS)
-    assert front.router._inlet.level > 0.8
+        front.end(f"slow{index}", 1, OK, cache_status=Note.FILLED, elapsed=350 * MS)
+    assert front.router.state.fills.level > 0.8
     assert fetches(front.fill("small", size_kb=5.0)) and finals(front.fill("large", size_kb=400.0))
     assert fetches(front.ask("1", size_kb=400.0))  # the look; a hit needs no link in
     for index in range(60):
         front.fill(f"quick{index}", size_kb=5.0)
-        front.end(f"quick{index}", 1, OK, note=Note.FILLED, took=20 * MS)
+        front.end(f"quick{index}", 1, OK, cache_status=Note.FILLED, elapsed=20 * MS)
     assert fetches(front.fill("again", size_kb=400.0))
 
 
@@ -467,33 +483,39 @@
     """Incident i114a12: thousands of fills were refused, each sent to the next parent of one origin."""
     front = Front(make_settings())
     front.fill("1")
-    front.end("1", 1, Status.TURNED_AWAY)
-    assert front.router._inlet.level > 0
+    front.end("1", 1, Status.REJECTED)
+    assert front.router.state.fills.level > 0
 
 
 def test_a_fill_that_does_not_end_is_seen_before_it_does() -> None:
     front = Front(make_settings())
     front.fill("1")
     front.wait(SECOND)
-    assert front.router._inlet.level > 0
+    assert front.router.state.fills.level > 0
 
 
 def test_late_fills_tighten_the_bound_of_the_source_and_late_hits_of_the_cache() -> None:
     """Incident i36c20f: links in were full, fills came late, hits did not."""
     front = Front(make_settings())
     fetch = fetches(front.fill("1"))[0]
-    cache_member, source = (front.router._members[a] for a in (fetch.cache, fetch.source))
-    front.end("1", 1, OK, note=Note.FILLED, took=420 * MS)
-    assert cache_member.late == 0.2 and source.late > 0.2
+    cache_member, source = (front.router.state.endpoints.by_id[a] for a in (fetch.cache, fetch.source))
+    front.end("1", 1, OK, cache_status=Note.FILLED, elapsed=420 * MS)
+    assert cache_member.late_share == 0.2 and source.late_share > 0.2
     front.ask("2")
-    front.end("2", 0, OK, note=Note.HIT, took=420 * MS)
-    assert cache_member.late > 0.2
+    front.end("2", 0, OK, cache_status=Note.HIT, elapsed=420 * MS)
+    assert cache_member.late_share > 0.2
 
 
 def test_bound_of_one_of_many_fronts_has_room_for_chance() -> None:
     """Quiet day at full size: the home of every fourth request stood at a bound of one and was skipped."""
-    alone, many = Front(make_settings()), Front(make_settings(caches=api.Tier(12, 0.2, 10 * SECOND, 2.0)))
-    bounds = [f.router._crowd(f.now, f.router._members["a:1"]) for f in (alone, many)]
+    alone, many = (
+        Front(make_settings()),
+        Front(make_settings(caches=api.TierSettings(12, 0.2, 10 * SECOND, 2.0))),
+    )
+    bounds = [
+        capacity.concurrency_limit(f.router.state, f.now, f.router.state.endpoints.by_id["a:1"])
+        for f in (alone, many)
+    ]
     assert bounds[0] == pytest.approx(1.5 * 6.5)  # no chance in what one front sees of itself
     assert 3 < bounds[1] < 4.5 < 12 * bounds[1]
 
@@ -501,11 +523,11 @@
 def test_one_silence_is_waited_for_where_many_good_answers_take_as_long() -> None:
     """Slow fills made caches look silent to fronts with few requests; they were suspended for it."""
     calm, slow = Front(make_settings()), Front(make_settings())
-    calm.router._slow, slow.router._slow = 0.02, 0.5
+    calm.router.state.slow_share.value, slow.router.state.slow_share.value = 0.02, 0.5
     for front in (calm, slow):
         front.ask("1")
         front.wait(500 * MS)
-    assert not calm.router._held["1"].out.get(0) and slow.router._held["1"].out.get(0)
+    assert not calm.router.pending["1"].in_flight.get(0) and slow.router.pending["1"].in_flight.get(0)
 
 
 def test_member_late_more_often_than_its_peers_sheds_names_by_degrees() -> None:
@@ -514,12 +536,12 @@
     for late in (0.0, 0.4, 0.9):
         front = Front(make_settings())
         for address in ("p:1", "q:1"):
-            front.router._members[address].late = 0.0
-        front.router._members["p:1"].late = late
+            front.router.state.endpoints.by_id[address].late_share = 0.0
+        front.router.state.endpoints.by_id["p:1"].late_share = late
         sources = []
         for i in range(200):
             sources.append(fetches(front.fill(str(i), f"n{i}"))[0].source)
-            front.do(api.ClientLeft(str(i)))
+            front.do(api.ClientDisconnected(str(i)))
         homes.append(sources.count("p:1"))
     assert homes[0] > 70 and 15 < homes[1] < homes[0] - 15
     assert 0 < homes[2] < homes[0] / 4  # a tenth stays, so that recovery shows
@@ -528,18 +550,18 @@
 def test_members_late_together_shed_nothing() -> None:
     front = Front(make_settings())
     for address in ("p:1", "q:1"):
-        front.router._members[address].late = 0.9
+        front.router.state.endpoints.by_id[address].late_share = 0.9
     assert {fetches(front.fill(str(i), f"n{i}"))[0].source for i in range(9)} == {"p:1", "q:1"}
 
 
 def test_trial_that_ends_without_a_verdict_leaves_room_for_the_next() -> None:
     front = Front(make_settings())
     home = fetches(front.ask("0"))[0].cache
-    front.router._members[home].fails(front.now, 1.0)
-    front.do(api.ClientLeft("0"))
+    health.record_failure(front.router.state.endpoints.by_id[home], front.now, 1.0)
+    front.do(api.ClientDisconnected("0"))
     front.wait(1100 * MS)
     assert fetches(front.ask("1"))[0].cache == home
-    front.do(api.ClientLeft("1"))
+    front.do(api.ClientDisconnected("1"))
     assert fetches(front.ask("2"))[0].cache == home
 
 
@@ -548,28 +570,34 @@
     home = fetches(front.ask("0"))[0].cache
     for index in range(2):
         front.ask(f"f{index}")
-        front.router._blame(front.now, front.router._held[f"f{index}"], home, 1.0)
-    assert not front.router._members[home].fit(front.now)
-    front.do(api.Membership(api.ListKind.CHANGES, (cache(home, started=front.now),)))
-    assert front.router._members[home].fit(front.now)
+        outcomes.charge(front.router.state, front.now, front.router.pending[f"f{index}"], home, 1.0)
+    assert not health.is_available(front.router.state.endpoints.by_id[home], front.now)
+    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache(home, started_at=front.now),)))
+    assert health.is_available(front.router.state.endpoints.by_id[home], front.now)
 
 
 def test_cold_cache_is_crowded_sooner() -> None:
     """A release leaves a location half cold: late hits came from cold caches used like warm ones."""
-    front = Front(make_settings(), (cache("a:1"), cache("z:1", started=START), ORIGIN))
-    warm, cold = front.router._members["a:1"], front.router._members["z:1"]
-    assert front.router._crowd(front.now, cold) == pytest.approx(0.2 * front.router._crowd(front.now, warm))
+    front = Front(make_settings(), (cache("a:1"), cache("z:1", started_at=START), ORIGIN))
+    warm, cold = front.router.state.endpoints.by_id["a:1"], front.router.state.endpoints.by_id["z:1"]
+    assert capacity.concurrency_limit(front.router.state, front.now, cold) == pytest.approx(
+        0.2 * capacity.concurrency_limit(front.router.state, front.now, warm)
+    )
     front.wait(10 * SECOND)
-    assert front.router._crowd(front.now, cold) == front.router._crowd(front.now, warm)
+    assert capacity.concurrency_limit(front.router.state, front.now, cold) == capacity.concurrency_limit(
+        front.router.state, front.now, warm
+    )
 
 
 def test_members_without_a_start_are_never_cold() -> None:
-    front = Front(make_settings(caches=api.Tier(1, 0.0, 1, 2.0), parents=api.Tier(1, 0.0, 1, 2.0)))
+    front = Front(
+        make_settings(caches=api.TierSettings(1, 0.0, 1, 2.0), parents=api.TierSettings(1, 0.0, 1, 2.0))
+    )
     assert fetches(front.fill("1"))[0].source in {"p:1", "q:1"}
 
 
 def test_everything_cold_still_answers_each_request() -> None:
-    cold = tuple(dataclasses.replace(m, started=START) for m in FLEET[:5])
+    cold = tuple(dataclasses.replace(m, started_at=START) for m in FLEET[:5])
     front = Front(make_settings(), (*cold, ORIGIN))
     for index in range(200):
         actions = front.ask(str(index), f"n{index}")
@@ -580,30 +608,34 @@
 
 
 def test_a_front_that_ends_answers_all_it_holds_at_once() -> None:
-    front = Front(make_settings(make_class(), make_class("order", effect=api.Effect.UNSAFE)))
+    front = Front(
+        make_settings(make_class(), make_class("order", idempotency=api.Idempotency.NOT_IDEMPOTENT))
+    )
     front.ask("safe")
     front.ask("unsafe", class_name="order", name="y")
-    actions = front.do(api.Ending())
-    assert {type(it) for it in finals(actions)} == {api.Refuse, api.Fail} and len(finals(actions)) == 2
+    actions = front.do(api.Shutdown())
+    assert {type(it) for it in finals(actions)} == {api.Reject, api.Fail} and len(finals(actions)) == 2
     assert not finals(front.wait(10 * SECOND))
 
 
 def test_a_repeat_must_begin_within_its_window() -> None:
     """Rule 2: the attempt may wait for its connection, and its window goes on meanwhile."""
-    spec = make_class(effect=api.Effect.KEYED, window=SECOND)
+    spec = make_class(idempotency=api.Idempotency.WITH_KEY, idempotency_window=SECOND)
     front = Front(make_settings(spec))
     (first,) = fetches(front.ask("r"))
-    assert first.begin_by == 0
+    assert first.start_before == 0
     sent = front.now
     front.wait(100 * MS)
-    (again,) = fetches(front.end("r", 0, api.Status.BROKEN_OFF))
-    assert again.begin_by == sent + SECOND - front.router.settings.tick
+    (again,) = fetches(front.end("r", 0, api.AttemptStatus.CONNECTION_LOST))
+    assert again.start_before == sent + SECOND - front.router.settings.deadline_margin
 
 
-@pytest.mark.parametrize("changes", [{"aim": 0, "aim_stretch": 0.0}, {"worth": 0.0}])
+@pytest.mark.parametrize(
+    "changes", [{"latency_objective": 0, "latency_objective_stretch": 0.0}, {"priority_weight": 0.0}]
+)
 def test_a_class_without_aim_or_worth_is_served(changes: dict[str, Any]) -> None:
     """An aim of 0 must not look at its attempts without a pause, nor a worth of 0 divide by it."""
-    front = Front(make_settings(make_class(**changes), pace_kb_per_s=0.0))
+    front = Front(make_settings(make_class(**changes), transfer_rate_kb_per_s=0.0))
     for number in range(20):
         assert fetches(front.ask(f"r{number}", name=f"n{number}"))
     assert all(delay > front.now for delay, _ in front.timers)
@@ -611,15 +643,19 @@
 
 
 def test_where_no_cold_member_falls_none_is_spared() -> None:
-    settings = make_settings(caches=api.Tier(9, 0.1, 10 * SECOND, 0.0), direct=False)
-    front = Front(settings, (cache("a:1", started=START), ORIGIN))
+    settings = make_settings(
+        caches=api.TierSettings(9, 0.1, 10 * SECOND, 0.0), allows_direct_forwarding=False
+    )
+    front = Front(settings, (cache("a:1", started_at=START), ORIGIN))
     assert fetches(front.ask("r"))
 
 
 def test_a_front_that_has_started_again_spares_cold_members_for_a_window() -> None:
     """What the process before it sent in that window, it can't know."""
-    settings = make_settings(caches=api.Tier(1, 0.5, 30 * SECOND, 3.0), direct=False)
-    front = Front(settings, (cache("a:1", started=START - SECOND), ORIGIN))
+    settings = make_settings(
+        caches=api.TierSettings(1, 0.5, 30 * SECOND, 3.0), allows_direct_forwarding=False
+    )
+    front = Front(settings, (cache("a:1", started_at=START - SECOND), ORIGIN))
     assert not fetches(front.ask("r1"))
-    front.wait(settings.fall_window + MS)
+    front.wait(settings.overload_window + MS)
     assert fetches(front.ask("r2"))
