--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -9,13 +9,18 @@
 from tests.helpers import MS, ORIGIN, SECOND, Front, cache, make_class, make_settings, parent
 
 CLASSES = (
-    make_class("safe", fresh=8 * SECOND, grace=30 * SECOND),
-    make_class("keyed", effect=api.Effect.KEYED, scope=api.Scope.CELL, window=SECOND),
-    make_class("unsafe", effect=api.Effect.UNSAFE, uncacheable=True),
+    make_class("safe", freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND),
+    make_class(
+        "keyed",
+        idempotency=api.Idempotency.WITH_KEY,
+        deduplication_scope=api.DeduplicationScope.CELL,
+        idempotency_window=SECOND,
+    ),
+    make_class("unsafe", idempotency=api.Idempotency.NOT_IDEMPOTENT, is_uncacheable=True),
 )
 CACHES, PARENTS, OBJECTS = ("a:1", "b:1", "c:1", "d:1"), ("p:1", "q:1"), ("x", "y", "z")
 CELLS = {"a:1": 1, "b:1": 1, "c:1": 2, "d:1": 2}
-STATUSES = [status for status in api.Status if status is not api.Status.CANCELLED]
+STATUSES = [status for status in api.AttemptStatus if status is not api.AttemptStatus.CANCELLED]
 Step = tuple[str, object, object, object]
 STEP = st.one_of(
     st.tuples(
@@ -24,10 +29,15 @@
         st.sampled_from(OBJECTS),
         st.integers(0, 3000),
     ),
-    st.tuples(st.just("end"), st.integers(0, 30), st.sampled_from(STATUSES), st.sampled_from(list(api.Note))),
+    st.tuples(
+        st.just("end"), st.integers(0, 30), st.sampled_from(STATUSES), st.sampled_from(list(api.CacheStatus))
+    ),
     st.tuples(st.just("wait"), st.integers(0, 1500), st.none(), st.none()),
     st.tuples(
-        st.just("list"), st.sampled_from(CACHES + PARENTS), st.sampled_from(list(api.State)), st.booleans()
+        st.just("list"),
+        st.sampled_from(CACHES + PARENTS),
+        st.sampled_from(list(api.EndpointState)),
+        st.booleans(),
     ),
     st.tuples(st.just("purge"), st.sampled_from([None, *OBJECTS]), st.integers(0, 400), st.none()),
     st.tuples(st.just("leave"), st.integers(0, 30), st.none(), st.none()),
@@ -46,15 +56,15 @@
     def __init__(self, direct: bool) -> None:
         self.settings = make_settings(
             *CLASSES,
-            direct=direct,
-            caches=api.Tier(2, 0.2, 10 * SECOND, 2.0),
-            parents=api.Tier(2, 0.1, 20 * SECOND, 2.0),
-            store_wait=10 * MS,
+            allows_direct_forwarding=direct,
+            caches=api.TierSettings(2, 0.2, 10 * SECOND, 2.0),
+            parents=api.TierSettings(2, 0.1, 20 * SECOND, 2.0),
+            shared_store_timeout=10 * MS,
         )
-        self.states = dict.fromkeys(CACHES + PARENTS, api.State.READY)
+        self.states = dict.fromkeys(CACHES + PARENTS, api.EndpointState.READY)
         self.started = dict.fromkeys(CACHES + PARENTS, 0)
         self.owed: dict[str, tuple[api.Request, int]] = {}
-        self.out: dict[tuple[str, int], api.Fetch] = {}
+        self.out: dict[tuple[str, int], api.ForwardAttempt] = {}
         self.sends: dict[str, int] = {}
         self.ran: dict[str, list[tuple[int, str]]] = {}
         self.over: set[str] = set()
@@ -63,7 +73,7 @@
         self.count = 0
         super().__init__(self.settings, self.members(), seed=3)
 
-    def members(self) -> tuple[api.Listed, ...]:
+    def members(self) -> tuple[api.EndpointMetadata, ...]:
         caches = tuple(cache(a, self.states[a], self.started[a], cell=CELLS[a]) for a in CACHES)
         return (*caches, *(parent(a, self.states[a], self.started[a]) for a in PARENTS), ORIGIN)
 
@@ -78,45 +88,51 @@
         match action:
             case api.SetTimer():
                 assert action.delay >= 0
-            case api.Fetch():
+            case api.ForwardAttempt():
                 self.check_fetch(action)
-            case api.Cancel():
-                assert action.attempt < self.sends[action.id]
-                if (action.id, action.attempt) in self.out:
-                    fetch = self.out.pop((action.id, action.attempt))
-                    self.ran[action.id].append((self.now, fetch.cache))
-            case api.Refuse() | api.Fail():
-                request, deadline = self.owed.pop(action.id)
+            case api.CancelAttempt():
+                assert action.attempt < self.sends[action.request_id]
+                if (action.request_id, action.attempt) in self.out:
+                    fetch = self.out.pop((action.request_id, action.attempt))
+                    self.ran[action.request_id].append((self.now, fetch.cache))
+            case api.Reject() | api.Fail():
+                request, deadline = self.owed.pop(action.request_id)
                 assert self.now <= deadline  # rule 1: in time
-                if isinstance(action, api.Refuse):
+                if isinstance(action, api.Reject):
                     spec = self.settings.classes[request.class_name]
-                    maybe = self.ran[action.id] or any(key[0] == action.id for key in self.out)
-                    assert spec.effect is api.Effect.SAFE or not maybe  # rule 2: harmless to repeat
-                self.over.add(action.id)
+                    maybe = self.ran[action.request_id] or any(
+                        key[0] == action.request_id for key in self.out
+                    )
+                    assert (
+                        spec.idempotency is api.Idempotency.IDEMPOTENT or not maybe
+                    )  # rule 2: harmless to repeat
+                self.over.add(action.request_id)
 
-    def check_fetch(self, fetch: api.Fetch) -> None:
-        assert fetch.id in self.owed and fetch.id not in self.over  # rule 1: nothing after the end
-        request, _ = self.owed[fetch.id]
+    def check_fetch(self, fetch: api.ForwardAttempt) -> None:
+        assert (
+            fetch.request_id in self.owed and fetch.request_id not in self.over
+        )  # rule 1: nothing after the end
+        request, _ = self.owed[fetch.request_id]
         spec = self.settings.classes[request.class_name]
-        assert not any(key[0] == fetch.id for key in self.out)  # rule 2: one at a time
-        if spec.effect is api.Effect.UNSAFE:
-            assert not self.ran[fetch.id]
-        if spec.effect is api.Effect.KEYED and self.ran[fetch.id]:
-            since, first = self.ran[fetch.id][0]
+        assert not any(key[0] == fetch.request_id for key in self.out)  # rule 2: one at a time
+        if spec.idempotency is api.Idempotency.NOT_IDEMPOTENT:
+            assert not self.ran[fetch.request_id]
+        if spec.idempotency is api.Idempotency.WITH_KEY and self.ran[fetch.request_id]:
+            since, first = self.ran[fetch.request_id][0]
             assert CELLS.get(fetch.cache) == CELLS.get(first) is not None
-            assert self.now - since < spec.window + 4 * SECOND
+            assert self.now - since < spec.idempotency_window + 4 * SECOND
         for address in (fetch.cache, fetch.source):  # rule 3
-            assert address == ORIGIN.address or self.states[address] is api.State.READY
+            assert address == ORIGIN.id or self.states[address] is api.EndpointState.READY
         for name, when in self.purges:  # rule 5
-            if name in (None, request.object) and self.now - when <= self.settings.purge_done:
+            if name in (None, request.object) and self.now - when <= self.settings.invalidation_lifetime:
                 assert 0 < fetch.max_age <= max(1, self.now - when)
-        if spec.fresh:
-            assert 0 < fetch.max_age <= spec.fresh + spec.grace
+        if spec.freshness_lifetime:
+            assert 0 < fetch.max_age <= spec.freshness_lifetime + spec.stale_grace
         for address in {fetch.cache, fetch.source}:
             self.check_cold(address, request)
-        self.out[fetch.id, self.sends[fetch.id]] = fetch
-        self.sends[fetch.id] += 1
-        assert self.sends[fetch.id] <= self.settings.max_attempts
+        self.out[fetch.request_id, self.sends[fetch.request_id]] = fetch
+        self.sends[fetch.request_id] += 1
+        assert self.sends[fetch.request_id] <= self.settings.max_attempts
 
     def check_cold(self, address: str, request: api.Request) -> None:
         """Rule 4, for a link of two transfers at least and half of it this front's share."""
@@ -124,61 +140,61 @@
             return
         s, age = self.settings, self.now - self.started[address]
         tier = s.parents if address in PARENTS else s.caches
-        floor, warm = tier.cold_from, tier.warm_within
+        floor, warm = tier.slow_start_initial_share, tier.slow_start_duration
         if age >= warm:
             return
-        recent = [c for c in self.charged.get(address, []) if c[0] > self.now - s.fall_window]
-        recent.append((self.now, request.size_kb / s.pace_kb_per_s * SECOND))
+        recent = [c for c in self.charged.get(address, []) if c[0] > self.now - s.overload_window]
+        recent.append((self.now, request.size_kb / s.transfer_rate_kb_per_s * SECOND))
         self.charged[address] = recent
         present = floor + (1 - floor) * age / warm
-        assert sum(c[1] for c in recent) <= 2.0 * present * 2 * s.fall_window / 2 + 1
+        assert sum(c[1] for c in recent) <= 2.0 * present * 2 * s.overload_window / 2 + 1
 
     def play(self, step: Step) -> None:
         kind, one, two, three = step
         if kind == "ask" and isinstance(three, int):
             self.count += 1
             request = api.Request(f"r{self.count}", str(one), str(two), three * MS, 100.0, 1)
-            self.owed[request.id] = request, self.now + request.ttl
+            self.owed[request.id] = request, self.now + request.timeout
             self.sends[request.id], self.ran[request.id] = 0, []
             self.do(request)
         elif kind == "end" and self.out and isinstance(one, int):
             key = sorted(self.out)[one % len(self.out)]
-            fetch, status = self.out.pop(key), api.Status(two)
-            if status not in api.NEVER_RAN:
+            fetch, status = self.out.pop(key), api.AttemptStatus(two)
+            if status not in api.NOT_EXECUTED:
                 self.ran[key[0]].append((self.now, fetch.cache))
-            if status is api.Status.OK:
+            if status is api.AttemptStatus.OK:
                 self.owed.pop(key[0], None)
                 self.over.add(key[0])
-            final = status is api.Status.OK
-            self.do(api.Outcome(key[0], key[1], status, 30 * MS, final, api.Note(three)))
+            final = status is api.AttemptStatus.OK
+            self.do(api.AttemptOutcome(key[0], key[1], status, 30 * MS, final, api.CacheStatus(three)))
         elif kind == "wait" and isinstance(one, int):
             self.wait(one * MS)
         elif kind == "list":
-            address, state = str(one), api.State(two)
+            address, state = str(one), api.EndpointState(two)
             self.states[address] = state
             if three:
                 self.started[address] = self.now
                 self.charged.pop(address, None)
-            listed = next(m for m in self.members() if m.address == address)
-            self.do(api.Membership(api.ListKind.CHANGES, (listed,)))
+            listed = next(m for m in self.members() if m.id == address)
+            self.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (listed,)))
         elif kind == "purge" and isinstance(two, int):
             self.purges.append((str(one) if one else None, self.now - two * MS))
-            self.do(api.Purge(str(one) if one else None, 1, two * MS))
+            self.do(api.Invalidation(str(one) if one else None, 1, two * MS))
         elif kind == "leave" and self.owed and isinstance(one, int):
             gone = sorted(self.owed)[one % len(self.owed)]
             self.owed.pop(gone)
             self.over.add(gone)
-            self.do(api.ClientLeft(gone))
+            self.do(api.ClientDisconnected(gone))
         elif kind == "advice" and self.owed and isinstance(one, int):
             asked = sorted(self.owed)[one % len(self.owed)]
-            self.do(api.Advice(asked, str(two), bool(three), 300 * MS))
+            self.do(api.CacheHint(asked, str(two), bool(three), 300 * MS))
         elif kind == "store":
-            self.do(api.StoreState(bool(one)))
+            self.do(api.StoreAvailability(bool(one)))
         elif kind == "lend" and isinstance(two, int):
             budget = f"cold:{one}@{self.started[str(one)]}"
-            self.do(api.Lend(1, budget, two * MS, self.now + SECOND))
+            self.do(api.QuotaRequested(1, budget, two * MS, self.now + SECOND))
         elif kind == "stale":
-            self.do(api.Membership(api.ListKind.FULL, self.members()))
+            self.do(api.EndpointUpdate(api.EndpointUpdateKind.FULL, self.members()))
 
 
 @settings(
@@ -191,5 +207,5 @@
         world.play(step)
     world.wait(5 * SECOND)
     assert not world.owed  # rule 1: every request had its one answer
-    assert not world.router._held
-    assert all(member.open == 0 for member in world.router._members.values())
+    assert not world.router.pending
+    assert all(member.in_flight == 0 for member in world.router.state.endpoints.by_id.values())
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -8,7 +8,8 @@
 
 from benchmarks.branch import Branch
 from olivepost import interface as api
-from olivepost.routing.router import place
+from olivepost.routing import capacity, invalidation
+from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store import scripts
 from olivepost.shared_store.store_health import Gate, Trust
@@ -20,13 +21,13 @@
 
 def cold_home(made: Branch) -> str:
     """The cache that a name's first attempt goes to."""
-    return place(f"{NAME}.0", tuple(sorted(made.caches)))[0]
+    return rendezvous_order(f"{NAME}.0", tuple(sorted(made.caches)))[0]
 
 
 def keep_apart(made: Branch, number: int, cache: str) -> None:
     """Has one front hold a cache unfit, as by its own bad luck with it."""
-    member = made.fronts[number].router._members[cache]
-    member.until, member.on_trial = 2**62, True
+    member = made.fronts[number].router.state.endpoints.by_id[cache]
+    member.ejected_until, member.has_trial_in_flight = 2**62, True
 
 
 def test_a_second_front_joins_the_fill_it_did_not_know_of() -> None:
@@ -36,8 +37,11 @@
     made.request(made.fronts[0], NAME)
     made.run(20 * MS)
     for front in made.fronts[1:]:
-        member = front.router._members[home]
-        member.until, member.on_trial = 0, False  # fit again, while the other's word is that it fills
+        member = front.router.state.endpoints.by_id[home]
+        member.ejected_until, member.has_trial_in_flight = (
+            0,
+            False,
+        )  # fit again, while the other's word is that it fills
     made.request(made.fronts[2], NAME)
     made.run(2 * SECOND)
     assert made.counts.fills == 1 and made.counts.served == 2
@@ -200,11 +204,12 @@
     made.run(200 * MS)
     assert counted(made, "purges_heard") == 2
     request = api.Request("x", "image", "o", SECOND, group=3)
-    assert made.fronts[2].router._purges.oldest(made.fronts[2].clock(made.now), request) is not None
+    state, now = made.fronts[2].router.state, made.fronts[2].clock(made.now)
+    assert invalidation.age_bound(state, now, request) is not None
 
 
 def _purged(made: Branch) -> ev.Purged:
-    return ev.Purged(api.Purge(None, 3, 0), made.now // MS)
+    return ev.Purged(api.Invalidation(None, 3, 0), made.now // MS)
 
 
 def test_a_front_restarted_does_not_use_what_the_one_before_it_lent() -> None:
@@ -214,16 +219,21 @@
     made.run(SECOND)
     front = made.fronts[0]
     key = f"cold:c0@{made.caches['c0'].started}"
-    front.do_router(api.Lend(1, key, 1e12, front.clock(made.now) + SECOND))
-    lent = -front.router._moved(front.clock(made.now), key, 0.0)
+    front.do_router(api.QuotaRequested(1, key, 1e12, front.clock(made.now) + SECOND))
+    lent = -capacity.transferred(front.router.state, front.clock(made.now), key, 0.0)
     assert lent > 0
     front.begin()
-    member, at = front.router._members["c0"], front.clock(made.now)
-    tier, window = made.settings.caches, made.settings.fall_window
-    part = tier.fall_multiple * front.router._share(at - window, member) * window * front.router._sure(member)
-    assert front.router._moved(at, key, part) <= -lent
+    member, at = front.router.state.endpoints.by_id["c0"], front.clock(made.now)
+    tier, window = made.settings.caches, made.settings.overload_window
+    part = (
+        tier.overload_multiple
+        * capacity.slow_start_share(front.router.state, at - window, member)
+        * window
+        * capacity.certain_link(front.router.state, member)
+    )
+    assert capacity.transferred(front.router.state, at, key, part) <= -lent
     made.run(5 * SECOND)
-    assert front.router._moved(front.clock(made.now), key, part) == 0
+    assert capacity.transferred(front.router.state, front.clock(made.now), key, part) == 0
 
 
 def test_a_cold_budget_moves_to_the_busy_front_and_never_grows() -> None:
@@ -243,14 +253,14 @@
 
 def test_several_suspicious_fronts_make_a_doubt_and_one_does_not() -> None:
     made = branch(4)
-    made.fronts[0].do_sharing(api.Suspect("c1"))
+    made.fronts[0].do_sharing(api.ReportOutlier("c1"))
     made.run(300 * MS)
-    assert all(front.router._members["c1"].doubt == 0 for front in made.fronts[1:])
-    made.fronts[1].do_sharing(api.Suspect("c1"))
+    assert all(front.router.state.endpoints.by_id["c1"].failure_score == 0 for front in made.fronts[1:])
+    made.fronts[1].do_sharing(api.ReportOutlier("c1"))
     made.run(300 * MS)
-    doubts = [front.router._members["c1"].doubt for front in made.fronts]
+    doubts = [front.router.state.endpoints.by_id["c1"].failure_score for front in made.fronts]
     assert doubts[0] == doubts[1] == 0 and doubts[2] == doubts[3] == pytest.approx(0.4)
-    assert not any(front.router._members["c1"].until for front in made.fronts)
+    assert not any(front.router.state.endpoints.by_id["c1"].ejected_until for front in made.fronts)
 
 
 def test_records_of_strangers_are_skipped_and_counted() -> None:
@@ -339,17 +349,17 @@
     made.run(SECOND)
     key, lender = f"cold:c0@{made.caches['c0'].started}", made.fronts[0]
     made.ways["s0"].cut = 1.0
-    made.fronts[1].do_sharing(api.Short(key, 1e6))
+    made.fronts[1].do_sharing(api.RequestQuota(key, 1e6))
     made.run(60 * MS)
     made.ways["s0"].cut = 0.0
-    made.fronts[1].do_sharing(api.Short(key, 1e9))
+    made.fronts[1].do_sharing(api.RequestQuota(key, 1e9))
     for _ in range(40):
         made.run(10 * MS)
-        made.ways["s0"].cut = 1.0 if lender.router._loans else 0.0
+        made.ways["s0"].cut = 1.0 if lender.router.state.quotas else 0.0
         made.look_at_budgets()
-    assert lender.router._loans and not made.counts.over_whole
+    assert lender.router.state.quotas and not made.counts.over_whole
     made.run(300 * MS)
-    assert lender.router._moved(lender.clock(made.now), key, 0.0) < 0
+    assert capacity.transferred(lender.router.state, lender.clock(made.now), key, 0.0) < 0
 
 
 def test_odd_records_are_told_once_a_minute() -> None:
@@ -376,10 +386,10 @@
     holder = next(name for name, cache in made.caches.items() if cache.kept)
     for count, front in enumerate(made.fronts[1:3]):
         assert key in holders(made)
-        ask = api.Consult(f"q{count}", f"{NAME}.0", holder, "", 10 * MS, SECOND)
+        ask = api.LookUpHint(f"q{count}", f"{NAME}.0", holder, "", 10 * MS, SECOND)
         front.do_sharing(ev.Consulted(ask, NAME, 7))
         made.run(20 * MS)
-        front.do_sharing(api.Misled(ask.id, ask.name, holder))
+        front.do_sharing(api.ReportStaleHint(ask.request_id, ask.name, holder))
         made.run(20 * MS)
     assert key not in holders(made)
 
@@ -394,7 +404,7 @@
     made.caches[holder].started = made.now - 3600 * SECOND  # warm, so that a look comes first
     made.list_anew()
     front = made.fronts[1]
-    front.do_sharing(ev.Consulted(api.Consult("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7))
+    front.do_sharing(ev.Consulted(api.LookUpHint("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7))
     made.run(20 * MS)
     assert key not in holders(made)
 
@@ -427,6 +437,6 @@
     sharing, front = made.fronts[0].sharing, made.fronts[0]
     assert sharing is not None and len(sharing.claims) == 1
     later = front.clock(made.now) + 20 * SECOND
-    actions = sharing.handle(later, ev.Ended(api.Settled("r1", "c0", 1)))
+    actions = sharing.handle(later, ev.Ended(api.ReleaseLease("r1", "c0", 1)))
     assert not [a for a in actions if isinstance(a, ev.Command) and isinstance(a.op, ev.Settle)]
     assert sharing.counts["claims_outlived"] == 1
--- a/tests/shared_store/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -53,7 +53,7 @@
 
     @staticmethod
     def stands(front: Front) -> bool:
-        return front.engine._router._up
+        return front.engine._router.state.is_store_available
 
     @staticmethod
     def until(holds: Any, within: float = 10.0) -> bool:
@@ -108,10 +108,12 @@
     with pair() as made:
         assert made.up()
         assert made.fronts[0].stores is not None
-        made.fronts[0].stores.purged(api.Purge("x", None, 0), time.time_ns())
+        made.fronts[0].stores.purged(api.Invalidation("x", None, 0), time.time_ns())
         assert made.until(lambda: made.count("purges_heard") == 1)
         router = made.fronts[1].engine._router
-        assert made.until(lambda: router._purges.last(api.Request("i", "image", "x", 1, group=1)) > 0)
+        assert made.until(
+            lambda: router.state.invalidations.latest(api.Request("i", "image", "x", 1, group=1)) > 0
+        )
 
 
 @pytest.mark.parametrize(
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -106,37 +106,39 @@
 def test_settings_are_read_in_the_fields_terms() -> None:
     settings = read_settings(INFO)
     assert settings.parent_kind == "parent" and settings.origin_kind == "origin"
-    assert settings.caches.fronts == 2 and settings.parents.fronts == 3
-    assert settings.classes["order"].effect is api.Effect.KEYED
-    assert settings.classes["order"].scope is api.Scope.ZONE
-    assert settings.classes["image"].grace == 30 and settings.caches.cold_from == 0.2
+    assert settings.caches.proxies == 2 and settings.parents.proxies == 3
+    assert settings.classes["order"].idempotency is api.Idempotency.WITH_KEY
+    assert settings.classes["order"].deduplication_scope is api.DeduplicationScope.ZONE
+    assert settings.classes["image"].stale_grace == 30 and settings.caches.slow_start_initial_share == 0.2
 
 
 @pytest.mark.parametrize(("name", "status"), codec.STATUSES.items())
-def test_every_outcome_is_read(name: str, status: api.Status) -> None:
+def test_every_outcome_is_read(name: str, status: api.AttemptStatus) -> None:
     message = {"kind": "Returned", "front": 1, "ticket": "c:1", "attempt": 1, "rc": name, "took": 9}
     message["remark"] = 99
     event = codec.read_event(message, read_settings(INFO))
-    assert event == api.Outcome("c:1", 1, status, 9)
+    assert event == api.AttemptOutcome("c:1", 1, status, 9)
 
 
 def test_other_events_are_read() -> None:
     settings = read_settings(INFO)
     assert codec.read_event({"kind": "Ring", "ref": 7}, settings) == api.TimerFired(7)
-    assert codec.read_event({"kind": "Headers", "ticket": "a", "attempt": 1}, settings) == api.Begun("a", 1)
-    assert codec.read_event({"kind": "ClientGone", "ticket": "a"}, settings) == api.ClientLeft("a")
+    assert codec.read_event(
+        {"kind": "Headers", "ticket": "a", "attempt": 1}, settings
+    ) == api.ResponseStarted("a", 1)
+    assert codec.read_event({"kind": "ClientGone", "ticket": "a"}, settings) == api.ClientDisconnected("a")
     assert codec.read_event({"kind": "ProbeDone", "cache": "x", "rc": "OK"}, settings) is None
     purge = codec.read_event({"kind": "Invalidated", "family-id": 0, "oldness": 5}, settings)
-    assert purge == api.Purge(None, 0, 5)
+    assert purge == api.Invalidation(None, 0, 5)
     empty = codec.read_event({"kind": "Registry", "scope": "error", "version": 3}, settings)
-    assert empty == api.Membership(api.ListKind.FAILED, ())
+    assert empty == api.EndpointUpdate(api.EndpointUpdateKind.FAILED, ())
 
 
 @pytest.mark.parametrize(
     ("action", "expected"),
     [
-        (api.Cancel("a", 1), {"front": 2, "kind": "StopAttempt", "ticket": "a", "attempt": 1}),
-        (api.Refuse("a", 5), {"front": 2, "kind": "Decline", "ticket": "a", "wait": 5}),
+        (api.CancelAttempt("a", 1), {"front": 2, "kind": "StopAttempt", "ticket": "a", "attempt": 1}),
+        (api.Reject("a", 5), {"front": 2, "kind": "Decline", "ticket": "a", "wait": 5}),
         (api.Fail("a"), {"front": 2, "kind": "ReportFailure", "ticket": "a"}),
         (api.SetTimer(5, 9), {"front": 2, "kind": "Timer", "delay": 5, "ref": 9}),
         (api.Subscribe(), {"front": 2, "kind": "Watch", "want": True}),
