--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -15,12 +15,12 @@
 from typing import Any, cast
 
 from olivepost import interface as api
-from olivepost.config import MS, SECOND
+from olivepost.config import MILLISECOND, SECOND
 from olivepost.router import Router
 from olivepost.routing import capacity
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store import scripts
-from olivepost.shared_store.coordinator import Sharing
+from olivepost.shared_store.coordinator import StoreCoordinator
 from standins.redis.keyspace import Keyspace, Wrong
 
 START = 1_800_000_000 * SECOND
@@ -34,7 +34,7 @@
     lost: float = 0.0
     cut: float = 0.0  # done, but its answer never comes
     doubled: float = 0.0
-    span: tuple[int, int] = (int(0.1 * MS), int(0.6 * MS))
+    span: tuple[int, int] = (int(0.1 * MILLISECOND), int(0.6 * MILLISECOND))
     slow: float = 0.0  # chance of a span a hundred times as long
     silent_until: int = 0
 
@@ -91,23 +91,23 @@
         branch = self.branch
         self.requests: dict[str, api.Request] = {}
         self.router = Router(branch.settings, branch.draw.randrange(2**32))
-        self.sharing: Sharing | None = None
+        self.sharing: StoreCoordinator | None = None
         self.do_router(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, branch.members()))
         for group, at in branch.purges.items():  # the coordinator tells of them at a start
             self.do_router(api.Invalidation(None, group, branch.now - at))
         if branch.sharing:
             process = f"{branch.draw.getrandbits(64):016x}"
-            terms = ev.Terms(
+            terms = ev.SharingTerms(
                 f"n{self.number}", process, tuple(branch.stores), branch.late, branch.sync, **branch.terms
             )
-            self.sharing = Sharing(terms, branch.draw.randrange(2**32))
+            self.sharing = StoreCoordinator(terms, branch.draw.randrange(2**32))
             self.do_sharing(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, branch.members()))
             self.tick(self.life)
 
     def tick(self, life: int) -> None:
         if life == self.life:
             self.do_sharing(ev.Tick())
-            self.branch.after(5 * MS, self, lambda: self.tick(life))
+            self.branch.after(5 * MILLISECOND, self, lambda: self.tick(life))
 
     def do_router(self, event: api.Event) -> None:
         now = self.clock(self.branch.now)
@@ -121,11 +121,11 @@
         self.branch.counts.steps += 1
         for action in self.sharing.handle(self.clock(self.branch.now), event):
             match action:
-                case ev.Command():
+                case ev.StoreCommand():
                     self.branch.ask(self, self.life, action)
-                case ev.Tell():
+                case ev.NotifyRouter():
                     self.do_router(action.event)
-                case ev.Note():
+                case ev.LogEvent():
                     self.branch.notes[action.name] += 1
 
     def act(self, action: api.Action) -> None:
@@ -139,9 +139,9 @@
             case api.LookUpHint():
                 branch.counts.consults += 1
                 request = self.requests[action.request_id]
-                self.do_sharing(ev.Consulted(action, request.object, request.group))
+                self.do_sharing(ev.LookupRequested(action, request.object, request.group))
             case api.ReleaseLease():
-                self.do_sharing(ev.Ended(action))
+                self.do_sharing(ev.LeaseReleased(action))
             case api.ReportStaleHint() | api.RequestQuota() | api.DonateQuota() | api.ReportOutlier():
                 self.do_sharing(action)
 
@@ -166,9 +166,9 @@
         skew: float = 0.9,
         groups: int = 16,
         link: float = 4.0,
-        late: int = 10 * MS,
-        sync: int = 50 * MS,
-        fill: tuple[int, int] = (60 * MS, 400 * MS),
+        late: int = 10 * MILLISECOND,
+        sync: int = 50 * MILLISECOND,
+        fill: tuple[int, int] = (60 * MILLISECOND, 400 * MILLISECOND),
         size: float = 50.0,
         **terms: Any,
     ) -> None:
@@ -190,7 +190,7 @@
         self.fronts = [Front(self, number) for number in range(fronts)]
 
     def now_ms(self) -> int:
-        return self.now // MS
+        return self.now // MILLISECOND
 
     def members(self) -> tuple[api.EndpointMetadata, ...]:
         rows = [
@@ -259,7 +259,16 @@
         number = front.router.pending[fetch.request_id].attempt_count - 1
         name, cache = f"{request.object}.{request.part}", self.caches.get(fetch.cache)
         if cache is None:  # straight to a parent
-            self._end(front, life, fetch, number, api.AttemptStatus.OK, api.CacheStatus.FILLED, 80 * MS, now)
+            self._end(
+                front,
+                life,
+                fetch,
+                number,
+                api.AttemptStatus.OK,
+                api.CacheStatus.FILLED,
+                80 * MILLISECOND,
+                now,
+            )
             return
         work = request.size_kb / self.settings.transfer_rate_kb_per_s * SECOND
         cache.work.append((now, work))
@@ -279,12 +288,19 @@
                 number,
                 api.AttemptStatus.OK,
                 api.CacheStatus.COLLAPSED,
-                end - now + 5 * MS,
+                end - now + 5 * MILLISECOND,
                 now,
             )
         elif fetch.source == fetch.cache:
             self._end(
-                front, life, fetch, number, api.AttemptStatus.NOT_CACHED, api.CacheStatus.UNKNOWN, 2 * MS, now
+                front,
+                life,
+                fetch,
+                number,
+                api.AttemptStatus.NOT_CACHED,
+                api.CacheStatus.UNKNOWN,
+                2 * MILLISECOND,
+                now,
             )
         else:
             self.counts.fills += 1
@@ -296,7 +312,14 @@
             cache.filling[name] = now + span
             self.after(span, None, lambda: self._filled(cache, name, now))
             self._end(
-                front, life, fetch, number, api.AttemptStatus.OK, api.CacheStatus.FILLED, span + 5 * MS, now
+                front,
+                life,
+                fetch,
+                number,
+                api.AttemptStatus.OK,
+                api.CacheStatus.FILLED,
+                span + 5 * MILLISECOND,
+                now,
             )
 
     def _filled(self, cache: Cache, name: str, born: int) -> None:
@@ -309,7 +332,7 @@
         """Rule 5, by as much as the front's clock may run wrong: it bounds the age by its own."""
         told = self.purges.get(request.group or 0, 0)
         old = told and self.now - born > (self.now - told) * (1 + RATE_MOST)
-        self.counts.older_than_purge += bool(old and self.now > told + 300 * MS)
+        self.counts.older_than_purge += bool(old and self.now > told + 300 * MILLISECOND)
 
     def _end(
         self,
@@ -368,11 +391,11 @@
             for front in self.fronts:
                 event = api.Invalidation(None, group, 0)
                 front.do_router(event)
-                front.do_sharing(ev.Purged(event, self.now // MS))
+                front.do_sharing(ev.InvalidationReceived(event, self.now // MILLISECOND))
 
     # Stores
 
-    def ask(self, front: Front, life: int, command: ev.Command) -> None:
+    def ask(self, front: Front, life: int, command: ev.StoreCommand) -> None:
         """A command on its way."""
         way, ticket = self.ways[command.store], command.ticket
 
@@ -382,12 +405,12 @@
 
         def lost() -> None:
             if life == front.life:
-                front.do_sharing(ev.Lost(ticket, "no answer"))
+                front.do_sharing(ev.ReplyLost(ticket, "no answer"))
 
         def arrive() -> None:
             reply = self.run_script(front, command) if self.now >= way.silent_until else None
             if reply is None or self.draw.random() < way.cut:
-                self.after(250 * MS, front, lost)
+                self.after(250 * MILLISECOND, front, lost)
                 return
 
             def answer() -> None:
@@ -399,15 +422,15 @@
                 self.after(span() + span(), front, answer)
 
         if self.draw.random() < way.lost:
-            self.after(250 * MS, front, lost)
+            self.after(250 * MILLISECOND, front, lost)
         else:
             self.after(span(), None, arrive)
 
-    def run_script(self, front: Front, command: ev.Command) -> ev.Reply | ev.Lost:
+    def run_script(self, front: Front, command: ev.StoreCommand) -> ev.StoreReply | ev.ReplyLost:
         """Runs a question's script in the store, and audits what it grants."""
         assert front.sharing is not None
         store = self.stores[command.store]
-        script = scripts.script_of(command.op, "t", front.sharing.terms.incarnation)
+        script = scripts.script_of(command.operation, "t", front.sharing.terms.incarnation)
         words = [word if isinstance(word, bytes) else str(word).encode() for word in script.arguments]
         try:
             digest = scripts.DIGESTS[script.name].encode()
@@ -417,19 +440,19 @@
                 command.ticket, store.call([b"EVALSHA", digest, b"1", script.key.encode(), *words])
             )
         except Wrong as fault:
-            return ev.Lost(command.ticket, str(fault))
-        word = reply.values[0] if isinstance(reply, ev.Reply) and reply.values else b""
-        if word == b"mine" and isinstance(command.op, ev.Look) and isinstance(reply, ev.Reply):
-            self._audit_claim(front, command.store, command.op, reply)
-        elif word == b"done" and isinstance(command.op, ev.Settle):
-            number, _, _ = command.op.claim.partition(b" ")
-            last = self.claims.get((command.store, command.op.name))
+            return ev.ReplyLost(command.ticket, str(fault))
+        word = reply.values[0] if isinstance(reply, ev.StoreReply) and reply.values else b""
+        if word == b"mine" and isinstance(command.operation, ev.LookUp) and isinstance(reply, ev.StoreReply):
+            self._audit_claim(front, command.store, command.operation, reply)
+        elif word == b"done" and isinstance(command.operation, ev.PublishLocation):
+            number, _, _ = command.operation.claim.partition(b" ")
+            last = self.claims.get((command.store, command.operation.name))
             wrong = last is None or last[0] != int(number)
             self.counts.old_published += wrong
             self.counts.owned_twice += wrong
         return reply
 
-    def _audit_claim(self, front: Front, store: str, op: ev.Look, reply: ev.Reply) -> None:
+    def _audit_claim(self, front: Front, store: str, op: ev.LookUp, reply: ev.StoreReply) -> None:
         """A claim's number grows, and no two of one generation overlap by the owners' own clocks."""
         number, key = int(cast("bytes", reply.values[1])), (store, op.name)
         self.counts.numbers += 1
@@ -447,7 +470,7 @@
             )
             self.counts.overlaps += not gone
             self.counts.owned_twice += not gone
-        self.claims[key] = number, self.now + op.span_ms * MS, life
+        self.claims[key] = number, self.now + op.span_ms * MILLISECOND, life
 
     # Budgets
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -18,7 +18,7 @@
 from benchmarks.branch import Branch
 from benchmarks.fleet import Fleet, Process, Tally, fleet, load
 from olivepost import interface as api
-from olivepost.config import MS, SECOND
+from olivepost.config import MILLISECOND, SECOND
 
 FRONTS, CACHES, ROOM, NAMES = 4, 6, 150, 1_200
 FAULTS: dict[str, list[dict[str, Any]]] = {
@@ -35,11 +35,11 @@
     print(text, file=sys.stderr, flush=True)
 
 
-def settings(fronts: int, wait: int = 10 * MS) -> api.Settings:
+def settings(fronts: int, wait: int = 10 * MILLISECOND) -> api.Settings:
     """A branch of so many fronts, its links told."""
     spec = api.ClassSettings(
         name="image",
-        latency_objective=300 * MS,
+        latency_objective=300 * MILLISECOND,
         latency_objective_stretch=2.0,
         deadline=3 * SECOND,
         idempotency=api.Idempotency.IDEMPOTENT,
@@ -76,7 +76,7 @@
         allows_hedged_requests=False,
         supports_retry_after=True,
         max_retry_after=SECOND,
-        deadline_margin=2 * MS,
+        deadline_margin=2 * MILLISECOND,
         shared_store_timeout=wait,
     )
 
@@ -144,7 +144,7 @@
     for name in list(made.caches) if whole else ["c1"]:
         made.restart_cache(name)
     for _ in range(200):
-        made.run(50 * MS)
+        made.run(50 * MILLISECOND)
         made.look_at_budgets()
     used = [made.cold_use(name) for name, cache in made.caches.items() if cache.started]
     return (
@@ -197,7 +197,7 @@
                 made.stores["s0"].snapshot()
             case _:
                 made.request(made.fronts[draw.randrange(4)])
-        made.run(draw.randrange(20 * MS))
+        made.run(draw.randrange(20 * MILLISECOND))
         made.look_at_budgets()
     made.run(8 * SECOND)
     counts = made.counts
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -43,7 +43,7 @@
 from docopt import DocoptExit, docopt
 
 from olivepost import __version__
-from olivepost.config import FieldError, load
+from olivepost.config import ConfigError, load
 
 if TYPE_CHECKING:
     from olivepost.operator_config.model import OperatorSettings
@@ -74,7 +74,7 @@
             print("olivepost: the operator's file can be used")
             return 0
         config = load(os.environ, given["--config"])
-    except (FieldError, Unusable) as fault:
+    except (ConfigError, Unusable) as fault:
         print(f"olivepost: {fault}", file=sys.stderr)
         return 2
     if given["check"]:
--- a/olivepost/config/__init__.py
+++ b/olivepost/config/__init__.py
@@ -17,22 +17,22 @@
 
 from olivepost import interface as api
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MILLISECOND, SECOND = 1_000_000, 1_000_000_000
 BUFFER_SIZE = 16_384
 # What a front with a full core may need from a request's last byte to its reader, and from the module's word
 # to the client's last byte. The module gives up so long before a deadline; without it a burst of connections
 # made final answers come too late. Hurts answers in the last tenth of a second, which are late anyhow.
 # Where a class's whole deadline is short, a share of that: a front must not give up most of it.
-TURN, TURN_SHARE = 100 * MS, 8
+TURN, TURN_SHARE = 100 * MILLISECOND, 8
 OBJECT, SMALL_BODY = 240_000, 16_384  # bytes of an object at most, of a request's body that needs no room
 FOREVER = 1 << 62  # ns: the longest span that a key may hold
 
-EFFECTS = {
+IDEMPOTENCIES = {
     "read_like": api.Idempotency.IDEMPOTENT,
     "idempotency_key": api.Idempotency.WITH_KEY,
     "non_idempotent": api.Idempotency.NOT_IDEMPOTENT,
 }
-STATES = {
+ENDPOINT_STATES = {
     "in_service": api.EndpointState.READY,
     "terminating": api.EndpointState.DRAINING,
     "terminated": api.EndpointState.REMOVED,
@@ -41,16 +41,16 @@
 ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
 
 
-class FieldError(Exception):
+class ConfigError(Exception):
     """A value is missing or not what its key allows; the message names the key."""
 
 
-class Fields:
+class FieldReader:
     """Typed access to an object's fields, with plain words on what is wrong."""
 
     def __init__(self, where: str, data: object) -> None:
         if not isinstance(data, dict):
-            raise FieldError(f"{where} is not an object")
+            raise ConfigError(f"{where} is not an object")
         self.where = where
         self.data: dict[str, Any] = data
 
@@ -58,17 +58,17 @@
         value = self.data.get(key)
         if value is None:
             if default is None:
-                raise FieldError(f"{self.where} lacks '{key}'")
+                raise ConfigError(f"{self.where} lacks '{key}'")
             return default
         if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise FieldError(f"{self.where} has a wrong '{key}'")
+            raise ConfigError(f"{self.where} has a wrong '{key}'")
         return value
 
-    def whole(self, key: str, default: int | None = None) -> int:
+    def integer(self, key: str, default: int | None = None) -> int:
         """A whole number, also where it is written with a point."""
         value = self._get(key, (int, float), default)
         if value != int(value):
-            raise FieldError(f"{self.where} has a wrong '{key}': {value:g} is not whole")
+            raise ConfigError(f"{self.where} has a wrong '{key}': {value:g} is not whole")
         return int(value)
 
     def number(self, key: str, default: float | None = None) -> float:
@@ -77,45 +77,47 @@
     def text(self, key: str, default: str | None = None) -> str:
         return str(self._get(key, (str,), default))
 
-    def flag(self, key: str) -> bool:
+    def boolean(self, key: str) -> bool:
         return bool(self._get(key, (bool,), False))
 
     def items(self, key: str) -> list[Any]:
         return list(self._get(key, (list,), []))
 
-    def at(self, key: str, index: int) -> Fields:
+    def element(self, key: str, index: int) -> FieldReader:
         """One place of a list, as a field of its own by the list's name; empty where the list is shorter."""
         values = self.items(key)
         known = 0 <= index < len(values)
-        return Fields(f"{self.where}.{key}[{index}]", {key: values[index]} if known else {})
+        return FieldReader(f"{self.where}.{key}[{index}]", {key: values[index]} if known else {})
 
-    def inner(self, key: str) -> Fields:
-        return Fields(f"{self.where}.{key}", self._get(key, (dict,), {}))
+    def section(self, key: str) -> FieldReader:
+        return FieldReader(f"{self.where}.{key}", self._get(key, (dict,), {}))
 
-    def word(self, key: str, words: dict[str, Any], default: str | None = None) -> Any:
+    def one_of(self, key: str, words: dict[str, Any], default: str | None = None) -> Any:
         value = self.text(key, default)
         if value not in words:
-            raise FieldError(f"{self.where} has an unknown '{key}': {value}")
+            raise ConfigError(f"{self.where} has an unknown '{key}': {value}")
         return words[value]
 
-    def within(self, key: str, least: float, most: float, default: float | None = None) -> float:
+    def number_within(self, key: str, least: float, most: float, default: float | None = None) -> float:
         value = self.number(key, default)
         if not least <= value <= most:
-            raise FieldError(f"{self.where} has a wrong '{key}': {value:g} is not from {least:g} to {most:g}")
+            raise ConfigError(
+                f"{self.where} has a wrong '{key}': {value:g} is not from {least:g} to {most:g}"
+            )
         return value
 
-    def span(self, key: str, default: int | None = None, least: int = 0) -> int:
+    def duration(self, key: str, default: int | None = None, least: int = 0) -> int:
         """Whole nanoseconds."""
-        value = self.whole(key, default)
+        value = self.integer(key, default)
         if not least <= value <= FOREVER:
-            raise FieldError(f"{self.where} has a wrong '{key}': {value} is not from {least} to {FOREVER}")
+            raise ConfigError(f"{self.where} has a wrong '{key}': {value} is not from {least} to {FOREVER}")
         return value
 
     def address(self, key: str, default: str | None = None) -> Address:
         try:
             return read_address(self.text(key, default))
         except ValueError as fault:
-            raise FieldError(f"{self.where} has a wrong '{key}': {fault}") from fault
+            raise ConfigError(f"{self.where} has a wrong '{key}': {fault}") from fault
 
 
 Address = tuple[str, int]
@@ -131,128 +133,140 @@
 
 def read_settings(data: object) -> api.Settings:
     """Reads the settings; keys this page does not use are skipped."""
-    info = Fields("settings", data)
-    family, limits, contract = info.inner("family-info"), info.inner("limits"), info.inner("contract")
+    info = FieldReader("settings", data)
+    family, limits, contract = info.section("family-info"), info.section("limits"), info.section("contract")
     zones, zone = info.items("failure-domains"), info.text("zone")
-    fronts = info.whole("siblings", 1)
+    fronts = info.integer("siblings", 1)
     classes: dict[str, api.ClassSettings] = {}
     for index, item in enumerate(info.items("classes")):
-        row = Fields(f"classes[{index}]", item)
+        row = FieldReader(f"classes[{index}]", item)
         name = row.text("name")
         if name in classes:
-            raise FieldError(f"{row.where} has a wrong 'name': {name} is there twice")
-        deadline = row.span("deadline", least=1)
+            raise ConfigError(f"{row.where} has a wrong 'name': {name} is there twice")
+        deadline = row.duration("deadline", least=1)
         classes[name] = api.ClassSettings(
             name=name,
-            latency_objective=row.span("aim", deadline),
-            latency_objective_stretch=row.within("aim-stretch", 0, 1e6, 0.0),
+            latency_objective=row.duration("aim", deadline),
+            latency_objective_stretch=row.number_within("aim-stretch", 0, 1e6, 0.0),
             deadline=deadline,
-            idempotency=row.word("effect", EFFECTS),
-            deduplication_scope=row.word(
+            idempotency=row.one_of("effect", IDEMPOTENCIES),
+            deduplication_scope=row.one_of(
                 "group", {scope.value: scope for scope in api.DeduplicationScope}, "all"
             ),
-            idempotency_window=row.span("window", 0),
-            is_streaming=row.flag("streaming"),
-            priority_weight=row.within("gain", 0, 1e12, 1.0),
+            idempotency_window=row.duration("window", 0),
+            is_streaming=row.boolean("streaming"),
+            priority_weight=row.number_within("gain", 0, 1e12, 1.0),
             late_priority_weight=row.number("late-worth", 0.0),
-            freshness_lifetime=family.at("max-age", index).span("max-age", 0),
-            stale_grace=family.at("usable-after", index).span("usable-after", 0),
-            stale_priority_weight=family.at("class-stale-worth", index).number("class-stale-worth", 0.0),
-            is_uncacheable=family.at("pass-on", index).flag("pass-on"),
+            freshness_lifetime=family.element("max-age", index).duration("max-age", 0),
+            stale_grace=family.element("usable-after", index).duration("usable-after", 0),
+            stale_priority_weight=family.element("class-stale-worth", index).number("class-stale-worth", 0.0),
+            is_uncacheable=family.element("pass-on", index).boolean("pass-on"),
         )
     place = zones.index(zone) if zone in zones else -1
-    places = (family.whole("parent-kind", -1), family.whole("store-kind", -1))
-    kind = [info.at("kinds", at).text("kinds", "") for at in places]
-    own = family.at("zone-balancers", place).whole("zone-balancers", fronts)
+    places = (family.integer("parent-kind", -1), family.integer("store-kind", -1))
+    kind = [info.element("kinds", at).text("kinds", "") for at in places]
+    own = family.element("zone-balancers", place).integer("zone-balancers", fronts)
     return api.Settings(
         classes=classes,
         zone=zone,
         caches=api.TierSettings(
             proxies=max(1, own),
-            slow_start_initial_share=contract.within("cold-from", 0, 1, 0.0),
-            slow_start_duration=max(1, contract.whole("warm-within", 0)),
-            overload_multiple=contract.within("fall-multiple", 0, 1e6, 0.0),
+            slow_start_initial_share=contract.number_within("cold-from", 0, 1, 0.0),
+            slow_start_duration=max(1, contract.integer("warm-within", 0)),
+            overload_multiple=contract.number_within("fall-multiple", 0, 1e6, 0.0),
         ),
         parents=api.TierSettings(
             proxies=max(1, fronts),
-            slow_start_initial_share=family.within("parent-floor", 0, 1, 0.0),
-            slow_start_duration=max(1, family.whole("parent-cold", 0)),
-            overload_multiple=family.within("parent-breaks-at", 0, 1e6, 0.0),
+            slow_start_initial_share=family.number_within("parent-floor", 0, 1, 0.0),
+            slow_start_duration=max(1, family.integer("parent-cold", 0)),
+            overload_multiple=family.number_within("parent-breaks-at", 0, 1e6, 0.0),
         ),
         parent_kind=kind[0],
         origin_kind=kind[1],
         has_endpoint_weights=info.text("weights", "off") != "off",
-        transfer_rate_kb_per_s=family.within("pace-kb-per-s", 0, 1e12, 0.0),
-        can_collapse_fills=family.flag("can-join"),
-        allows_direct_forwarding=family.flag("direct"),
+        transfer_rate_kb_per_s=family.number_within("pace-kb-per-s", 0, 1e12, 0.0),
+        can_collapse_fills=family.boolean("can-join"),
+        allows_direct_forwarding=family.boolean("direct"),
         sibling_sources=family.text("lateral", "off"),
         reports_hits=family.text("tells", "off") != "off",
         reports_failure_causes=family.text("tells", "off") == "all",
-        invalidation_lifetime=family.span("gone-everywhere", 0),
-        overload_window=contract.span("fall", 0),
+        invalidation_lifetime=family.duration("gone-everywhere", 0),
+        overload_window=contract.duration("fall", 0),
         subscribes_to_endpoints=info.text("registry-mode", "push") == "ask",
-        subscription_timeout=contract.span("ask-within", 0),
-        max_attempts=max(1, limits.whole("attempts-cap", 1)),
-        can_cancel_attempts=limits.flag("cancel"),
-        allows_hedged_requests=limits.flag("second-copies"),
-        supports_retry_after=limits.flag("retry-after"),
-        max_retry_after=limits.span("max-retry-after", 0),
-        deadline_margin=info.span("tick", 0),
+        subscription_timeout=contract.duration("ask-within", 0),
+        max_attempts=max(1, limits.integer("attempts-cap", 1)),
+        can_cancel_attempts=limits.boolean("cancel"),
+        allows_hedged_requests=limits.boolean("second-copies"),
+        supports_retry_after=limits.boolean("retry-after"),
+        max_retry_after=limits.duration("max-retry-after", 0),
+        deadline_margin=info.duration("tick", 0),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ResourceLimits:
     """The front's own limits, from what the machine allows."""
 
     memory_mb: int
-    sockets: int
-    clients: int  # open connections of clients; at the cap the one idle longest makes room
-    links: int  # to one member: as many as carry one request of each client's connection
-    all_links: int  # those that are about to end among them, so that descriptors are left for clients
-    readers: int  # buffers to read into, one for each connection and link
-    bodies: int  # buffers for bodies; apart, so that peers who hold bodies can't make the front deaf
-    copies: int  # of these, for copies of the front's own
+    max_sockets: int
+    max_client_connections: int  # open connections of clients; at the cap the one idle longest makes room
+    max_connections_per_endpoint: (
+        int  # to one member: as many as carry one request of each client's connection
+    )
+    max_upstream_connections: (
+        int  # those that are about to end among them, so that descriptors are left for clients
+    )
+    read_buffers: int  # buffers to read into, one for each connection and link
+    body_buffers: int  # buffers for bodies; apart, so that peers who hold bodies can't make the front deaf
+    cache_buffers: int  # of these, for copies of the front's own
     buffer_size: int
-    large_bodies: int  # bytes of all request bodies beyond the small ones; 0 where no class writes
-    request_body: int  # of a request: an object's size where a class writes
-    head_size: int = 8_192  # of a request's line and headers
-    small_body: int = SMALL_BODY  # that any connection may hold
-    body_size: int = OBJECT
+    large_body_bytes: int  # bytes of all request bodies beyond the small ones; 0 where no class writes
+    max_request_body: int  # of a request: an object's size where a class writes
+    max_head_size: int = 8_192  # of a request's line and headers
+    small_body_size: int = SMALL_BODY  # that any connection may hold
+    max_response_body: int = OBJECT
     stack_size: int = 262_144
-    streams: int = 32  # attempts on one link
-    connect: int = 400 * MS
-    idle: int = 30 * SECOND
-    client_first: int = 2 * SECOND  # from connecting to a whole request: who can't say one is closed in time
-    client_idle: int = 5 * SECOND  # from an answer to the next whole request: clients themselves stay for 4 s
-    stall: int = 2 * SECOND  # a peer that takes no bytes for so long is given up
-    slow: int = 10 * SECOND  # for all of an answer, where its request's patience is longer still
+    max_requests_per_connection: int = 32  # attempts on one link
+    connect_timeout: int = 400 * MILLISECOND
+    upstream_idle_timeout: int = 30 * SECOND
+    first_request_timeout: int = (
+        2 * SECOND
+    )  # from connecting to a whole request: who can't say one is closed in time
+    keepalive_timeout: int = (
+        5 * SECOND
+    )  # from an answer to the next whole request: clients themselves stay for 4 s
+    write_stall_timeout: int = 2 * SECOND  # a peer that takes no bytes for so long is given up
+    slow_client_timeout: int = (
+        10 * SECOND
+    )  # for all of an answer, where its request's patience is longer still
     # A member writes an answer in one go once it has it: a pause of this length within one, or one that
     # takes longer than this in all, is a link that has stopped or trickles. Hurts where members stand still.
-    answer_pause: int = 200 * MS
-    answer_span: int = 2 * SECOND
+    response_pause_timeout: int = 200 * MILLISECOND
+    response_timeout: int = 2 * SECOND
     # A link with calls that wait and no byte for so long is asked whether it is alive, and left if it does
     # not say so in time: the word costs next to nothing, and members that stand still do so for less.
-    link_quiet: int = 200 * MS
-    alive_within: int = 200 * MS
-    link_look: int = 50 * MS  # how often a silent link is looked at
-    writers: int = 1  # threads that write answers: none waits, and more only wake each other at full load
-    log_lines: int = 10_000
+    liveness_check_after: int = 200 * MILLISECOND
+    liveness_check_timeout: int = 200 * MILLISECOND
+    receive_poll_interval: int = 50 * MILLISECOND  # how often a silent link is looked at
+    writer_threads: int = (
+        1  # threads that write answers: none waits, and more only wake each other at full load
+    )
+    max_log_lines: int = 10_000
     backlog: int = 512
 
 
 @dataclass(frozen=True, slots=True)
-class Config:
+class ProxyConfig:
     """All that a front is told."""
 
     name: str
     listen: Address
     seed: int
     coordinator: Address
-    known: object
+    known_events: object
     settings: api.Settings
-    bounds: Bounds
-    flow: float  # bytes a second of one transfer on the front's own link; 0: it has none
+    limits: ResourceLimits
+    transfer_bytes_per_s: float  # bytes a second of one transfer on the front's own link; 0: it has none
 
 
 PROGRAM = 15  # MB of its own that the program takes before the first connection: 13 as the platform counts
@@ -262,17 +276,20 @@
 LEAST_BODIES = 64  # buffers without which nothing can be served
 
 
-def read_bounds(top: Fields, settings: Fields) -> Bounds:
+def read_limits(top: FieldReader, settings: FieldReader) -> ResourceLimits:
     """The front's own limits, as its memory and descriptors allow.
 
     Clients have nearly half of the descriptors: the usual ones hold a third, the rest is for those that
     should not be there. Of the memory that the program leaves, half at most is for connections and links and
     the rest for bodies, in buffers that are smaller where memory is short, since each connection holds one.
     """
-    told, links = top.inner("limits"), settings.inner("limits")
-    memory, sockets = told.within("memory_mb", 16, 1 << 20, 192), told.within("sockets", 64, 1 << 20, 1024)
-    idle = links.within("conn-idle", 0, 3_600 * SECOND, 30 * SECOND)
-    streams = int(links.within("max-streams", 0, 1 << 16, 32)) or 32  # here and below, 0: not told
+    told, links = top.section("limits"), settings.section("limits")
+    memory, sockets = (
+        told.number_within("memory_mb", 16, 1 << 20, 192),
+        told.number_within("sockets", 64, 1 << 20, 1024),
+    )
+    idle = links.number_within("conn-idle", 0, 3_600 * SECOND, 30 * SECOND)
+    streams = int(links.number_within("max-streams", 0, 1 << 16, 32)) or 32  # here and below, 0: not told
     size = BUFFER_SIZE if memory >= 128 else BUFFER_SIZE // 2 if memory >= 48 else BUFFER_SIZE // 4
     spare = max(LEAST_SPARE, int(memory) * 9 // 10 - PROGRAM - TABLES) * 1_048_576
     places = spare // 2 // (PLACE + size)
@@ -282,41 +299,42 @@
     all_links = min(int(sockets) * 3 // 8, places - clients)
     readers = clients + all_links
     left = spare - readers * (PLACE + size)
-    writes = any(settings.inner("family-info").items("pass-on"))
+    writes = any(settings.section("family-info").items("pass-on"))
     large = max(2 * OBJECT, left // 5) if writes else 0  # each may be held twice, for a moment
     bodies = max(LEAST_BODIES, min(8_192, (left - 2 * large) * 4 // 5 // size))
-    return Bounds(
+    return ResourceLimits(
         memory_mb=int(memory),
-        sockets=int(sockets),
-        clients=clients,
-        readers=readers,
-        bodies=bodies,
-        copies=bodies * 2 // 3,
+        max_sockets=int(sockets),
+        max_client_connections=clients,
+        read_buffers=readers,
+        body_buffers=bodies,
+        cache_buffers=bodies * 2 // 3,
         buffer_size=size,
-        large_bodies=large,
-        request_body=OBJECT if writes else SMALL_BODY,
-        links=most_links,
-        all_links=all_links,
-        streams=streams,
-        connect=int(links.within("connect-timeout", 0, 60 * SECOND, 400 * MS)) or 400 * MS,
-        idle=int(idle) or 30 * SECOND,
+        large_body_bytes=large,
+        max_request_body=OBJECT if writes else SMALL_BODY,
+        max_connections_per_endpoint=most_links,
+        max_upstream_connections=all_links,
+        max_requests_per_connection=streams,
+        connect_timeout=int(links.number_within("connect-timeout", 0, 60 * SECOND, 400 * MILLISECOND))
+        or 400 * MILLISECOND,
+        upstream_idle_timeout=int(idle) or 30 * SECOND,
     )
 
 
-def fixed_keys(old: Config, new: Config) -> list[str]:
+def keys_needing_restart(old: ProxyConfig, new: ProxyConfig) -> list[str]:
     """The keys that differ and that a running front can't take over."""
     named = {
         "name": "name",
         "listen": "listen",
         "seed": "seed",
         "settings": "settings",
-        "bounds": "limits",
-        "flow": "flow_bytes_per_s",
+        "limits": "limits",
+        "transfer_bytes_per_s": "flow_bytes_per_s",
     }
     return [key for field, key in named.items() if getattr(old, field) != getattr(new, field)]
 
 
-def _read_seed(top: Fields) -> int:
+def _read_seed(top: FieldReader) -> int:
     """The seed: hexadecimal digits, or a whole number."""
     value = top.data.get("seed", 0)
     if isinstance(value, int) and not isinstance(value, bool):
@@ -324,49 +342,52 @@
     try:
         return int(top.text("seed"), 16)
     except ValueError as fault:
-        raise FieldError(f"{top.where} has a wrong 'seed': not hexadecimal") from fault
+        raise ConfigError(f"{top.where} has a wrong 'seed': not hexadecimal") from fault
 
 
-def read_config(data: object, environment: Mapping[str, str]) -> Config:
+def read_config(data: object, environment: Mapping[str, str]) -> ProxyConfig:
     """Checks a configuration; the variables win over the file's `name` and `listen`."""
-    top = Fields("configuration", data)
+    top = FieldReader("configuration", data)
     if listen := environment.get("BALANCER_LISTEN"):
         try:
             address = read_address(listen)
         except ValueError as fault:
-            raise FieldError(f"the environment has a wrong 'BALANCER_LISTEN': {fault}") from fault
+            raise ConfigError(f"the environment has a wrong 'BALANCER_LISTEN': {fault}") from fault
     else:
         address = top.address("listen")
     settings = read_settings(top.data.get("settings"))
-    flow, link = top.within("flow_bytes_per_s", 0, 1e15, 0), top.within("link_bytes_per_s", 0, 1e15, 0)
+    flow, link = (
+        top.number_within("flow_bytes_per_s", 0, 1e15, 0),
+        top.number_within("link_bytes_per_s", 0, 1e15, 0),
+    )
     if not settings.classes:
-        raise FieldError("settings lacks 'classes'")
+        raise ConfigError("settings lacks 'classes'")
     if odd := next((name for name in settings.classes if not PLAIN.fullmatch(name)), None):
-        raise FieldError(f"settings has a wrong 'classes': the name {odd[:80]!r} can't stand in a request")
+        raise ConfigError(f"settings has a wrong 'classes': the name {odd[:80]!r} can't stand in a request")
     shortest = min(spec.deadline for spec in settings.classes.values())
     tick = max(settings.deadline_margin, min(TURN, shortest // TURN_SHARE))
     settings = replace(settings, local_transfer_capacity=link / flow if flow else 0.0, deadline_margin=tick)
-    return Config(
+    return ProxyConfig(
         name=environment.get("BALANCER_NAME") or top.text("name", "front"),
         listen=address,
         seed=_read_seed(top),
         coordinator=top.address("coordinator"),
-        known=top.data.get("known"),
+        known_events=top.data.get("known"),
         settings=settings,
-        bounds=read_bounds(top, top.inner("settings")),
-        flow=flow,
+        limits=read_limits(top, top.section("settings")),
+        transfer_bytes_per_s=flow,
     )
 
 
-def load(environment: Mapping[str, str], path: str | None = None) -> Config:
+def load(environment: Mapping[str, str], path: str | None = None) -> ProxyConfig:
     """Reads the file that `path` or the variable `BALANCER_CONFIG` names."""
     where = path or environment.get("BALANCER_CONFIG")
     if not where:
-        raise FieldError("the environment lacks 'BALANCER_CONFIG'")
+        raise ConfigError("the environment lacks 'BALANCER_CONFIG'")
     try:
         data = orjson.loads(Path(where).read_bytes())
     except OSError as fault:
-        raise FieldError(f"'BALANCER_CONFIG' names a file that can't be read: {fault.strerror}") from fault
+        raise ConfigError(f"'BALANCER_CONFIG' names a file that can't be read: {fault.strerror}") from fault
     except orjson.JSONDecodeError as fault:
-        raise FieldError(f"the configuration is not JSON: {fault}") from fault
+        raise ConfigError(f"the configuration is not JSON: {fault}") from fault
     return read_config(data, environment)
--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -7,13 +7,13 @@
 import yaml
 from pydantic import ValidationError
 
-from olivepost.config import FieldError
+from olivepost.config import ConfigError
 from olivepost.operator_config.model import OperatorSettings
 
 MOST_BYTES = 1 << 20
 
 
-class OperatorError(FieldError):
+class OperatorError(ConfigError):
     """The file can't be used; one line for each fault."""
 
 
--- a/olivepost/operator_config/model.py
+++ b/olivepost/operator_config/model.py
@@ -4,7 +4,7 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-from olivepost.shared_store.settings import SharingSettings
+from olivepost.shared_store.settings import SharedStoreSettings
 
 
 class OperatorSettings(BaseModel):
@@ -12,6 +12,6 @@
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
-    sharing: SharingSettings | None = Field(
+    sharing: SharedStoreSettings | None = Field(
         default=None, description="what fronts of one branch tell each other through shared stores"
     )
--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -8,22 +8,22 @@
 from olivepost.proxy import invariants
 
 
-class Pool:
+class BufferPool:
     """Buffers of one size, all made at once: memory that grows later can't be told from a leak."""
 
     def __init__(self, most: int, size: int) -> None:
-        self.most, self.size = most, size
+        self.capacity, self.size = most, size
         self._free = [bytearray(size) for _ in range(most)]
         self._out: set[int] = set()
         self.peak = self._waiting = 0
         self._returned = threading.Condition()
 
     @property
-    def out(self) -> int:
+    def in_use(self) -> int:
         """How many are in use."""
         return len(self._out)
 
-    def take(self, count: int, within: float = 0.0) -> list[bytearray] | None:
+    def acquire(self, count: int, within: float = 0.0) -> list[bytearray] | None:
         """So many buffers at once, or none where they don't come free in time.
 
         All at once, so that bodies which each have a part of what they need can't wait for each other.
@@ -42,7 +42,7 @@
             self.peak = max(self.peak, len(self._out))
             return taken
 
-    def give_back(self, buffers: list[bytearray]) -> None:
+    def release(self, buffers: list[bytearray]) -> None:
         """Takes buffers back, each once."""
         with self._returned:
             for buffer in buffers:
@@ -53,26 +53,26 @@
                 self._returned.notify_all()
 
 
-class Body:
+class PooledBody:
     """Bytes in buffers of a pool, which go back once, when the last who shares them lets go."""
 
-    def __init__(self, pool: Pool, buffers: list[bytearray], length: int) -> None:
+    def __init__(self, pool: BufferPool, buffers: list[bytearray], length: int) -> None:
         self._pool, self._buffers, self.length = pool, buffers, length
         self._filled, self._shares = 0, 1
         self._lock = threading.Lock()
 
     @property
-    def buffers(self) -> int:
+    def buffer_count(self) -> int:
         """How many buffers it holds."""
         return len(self._buffers)
 
     @classmethod
-    def reserve(cls, pool: Pool, length: int, within: float) -> Body | None:
+    def reserve(cls, pool: BufferPool, length: int, within: float) -> PooledBody | None:
         """Room for so many bytes; None where the pool has none in time."""
-        buffers = pool.take(-(-length // pool.size), within)
+        buffers = pool.acquire(-(-length // pool.size), within)
         return None if buffers is None else cls(pool, buffers, length)
 
-    def add(self, data: memoryview) -> None:
+    def append(self, data: memoryview) -> None:
         """Appends bytes, no more than were reserved."""
         while data:
             index, start = divmod(self._filled, self._pool.size)
@@ -88,7 +88,7 @@
             yield memoryview(buffer)[: min(left, len(buffer))]
             left -= len(buffer)
 
-    def share(self) -> Body:
+    def share(self) -> PooledBody:
         """One more who reads these bytes and releases them."""
         with self._lock:
             if invariants.check(self._shares > 0, "body_shared_while_held"):
@@ -104,4 +104,4 @@
             if self._shares:
                 return
             buffers, self._buffers = self._buffers, []
-        self._pool.give_back(buffers)
+        self._pool.release(buffers)
--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -11,20 +11,20 @@
 import orjson
 
 from olivepost import interface as api
-from olivepost.config import MS, SECOND, STATES, Address, FieldError, Fields
+from olivepost.config import ENDPOINT_STATES, MILLISECOND, SECOND, Address, ConfigError, FieldReader
 from olivepost.proxy import http1, sockets
 from olivepost.proxy.clock import Clock
-from olivepost.proxy.event_log import Log
+from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.http1 import HttpError
-from olivepost.proxy.upstream.pool import PLAIN, Place
+from olivepost.proxy.upstream.pool import FIELD_VALUE, EndpointAddress
 
 WAIT = 1 * SECOND  # of one poll: short, so that a dead one is noticed well before an event counts as told
 # An answer's last byte, beyond the poll's own wait, counted from when the poll was sent. Guards against a
 # coordinator that stops, breaks off or trickles: what it has counts as told 2 s after the wait, so that there
 # must be time left to ask again. Doubles with each try in a row, up to the most, for lists that take longer;
 # hurts where every answer does, by those first tries.
-ANSWER_FIRST, ANSWER_MOST = 600 * MS, 4 * SECOND
-CONNECT_WITHIN = 500 * MS
+ANSWER_FIRST, ANSWER_MOST = 600 * MILLISECOND, 4 * SECOND
+CONNECT_WITHIN = 500 * MILLISECOND
 RETRY_FIRST, RETRY_MOST = 0.03, 0.25  # seconds
 # So many answers in a row with a lower number than is had: the coordinator counts anew. One that only lags
 # behind says so too, and taking its old list for news would undo drains and purges.
@@ -33,31 +33,31 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """One event of the coordinator; `places` says where the members of a list are."""
+class DiscoveryEvent:
+    """One event of the coordinator; `addresses` says where the members of a list are."""
 
-    what: api.EndpointUpdate | api.Invalidation
-    places: list[Place]
+    change: api.EndpointUpdate | api.Invalidation
+    addresses: list[EndpointAddress]
 
 
-class Heard:
+class DiscoveryHeartbeat:
     """The coordinator has answered; what it had to tell was posted before."""
 
 
 @dataclass(frozen=True, slots=True)
-class Update:
+class NumberedEvent:
     """A numbered event."""
 
     index: int
-    told: Told | None  # None: it could not be read
+    told: DiscoveryEvent | None  # None: it could not be read
 
 
-def _read_member(item: object) -> tuple[api.EndpointMetadata, Place]:
-    row = Fields("server", item)
-    id_, state = row.text("id"), row.word("state", STATES, "in_service")
-    if not PLAIN.fullmatch(id_):
-        raise FieldError("server has a wrong 'id'")
-    started = row.whole("started_ms", 0) * MS
+def _read_member(item: object) -> tuple[api.EndpointMetadata, EndpointAddress]:
+    row = FieldReader("server", item)
+    id_, state = row.text("id"), row.one_of("state", ENDPOINT_STATES, "in_service")
+    if not FIELD_VALUE.fullmatch(id_):
+        raise ConfigError("server has a wrong 'id'")
+    started = row.integer("started_ms", 0) * MILLISECOND
     address = (
         ("", 0) if state is api.EndpointState.REMOVED and "addr" not in row.data else row.address("addr")
     )
@@ -66,36 +66,41 @@
         state=state,
         kind=row.text("kind", ""),
         zone=row.text("zone", ""),
-        cell=row.whole("cell", 0),
+        cell=row.integer("cell", 0),
         weight=row.number("weight", 1.0),
         started_at=started,
     )
-    return listed, Place(id_, address, started, state)
+    return listed, EndpointAddress(id_, address, started, state)
 
 
-def read_told(row: Fields, now: int) -> Told:
+def parse_event(row: FieldReader, now: int) -> DiscoveryEvent:
     """One event as the coordinator words it."""
     if "evict" in row.data:
-        evict = row.inner("evict")
+        evict = row.section("evict")
         name = evict.text("ref", "")
-        group = evict.whole("shard") if "shard" in evict.data else None
+        group = evict.integer("shard") if "shard" in evict.data else None
         if not name and group is None:
-            raise FieldError("evict lacks 'ref' and 'shard'")
-        age = max(0, now - evict.whole("unix_ms") * MS)
-        return Told(api.Invalidation(name or None, group, age), [])
-    row = row.inner("endpoints")
-    kind = api.EndpointUpdateKind.FULL if row.flag("full") else api.EndpointUpdateKind.INCREMENTAL
+            raise ConfigError("evict lacks 'ref' and 'shard'")
+        age = max(0, now - evict.integer("unix_ms") * MILLISECOND)
+        return DiscoveryEvent(api.Invalidation(name or None, group, age), [])
+    row = row.section("endpoints")
+    kind = api.EndpointUpdateKind.FULL if row.boolean("full") else api.EndpointUpdateKind.INCREMENTAL
     members = [_read_member(item) for item in row.items("servers")]
-    return Told(
+    return DiscoveryEvent(
         api.EndpointUpdate(kind, tuple(listed for listed, _ in members)), [place for _, place in members]
     )
 
 
-class Registry:
+class DiscoveryClient:
     """Follows the coordinator; what can't be read or reached leaves the last list in force."""
 
     def __init__(
-        self, coordinator: Address, clock: Clock, log: Log, post: Callable[[Told | Heard], None], seed: int
+        self,
+        coordinator: Address,
+        clock: Clock,
+        log: EventLog,
+        post: Callable[[DiscoveryEvent | DiscoveryHeartbeat], None],
+        seed: int,
     ) -> None:
         self.clock, self.log = clock, log
         self._address, self._post, self._random = coordinator, post, random.Random(seed)
@@ -104,13 +109,13 @@
         self._resync = False
         self._lower = 0
         self._lock = threading.Lock()
-        self._follower: Follower | None = None
+        self._follower: LongPoll | None = None
 
     def start(self, known: object) -> None:
         """Applies the events of the configuration, then follows from there."""
         if known is not None:
             self._apply(known)
-        self._follower = Follower(self, self._address, self._random.random())
+        self._follower = LongPoll(self, self._address, self._random.random())
 
     def stop(self) -> None:
         """Ends the poll that is out."""
@@ -119,7 +124,7 @@
         if follower is not None:
             follower.end()
 
-    def follow(self, coordinator: Address) -> bool:
+    def switch_coordinator(self, coordinator: Address) -> bool:
         """Asks another coordinator at once, from the last number; False where it is the same.
 
         What the old poll still brings is dropped: its events come again from the new one, none twice.
@@ -129,37 +134,37 @@
             if coordinator == self._address or old is None:
                 return False
             self._address = coordinator
-            self._follower = Follower(self, coordinator, self._random.random())
+            self._follower = LongPoll(self, coordinator, self._random.random())
         old.end()
         return True
 
-    def next_number(self, follower: Follower) -> int | None:
+    def next_number(self, follower: LongPoll) -> int | None:
         """The last event that is had; None where somebody else follows now."""
         with self._lock:
             return (0 if self._resync else self._last) if follower is self._follower else None
 
-    def take(self, follower: Follower, data: object) -> None:
+    def take(self, follower: LongPoll, data: object) -> None:
         """An answer, whole."""
         with self._lock:
             if follower is not self._follower:
                 return
             self._apply(data)
             if not (self._resync or self._lower):
-                self._post(Heard())
+                self._post(DiscoveryHeartbeat())
 
     def _apply(self, data: object) -> None:
         """Takes an answer of the coordinator: events in order, none twice."""
-        row = Fields("list of events", data)
-        index, updates = row.whole("index", 0), list[Update]()
+        row = FieldReader("list of events", data)
+        index, updates = row.integer("index", 0), list[NumberedEvent]()
         for item in row.items("updates"):
-            event = Fields("update", item)
-            number, told = event.whole("index"), None
+            event = FieldReader("update", item)
+            number, told = event.integer("index"), None
             try:
-                told = read_told(event, self.clock.now())
-            except FieldError as fault:  # one that can't be read must not stop those behind it
-                self.log.count("updates_odd")
+                told = parse_event(event, self.clock.now())
+            except ConfigError as fault:  # one that can't be read must not stop those behind it
+                self.log.increment("updates_odd")
                 self.log.event("update_odd", index=number, why=str(fault))
-            updates.append(Update(number, told))
+            updates.append(NumberedEvent(number, told))
         updates = [update for update in sorted(updates, key=lambda it: it.index) if update.index > self._last]
         first = updates[0] if updates else None
         gap = first is not None and first.index != self._last + 1 and not self._is_whole(first)
@@ -179,22 +184,24 @@
         self._last = max(self._last, index)
 
     @staticmethod
-    def _is_whole(update: Update) -> bool:
-        what = update.told.what if update.told else None
+    def _is_whole(update: NumberedEvent) -> bool:
+        what = update.told.change if update.told else None
         return isinstance(what, api.EndpointUpdate) and what.kind is api.EndpointUpdateKind.FULL
 
-    def _as_first(self, told: Told) -> Told:
+    def _as_first(self, told: DiscoveryEvent) -> DiscoveryEvent:
         """The first list after a start is the one stored."""
-        if isinstance(told.what, api.EndpointUpdate):
+        if isinstance(told.change, api.EndpointUpdate):
             self._whole = True
-            return Told(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, told.what.endpoints), told.places)
+            return DiscoveryEvent(
+                api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, told.change.endpoints), told.addresses
+            )
         return told
 
 
-class Follower:
+class LongPoll:
     """A thread that polls one coordinator until somebody else is to follow."""
 
-    def __init__(self, registry: Registry, address: Address, jitter: float) -> None:
+    def __init__(self, registry: DiscoveryClient, address: Address, jitter: float) -> None:
         self._registry, self._address, self._random = registry, address, random.Random(jitter)
         self._over = threading.Event()
         self._sock: socket.socket | None = None
@@ -206,7 +213,7 @@
         self._over.set()
         with self._lock:
             if self._sock is not None:
-                sockets.hang_up(self._sock)
+                sockets.shutdown(self._sock)
 
     def _run(self) -> None:
         log, tries, lost = self._registry.log, 0, False
@@ -222,14 +229,14 @@
                 if keep:
                     continue
                 self._drop()
-            except (OSError, HttpError, FieldError, ValueError) as fault:
+            except (OSError, HttpError, ConfigError, ValueError) as fault:
                 if not lost and not self._over.is_set():
                     log.event("coordinator_lost", why=str(fault) or type(fault).__name__)
-                log.count("polls_failed")
+                log.increment("polls_failed")
                 tries, lost = tries + 1, True
             except Exception:
                 tries += 1
-                log.fault("registry_fault")
+                log.exception("registry_fault")
             self._drop()
             if tries:
                 pause = min(RETRY_MOST, RETRY_FIRST * 2 ** min(tries - 1, 10))
@@ -253,14 +260,14 @@
         follow = self._registry.next_number(self)
         if sock is None or follow is None:
             return False
-        target = f"/v2/stream?follow={follow}&wait_ms={WAIT // MS}"
+        target = f"/v2/stream?follow={follow}&wait_ms={WAIT // MILLISECOND}"
         until = clock.now() + WAIT + within
-        sockets.send_parts(sock, [http1.request_head(target, f"{self._address[0]}:{self._address[1]}")])
+        sockets.send_buffers(sock, [http1.request_head(target, f"{self._address[0]}:{self._address[1]}")])
         while (message := self._parser.take()) is None:
             left = until - clock.now()
             if left <= 0:
                 raise TimeoutError("the answer takes too long")
-            sockets.wait_for(sock, left)
+            sockets.set_receive_timeout(sock, left)
             try:
                 data = sock.recv(65_536)
             except BlockingIOError:
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -15,13 +15,13 @@
 import threading
 from collections.abc import Callable, Mapping
 
-from olivepost.config import MS, SECOND, Address, Bounds
+from olivepost.config import MILLISECOND, SECOND, Address, ResourceLimits
 from olivepost.interface import ClassSettings
 from olivepost.proxy import http1, sockets
-from olivepost.proxy.buffers import Pool
+from olivepost.proxy.buffers import BufferPool
 from olivepost.proxy.clock import Clock
-from olivepost.proxy.event_log import Log
-from olivepost.proxy.exchange import Answer, Arrived, Exchange, Left, Verdict
+from olivepost.proxy.event_log import EventLog
+from olivepost.proxy.exchange import Exchange, RequestAbandoned, RequestReceived, Response, ResponseKind
 from olivepost.proxy.http1 import HttpError, Message
 
 HEALTH = "/-/healthy"
@@ -35,25 +35,25 @@
 STOP_WITHIN = 1.0  # seconds
 LINGER_BYTES = 4_194_304  # that are read and dropped meanwhile
 LIMITS_EVERY = 0.1  # seconds between two looks at the limits
-ACCEPT_LOOK = 50 * MS  # how long the listener is waited for before the front's end is looked for
-GRACE = 200 * MS  # for a request that has come in time and is not read yet
-FRESH = 50 * MS  # so long the request of a new connection may just be on its way
+ACCEPT_LOOK = 50 * MILLISECOND  # how long the listener is waited for before the front's end is looked for
+GRACE = 200 * MILLISECOND  # for a request that has come in time and is not read yet
+FRESH = 50 * MILLISECOND  # so long the request of a new connection may just be on its way
 REFUSED, FAILED = 503, 502
 
 
-class Clients:
+class DownstreamServer:
     """Accepts connections and keeps count of them."""
 
     def __init__(
         self,
-        bounds: Bounds,
+        bounds: ResourceLimits,
         classes: Mapping[str, ClassSettings],
-        rooms: Pool,
+        rooms: BufferPool,
         clock: Clock,
-        log: Log,
-        post: Callable[[Arrived | Left], None],
+        log: EventLog,
+        post: Callable[[RequestReceived | RequestAbandoned], None],
     ) -> None:
-        self.bounds, self.classes, self.rooms, self.clock, self.log, self.post = (
+        self.limits, self.classes, self.read_buffers, self.clock, self.log, self.post = (
             bounds,
             classes,
             rooms,
@@ -61,19 +61,19 @@
             log,
             post,
         )
-        self.draining = False
-        self.writers = Writers(bounds.writers, log)
-        self._room = threading.Semaphore(bounds.clients)
+        self.is_draining = False
+        self.writers = ResponseWriters(bounds.writer_threads, log)
+        self._room = threading.Semaphore(bounds.max_client_connections)
         self._ended = threading.Event()
         self._lock = threading.Lock()
-        self._open: set[Connection] = set()
+        self._open: set[DownstreamConnection] = set()
         self._acceptor: threading.Thread | None = None
         self._stopping = False
         self._large = 0  # bytes of large request bodies that are held
-        self.peak = 0
+        self.peak_count = 0
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Connections that are open."""
         return len(self._open)
 
@@ -83,8 +83,8 @@
         try:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             listener.bind(address)
-            sockets.wait_for(listener, ACCEPT_LOOK)
-            listener.listen(self.bounds.backlog)
+            sockets.set_receive_timeout(listener, ACCEPT_LOOK)
+            listener.listen(self.limits.backlog)
         except OSError:
             listener.close()
             raise
@@ -104,7 +104,7 @@
                     break
                 continue
             except OSError as fault:
-                self.log.count("accept_failed")
+                self.log.increment("accept_failed")
                 if fault.errno not in (errno.ECONNABORTED, errno.EINTR):
                     self.log.event("accept_failed", why=fault.strerror)
                     pause.wait(0.05)  # out of descriptors: what is open must end first
@@ -123,17 +123,17 @@
         left alone, since a reset could overtake it. Hurts where more clients share a front than it has places
         for.
         """
-        self.log.count("clients_full")
+        self.log.increment("clients_full")
         while not self._ended.is_set():
             now = self.clock.now()
             with self._lock:
                 mute = [connection for connection in self._open if not connection.asked]
                 idle = [connection for connection in self._open if connection.idle]
             go = [connection for connection in mute if now - connection.since > FRESH]
-            go = go or (idle if len(mute) < self.bounds.clients // 4 else [])
+            go = go or (idle if len(mute) < self.limits.max_client_connections // 4 else [])
             go = sorted((it for it in go if now - it.since > FRESH), key=lambda it: (it.owed, it.since))
             if any(connection.evict() for connection in go):
-                self.log.count("clients_evicted")
+                self.log.increment("clients_evicted")
             if self._room.acquire(timeout=0.02):
                 return True
         return False
@@ -145,27 +145,27 @@
             with self._lock:
                 past = [connection for connection in self._open if 0 < connection.limit < now]
             for connection in past:
-                self.log.count("clients_past_limit")
+                self.log.increment("clients_past_limit")
                 try:
                     connection.expire()
                 except Exception:  # one connection's fault must not leave the others without limits
-                    self.log.fault("connection_fault")
+                    self.log.exception("connection_fault")
 
     def _start(self, sock: socket.socket) -> None:
-        connection = Connection(self, sock)
+        connection = DownstreamConnection(self, sock)
         with self._lock:
             self._open.add(connection)
-            self.peak = max(self.peak, len(self._open))
+            self.peak_count = max(self.peak_count, len(self._open))
         try:
             # Not by threading.Thread, whose start waits until the new thread has run: with a full core that
             # is a hand-over for each connection, and the accept thread takes no other meanwhile.
             _thread.start_new_thread(connection.run, ())
         except RuntimeError:
-            self.log.count("threads_short")
+            self.log.increment("threads_short")
             sock.close()
-            self.gone(connection)
+            self.forget(connection)
 
-    def gone(self, connection: Connection) -> None:
+    def forget(self, connection: DownstreamConnection) -> None:
         """A connection has ended."""
         with self._lock:
             self._open.discard(connection)
@@ -174,7 +174,7 @@
     def hold(self, size: int) -> bool:
         """Whether there is room for a large request body; if so it is taken until `let_go`."""
         with self._lock:
-            fits = self._large + size <= self.bounds.large_bodies
+            fits = self._large + size <= self.limits.large_body_bytes
             self._large += size * fits
         return fits
 
@@ -185,7 +185,7 @@
 
     def drain(self) -> None:
         """From now on every answer ends its connection."""
-        self.draining = True
+        self.is_draining = True
 
     def close_idle(self) -> None:
         """Half-closes connections on which nothing is open."""
@@ -195,36 +195,36 @@
             connection.close_if_idle()
 
     @property
-    def owed(self) -> bool:
+    def has_pending_responses(self) -> bool:
         """Whether a client waits for an answer that is not written whole, or has begun a request."""
         with self._lock:
             return any(connection.owed for connection in self._open)
 
-    def stop(self, within: float = STOP_WITHIN) -> None:
+    def stop_accepting(self, within: float = STOP_WITHIN) -> None:
         """Ends the listener once all that the machine has accepted for it is taken; waits so many seconds."""
         self._stopping = True
         if self._acceptor is not None:
             self._acceptor.join(within)
 
-    def end(self) -> None:
+    def stop_watching(self) -> None:
         """Ends the watch over limits, last of all."""
         self._ended.set()
 
 
-class Writers:
+class ResponseWriters:
     """A few threads that write answers as far as the machine takes them at once.
 
     What a client does not take at once is finished by a thread of its own: who reads slowly holds up
     nobody, and the engine never starts a thread.
     """
 
-    def __init__(self, count: int, log: Log) -> None:
+    def __init__(self, count: int, log: EventLog) -> None:
         self._log = log
-        self._jobs: queue.SimpleQueue[tuple[Connection, Exchange, Answer]] = queue.SimpleQueue()
+        self._jobs: queue.SimpleQueue[tuple[DownstreamConnection, Exchange, Response]] = queue.SimpleQueue()
         for _ in range(count):
             threading.Thread(target=self._run, name="writer", daemon=True).start()
 
-    def submit(self, connection: Connection, exchange: Exchange, answer: Answer) -> None:
+    def submit(self, connection: DownstreamConnection, exchange: Exchange, answer: Response) -> None:
         self._jobs.put((connection, exchange, answer))
 
     def _run(self) -> None:
@@ -233,32 +233,32 @@
             try:
                 left = connection.write(exchange, answer)
                 if left:
-                    self._log.count("slow_clients")
+                    self._log.increment("slow_clients")
                     rest = (connection, exchange, answer, left)
                     threading.Thread(target=self._rest, args=rest, name="slow-writer", daemon=True).start()
             except RuntimeError:  # no thread to be had: the client can tell that its answer is not whole
-                self._log.count("threads_short")
+                self._log.increment("threads_short")
                 connection.give_up(exchange, answer)
             except Exception:
-                self._log.fault("writer_fault")
+                self._log.exception("writer_fault")
                 connection.cut()
 
     def _rest(
-        self, connection: Connection, exchange: Exchange, answer: Answer, left: list[memoryview]
+        self, connection: DownstreamConnection, exchange: Exchange, answer: Response, left: list[memoryview]
     ) -> None:
         try:
             connection.finish(exchange, answer, left)
         except Exception:
-            self._log.fault("writer_fault")
+            self._log.exception("writer_fault")
 
 
-class Connection:
+class DownstreamConnection:
     """One client's connection; one request is open on it at most."""
 
-    def __init__(self, side: Clients, sock: socket.socket) -> None:
+    def __init__(self, side: DownstreamServer, sock: socket.socket) -> None:
         self._side, self._sock = side, sock
         self._lock = threading.Lock()
-        self._parser = http1.Parser(side.bounds.head_size, side.bounds.request_body)
+        self._parser = http1.Parser(side.limits.max_head_size, side.limits.max_request_body)
         self._exchange: Exchange | None = None
         self._large = 0  # bytes of its request's body for which it has taken room
         self._keeps = True  # what the request in hand says of the connection
@@ -270,7 +270,7 @@
         self.asked = False  # a request has come whole
         self.since = side.clock.now()  # when it last had nothing open
         # By then it must have got on, however its bytes trickle; 0: the engine's own deadline holds.
-        self.limit = self.since + side.bounds.client_first
+        self.limit = self.since + side.limits.first_request_timeout
 
     @property
     def idle(self) -> bool:
@@ -285,11 +285,11 @@
     @property
     def quiet(self) -> bool:
         """Whether nothing has come that waits to be read: on a busy front a request may."""
-        return sockets.quiet(self._sock)
+        return sockets.has_nothing_unread(self._sock)
 
     def deserted(self) -> bool:
         """Whether the client has closed, reset or half-closed, also where its reader is late to see it."""
-        return self._gone or sockets.ended(self._sock)
+        return self._gone or sockets.is_closed_by_peer(self._sock)
 
     def evict(self) -> bool:
         """Ends it at once, unless something is open or waits to be read; what comes later is not taken up."""
@@ -329,29 +329,29 @@
     def _shut(self) -> None:
         """Ends both directions; with the lock held. What its reader still finds is not taken up."""
         self.limit, self._ending = 0, True
-        sockets.hang_up(self._sock)
+        sockets.shutdown(self._sock)
 
     # The reader's thread.
 
     def run(self) -> None:
         side = self._side
-        room = side.rooms.take(1, 1.0)
+        room = side.read_buffers.acquire(1, 1.0)
         try:
             if room is None:
-                side.log.count("pool_empty")
+                side.log.increment("pool_empty")
             else:
-                sockets.tune(self._sock, 0, side.bounds.stall)
-                sockets.widen(self._sock, side.bounds.body_size)
+                sockets.configure(self._sock, 0, side.limits.write_stall_timeout)
+                sockets.set_send_buffer(self._sock, side.limits.max_response_body)
                 self._read(memoryview(room[0]))
         except OSError:
-            side.log.count("client_reset")
+            side.log.increment("client_reset")
         except Exception:
-            side.log.fault("connection_fault")
+            side.log.exception("connection_fault")
         finally:
             self._end()
             if room:
-                side.rooms.give_back(room)
-            side.gone(self)
+                side.read_buffers.release(room)
+            side.forget(self)
 
     def _read(self, view: memoryview) -> None:
         """Takes bytes only with the lock, as whoever ends the connection does.
@@ -376,20 +376,20 @@
                     self._ahead()
                 else:
                     if self.asked and self._parser.idle:  # who rests may begin late, and then has its time
-                        self.limit = at + self._side.bounds.client_first
+                        self.limit = at + self._side.limits.first_request_timeout
                     self._parser.feed(view[:count])
                     self._advance(at)
 
     def _end(self) -> None:
         """The client has gone, or we have."""
         self._gone = True  # before the engine hears of it: no attempt is begun from here on
-        sockets.hang_up(self._sock)  # wakes a writer that waits for this client
+        sockets.shutdown(self._sock)  # wakes a writer that waits for this client
         with self._lock:
             exchange, self._exchange = self._exchange, None
             self._let_go()
             self._sock.close()
         if exchange is not None:
-            self._side.post(Left(exchange))
+            self._side.post(RequestAbandoned(exchange))
 
     # Either thread, with the lock held.
 
@@ -406,13 +406,13 @@
                 if self._exchange is not None and self._parser.held:
                     self._ahead()
             except HttpError as fault:
-                self._side.log.count(f"bad_request_{fault.status}")
+                self._side.log.increment(f"bad_request_{fault.status}")
                 self._keeps = False
                 self._send(fault.status, {"Allow": "GET, PUT"} if fault.status == 405 else {})
 
     def _make_room_for(self, size: int) -> None:
         """A large body is read only where there is room for it; else its client may come again."""
-        if size > self._side.bounds.small_body and not self._large:
+        if size > self._side.limits.small_body_size and not self._large:
             if not self._side.hold(size):
                 raise HttpError(REFUSED, "no room for a body")
             self._large = size
@@ -425,7 +425,7 @@
 
     def _ahead(self) -> None:
         """Bytes before the answer: a client has one request at a time, so these are not taken up."""
-        self._side.log.count("sent_ahead")
+        self._side.log.increment("sent_ahead")
         self._keeps = False
 
     def _route(self, message: Message, at: int) -> None:
@@ -433,7 +433,7 @@
         if method not in ("GET", "PUT"):
             raise HttpError(405, "only GET and PUT")
         if target == HEALTH:
-            self._send(REFUSED if self._side.draining else 200, {})
+            self._send(REFUSED if self._side.is_draining else 200, {})
             return
         match = TARGET.fullmatch(target)
         if match is None or match[1] not in self._side.classes:
@@ -447,24 +447,24 @@
             object=match[2],
             part=int(match[3]),
             group=_group(message),
-            tag="" if writes else _own_tag(message),
-            payload=message.body,
-            patience=int(_value(message, "x-patience-ms", PATIENCE)) * MS,
-            arrived=at,
+            etag="" if writes else _own_tag(message),
+            body=message.body,
+            timeout=int(_value(message, "x-patience-ms", PATIENCE)) * MILLISECOND,
+            received_at=at,
             deliver=self._deliver,
-            deserted=self.deserted,
-            writes=writes,
-            dedupe=_value(message, "x-dedupe-key", DEDUPE) if message.header("x-dedupe-key") else "",
+            is_client_gone=self.deserted,
+            is_write=writes,
+            idempotency_key=_value(message, "x-dedupe-key", DEDUPE) if message.header("x-dedupe-key") else "",
         )
         self.asked, self.limit = True, 0
-        self._side.post(Arrived(exchange))
+        self._side.post(RequestReceived(exchange))
 
     def _send(self, status: int, headers: dict[str, str]) -> None:
         """Writes an answer of the front's own, which has no body; who does not even take that is cut."""
         closes = not self._stays  # once: a drain that begins meanwhile must not end what was told to stay
         try:
             head = http1.answer_head(status, 0, headers, closes)
-            left = sockets.send_parts(self._sock, [head], socket.MSG_DONTWAIT)
+            left = sockets.send_buffers(self._sock, [head], socket.MSG_DONTWAIT)
         except OSError:
             left = [memoryview(b"")]
         if left:
@@ -476,33 +476,33 @@
 
     @property
     def _stays(self) -> bool:
-        return self._keeps and not self._side.draining
+        return self._keeps and not self._side.is_draining
 
     def cut(self) -> None:
         """Ends the connection at once; the client can tell that its answer is not whole."""
-        self._side.log.count("answers_cut")
+        self._side.log.increment("answers_cut")
         self._keeps = False
-        sockets.hang_up(self._sock)
+        sockets.shutdown(self._sock)
 
     def _finish_sending(self) -> None:
         """Our end; the client has a while for its own."""
         self._ending, self.limit = True, self._side.clock.now() + LINGER
         self._parser.clear()
         self._let_go()
-        sockets.hang_up(self._sock, socket.SHUT_WR)
+        sockets.shutdown(self._sock, socket.SHUT_WR)
 
     def _rest(self) -> None:
         """Nothing is open: the next request must be whole in time."""
         self._let_go()
         self.since = self._side.clock.now()
-        self.limit = self.since + self._side.bounds.client_idle
+        self.limit = self.since + self._side.limits.keepalive_timeout
 
     # The engine's thread, then a writer's.
 
-    def _deliver(self, exchange: Exchange, answer: Answer) -> None:
+    def _deliver(self, exchange: Exchange, answer: Response) -> None:
         self._side.writers.submit(self, exchange, answer)
 
-    def write(self, exchange: Exchange, answer: Answer) -> list[memoryview]:
+    def write(self, exchange: Exchange, answer: Response) -> list[memoryview]:
         """Writes the final answer; returns what the machine would not take without waiting."""
         with self._lock:
             if self._exchange is not exchange or self._gone:
@@ -511,19 +511,19 @@
             self._closes = not self._stays
             parts = _parts(answer, self._closes)
             try:
-                left = sockets.send_parts(self._sock, parts, socket.MSG_DONTWAIT)
+                left = sockets.send_buffers(self._sock, parts, socket.MSG_DONTWAIT)
             except OSError:
                 self.cut()
                 left = []
             if left:
-                now, bounds = self._side.clock.now(), self._side.bounds
-                until = max(exchange.arrived + exchange.patience, now + bounds.stall)
-                self.limit = min(until, now + bounds.slow)
+                now, bounds = self._side.clock.now(), self._side.limits
+                until = max(exchange.received_at + exchange.timeout, now + bounds.write_stall_timeout)
+                self.limit = min(until, now + bounds.slow_client_timeout)
             else:
                 self._written(answer)
             return left
 
-    def finish(self, exchange: Exchange, answer: Answer, left: list[memoryview]) -> None:
+    def finish(self, exchange: Exchange, answer: Response, left: list[memoryview]) -> None:
         """Writes the rest, waiting for the client, until it takes nothing for as long as a stall may last."""
         with self._lock:
             if self._exchange is not exchange or self._gone:
@@ -531,13 +531,13 @@
                 return
             self._slow = True
             try:
-                sockets.send_parts(self._sock, left)
+                sockets.send_buffers(self._sock, left)
             except OSError:
                 self.cut()
             self._slow = False
             self._written(answer)
 
-    def give_up(self, exchange: Exchange, answer: Answer) -> None:
+    def give_up(self, exchange: Exchange, answer: Response) -> None:
         """Leaves an answer that nobody can finish."""
         with self._lock:
             if self._exchange is exchange and not self._gone:
@@ -546,10 +546,10 @@
             else:
                 answer.release()
 
-    def _written(self, answer: Answer) -> None:
+    def _written(self, answer: Response) -> None:
         """After an answer: the connection is free, or ends."""
         answer.release()
-        self._side.log.count(answer.verdict.value)
+        self._side.log.increment(answer.kind.value)
         self._exchange = None
         if self._closes or not self._keeps:
             self._finish_sending()
@@ -565,16 +565,16 @@
                 self._finish_sending()
 
 
-def _parts(answer: Answer, close: bool) -> list[bytes | memoryview]:
+def _parts(answer: Response, close: bool) -> list[bytes | memoryview]:
     """The final answer as HTTP has it."""
-    headers = {"ETag": f'"{answer.tag}"'} if answer.tag else {}
-    if answer.verdict is Verdict.SERVED and answer.body is not None:
+    headers = {"ETag": f'"{answer.etag}"'} if answer.etag else {}
+    if answer.kind is ResponseKind.SERVED and answer.body is not None:
         return [http1.answer_head(200, answer.body.length, headers, close), *answer.body.parts()]
-    if answer.verdict is Verdict.CURRENT:
+    if answer.kind is ResponseKind.NOT_MODIFIED:
         return [http1.answer_head(304, None, headers, close)]
-    if answer.verdict is Verdict.REFUSED:
+    if answer.kind is ResponseKind.REJECTED:
         if answer.retry_after > 0:
-            headers["X-Come-Back-Ms"] = str(max(1, answer.retry_after // MS))
+            headers["X-Come-Back-Ms"] = str(max(1, answer.retry_after // MILLISECOND))
         return [http1.answer_head(REFUSED, 0, headers, close)]
     return [http1.answer_head(FAILED, 0, headers, close)]
 
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -13,7 +13,7 @@
 from olivepost.proxy.clock import Clock
 
 
-class Log:
+class EventLog:
     """Events by name. A reader that is slow or gone costs lines, which are counted; it holds up no thread."""
 
     def __init__(self, clock: Clock, name: str, most: int = 10_000, descriptor: int = 1) -> None:
@@ -27,22 +27,22 @@
     def event(self, name: str, **fields: object) -> None:
         """Writes one event."""
         if self._lines.qsize() >= self._most:
-            self.count("log_lines_dropped")
+            self.increment("log_lines_dropped")
             return
         line = {"at_ms": self._clock.now() // 1_000_000, "front": self._name, "event": name, **fields}
         self._lines.put(orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS) + b"\n")
 
-    def fault(self, name: str, **fields: object) -> None:
+    def exception(self, name: str, **fields: object) -> None:
         """Writes the exception in hand, with where it came from."""
-        self.count(name)
+        self.increment(name)
         self.event(name, trace=traceback.format_exc(limit=-6), **fields)
 
-    def count(self, name: str, by: int = 1) -> None:
+    def increment(self, name: str, by: int = 1) -> None:
         """Counts what is too frequent for a line each; the counts go out with the figures."""
         with self._lock:
             self.counts[name] += by
 
-    def totals(self) -> dict[str, int]:
+    def counters(self) -> dict[str, int]:
         with self._lock:
             return dict(self.counts)
 
@@ -58,4 +58,4 @@
                 while view:
                     view = view[os.write(self._descriptor, view) :]
             except OSError:
-                self.count("log_lines_dropped")
+                self.increment("log_lines_dropped")
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -8,26 +8,26 @@
 from enum import Enum
 
 from olivepost.proxy import invariants
-from olivepost.proxy.buffers import Body
+from olivepost.proxy.buffers import PooledBody
 
 
-class Verdict(Enum):
+class ResponseKind(Enum):
     """What became of a request."""
 
     SERVED = "served"
-    CURRENT = "current"  # the client's own copy is the one
-    REFUSED = "refused"
+    NOT_MODIFIED = "current"  # the client's own copy is the one
+    REJECTED = "refused"
     FAILED = "failed"
 
 
 @dataclass(slots=True)
-class Answer:
+class Response:
     """The final answer; whoever ends with it releases its body."""
 
-    verdict: Verdict
-    tag: str = ""
-    body: Body | None = None
-    issued: int = 0  # when the origin gave out this copy, in Unix nanoseconds; 0: not told
+    kind: ResponseKind
+    etag: str = ""
+    body: PooledBody | None = None
+    generated_at: int = 0  # when the origin gave out this copy, in Unix nanoseconds; 0: not told
     retry_after: int = 0
 
     def release(self) -> None:
@@ -44,21 +44,23 @@
     object: str
     part: int
     group: int
-    tag: str  # the client's copy, bare; empty: none that can be passed on
-    payload: bytes
-    patience: int
-    arrived: int  # when the last byte was read
-    deliver: Callable[[Exchange, Answer], None]
-    deserted: Callable[[], bool]  # whether the client has gone, by its connection: no attempt begins then
-    writes: bool = False  # it changes the object, at the origin
-    dedupe: str = ""  # by which caches know a repeat, as the client gave it
-    closed: bool = False
+    etag: str  # the client's copy, bare; empty: none that can be passed on
+    body: bytes
+    timeout: int
+    received_at: int  # when the last byte was read
+    deliver: Callable[[Exchange, Response], None]
+    is_client_gone: Callable[
+        [], bool
+    ]  # whether the client has gone, by its connection: no attempt begins then
+    is_write: bool = False  # it changes the object, at the origin
+    idempotency_key: str = ""  # by which caches know a repeat, as the client gave it
+    is_closed: bool = False
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def close(self, answer: Answer | None) -> bool:
+    def close(self, answer: Response | None) -> bool:
         """Ends the exchange; None where the client has gone. Only the first call counts."""
         with self._lock:
-            first, self.closed = not self.closed, True
+            first, self.is_closed = not self.is_closed, True
         if not invariants.check(first, "answered_once"):
             if answer is not None:
                 answer.release()
@@ -68,14 +70,14 @@
 
 
 @dataclass(slots=True)
-class Arrived:
+class RequestReceived:
     """A client's request has come whole."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True)
-class Left:
+class RequestAbandoned:
     """The client has gone before it had its answer."""
 
     exchange: Exchange
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -18,7 +18,7 @@
     return holds
 
 
-def broken() -> dict[str, int]:
+def violations() -> dict[str, int]:
     """How often each invariant was found broken since the start."""
     with _lock:
         return dict(_broken)
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -15,28 +15,30 @@
 from typing import TYPE_CHECKING
 
 from olivepost import __version__
-from olivepost.config import MS, SECOND, Config, FieldError, fixed_keys
+from olivepost.config import MILLISECOND, SECOND, ConfigError, ProxyConfig, keys_needing_restart
 from olivepost.proxy import invariants
-from olivepost.proxy.buffers import Pool
+from olivepost.proxy.buffers import BufferPool
 from olivepost.proxy.clock import Clock
-from olivepost.proxy.discovery.client import Registry
-from olivepost.proxy.downstream.listener import STOP_WITHIN, Clients
-from olivepost.proxy.event_log import Log
-from olivepost.proxy.event_loop import Advised, Ending, Engine, Stop
-from olivepost.proxy.response_cache import Copies
-from olivepost.proxy.upstream.pool import Servers, Tools
+from olivepost.proxy.discovery.client import DiscoveryClient
+from olivepost.proxy.downstream.listener import STOP_WITHIN, DownstreamServer
+from olivepost.proxy.event_log import EventLog
+from olivepost.proxy.event_loop import EventLoop, ShutdownDeadline, StopEventLoop, StoreEvent
+from olivepost.proxy.response_cache import ResponseCache
+from olivepost.proxy.upstream.pool import UpstreamPool, UpstreamResources
 from olivepost.router import Router
 
 if TYPE_CHECKING:
     from olivepost.operator_config.model import OperatorSettings
-    from olivepost.shared_store.host import Host
+    from olivepost.shared_store.host import StoreHost
 
 FIGURES_EVERY = 10 * SECOND
-TERM_ACCEPTS = 700 * MS  # after SIGTERM for which clients still come, and a busy front has to read it
+TERM_ACCEPTS = (
+    700 * MILLISECOND
+)  # after SIGTERM for which clients still come, and a busy front has to read it
 TERM_LINGERS = 1.0  # seconds that clients have to end their connections after their last answer
 # After SIGTERM the platform waits for the longest deadline, 3 s at most, and for as long as clients may still
 # come before it kills. All that is held gets its final answer so long before that, and then the front ends.
-TERM_LONGEST, TERM_SPARE, TERM_EXIT = 3 * SECOND, 250 * MS, 100 * MS
+TERM_LONGEST, TERM_SPARE, TERM_EXIT = 3 * SECOND, 250 * MILLISECOND, 100 * MILLISECOND
 # Seconds that a thread may keep the interpreter while others wait. A tenth of it made a full core change
 # threads all the time, a fifth of its work; hurts where a thread computes for long, which none here does.
 SWITCH = 0.005
@@ -70,52 +72,64 @@
         return self._told.pop() if self._told else ""
 
 
-class Front:
+class ProxyServer:
     """One front."""
 
     def __init__(
         self,
-        config: Config,
+        config: ProxyConfig,
         log_to: int = 1,
         signals: Callable[[int], str] | None = None,
-        read_again: Callable[[], Config] | None = None,
+        read_again: Callable[[], ProxyConfig] | None = None,
         operator: OperatorSettings | None = None,
         operator_again: Callable[[], OperatorSettings | None] | None = None,
     ) -> None:
-        self.config, bounds = config, config.bounds
+        self.config, bounds = config, config.limits
         self._operator, self._operator_again = operator, operator_again or (lambda: operator)
         self._signals, self._read_again = signals or _none, read_again or (lambda: config)
         self.clock = Clock()
-        self.log = Log(self.clock, config.name, bounds.log_lines, log_to)
-        self.pool = Pool(bounds.bodies, bounds.buffer_size)
-        self.rooms = Pool(bounds.readers, bounds.buffer_size)  # to read into
-        self.copies = Copies(bounds.copies)
+        self.log = EventLog(self.clock, config.name, bounds.max_log_lines, log_to)
+        self.body_buffers = BufferPool(bounds.body_buffers, bounds.buffer_size)
+        self.read_buffers = BufferPool(bounds.read_buffers, bounds.buffer_size)  # to read into
+        self.response_cache = ResponseCache(bounds.cache_buffers)
         sharing = operator.sharing if operator else None
         settings = replace(config.settings, shared_store_timeout=sharing.wait) if sharing else config.settings
         router = Router(settings, config.seed)
-        self.engine = Engine(router, self.clock, self.log, self.copies, config.flow)
-        self.servers = Servers(Tools(bounds, self.pool, self.rooms, self.clock, self.log, self.engine.post))
-        self.engine.join_servers(self.servers)
-        self.clients = Clients(
-            bounds, config.settings.classes, self.rooms, self.clock, self.log, self.engine.post
+        self.event_loop = EventLoop(
+            router, self.clock, self.log, self.response_cache, config.transfer_bytes_per_s
         )
-        self.registry = Registry(config.coordinator, self.clock, self.log, self.engine.post, config.seed)
-        self.stores: Host | None = None
+        self.upstream = UpstreamPool(
+            UpstreamResources(
+                bounds, self.body_buffers, self.read_buffers, self.clock, self.log, self.event_loop.post
+            )
+        )
+        self.event_loop.attach_upstream(self.upstream)
+        self.downstream = DownstreamServer(
+            bounds, config.settings.classes, self.read_buffers, self.clock, self.log, self.event_loop.post
+        )
+        self.discovery = DiscoveryClient(
+            config.coordinator, self.clock, self.log, self.event_loop.post, config.seed
+        )
+        self.shared_store: StoreHost | None = None
         if sharing:  # what is off is not even imported
-            from olivepost.shared_store.host import Host
+            from olivepost.shared_store.host import StoreHost
 
-            self.stores = Host(
-                sharing, config.name, self.clock, self.log, lambda event: self.engine.post(Advised(event))
+            self.shared_store = StoreHost(
+                sharing,
+                config.name,
+                self.clock,
+                self.log,
+                lambda event: self.event_loop.post(StoreEvent(event)),
             )
-            self.engine.join_stores(self.stores)
+            self.event_loop.attach_shared_store(self.shared_store)
 
     def start(self) -> tuple[str, int]:
         """Applies the list that is known, then opens the listener, so that no answer precedes the list."""
-        threading.Thread(target=self.engine.run, name="engine", daemon=True).start()
-        if self.stores:
-            self.stores.start()
-        self.registry.start(self.config.known)
-        address = self.clients.listen(self.config.listen)
+        threading.Thread(target=self.event_loop.run, name="engine", daemon=True).start()
+        if self.shared_store:
+            self.shared_store.start()
+        self.discovery.start(self.config.known_events)
+        address = self.downstream.listen(self.config.listen)
         self.log.event("started", version=__version__, listen=f"{address[0]}:{address[1]}")
         return address
 
@@ -124,7 +138,7 @@
         due = self.clock.now() + FIGURES_EVERY
         while self._hear(due) != "end":
             if self.clock.now() >= due:
-                self.figures()
+                self.log_metrics()
                 due += FIGURES_EVERY
         self.finish()
 
@@ -135,19 +149,19 @@
             try:
                 self.reload()
             except Exception:  # no configuration may end a front that runs
-                self.log.fault("reload_fault")
+                self.log.exception("reload_fault")
         return told
 
     def reload(self) -> None:
         """Reads the configuration again; a faulty one leaves all as it was."""
         try:
             config, operator = self._read_again(), self._operator_again()
-        except FieldError as fault:
-            self.log.count("reloads_failed")
+        except ConfigError as fault:
+            self.log.increment("reloads_failed")
             self.log.event("reload_failed", why=str(fault))
             return
-        moved = self.registry.follow(config.coordinator)
-        fixed = fixed_keys(self.config, config) + ["operator"] * (operator != self._operator)
+        moved = self.discovery.switch_coordinator(config.coordinator)
+        fixed = keys_needing_restart(self.config, config) + ["operator"] * (operator != self._operator)
         host, port = config.coordinator
         self.log.event("reloaded", coordinator=f"{host}:{port}", moved=moved)
         if fixed:
@@ -156,50 +170,50 @@
     def finish(self) -> None:
         """Goes on taking what still comes after SIGTERM, answers all of it, and closes."""
         began = self.clock.now()
-        self.log.event("draining", open=self.engine.open, connections=self.clients.open)
+        self.log.event("draining", open=self.event_loop.pending_count, connections=self.downstream.open_count)
         longest = max(spec.deadline for spec in self.config.settings.classes.values())
         killed = began + min(longest, TERM_LONGEST) + TERM_ACCEPTS
-        self.clients.drain()
-        self.engine.post(Ending(killed - TERM_SPARE))
+        self.downstream.drain()
+        self.event_loop.post(ShutdownDeadline(killed - TERM_SPARE))
         while self.clock.now() < began + TERM_ACCEPTS:
             self._hear(began + TERM_ACCEPTS)
-        self.clients.close_idle()
+        self.downstream.close_idle()
         until, lingers = killed - TERM_EXIT, TERM_LINGERS
-        self.clients.stop(min(STOP_WITHIN, max(0, until - self.clock.now()) / SECOND))
-        while self.clock.now() < until and self.clients.open and lingers > 0:
-            lingers = TERM_LINGERS if self.clients.owed else lingers - 0.01
-            self._hear(self.clock.now() + 10 * MS)
-        self.registry.stop()
-        if self.stores:
-            self.stores.close()
-        self.clients.end()
-        self.figures()
-        self.log.event("ended", open=self.engine.open, connections=self.clients.open)
-        self.engine.post(Stop())
+        self.downstream.stop_accepting(min(STOP_WITHIN, max(0, until - self.clock.now()) / SECOND))
+        while self.clock.now() < until and self.downstream.open_count and lingers > 0:
+            lingers = TERM_LINGERS if self.downstream.has_pending_responses else lingers - 0.01
+            self._hear(self.clock.now() + 10 * MILLISECOND)
+        self.discovery.stop()
+        if self.shared_store:
+            self.shared_store.close()
+        self.downstream.stop_watching()
+        self.log_metrics()
+        self.log.event("ended", open=self.event_loop.pending_count, connections=self.downstream.open_count)
+        self.event_loop.post(StopEventLoop())
         self.log.close()
 
-    def figures(self) -> None:
+    def log_metrics(self) -> None:
         """One line on how the front is doing."""
-        delays = self.engine.delays()
+        delays = self.event_loop.take_queue_delays()
         count = len(delays)
         shares = {"p50": count // 2, "p95": count * 95 // 100, "p99": count * 99 // 100, "most": count - 1}
         self.log.event(
             "figures",
-            open=self.engine.open,
-            connections=self.clients.open,
-            most_connections=self.clients.peak,
+            open=self.event_loop.pending_count,
+            connections=self.downstream.open_count,
+            most_connections=self.downstream.peak_count,
             events=count,
-            engine_delay_ms={name: delays[at] / MS for name, at in shares.items()} if count else {},
+            engine_delay_ms={name: delays[at] / MILLISECOND for name, at in shares.items()} if count else {},
             cpu_s=[round(span, 1) for span in os.times()[:2]],  # the front's own code, the system's
             descriptors=_descriptors(),
             **_process(),
-            buffers=self.pool.out,
-            most_buffers=self.pool.peak,
-            readers=self.rooms.out,
-            copies=len(self.copies),
-            broken=invariants.broken(),
-            counts=self.log.totals(),
-            **({"sharing": self.stores.figures()} if self.stores else {}),
+            buffers=self.body_buffers.in_use,
+            most_buffers=self.body_buffers.peak,
+            readers=self.read_buffers.in_use,
+            copies=len(self.response_cache),
+            broken=invariants.violations(),
+            counts=self.log.counters(),
+            **({"sharing": self.shared_store.metrics()} if self.shared_store else {}),
         )
 
 
@@ -228,15 +242,15 @@
 
 
 def serve(
-    config: Config,
-    read_again: Callable[[], Config],
+    config: ProxyConfig,
+    read_again: Callable[[], ProxyConfig],
     operator: OperatorSettings | None = None,
     operator_again: Callable[[], OperatorSettings | None] | None = None,
 ) -> int:
     """Runs a front until SIGTERM or SIGINT; SIGHUP has it read its configuration again. The exit code."""
-    threading.stack_size(config.bounds.stack_size)
+    threading.stack_size(config.limits.stack_size)
     sys.setswitchinterval(SWITCH)
-    front = Front(
+    front = ProxyServer(
         config,
         signals=Signals().wait,
         read_again=read_again,
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -10,12 +10,12 @@
 from olivepost.config import SECOND, Address
 
 
-def widen(sock: socket.socket, size: int) -> None:
+def set_send_buffer(sock: socket.socket, size: int) -> None:
     """Asks for a send buffer that holds a whole body, so that a write seldom waits."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
 
 
-def tune(sock: socket.socket, receive: int, send: int) -> None:
+def configure(sock: socket.socket, receive: int, send: int) -> None:
     """Sets both waits of a blocking socket, in nanoseconds, and sends small frames at once.
 
     The kernel's own limits, so that the two threads of one socket can wait for different spans.
@@ -30,12 +30,12 @@
     return struct.pack("ll", *divmod(-(-span // 1_000), 1_000_000))
 
 
-def wait_for(sock: socket.socket, span: int) -> None:
+def set_receive_timeout(sock: socket.socket, span: int) -> None:
     """Sets how long the next read waits at most."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, _span(span))
 
 
-def quiet(sock: socket.socket) -> bool:
+def has_nothing_unread(sock: socket.socket) -> bool:
     """Whether nothing has come that is not read yet."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -43,7 +43,7 @@
         return True
 
 
-def ended(sock: socket.socket) -> bool:
+def is_closed_by_peer(sock: socket.socket) -> bool:
     """Whether the peer has ended its side, or reset the connection, with nothing left to read before that."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -65,14 +65,16 @@
         sock.settimeout(within / SECOND)
         sock.connect(address)
         sock.settimeout(None)
-        tune(sock, receive, send)
+        configure(sock, receive, send)
     except BaseException:
         sock.close()
         raise
     return sock
 
 
-def send_parts(sock: socket.socket, parts: Iterable[bytes | memoryview], flags: int = 0) -> list[memoryview]:
+def send_buffers(
+    sock: socket.socket, parts: Iterable[bytes | memoryview], flags: int = 0
+) -> list[memoryview]:
     """Writes all parts, in as few calls as the kernel allows.
 
     With MSG_DONTWAIT, returns what was not taken at once; without it, nothing is left.
@@ -92,7 +94,7 @@
     return left
 
 
-def hang_up(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
+def shutdown(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
     """Ends a connection, also for a thread that reads it; one that has ended is left alone."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -10,16 +10,16 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-LONGEST_LINE = 1_024
+MAX_LINE_SIZE = 1_024
 PLAIN = re.compile(rb"[ -~]*")
 
 
-class FrameError(Exception):
+class LineProtocolError(Exception):
     """Bytes that no member of the published protocol sends; the link can't be used further."""
 
 
 @dataclass(slots=True)
-class Head:
+class ResponseLine:
     """The line of an answer."""
 
     id: str
@@ -28,14 +28,16 @@
     length: int
 
 
-class End:
+class ResponseEnd:
     """An answer is whole."""
 
 
-END = End()
+RESPONSE_END = ResponseEnd()
 
 
-def command(name: str, id_: str, fields: dict[str, str] | None = None, body: bytes | None = None) -> bytes:
+def encode_command(
+    name: str, id_: str, fields: dict[str, str] | None = None, body: bytes | None = None
+) -> bytes:
     """One command as it goes on the wire."""
     if body is None:
         return f"{name} {id_}\r\n".encode("ascii")
@@ -43,7 +45,7 @@
     return f"{name} {id_} {listed} {len(body)}\r\n".encode("ascii") + body + b"\r\n"
 
 
-def read_fields(text: str) -> dict[str, str]:
+def parse_fields(text: str) -> dict[str, str]:
     """FIELDS: `name=value,name=value`, or `-` for none."""
     if text == "-":
         return {}
@@ -51,34 +53,34 @@
     for item in text.split(","):
         name, sign, value = item.partition("=")
         if not sign or not name or name in fields:
-            raise FrameError(f"odd field: {item[:80]!r}")
+            raise LineProtocolError(f"odd field: {item[:80]!r}")
         fields[name] = value
     return fields
 
 
-def read_head(line: bytes, longest_body: int) -> Head:
+def parse_response_line(line: bytes, longest_body: int) -> ResponseLine:
     """One answer's line, without its line end."""
     if not PLAIN.fullmatch(line):
-        raise FrameError("a line with bytes that are not plain ASCII")
+        raise LineProtocolError("a line with bytes that are not plain ASCII")
     words = line.decode("ascii").split(" ")
     if len(words) == 2 and words[1] == "PONG":
         words += ["-", ""]
     if len(words) != 4 or not words[0] or not words[1]:
-        raise FrameError(f"a line that is no answer: {line[:80]!r}")
+        raise LineProtocolError(f"a line that is no answer: {line[:80]!r}")
     length = -1 if words[3] == "" and words[1] == "PONG" else _read_length(words[3], longest_body)
-    return Head(words[0], words[1], read_fields(words[2]), length)
+    return ResponseLine(words[0], words[1], parse_fields(words[2]), length)
 
 
 def _read_length(word: str, most: int) -> int:
     if not (word.isascii() and word.isdigit()) or len(word) > 9 or int(word) > most:
-        raise FrameError(f"a length that can't be: {word[:80]!r}")
+        raise LineProtocolError(f"a length that can't be: {word[:80]!r}")
     return int(word)
 
 
-class Answers:
+class ResponseParser:
     """Parses what a member sends, whatever the split of its bytes.
 
-    `feed` gives a `Head`, then pieces of the body, which are views of what was fed, then `END`.
+    `feed` gives a `ResponseLine`, then pieces of the body (views of what was fed), then `RESPONSE_END`.
     """
 
     def __init__(self, longest_body: int) -> None:
@@ -90,7 +92,7 @@
         """Whether no answer has begun that is not whole."""
         return self._left < 0 and not self._line
 
-    def feed(self, data: memoryview) -> Iterator[Head | memoryview | End]:
+    def feed(self, data: memoryview) -> Iterator[ResponseLine | memoryview | ResponseEnd]:
         while data:
             if self._left < 0:
                 data, head = self._take_line(data)
@@ -98,7 +100,7 @@
                     continue
                 yield head
                 if head.length < 0:
-                    yield END
+                    yield RESPONSE_END
                 else:
                     self._left = head.length + 2
             elif self._left > 2:
@@ -108,23 +110,23 @@
                 yield piece
             else:
                 if data[0] != b"\r\n"[2 - self._left]:
-                    raise FrameError("no line end after a body")
+                    raise LineProtocolError("no line end after a body")
                 self._left -= 1
                 data = data[1:]
                 if not self._left:
                     self._left = -1
-                    yield END
+                    yield RESPONSE_END
 
-    def _take_line(self, data: memoryview) -> tuple[memoryview, Head | None]:
-        end = bytes(data[:LONGEST_LINE]).find(b"\n")
+    def _take_line(self, data: memoryview) -> tuple[memoryview, ResponseLine | None]:
+        end = bytes(data[:MAX_LINE_SIZE]).find(b"\n")
         piece = data[: end + 1] if end >= 0 else data
-        if len(self._line) + len(piece) > LONGEST_LINE:
-            raise FrameError("a line without an end")
+        if len(self._line) + len(piece) > MAX_LINE_SIZE:
+            raise LineProtocolError("a line without an end")
         self._line += piece
         if end < 0:
             return data[len(piece) :], None
         line = bytes(self._line)
         self._line.clear()
         if not line.endswith(b"\r\n"):
-            raise FrameError("a line that ends without CR")
-        return data[len(piece) :], read_head(line[:-2], self._longest)
+            raise LineProtocolError("a line that ends without CR")
+        return data[len(piece) :], parse_response_line(line[:-2], self._longest)
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -14,9 +14,9 @@
 
 from olivepost.config import SECOND
 from olivepost.operator_config.units import read_secret
-from olivepost.shared_store.messages import Op
+from olivepost.shared_store.messages import StoreOperation
 from olivepost.shared_store.scripts import DIGESTS, NAMES, script_of
-from olivepost.shared_store.settings import SharingSettings, Store
+from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
 
 class PasswordFile(CredentialProvider):
@@ -33,7 +33,7 @@
         return (self._user, password) if self._user else (password,)
 
 
-def connect(settings: SharingSettings, store: Store, connections: int = 2) -> redis.Redis:
+def connect(settings: SharedStoreSettings, store: StoreSettings, connections: int = 2) -> redis.Redis:
     """A client with a pool of its own. Nothing is sent yet.
 
     A command that was cut off may have run. Sent again it could lend a piece twice, so none is repeated."""
@@ -68,7 +68,9 @@
     )
 
 
-def run(client: redis.Redis, ops: list[Op], prefix: str, process: str, transaction: bool) -> list[object]:
+def run(
+    client: redis.Redis, ops: list[StoreOperation], prefix: str, process: str, transaction: bool
+) -> list[object]:
     """Runs questions in one exchange; what each got: a reply, or the exception it raised.
 
     Raises redis.RedisError where the exchange as a whole failed: then none is known to have run or not."""
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -13,25 +13,25 @@
 from dataclasses import dataclass
 
 from olivepost import interface as api
-from olivepost.config import MS, SECOND
+from olivepost.config import MILLISECOND, SECOND
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import messages as ev
-from olivepost.shared_store.fill_leases import Own, OwnClaims
-from olivepost.shared_store.invalidations import KnownPurges
-from olivepost.shared_store.outlier_reports import Suspicions
-from olivepost.shared_store.quota_transfers import Loans, Offer
+from olivepost.shared_store.fill_leases import OwnLease, OwnLeases
+from olivepost.shared_store.invalidations import KnownInvalidations
+from olivepost.shared_store.outlier_reports import OutlierReports
+from olivepost.shared_store.quota_transfers import Donation, QuotaTransfers
 from olivepost.shared_store.records import (
-    Claim,
-    Holder,
-    Need,
-    Piece,
-    PurgeKey,
+    CacheLocation,
+    FillLease,
+    InvalidationKey,
+    QuotaGrant,
+    QuotaRequest,
     RecordError,
-    pack,
-    unpack,
-    whole,
+    decode_record,
+    encode_record,
+    parse_integer,
 )
-from olivepost.shared_store.store_health import Gate, Standing, Trust, Verdict
+from olivepost.shared_store.store_health import BreakerState, ReplyVerdict, StoreHealth, TrustLevel
 
 MOST_ASKED = 4_096  # questions that are out, all stores together; beyond, advice is dropped, not requests
 ODD_EVERY = 60 * SECOND  # a line of the log on records that can't be used, at most
@@ -39,48 +39,54 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingCommand:
     """A question that is out."""
 
-    store: Standing
-    op: ev.Op
+    store: StoreHealth
+    op: ev.StoreOperation
     sent: int
     generation: int
     confirmed: int
-    then: Callable[[int, Asked, tuple[object, ...] | None], None]  # None: nothing that counts came of it
+    then: Callable[
+        [int, PendingCommand, tuple[object, ...] | None], None
+    ]  # None: nothing that counts came of it
     late: bool = False  # and said so
 
 
 @dataclass(slots=True)
-class Waiting:
+class PendingLookup:
     """A consultation, until its advice is given and its claim's fate known."""
 
     ask: api.LookUpHint
     object: str
     group: int | None
     told: bool = False
-    over: ev.Ended | None = None  # its request ended before the store's word came
+    over: ev.LeaseReleased | None = None  # its request ended before the store's word came
 
 
-class Sharing:
+class StoreCoordinator:
     """One front's side of all shared stores."""
 
-    def __init__(self, terms: ev.Terms, seed: int) -> None:
+    def __init__(self, terms: ev.SharingTerms, seed: int) -> None:
         self.terms, self.counts = terms, Counter[str]()  # counts: since the start
         draw = random.Random(seed)
         self.stores = {
-            name: Standing(name, draw, terms.trial_first, terms.trial_most) for name in terms.stores
+            name: StoreHealth(name, draw, terms.min_trial_delay, terms.max_trial_delay)
+            for name in terms.stores
         }
-        self._asked: dict[int, Asked] = {}
+        self._asked: dict[int, PendingCommand] = {}
         self._syncing: set[str] = set()  # stores with a sync that is out
         self._next_sync = dict.fromkeys(self.stores, 0)
         self._tickets = 0
-        self._waiting: dict[str, Waiting] = {}
-        self._hints: dict[str, tuple[Standing, int, str, bytes]] = {}  # followed, by request
+        self._waiting: dict[str, PendingLookup] = {}
+        self._hints: dict[str, tuple[StoreHealth, int, str, bytes]] = {}  # followed, by request
         self._members: dict[str, api.EndpointMetadata] = {}
-        self.claims, self.purges = OwnClaims(), KnownPurges()
-        self.loans, self.suspicions = Loans(terms.incarnation, terms.loan), Suspicions()
-        self._lending: dict[int, Standing] = {}
+        self.claims, self.purges = OwnLeases(), KnownInvalidations()
+        self.loans, self.suspicions = (
+            QuotaTransfers(terms.incarnation, terms.quota_duration),
+            OutlierReports(),
+        )
+        self._lending: dict[int, StoreHealth] = {}
         self._up = False
         self._odd, self._odd_said = dict[str, int](), 0
         self._actions: list[ev.Action] = []
@@ -89,132 +95,137 @@
         """Takes one event and returns what to do, in order."""
         self._actions = []
         match event:
-            case ev.Consulted():
+            case ev.LookupRequested():
                 self._consult(now, event)
-            case ev.Reply():
+            case ev.StoreReply():
                 self._replied(now, event)
-            case ev.Lost():
+            case ev.ReplyLost():
                 self._lost(now, event)
-            case ev.Ended():
+            case ev.LeaseReleased():
                 self._ended(now, event)
             case ev.Tick():
                 self._tick(now)
-            case ev.Purged():
+            case ev.InvalidationReceived():
                 self._purged(now, event)
             case api.EndpointUpdate():
                 self._list(event)
             case api.ReportStaleHint():
                 self._misled(now, event)
-            case api.RequestQuota() if self.terms.loans:
+            case api.RequestQuota() if self.terms.quota_transfers_enabled:
                 self.loans.short(now, event.key, event.amount)
             case api.DonateQuota():
                 self._lent(now, event)
-            case api.ReportOutlier() if self.terms.suspicions:
+            case api.ReportOutlier() if self.terms.outlier_reports_enabled:
                 self.suspicions.suspect(now, event.endpoint_id)
         self._tell_state()
         return self._actions
 
     # Stores
 
-    def store_of(self, name: str) -> Standing:
+    def store_of(self, name: str) -> StoreHealth:
         """The store that a name, or a budget, belongs to: by rendezvous, so a lost one costs its share."""
         return self.stores[rendezvous_order(name, self.terms.stores)[0]]
 
     def _ask(
         self,
         now: int,
-        store: Standing,
-        op: ev.Op,
+        store: StoreHealth,
+        op: ev.StoreOperation,
         urgent: bool,
-        then: Callable[[int, Asked, tuple[object, ...] | None], None],
+        then: Callable[[int, PendingCommand, tuple[object, ...] | None], None],
     ) -> bool:
         if len(self._asked) >= MOST_ASKED:
             self.counts["asks_dropped"] += 1
             return False
         self._tickets += 1
-        self._asked[self._tickets] = Asked(store, op, now, store.generation, store.confirmed, then)
-        self._actions.append(ev.Command(self._tickets, store.name, op, urgent))
+        self._asked[self._tickets] = PendingCommand(
+            store, op, now, store.generation, store.confirmed_serial, then
+        )
+        self._actions.append(ev.StoreCommand(self._tickets, store.name, op, urgent))
         return True
 
-    def _replied(self, now: int, reply: ev.Reply) -> None:
+    def _replied(self, now: int, reply: ev.StoreReply) -> None:
         asked = self._asked.pop(reply.ticket, None)
         if asked is None:  # twice, or nobody's
             self.counts["replies_of_nobody"] += 1
             return
-        store, in_time = asked.store, now - asked.sent <= self.terms.late
+        store, in_time = asked.store, now - asked.sent <= self.terms.reply_timeout
         if not asked.late:  # else it has been counted
-            store.answered(now, in_time)
-        if isinstance(asked.op, ev.Raise):
+            store.record_reply(now, in_time)
+        if isinstance(asked.op, ev.AdvanceGeneration):
             asked.then(now, asked, (reply.generation,))
             return
         verdict = store.judge(reply, asked.generation, asked.confirmed)
-        if verdict is Verdict.COUNTS:
+        if verdict is ReplyVerdict.CURRENT:
             asked.then(now, asked, reply.values)
             return
         self.counts[f"replies_{verdict.name.lower()}"] += 1
-        if verdict is Verdict.MOVED:
+        if verdict is ReplyVerdict.MOVED:
             self._adopt(now, store, reply.generation)
-        elif verdict in (Verdict.EMPTY, Verdict.WENT_BACK):
+        elif verdict in (ReplyVerdict.EMPTY, ReplyVerdict.ROLLED_BACK):
             self._raise(now, store, reply.generation)
         asked.then(now, asked, None)
 
-    def _lost(self, now: int, lost: ev.Lost) -> None:
+    def _lost(self, now: int, lost: ev.ReplyLost) -> None:
         asked = self._asked.pop(lost.ticket, None)
         if asked is None:
             return
         self.counts["asks_lost"] += 1
         if not asked.late:
-            asked.store.answered(now, False)
+            asked.store.record_reply(now, False)
         asked.then(now, asked, None)
 
-    def _raise(self, now: int, store: Standing, found: int) -> None:
+    def _raise(self, now: int, store: StoreHealth, found: int) -> None:
         """The store has forgotten, or is new: what it holds is to count for nobody."""
-        store.trust = Trust.NONE
-        if store.raising:
+        store.trust = TrustLevel.NONE
+        if store.is_advancing:
             return
         self._actions.append(
-            ev.Note("store_forgot", {"store": store.name, "found": found, "known": store.generation})
+            ev.LogEvent("store_forgot", {"store": store.name, "found": found, "known": store.generation})
+        )
+        store.is_advancing = self._ask(
+            now, store, ev.AdvanceGeneration(found, store.generation), False, self._raised
         )
-        store.raising = self._ask(now, store, ev.Raise(found, store.generation), False, self._raised)
 
-    def _raised(self, now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
-        asked.store.raising, generation = False, values[0] if values else 0
+    def _raised(self, now: int, asked: PendingCommand, values: tuple[object, ...] | None) -> None:
+        asked.store.is_advancing, generation = False, values[0] if values else 0
         if isinstance(generation, int) and generation > asked.store.generation:
             self._adopt(now, asked.store, generation)
 
-    def _adopt(self, now: int, store: Standing, generation: int) -> None:
+    def _adopt(self, now: int, store: StoreHealth, generation: int) -> None:
         self._actions.append(
-            ev.Note(
+            ev.LogEvent(
                 "store_generation",
                 {"store": store.name, "from": store.generation, "to": generation, "purges": len(self.purges)},
             )
         )
-        store.adopt(generation, self.purges.chunks() if self.terms.purges else [])
+        store.adopt(generation, self.purges.chunks() if self.terms.invalidations_enabled else [])
         self._put_back(now, store)
 
-    def _put_back(self, now: int, store: Standing) -> None:
+    def _put_back(self, now: int, store: StoreHealth) -> None:
         """The next chunk of purges; an empty one where there are none, so that the store's word is had."""
-        chunk = store.restore[0] if store.restore else ()
-        self._ask(now, store, ev.PutPurges(store.generation, chunk), False, self._was_put)
+        chunk = store.unpublished[0] if store.unpublished else ()
+        self._ask(now, store, ev.PublishInvalidations(store.generation, chunk), False, self._was_put)
 
-    def _was_put(self, now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
-        if values is None or not isinstance(asked.op, ev.PutPurges):
+    def _was_put(self, now: int, asked: PendingCommand, values: tuple[object, ...] | None) -> None:
+        if values is None or not isinstance(asked.op, ev.PublishInvalidations):
             return  # the next sync tries again
         store = asked.store
-        if store.trust is Trust.RESTORING and not store.put_back(asked.op.purges):
+        if store.trust is TrustLevel.RESTORING and not store.confirm_published(asked.op.purges):
             self._put_back(now, store)
 
     def _tell_state(self) -> None:
-        up = any(store.up for store in self.stores.values())
+        up = any(store.is_available for store in self.stores.values())
         if up != self._up:
             self._up = up
-            self._actions.append(ev.Tell(api.StoreAvailability(up)))
+            self._actions.append(ev.NotifyRouter(api.StoreAvailability(up)))
             self._actions.append(
-                ev.Note(
+                ev.LogEvent(
                     "sharing_up" if up else "sharing_down",
                     {
                         "stores": {
-                            name: [store.gate.value, store.trust.value] for name, store in self.stores.items()
+                            name: [store.breaker.value, store.trust.value]
+                            for name, store in self.stores.items()
                         }
                     },
                 )
@@ -225,49 +236,51 @@
     def _tick(self, now: int) -> None:
         for asked in self._asked.values():
             # A wait that is over helps nobody; waiting for its end would keep a silent store in use.
-            if not asked.late and now - asked.sent > self.terms.late:
+            if not asked.late and now - asked.sent > self.terms.reply_timeout:
                 asked.late = True
-                asked.store.answered(now, False)
+                asked.store.record_reply(now, False)
         self.counts["claims_outlived"] += self.claims.sweep(now)
         for name, store in self.stores.items():
-            if now >= self._next_sync[name] and name not in self._syncing and store.due(now):
+            if now >= self._next_sync[name] and name not in self._syncing and store.allows_sync(now):
                 self._sync(now, store)
         if self._odd and now - self._odd_said >= ODD_EVERY:
-            self._actions.append(ev.Note("store_records_odd", dict(self._odd)))
+            self._actions.append(ev.LogEvent("store_records_odd", dict(self._odd)))
             self._odd, self._odd_said = {}, now
 
-    def _sync(self, now: int, store: Standing) -> None:
-        self._next_sync[store.name] = now + self.terms.sync
-        sure = store.trust is Trust.SURE
+    def _sync(self, now: int, store: StoreHealth) -> None:
+        self._next_sync[store.name] = now + self.terms.sync_interval
+        sure = store.trust is TrustLevel.TRUSTED
         needs = (
             {
                 key: record
-                for key, record in (self.loans.needs(now) if self.terms.loans else {}).items()
+                for key, record in (
+                    self.loans.needs(now) if self.terms.quota_transfers_enabled else {}
+                ).items()
                 if self.store_of(key) is store
             }
             if sure
             else {}
         )
-        op = ev.Sync(
+        op = ev.SyncOperation(
             store.generation,
             store.next_serial(),
             store.cursor,
             tuple((self.loans.field(key), record) for key, record in needs.items()),
-            self.suspicions.own(now) if sure and self.terms.suspicions else (),
+            self.suspicions.own(now) if sure and self.terms.outlier_reports_enabled else (),
         )
         if self._ask(now, store, op, False, self._synced):
             self._syncing.add(store.name)
 
-    def _synced(self, now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
+    def _synced(self, now: int, asked: PendingCommand, values: tuple[object, ...] | None) -> None:
         """Purges, needs, pieces and suspicions of others; each is read by itself, what is odd is skipped."""
         store = asked.store
         self._syncing.discard(store.name)
-        if values is None or not isinstance(asked.op, ev.Sync):
+        if values is None or not isinstance(asked.op, ev.SyncOperation):
             return
-        store.confirmed = max(store.confirmed, asked.op.serial)
-        if store.trust is Trust.RESTORING:
+        store.confirmed_serial = max(store.confirmed_serial, asked.op.serial)
+        if store.trust is TrustLevel.RESTORING:
             self._put_back(now, store)
-        if store.trust is not Trust.SURE:
+        if store.trust is not TrustLevel.TRUSTED:
             return
         parts = [part if isinstance(part, (list, tuple)) else () for part in (*values, (), (), (), ())]
         purges, needs, pieces, suspects = parts[:4]
@@ -303,71 +316,75 @@
                 self._members[listed.id] = listed
         self.suspicions.forget(set(self._members))
 
-    def _purged(self, now: int, event: ev.Purged) -> None:
-        key = PurgeKey(event.purge.object, None if event.purge.object else event.purge.group)
-        if not self.purges.note(key, event.at_ms) or not self.terms.purges:
+    def _purged(self, now: int, event: ev.InvalidationReceived) -> None:
+        key = InvalidationKey(
+            event.invalidation.object, None if event.invalidation.object else event.invalidation.group
+        )
+        if not self.purges.note(key, event.at_ms) or not self.terms.invalidations_enabled:
             return
         for store in self.stores.values():
-            if store.trust is Trust.SURE and store.gate is not Gate.SHUT:
-                op = ev.PutPurges(store.generation, ((key.text(), event.at_ms),))
+            if store.trust is TrustLevel.TRUSTED and store.breaker is not BreakerState.OPEN:
+                op = ev.PublishInvalidations(store.generation, ((key.text(), event.at_ms),))
                 self._ask(now, store, op, False, self._published)
-            elif store.trust is Trust.RESTORING:
-                store.restore.append(((key.text(), event.at_ms),))
+            elif store.trust is TrustLevel.RESTORING:
+                store.unpublished.append(((key.text(), event.at_ms),))
 
-    def _published(self, now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
+    def _published(self, now: int, asked: PendingCommand, values: tuple[object, ...] | None) -> None:
         """A purge whose publication was not confirmed must not be forgotten: all are put back."""
         store = asked.store
-        if values is None and store.trust is Trust.SURE and asked.generation == store.generation:
+        if values is None and store.trust is TrustLevel.TRUSTED and asked.generation == store.generation:
             self.counts["purges_unconfirmed"] += 1
-            store.trust = Trust.RESTORING
-            store.restore.extend(self.purges.chunks())
+            store.trust = TrustLevel.RESTORING
+            store.unpublished.extend(self.purges.chunks())
 
-    def _hear_purge(self, now: int, store: Standing, row: object) -> None:
+    def _hear_purge(self, now: int, store: StoreHealth, row: object) -> None:
         if not isinstance(row, (list, tuple)) or len(row) != 3 or not isinstance(row[1], bytes):
             raise RecordError("a purge of another form")
         # A purge of the far future would make every hint on its key useless for good.
-        number, at_ms = whole(row[0]), min(whole(row[2]), now // MS + AHEAD_MOST_MS)
+        number, at_ms = parse_integer(row[0]), min(parse_integer(row[2]), now // MILLISECOND + AHEAD_MOST_MS)
         store.cursor = max(store.cursor, number)
-        key = PurgeKey.read(row[1])
-        if self.purges.note(key, at_ms) and self.terms.purges:
+        key = InvalidationKey.read(row[1])
+        if self.purges.note(key, at_ms) and self.terms.invalidations_enabled:
             self.counts["purges_heard"] += 1
             # Ahead of this clock counts as now: nothing that is out is younger.
-            purge = api.Invalidation(key.object, key.group, max(0, now - at_ms * MS))
-            self._actions.append(ev.Tell(purge))
+            purge = api.Invalidation(key.object, key.group, max(0, now - at_ms * MILLISECOND))
+            self._actions.append(ev.NotifyRouter(purge))
 
     # Names
 
-    def _consult(self, now: int, event: ev.Consulted) -> None:
+    def _consult(self, now: int, event: ev.LookupRequested) -> None:
         """One question a consultation, or none where no answer can come in time or would be news."""
-        ask, store = event.ask, self.store_of(event.ask.name)
+        ask, store = event.lookup, self.store_of(event.lookup.name)
         claims = bool(ask.source)
-        waiting = Waiting(ask, event.object, event.group)
-        wanted = self.terms.claims if claims else self.terms.holders or self.terms.claims
+        waiting = PendingLookup(ask, event.object, event.group)
+        wanted = (
+            self.terms.leases_enabled if claims else self.terms.locations_enabled or self.terms.leases_enabled
+        )
         own = self.claims.running(now, ask.name, store.generation)
-        if own is not None and store.up:  # another request of this front's fills it: no need to ask
+        if own is not None and store.is_available:  # another request of this front's fills it: no need to ask
             self.counts["claims_shared"] += 1
             self._advise(waiting, api.CacheHint(ask.request_id, own.cache, True, max(0, own.until - now)))
             return
-        if not (wanted and store.up and ask.timeout > 0):
+        if not (wanted and store.is_available and ask.timeout > 0):
             self._advise(waiting, api.CacheHint(ask.request_id))
             return
         purges = (f"o:{event.object}", f"g:{event.group}")
         record, span = b"", 0
         if claims:
-            record = pack(
-                Claim(
-                    owner=self.terms.front,
+            record = encode_record(
+                FillLease(
+                    owner=self.terms.proxy,
                     process=self.terms.incarnation,
                     cache=ask.cache,
                     source=ask.source,
                     started=self._started(ask.cache),
                 )
             )
-            span = max(1, min(ask.lease_duration, self.terms.claim_most) // MS)
+            span = max(1, min(ask.lease_duration, self.terms.max_lease_duration) // MILLISECOND)
             self.counts["claims_tried"] += 1
-        op = ev.Look(store.generation, ask.name, purges, record, span)
+        op = ev.LookUp(store.generation, ask.name, purges, record, span)
 
-        def known(then: int, asked: Asked, values: tuple[object, ...] | None) -> None:
+        def known(then: int, asked: PendingCommand, values: tuple[object, ...] | None) -> None:
             self._known(then, asked, values, waiting)
 
         if not self._ask(now, store, op, True, known):
@@ -375,12 +392,14 @@
         elif claims:
             self._waiting[ask.request_id] = waiting
 
-    def _advise(self, waiting: Waiting, advice: api.CacheHint) -> None:
+    def _advise(self, waiting: PendingLookup, advice: api.CacheHint) -> None:
         if not waiting.told:
             waiting.told = True
-            self._actions.append(ev.Tell(advice))
+            self._actions.append(ev.NotifyRouter(advice))
 
-    def _known(self, now: int, asked: Asked, values: tuple[object, ...] | None, waiting: Waiting) -> None:
+    def _known(
+        self, now: int, asked: PendingCommand, values: tuple[object, ...] | None, waiting: PendingLookup
+    ) -> None:
         """The store's word on a name. Without one, whether the claim is this front's is not known."""
         ask = waiting.ask
         waiting.told |= now - asked.sent > ask.timeout  # the router has gone on: its next question is another
@@ -395,21 +414,26 @@
         self._advise(waiting, advice)
 
     def _read_known(
-        self, now: int, asked: Asked, values: tuple[object, ...], waiting: Waiting
+        self, now: int, asked: PendingCommand, values: tuple[object, ...], waiting: PendingLookup
     ) -> api.CacheHint:
         ask, word = waiting.ask, values[0]
         none = api.CacheHint(ask.request_id)
-        if word == b"mine" and isinstance(asked.op, ev.Look) and asked.op.record:
-            self._granted(now, asked, whole(values[1]), waiting)
+        if word == b"mine" and isinstance(asked.op, ev.LookUp) and asked.op.record:
+            self._granted(now, asked, parse_integer(values[1]), waiting)
         elif word == b"taken":
-            claim = unpack(Claim, values[1].partition(b" ")[2] if isinstance(values[1], bytes) else b"")
+            claim = decode_record(
+                FillLease, values[1].partition(b" ")[2] if isinstance(values[1], bytes) else b""
+            )
             if self._usable(claim.cache, claim.started):
                 self.counts["claims_followed"] += 1
-                left = max(0, min(whole(values[2]), self.terms.claim_most // MS)) * MS
+                left = (
+                    max(0, min(parse_integer(values[2]), self.terms.max_lease_duration // MILLISECOND))
+                    * MILLISECOND
+                )
                 return api.CacheHint(ask.request_id, claim.cache, True, left)
-        elif word == b"held" and self.terms.holders:
+        elif word == b"held" and self.terms.locations_enabled:
             record = values[1] if isinstance(values[1], bytes) else b""
-            holder = unpack(Holder, record)
+            holder = decode_record(CacheLocation, record)
             if self._stale(holder, waiting):
                 self._drop(now, asked.store, ask.name, record, 2)
             elif self._usable(holder.cache, holder.started):
@@ -426,7 +450,7 @@
         listed = self._members.get(cache)
         return listed is not None and listed.state is api.EndpointState.READY and listed.started_at == started
 
-    def _stale(self, holder: Holder, waiting: Waiting) -> bool:
+    def _stale(self, holder: CacheLocation, waiting: PendingLookup) -> bool:
         """Older than a purge, or of a cache that has restarted or is gone: of no use to anybody."""
         listed = self._members.get(holder.cache)
         purged = holder.at_ms <= self.purges.last_ms(waiting.object, waiting.group)
@@ -435,11 +459,11 @@
     def _started(self, cache: str) -> int:
         return self._members[cache].started_at if cache in self._members else 0
 
-    def _granted(self, now: int, asked: Asked, number: int, waiting: Waiting) -> None:
+    def _granted(self, now: int, asked: PendingCommand, number: int, waiting: PendingLookup) -> None:
         """The claim is this front's, unless the word comes past its end by this clock."""
         op, ask = asked.op, waiting.ask
-        assert isinstance(op, ev.Look)
-        own = Own(
+        assert isinstance(op, ev.LookUp)
+        own = OwnLease(
             ask.request_id,
             ask.name,
             asked.store.name,
@@ -448,7 +472,7 @@
             number,
             ask.cache,
             asked.sent,
-            asked.sent + op.span_ms * MS,
+            asked.sent + op.span_ms * MILLISECOND,
         )
         if not self.claims.add(own):
             self.counts["claims_fenced"] += 1
@@ -457,9 +481,9 @@
         if waiting.over is not None:
             self._ended(now, waiting.over)
 
-    def _ended(self, now: int, event: ev.Ended) -> None:
+    def _ended(self, now: int, event: ev.LeaseReleased) -> None:
         """Publishes what came of an own claim, or frees the name for others at once."""
-        settled = event.settled
+        settled = event.release
         self._hints.pop(settled.request_id, None)
         own = self.claims.pop(settled.request_id)
         if own is None:
@@ -470,24 +494,26 @@
         if now >= own.until:
             self.counts["claims_outlived"] += 1
             return
-        if store.generation != own.generation or store.gate is Gate.SHUT:
+        if store.generation != own.generation or store.breaker is BreakerState.OPEN:
             return
         record, at_ms = b"", 0
-        if settled.cache and self.terms.holders:
-            at_ms = event.issued_ms or own.sent // MS
-            record = pack(
-                Holder(
+        if settled.cache and self.terms.locations_enabled:
+            at_ms = event.generated_at_ms or own.sent // MILLISECOND
+            record = encode_record(
+                CacheLocation(
                     cache=settled.cache,
                     started=self._started(settled.cache),
                     rank=settled.rank,
                     at_ms=at_ms,
-                    by=self.terms.front,
+                    by=self.terms.proxy,
                 )
             )
-        op = ev.Settle(own.generation, own.name, own.claim, record, at_ms, self.terms.holder_keep // MS)
+        op = ev.PublishLocation(
+            own.generation, own.name, own.claim, record, at_ms, self.terms.location_lifetime // MILLISECOND
+        )
         self._ask(now, store, op, False, self._settled)
 
-    def _settled(self, now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
+    def _settled(self, now: int, asked: PendingCommand, values: tuple[object, ...] | None) -> None:
         done = bool(values) and values is not None and values[0] == b"done"
         self.counts["claims_settled" if done else "claims_not_published"] += 1
 
@@ -499,20 +525,26 @@
             if generation == store.generation:
                 self._drop(now, store, name, record, 1)
 
-    def _drop(self, now: int, store: Standing, name: str, record: bytes, times: int) -> None:
-        if store.up:
-            self._ask(now, store, ev.Wrong(store.generation, name, record, times), False, _nothing)
+    def _drop(self, now: int, store: StoreHealth, name: str, record: bytes, times: int) -> None:
+        if store.is_available:
+            self._ask(
+                now, store, ev.ReportStaleLocation(store.generation, name, record, times), False, _nothing
+            )
 
     # Budgets
 
-    def _hear_needs(self, now: int, store: Standing, rows: Sequence[object]) -> None:
+    def _hear_needs(self, now: int, store: StoreHealth, rows: Sequence[object]) -> None:
         """Answers, of each budget, the need that stands longest in the store, so that all lend to one."""
-        oldest: dict[str, tuple[int, str, Need]] = {}
+        oldest: dict[str, tuple[int, str, QuotaRequest]] = {}
 
         def note(row: object) -> None:
             if not isinstance(row, (list, tuple)) or len(row) != 3 or not isinstance(row[0], bytes):
                 raise RecordError("a need of another form")
-            field_name, at, need = row[0].decode(errors="replace"), whole(row[1]), unpack(Need, row[2])
+            field_name, at, need = (
+                row[0].decode(errors="replace"),
+                parse_integer(row[1]),
+                decode_record(QuotaRequest, row[2]),
+            )
             if field_name != f"{need.process}|{need.key}":
                 raise RecordError("a need under another's name")
             oldest[need.key] = min(
@@ -528,7 +560,7 @@
             if offer := self.loans.answer(now, self._tickets, field_name, need):
                 self._lending[self._tickets] = store
                 self._actions.append(
-                    ev.Tell(api.QuotaRequested(self._tickets, need.key, need.amount, offer.until))
+                    ev.NotifyRouter(api.QuotaRequested(self._tickets, need.key, need.amount, offer.until))
                 )
 
     def _lent(self, now: int, event: api.DonateQuota) -> None:
@@ -540,12 +572,14 @@
         offer, piece = made
         self.counts["pieces_lent"] += 1
         need = offer.need
-        op = ev.Grant(store.generation, offer.field, need.nonce, need.process, piece.amount, pack(piece))
-        if store.trust is not Trust.SURE or store.gate is Gate.SHUT:
+        op = ev.GrantQuota(
+            store.generation, offer.field, need.nonce, need.process, piece.amount, encode_record(piece)
+        )
+        if store.trust is not TrustLevel.TRUSTED or store.breaker is BreakerState.OPEN:
             return
         self._ask(now, store, op, False, lambda then, asked, values: self._handed(then, values, offer))
 
-    def _handed(self, now: int, values: tuple[object, ...] | None, offer: Offer) -> None:
+    def _handed(self, now: int, values: tuple[object, ...] | None, offer: Donation) -> None:
         """What the store has surely not handed on comes back; what is unknown stays lent until its end."""
         if not values:
             self.counts["pieces_unknown"] += 1
@@ -553,13 +587,15 @@
         self.loans.done(offer.need.nonce)
         if values[0] == b"not wanted" and now < offer.until:
             self.counts["pieces_back"] += 1
-            self._actions.append(ev.Tell(api.QuotaReceived(offer.need.key, offer.amount, offer.until)))
+            self._actions.append(
+                ev.NotifyRouter(api.QuotaReceived(offer.need.key, offer.amount, offer.until))
+            )
 
     def _hear_piece(self, now: int, row: object) -> None:
-        piece = unpack(Piece, row)
+        piece = decode_record(QuotaGrant, row)
         amount, until = self.loans.take(now, piece)
         self.counts["pieces_borrowed"] += 1
-        self._actions.append(ev.Tell(api.QuotaReceived(piece.key, amount, until)))
+        self._actions.append(ev.NotifyRouter(api.QuotaReceived(piece.key, amount, until)))
 
     def _hear_suspect(self, now: int, row: object) -> None:
         text = row.decode(errors="replace") if isinstance(row, bytes) else ""
@@ -567,10 +603,10 @@
         if not address:
             raise RecordError("a suspicion of another form")
         listed = address in self._members and process != self.terms.incarnation
-        if self.terms.suspicions and self.suspicions.hear(now, address, process, listed):
+        if self.terms.outlier_reports_enabled and self.suspicions.hear(now, address, process, listed):
             self.counts["suspicions_heard"] += 1
-            self._actions.append(ev.Tell(api.OutlierReported(address)))
+            self._actions.append(ev.NotifyRouter(api.OutlierReported(address)))
 
 
-def _nothing(now: int, asked: Asked, values: tuple[object, ...] | None) -> None:
+def _nothing(now: int, asked: PendingCommand, values: tuple[object, ...] | None) -> None:
     """Nothing follows."""
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class Own:
+class OwnLease:
     """One claim of this front's."""
 
     request: str
@@ -28,17 +28,17 @@
 
 
 @dataclass(slots=True)
-class OwnClaims:
+class OwnLeases:
     """Claims by request, and by name the one that runs."""
 
-    _by_request: dict[str, Own] = field(default_factory=dict)
-    _by_name: dict[str, Own] = field(default_factory=dict)
+    _by_request: dict[str, OwnLease] = field(default_factory=dict)
+    _by_name: dict[str, OwnLease] = field(default_factory=dict)
     _ends: list[tuple[int, str]] = field(default_factory=list)
 
     def __len__(self) -> int:
         return len(self._by_request)
 
-    def add(self, own: Own) -> bool:
+    def add(self, own: OwnLease) -> bool:
         """Takes a claim that was granted; False where the name's number did not grow, or there is no room."""
         before = self._by_name.get(own.name)
         if (before and own.number <= before.number) or len(self._by_request) >= MOST:
@@ -47,12 +47,12 @@
         heappush(self._ends, (own.until, own.request))
         return True
 
-    def running(self, now: int, name: str, generation: int) -> Own | None:
+    def running(self, now: int, name: str, generation: int) -> OwnLease | None:
         """The claim of a name that this front still owns."""
         own = self._by_name.get(name)
         return own if own and now < own.until and own.generation == generation else None
 
-    def pop(self, request: str) -> Own | None:
+    def pop(self, request: str) -> OwnLease | None:
         """The claim of a request that is over."""
         own = self._by_request.pop(request, None)
         if own is not None and self._by_name.get(own.name) is own:
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -16,14 +16,20 @@
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import client
 from olivepost.shared_store import messages as ev
-from olivepost.shared_store.records import Claim, Holder, PurgeKey, RecordError, unpack
-from olivepost.shared_store.settings import SharingSettings, Store
+from olivepost.shared_store.records import (
+    CacheLocation,
+    FillLease,
+    InvalidationKey,
+    RecordError,
+    decode_record,
+)
+from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
 MOST_KEYS = 100_000  # read by one call
 ROWS = list[dict[str, object]]
 
 
-def run(settings: SharingSettings, verb: str, names: list[str], only: str, as_json: bool) -> int:
+def run(settings: SharedStoreSettings, verb: str, names: list[str], only: str, as_json: bool) -> int:
     """Does one verb on all stores, or on one; 1 where a store could not be used."""
     rows: ROWS = []
     faults: ROWS = []
@@ -47,7 +53,12 @@
 
 
 def _do(
-    settings: SharingSettings, made: redis.Redis, store: Store, prefix: str, verb: str, names: list[str]
+    settings: SharedStoreSettings,
+    made: redis.Redis,
+    store: StoreSettings,
+    prefix: str,
+    verb: str,
+    names: list[str],
 ) -> ROWS:
     generation = cast("bytes | None", made.get(f"{prefix}:generation")) or b"0"
     if not generation.isdigit():
@@ -92,9 +103,9 @@
             row["ends_ms"] = made.pttl(key)
             if kind == "c":
                 number, _, record = (made.get(key) or b"").partition(b" ")
-                row |= {"number": number.decode(errors="replace")} | _plain(unpack(Claim, record))
+                row |= {"number": number.decode(errors="replace")} | _plain(decode_record(FillLease, record))
             else:
-                row |= _plain(unpack(Holder, made.hget(key, "rec")))
+                row |= _plain(decode_record(CacheLocation, made.hget(key, "rec")))
         except (RecordError, redis.ResponseError) as fault:
             row["odd"] = str(fault)
         yield row
@@ -107,16 +118,16 @@
 def _purges(made: Any, under: str) -> Iterator[dict[str, object]]:
     for key, at in sorted(made.hgetall(f"{under}purges").items(), key=lambda pair: pair[1]):
         try:
-            what = PurgeKey.read(key)
+            what = InvalidationKey.read(key)
             yield {"object": what.object, "group": what.group, "at_ms": int(at)}
         except (RecordError, ValueError) as fault:
             yield {"odd": str(fault)}
 
 
 def _forget(
-    settings: SharingSettings,
+    settings: SharedStoreSettings,
     made: Any,
-    store: Store,
+    store: StoreSettings,
     prefix: str,
     generation: int,
     under: str,
@@ -129,7 +140,7 @@
         return [
             {"name": name, "forgotten": made.delete(f"{under}c:{name}", f"{under}h:{name}")} for name in here
         ]
-    (reply,) = client.run(made, [ev.Raise(generation, generation)], prefix, "operator", False)
+    (reply,) = client.run(made, [ev.AdvanceGeneration(generation, generation)], prefix, "operator", False)
     if isinstance(reply, Exception):
         raise reply
     return [{"generation": int(cast("list[bytes]", reply)[0]), "before": generation}]
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -5,22 +5,22 @@
 
 from __future__ import annotations
 
-from olivepost.shared_store.records import PurgeKey
+from olivepost.shared_store.records import InvalidationKey
 
 MOST, CHUNK = 4_096, 256
 
 
-class KnownPurges:
+class KnownInvalidations:
     """Times in Unix milliseconds by key."""
 
     def __init__(self) -> None:
-        self._times: dict[PurgeKey, int] = {}
+        self._times: dict[InvalidationKey, int] = {}
         self.floor_ms = 0  # the latest of those forgotten for want of room
 
     def __len__(self) -> int:
         return len(self._times)
 
-    def note(self, key: PurgeKey, at_ms: int) -> bool:
+    def note(self, key: InvalidationKey, at_ms: int) -> bool:
         """Takes a purge; whether it is news."""
         known = self._times.get(key, -1)
         if at_ms <= known:
@@ -33,11 +33,11 @@
 
     def last_ms(self, object_: str, group: int | None) -> int:
         """When an object or its group was last purged; where the group is not told, any group."""
-        times = [self.floor_ms, self._times.get(PurgeKey(object_, None), 0)]
+        times = [self.floor_ms, self._times.get(InvalidationKey(object_, None), 0)]
         if group is None:
             times += [at for key, at in self._times.items() if key.object is None]
         else:
-            times.append(self._times.get(PurgeKey(None, group), 0))
+            times.append(self._times.get(InvalidationKey(None, group), 0))
         return max(times)
 
     def chunks(self) -> list[tuple[tuple[str, int], ...]]:
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sync:
+class SyncOperation:
     """The regular exchange: a sign of life, this front's needs and doubts, what is new of all others.
 
     `needs`: field and record; `suspects`: members; `after`: the last purge read, by its number.
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
+class LookUp:
     """Who keeps or fills a name; with `record` its fill is claimed if nobody does, for `span_ms`."""
 
     generation: int
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class PublishLocation:
     """Ends a claim, if it is still the one; with `record` the name's holder is published for `keep_ms`."""
 
     generation: int
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wrong:
+class ReportStaleLocation:
     """A holder's record was found wrong, `times` over; at two it goes, for all fronts."""
 
     generation: int
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PutPurges:
+class PublishInvalidations:
     """Purges, each with its Unix millisecond; the highest counts."""
 
     generation: int
@@ -70,7 +70,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Grant:
+class GrantQuota:
     """A piece of a budget for one need of one front, all or none."""
 
     generation: int
@@ -82,37 +82,45 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Raise:
+class AdvanceGeneration:
     """A new generation above `least`, if the store is still at `expected` (0: it has none)."""
 
     expected: int
     least: int
 
 
-Op = Sync | Look | Settle | Wrong | PutPurges | Grant | Raise
+StoreOperation = (
+    SyncOperation
+    | LookUp
+    | PublishLocation
+    | ReportStaleLocation
+    | PublishInvalidations
+    | GrantQuota
+    | AdvanceGeneration
+)
 
 # Events.
 
 
 @dataclass(frozen=True, slots=True)
-class Consulted:
+class LookupRequested:
     """The router consults the store about a request's name."""
 
-    ask: api.LookUpHint
+    lookup: api.LookUpHint
     object: str
     group: int | None
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """A request that claimed a fill is over; `issued_ms` 0: the copy's time was not told."""
+class LeaseReleased:
+    """A request that claimed a fill is over; `generated_at_ms` 0: the copy's time was not told."""
 
-    settled: api.ReleaseLease
-    issued_ms: int = 0
+    release: api.ReleaseLease
+    generated_at_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class StoreReply:
     """A store's answer: its generation (0: none), this front's last serial there (0: none), and the rest."""
 
     ticket: int
@@ -122,18 +130,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class ReplyLost:
     """No answer that can be used: whether the store did it is not known."""
 
     ticket: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Purged:
+class InvalidationReceived:
     """The coordinator tells of a purge."""
 
-    purge: api.Invalidation
+    invalidation: api.Invalidation
     at_ms: int
 
 
@@ -143,11 +151,11 @@
 
 
 Event = (
-    Consulted
-    | Ended
-    | Reply
-    | Lost
-    | Purged
+    LookupRequested
+    | LeaseReleased
+    | StoreReply
+    | ReplyLost
+    | InvalidationReceived
     | Tick
     | api.EndpointUpdate
     | api.ReportStaleHint
@@ -160,49 +168,49 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Command:
-    """Ask a store; `urgent`: a request waits for it. A `Reply` or `Lost` with the ticket must come."""
+class StoreCommand:
+    """Ask a store; `is_urgent`: a request waits for it. A `StoreReply` or `ReplyLost` must come."""
 
     ticket: int
     store: str
-    op: Op
-    urgent: bool = False
+    operation: StoreOperation
+    is_urgent: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class NotifyRouter:
     """An event for the router."""
 
     event: api.Event
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogEvent:
     """Something for the log: an event with fields, or, without, a count."""
 
     name: str
     fields: dict[str, object] = field(default_factory=dict)
 
 
-Action = Command | Tell | Note
+Action = StoreCommand | NotifyRouter | LogEvent
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class SharingTerms:
     """How a front shares; spans in nanoseconds."""
 
-    front: str  # its name
+    proxy: str  # its name
     incarnation: str  # of this process, told from every earlier one of the name
     stores: tuple[str, ...]
-    late: int  # an answer that took longer helps no request
-    sync: int
-    claims: bool = True
-    claim_most: int = 10_000_000_000
-    holders: bool = True
-    holder_keep: int = 60_000_000_000
-    purges: bool = True
-    loans: bool = True
-    loan: int = 1_900_000_000
-    suspicions: bool = True
-    trial_first: int = 100_000_000
-    trial_most: int = 1_000_000_000
+    reply_timeout: int  # an answer that took longer helps no request
+    sync_interval: int
+    leases_enabled: bool = True
+    max_lease_duration: int = 10_000_000_000
+    locations_enabled: bool = True
+    location_lifetime: int = 60_000_000_000
+    invalidations_enabled: bool = True
+    quota_transfers_enabled: bool = True
+    quota_duration: int = 1_900_000_000
+    outlier_reports_enabled: bool = True
+    min_trial_delay: int = 100_000_000
+    max_trial_delay: int = 1_000_000_000
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -11,7 +11,7 @@
 MOST = 1_024
 
 
-class Suspicions:
+class OutlierReports:
     """This front's own, and those of others by member and process."""
 
     def __init__(self) -> None:
--- a/olivepost/shared_store/quota_transfers.py
+++ b/olivepost/shared_store/quota_transfers.py
@@ -12,7 +12,7 @@
 
 from dataclasses import dataclass
 
-from olivepost.shared_store.records import Need, Piece, RecordError, pack
+from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, encode_record
 
 DRIFT = 0.01  # by which the fronts' clocks may run apart in rate; a lender waits for so much longer
 MOST_NEEDS, MOST_PIECES = 64, 1_024
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Lacking:
+class Shortage:
     """What the router lacked of one budget lately: a decaying sum, and the largest single attempt."""
 
     at: int
@@ -38,7 +38,7 @@
 
 
 @dataclass(slots=True)
-class Wanted:
+class OpenRequest:
     """One word of this front's need: pieces that name it count until `until`."""
 
     key: str
@@ -49,25 +49,25 @@
 
 
 @dataclass(slots=True)
-class Offer:
+class Donation:
     """A loan on its way: asked of the router, then of the store."""
 
-    need: Need
+    need: QuotaRequest
     field: str
     until: int
     amount: float = 0.0
 
 
-class Loans:
+class QuotaTransfers:
     """Needs, offers and pieces of one front."""
 
     def __init__(self, process: str, span: int) -> None:
         self._process, self._span, self._count = process, span, 0
-        self._lacking: dict[str, Lacking] = {}
-        self._wanted: dict[str, Wanted] = {}  # by nonce
+        self._lacking: dict[str, Shortage] = {}
+        self._wanted: dict[str, OpenRequest] = {}  # by nonce
         self._current: dict[str, str] = {}  # the nonce of each budget's last need
         self._pieces: dict[str, int] = {}  # taken, by id, until their nonce has ended
-        self._offers: dict[int, Offer] = {}  # by the ticket of the question to the router
+        self._offers: dict[int, Donation] = {}  # by the ticket of the question to the router
         self._offered: dict[str, int] = {}  # nonces with an offer that is out, until then
 
     def field(self, key: str) -> str:
@@ -77,7 +77,7 @@
     def short(self, now: int, key: str, amount: float) -> None:
         """The router lacked so much of a budget."""
         if amount > 0 and (key in self._lacking or len(self._lacking) < MOST_NEEDS):
-            self._lacking.setdefault(key, Lacking(now)).add(now, amount)
+            self._lacking.setdefault(key, Shortage(now)).add(now, amount)
 
     def needs(self, now: int) -> dict[str, bytes]:
         """This front's open needs by budget, as records.
@@ -96,10 +96,10 @@
             if wanted is None or now >= wanted.asked + self._span // RENEW:
                 self._count += 1
                 nonce = self._current[key] = f"{self._process}.{self._count}"
-                wanted = self._wanted[nonce] = Wanted(key, amount, now, now + self._span)
+                wanted = self._wanted[nonce] = OpenRequest(key, amount, now, now + self._span)
             if wanted.got < wanted.amount:
-                found[key] = pack(
-                    Need(
+                found[key] = encode_record(
+                    QuotaRequest(
                         process=self._process,
                         key=key,
                         nonce=nonce,
@@ -110,7 +110,7 @@
         self._current = {key: nonce for key, nonce in self._current.items() if nonce in self._wanted}
         return found
 
-    def answer(self, now: int, ticket: int, field: str, need: Need) -> Offer | None:
+    def answer(self, now: int, ticket: int, field: str, need: QuotaRequest) -> Donation | None:
         """Takes up the oldest need of a budget; the offer to be put to the router, or None.
 
         What this front lacks itself it does not lend: where all are full, a loan only locks budgets up.
@@ -122,10 +122,10 @@
             return None
         self._offered = {nonce: end for nonce, end in self._offered.items() if end > now}
         self._offered[need.nonce] = now + self._span
-        offer = self._offers[ticket] = Offer(need, field, now + int(need.span * (1 + DRIFT)))
+        offer = self._offers[ticket] = Donation(need, field, now + int(need.span * (1 + DRIFT)))
         return offer
 
-    def lent(self, ticket: int, amount: float, until: int) -> tuple[Offer, Piece] | None:
+    def lent(self, ticket: int, amount: float, until: int) -> tuple[Donation, QuotaGrant] | None:
         """The router has taken a piece off its part; what the store is to hand on, None if nothing."""
         offer = self._offers.pop(ticket, None)
         if offer is None or amount <= LEAST:
@@ -135,13 +135,13 @@
         self._count += 1
         offer.amount, offer.until, need = amount, until, offer.need
         id_ = f"{self._process}.{self._count}"
-        return offer, Piece(id=id_, key=need.key, nonce=need.nonce, amount=amount)
+        return offer, QuotaGrant(id=id_, key=need.key, nonce=need.nonce, amount=amount)
 
     def done(self, nonce: str) -> None:
         """An offer's fate is known: the need may be answered again."""
         self._offered.pop(nonce, None)
 
-    def take(self, now: int, piece: Piece) -> tuple[float, int]:
+    def take(self, now: int, piece: QuotaGrant) -> tuple[float, int]:
         """A piece for this front: how much of it counts, and until when.
 
         Raises RecordError where it counts for nothing: nobody here asked for it, taken before, too late."""
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -14,7 +14,7 @@
 import msgspec
 
 VERSION = 1
-MOST_BYTES = 1_024
+MAX_RECORD_BYTES = 1_024
 
 
 class RecordError(Exception):
@@ -27,7 +27,7 @@
     v: int = VERSION
 
 
-class Claim(Record, frozen=True, tag="claim", kw_only=True):
+class FillLease(Record, frozen=True, tag="claim", kw_only=True):
     """Who fills a name: owner and its process, cache, source, the cache's start."""
 
     owner: str
@@ -37,7 +37,7 @@
     started: int
 
 
-class Holder(Record, frozen=True, tag="holder", kw_only=True):
+class CacheLocation(Record, frozen=True, tag="holder", kw_only=True):
     """Which cache keeps a name, at which rank, from a copy of which Unix millisecond."""
 
     cache: str
@@ -47,7 +47,7 @@
     by: str
 
 
-class Need(Record, frozen=True, tag="need", kw_only=True):
+class QuotaRequest(Record, frozen=True, tag="need", kw_only=True):
     """A front lacks so much of a budget; a piece counts from when it asked, for `span` nanoseconds."""
 
     process: str
@@ -57,7 +57,7 @@
     span: int
 
 
-class Piece(Record, frozen=True, tag="piece", kw_only=True):
+class QuotaGrant(Record, frozen=True, tag="piece", kw_only=True):
     """A lender's piece for one need."""
 
     id: str
@@ -69,18 +69,18 @@
 Kind = TypeVar("Kind", bound=Record)
 
 
-def pack(record: Record) -> bytes:
+def encode_record(record: Record) -> bytes:
     """The record as a store keeps it."""
     body = msgspec.json.encode(record)
     return b"%08x " % crc32c.crc32c(body) + body
 
 
-def unpack(kind: type[Kind], data: object) -> Kind:
+def decode_record(kind: type[Kind], data: object) -> Kind:
     """Reads a record of one kind, or raises RecordError."""
     if not isinstance(data, bytes):
         raise RecordError(f"not bytes but {type(data).__name__}")
-    if len(data) > MOST_BYTES:
-        raise RecordError(f"{len(data)} bytes, more than {MOST_BYTES}")
+    if len(data) > MAX_RECORD_BYTES:
+        raise RecordError(f"{len(data)} bytes, more than {MAX_RECORD_BYTES}")
     mark, _, body = data.partition(b" ")
     if mark != b"%08x" % crc32c.crc32c(body):
         raise RecordError("its check sum is wrong")
@@ -93,7 +93,7 @@
     return record
 
 
-def whole(value: object) -> int:
+def parse_integer(value: object) -> int:
     """A whole number as stores word it, or RecordError."""
     if isinstance(value, int):
         return value
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PurgeKey:
+class InvalidationKey:
     """What a purge concerns: an object, or a group of them."""
 
     object: str | None
@@ -114,7 +114,7 @@
         return f"o:{self.object}" if self.object else f"g:{self.group}"
 
     @classmethod
-    def read(cls, data: bytes) -> PurgeKey:
+    def read(cls, data: bytes) -> InvalidationKey:
         """From the store's form, or RecordError."""
         text = data.decode(errors="replace")
         kind, _, rest = text.partition(":")
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -26,7 +26,7 @@
 from hashlib import sha1
 
 from olivepost.shared_store import messages as ev
-from olivepost.shared_store.records import MOST_BYTES, RecordError, whole
+from olivepost.shared_store.records import MAX_RECORD_BYTES, RecordError, parse_integer
 
 MOST_PURGES = 8_192  # a store keeps
 MOST_ROWS = 256  # needs, pieces, suspicions and purges of one sync
@@ -87,7 +87,7 @@
   local stamp, fresh, left, record = string.match(rows[i + 1], '^(%d+) (%d+) (%S+) (.*)$')
   if not stamp or now - tonumber(fresh) > {NEED_LASTS} then
     redis.call('HDEL', P .. 'needs', rows[i])
-  elseif left ~= '0' and #record <= {MOST_BYTES} and #needs < {MOST_ROWS} then
+  elseif left ~= '0' and #record <= {MAX_RECORD_BYTES} and #needs < {MOST_ROWS} then
     needs[#needs + 1] = {{rows[i], stamp, record}}
   end
 end
@@ -116,7 +116,7 @@
 if holder[1] then
   local keys = {{}}
   for i = 7, #ARGV do keys[#keys + 1] = ARGV[i] end
-  if not tonumber(holder[2]) or tonumber(holder[2]) <= purged(keys) or #holder[1] > {MOST_BYTES} then
+  if not tonumber(holder[2]) or tonumber(holder[2]) <= purged(keys) or #holder[1] > {MAX_RECORD_BYTES} then
     redis.call('DEL', P .. 'h:' .. ARGV[4])
   else
     return {{gen, seen, 'held', holder[1]}}
@@ -124,7 +124,7 @@
 end
 local claim = redis.call('GET', P .. 'c:' .. ARGV[4])
 if claim then
-  if #claim > {MOST_BYTES} then return {{gen, seen, 'none'}} end
+  if #claim > {MAX_RECORD_BYTES} then return {{gen, seen, 'none'}} end
   return {{gen, seen, 'taken', claim, redis.call('PTTL', P .. 'c:' .. ARGV[4])}}
 end
 if ARGV[5] == '0' then return {{gen, seen, 'none'}} end
@@ -244,36 +244,36 @@
     arguments: tuple[Word, ...]
 
 
-def script_of(op: ev.Op, prefix: str, process: str) -> Script:
+def script_of(op: ev.StoreOperation, prefix: str, process: str) -> Script:
     """How a question is put."""
     key = f"{prefix}:generation"
-    if isinstance(op, ev.Raise):
+    if isinstance(op, ev.AdvanceGeneration):
         return Script("raise", key, (op.expected, op.least))
     first = (op.generation, prefix, process)
     match op:
-        case ev.Sync():
+        case ev.SyncOperation():
             needs = [word for need in op.needs for word in need]
             return Script("sync", key, (*first, op.serial, op.after, len(op.needs), *needs, *op.suspects))
-        case ev.Look():
+        case ev.LookUp():
             return Script("look", key, (*first, op.name, op.span_ms, op.record, *op.purges))
-        case ev.Settle():
+        case ev.PublishLocation():
             return Script("settle", key, (*first, op.name, op.claim, op.record, op.at_ms, op.keep_ms))
-        case ev.Wrong():
+        case ev.ReportStaleLocation():
             return Script("wrong", key, (*first, op.name, op.record, op.times))
-        case ev.PutPurges():
+        case ev.PublishInvalidations():
             return Script("purge", key, (*first, *(word for purge in op.purges for word in purge)))
-        case ev.Grant():
+        case ev.GrantQuota():
             return Script("grant", key, (*first, op.need, op.nonce, op.to, repr(op.amount), op.record))
 
 
-def read_reply(ticket: int, reply: object) -> ev.Reply | ev.Lost:
+def read_reply(ticket: int, reply: object) -> ev.StoreReply | ev.ReplyLost:
     """A store's answer as an event; what has another form is no answer."""
     if not isinstance(reply, Sequence) or isinstance(reply, (str, bytes)) or len(reply) < 2:
-        return ev.Lost(ticket, f"a reply of another form: {reply!r:.60}")
+        return ev.ReplyLost(ticket, f"a reply of another form: {reply!r:.60}")
     try:
-        generation, serial = whole(reply[0]), whole(reply[1])
+        generation, serial = parse_integer(reply[0]), parse_integer(reply[1])
     except RecordError:
         generation = serial = -1
     if min(generation, serial) < 0:
-        return ev.Lost(ticket, f"a reply without its generation: {reply!r:.60}")
-    return ev.Reply(ticket, generation, serial, tuple(reply[2:]))
+        return ev.ReplyLost(ticket, f"a reply without its generation: {reply!r:.60}")
+    return ev.StoreReply(ticket, generation, serial, tuple(reply[2:]))
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -7,9 +7,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-from olivepost.config import MS, SECOND
+from olivepost.config import MILLISECOND, SECOND
 from olivepost.operator_config.units import SPAN_SCHEMA, HostPort, span_within, write_span
-from olivepost.shared_store.messages import Terms
+from olivepost.shared_store.messages import SharingTerms
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 
@@ -34,7 +34,7 @@
         return self
 
 
-class Store(Section):
+class StoreSettings(Section):
     """One server of the Redis kind, 6.2 or later; not a cluster of them."""
 
     name: str = Field(pattern=NAME, description="in the log and on the command line; names spread by it")
@@ -74,7 +74,8 @@
 class Budgets(Section):
     on: bool = True
     loan: Annotated[int, span_within("100ms", "1950ms"), SPAN_SCHEMA] = Field(
-        default=1_900 * MS, description="how long a borrowed piece counts, from when it was asked for"
+        default=1_900 * MILLISECOND,
+        description="how long a borrowed piece counts, from when it was asked for",
     )
 
 
@@ -85,7 +86,7 @@
 class Trials(Section):
     """When a store that was left alone is tried again: pauses double from first to most, with jitter."""
 
-    first: Annotated[int, span_within("10ms", "10s"), SPAN_SCHEMA] = 100 * MS
+    first: Annotated[int, span_within("10ms", "10s"), SPAN_SCHEMA] = 100 * MILLISECOND
     most: Annotated[int, span_within("100ms", "60s"), SPAN_SCHEMA] = 1 * SECOND
 
     @model_validator(mode="after")
@@ -102,20 +103,21 @@
     upkeep: int = Field(default=1_024, ge=16, le=65_536)
 
 
-class SharingSettings(Section):
+class SharedStoreSettings(Section):
     """What fronts of one branch share."""
 
     branch: str = Field(pattern=NAME, description="fronts of one branch, and no others, have the same")
-    stores: list[Store] = Field(min_length=1, max_length=16)
+    stores: list[StoreSettings] = Field(min_length=1, max_length=16)
     wait: Annotated[int, span_within("1ms", "100ms"), SPAN_SCHEMA] = Field(
-        default=10 * MS, description="of one request for all its questions; 2 % of its time, if that is less"
+        default=10 * MILLISECOND,
+        description="of one request for all its questions; 2 % of its time, if that is less",
     )
     give_up: Annotated[int, span_within("20ms", "5s"), SPAN_SCHEMA] = Field(
-        default=250 * MS, description="after which a connection that has not answered is closed"
+        default=250 * MILLISECOND, description="after which a connection that has not answered is closed"
     )
-    connect: Annotated[int, span_within("10ms", "5s"), SPAN_SCHEMA] = 500 * MS
+    connect: Annotated[int, span_within("10ms", "5s"), SPAN_SCHEMA] = 500 * MILLISECOND
     sync: Annotated[int, span_within("10ms", "1s"), SPAN_SCHEMA] = Field(
-        default=50 * MS, description="between two exchanges of purges, needs and suspicions"
+        default=50 * MILLISECOND, description="between two exchanges of purges, needs and suspicions"
     )
     trials: Trials = Trials()
     queues: Queues = Queues()
@@ -134,22 +136,22 @@
             raise ValueError(f"give_up must not be under wait ({write_span(self.wait)})")
         return self
 
-    def terms(self, front: str, incarnation: str) -> Terms:
+    def terms(self, front: str, incarnation: str) -> SharingTerms:
         """What the deciding part needs of all this."""
-        return Terms(
+        return SharingTerms(
             front,
             incarnation,
             tuple(store.name for store in self.stores),
             self.wait,
             self.sync,
-            claims=self.claims.on,
-            claim_most=self.claims.most,
-            holders=self.holders.on,
-            holder_keep=self.holders.keep,
-            purges=self.purges.on,
-            loans=self.budgets.on,
-            loan=self.budgets.loan,
-            suspicions=self.suspicions.on,
-            trial_first=self.trials.first,
-            trial_most=self.trials.most,
+            leases_enabled=self.claims.on,
+            max_lease_duration=self.claims.most,
+            locations_enabled=self.holders.on,
+            location_lifetime=self.holders.keep,
+            invalidations_enabled=self.purges.on,
+            quota_transfers_enabled=self.budgets.on,
+            quota_duration=self.budgets.loan,
+            outlier_reports_enabled=self.suspicions.on,
+            min_trial_delay=self.trials.first,
+            max_trial_delay=self.trials.most,
         )
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -15,125 +15,127 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from olivepost.shared_store.messages import Reply
+from olivepost.shared_store.messages import StoreReply
 
 BAD_IN_A_ROW, LAST, BAD_SHARE, GOOD_TRIALS = 5, 20, 0.5, 2
 
 
-class Gate(Enum):
+class BreakerState(Enum):
     """Whether a store is asked."""
 
-    OPEN = "asked"
-    SHUT = "left alone"
-    TRIAL = "tried"
+    CLOSED = "asked"
+    OPEN = "left alone"
+    HALF_OPEN = "tried"
 
 
-class Trust(Enum):
+class TrustLevel(Enum):
     """How far a store's word counts."""
 
     NONE = "not met yet"
     RESTORING = "purges are put back"
-    SURE = "counts"
+    TRUSTED = "counts"
 
 
-class Verdict(Enum):
+class ReplyVerdict(Enum):
     """What a reply says of its store."""
 
-    COUNTS = "counts"
+    CURRENT = "counts"
     STALE = "of no use now"
     EMPTY = "has no generation"
-    WENT_BACK = "has forgotten"
+    ROLLED_BACK = "has forgotten"
     MOVED = "another generation"
 
 
 @dataclass(slots=True)
-class Standing:
+class StoreHealth:
     """One store as this front sees it."""
 
     name: str
     draw: random.Random
     pause_first: int
     pause_most: int
-    gate: Gate = Gate.TRIAL
-    trust: Trust = Trust.NONE
+    breaker: BreakerState = BreakerState.HALF_OPEN
+    trust: TrustLevel = TrustLevel.NONE
     generation: int = 0
-    confirmed: int = 0  # the last serial that it has said to have
+    confirmed_serial: int = 0  # the last serial that it has said to have
     serial: int = 0
     cursor: int = 0  # the last purge read of it, by number
-    restore: deque[tuple[tuple[str, int], ...]] = field(default_factory=deque)  # chunks still to be put back
-    raising: bool = False  # a new generation is asked for
-    pause: int = 0
-    until: int = 0  # left alone until then
-    good: int = 0  # in a row, while it is tried
+    unpublished: deque[tuple[tuple[str, int], ...]] = field(
+        default_factory=deque
+    )  # chunks still to be put back
+    is_advancing: bool = False  # a new generation is asked for
+    backoff: int = 0
+    retry_at: int = 0  # left alone until then
+    good_in_a_row: int = 0  # in a row, while it is tried
     _bad: int = 0  # in a row
     _last: deque[bool] = field(default_factory=lambda: deque(maxlen=LAST))
 
     @property
-    def up(self) -> bool:
+    def is_available(self) -> bool:
         """Whether a request may wait for it."""
-        return self.gate is Gate.OPEN and self.trust is Trust.SURE
+        return self.breaker is BreakerState.CLOSED and self.trust is TrustLevel.TRUSTED
 
-    def answered(self, now: int, in_time: bool) -> None:
+    def record_reply(self, now: int, in_time: bool) -> None:
         """One answer, useful or late.
 
         Guards against stores that are slow, silent, full or refuse, at the price of a few requests' waits.
         Hurts where one answer in two is late for long: the good half is not used either."""
         self._last.append(not in_time)
         self._bad = 0 if in_time else self._bad + 1
-        if self.gate is Gate.TRIAL:
-            self.good = self.good + 1 if in_time else 0
-            if self.good >= GOOD_TRIALS:
-                self.gate, self.pause, self._bad = Gate.OPEN, 0, 0
+        if self.breaker is BreakerState.HALF_OPEN:
+            self.good_in_a_row = self.good_in_a_row + 1 if in_time else 0
+            if self.good_in_a_row >= GOOD_TRIALS:
+                self.breaker, self.backoff, self._bad = BreakerState.CLOSED, 0, 0
                 self._last.clear()
             elif not in_time:
                 self._shut(now)
-        elif self.gate is Gate.OPEN:
+        elif self.breaker is BreakerState.CLOSED:
             half = len(self._last) == LAST and sum(self._last) > BAD_SHARE * LAST
             if self._bad >= BAD_IN_A_ROW or half:
                 self._shut(now)
 
     def _shut(self, now: int) -> None:
-        self.gate, self.good = Gate.SHUT, 0
-        self.pause = min(self.pause_most, 2 * self.pause) if self.pause else self.pause_first
+        self.breaker, self.good_in_a_row = BreakerState.OPEN, 0
+        self.backoff = min(self.pause_most, 2 * self.backoff) if self.backoff else self.pause_first
         # Jitter: fronts that lost a store together must not all try it in the same moment.
-        self.until = now + int(self.pause * (0.5 + self.draw.random() / 2))
+        self.retry_at = now + int(self.backoff * (0.5 + self.draw.random() / 2))
 
-    def due(self, now: int) -> bool:
+    def allows_sync(self, now: int) -> bool:
         """Whether it may be synced with now; one that was left alone long enough is on trial from here."""
-        if self.gate is Gate.SHUT and now >= self.until:
-            self.gate, self.good = Gate.TRIAL, 0
-        return self.gate is not Gate.SHUT
+        if self.breaker is BreakerState.OPEN and now >= self.retry_at:
+            self.breaker, self.good_in_a_row = BreakerState.HALF_OPEN, 0
+        return self.breaker is not BreakerState.OPEN
 
     def next_serial(self) -> int:
         """This process's next sign of life."""
         self.serial += 1
         return self.serial
 
-    def judge(self, reply: Reply, generation: int, confirmed: int) -> Verdict:
-        """What a reply means; `generation` and `confirmed` are those of when it was asked."""
+    def judge(self, reply: StoreReply, generation: int, confirmed: int) -> ReplyVerdict:
+        """What a reply means; `generation` and `confirmed_serial` are those of when it was asked."""
         if not reply.generation:
-            return Verdict.EMPTY
+            return ReplyVerdict.EMPTY
         if reply.generation < self.generation:
-            return Verdict.WENT_BACK if generation == self.generation else Verdict.STALE
+            return ReplyVerdict.ROLLED_BACK if generation == self.generation else ReplyVerdict.STALE
         if reply.generation > self.generation:
-            return Verdict.MOVED
+            return ReplyVerdict.MOVED
         if generation != self.generation:
-            return Verdict.STALE
+            return ReplyVerdict.STALE
         # Once it has forgotten, a serial that it was told since proves nothing: until a new generation.
-        forgot = reply.serial < confirmed or self.trust is Trust.NONE
-        return Verdict.WENT_BACK if forgot else Verdict.COUNTS
+        forgot = reply.serial < confirmed or self.trust is TrustLevel.NONE
+        return ReplyVerdict.ROLLED_BACK if forgot else ReplyVerdict.CURRENT
 
     def adopt(self, generation: int, purges: list[tuple[tuple[str, int], ...]]) -> None:
         """Goes by another generation, once the purges are put back, in chunks, and confirmed."""
-        self.generation, self.confirmed, self.cursor = generation, 0, 0
-        self.trust, self.restore = Trust.RESTORING, deque(purges)
+        self.generation, self.confirmed_serial, self.cursor = generation, 0, 0
+        self.trust, self.unpublished = TrustLevel.RESTORING, deque(purges)
 
-    def put_back(self, chunk: tuple[tuple[str, int], ...]) -> bool:
+    def confirm_published(self, chunk: tuple[tuple[str, int], ...]) -> bool:
         """A chunk of purges is confirmed; true where that was the last."""
-        if self.trust is not Trust.RESTORING:
+        if self.trust is not TrustLevel.RESTORING:
             return False
-        if self.restore and self.restore[0] is chunk:
-            self.restore.popleft()
-        if not self.restore:
-            self.trust = Trust.SURE
-        return self.trust is Trust.SURE
+        if self.unpublished and self.unpublished[0] is chunk:
+            self.unpublished.popleft()
+        if not self.unpublished:
+            self.trust = TrustLevel.TRUSTED
+        return self.trust is TrustLevel.TRUSTED
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from olivepost import interface as api
-from olivepost.config import STATES, FieldError, Fields, read_settings
+from olivepost.config import ENDPOINT_STATES, ConfigError, FieldReader, read_settings
 
 LIST_KINDS = {
     "diff": api.EndpointUpdateKind.INCREMENTAL,
@@ -44,19 +44,19 @@
     try:
         data = json.loads(line)
     except ValueError as fault:
-        raise FieldError("not a JSON value") from fault
-    fields = Fields("batch", data)
+        raise ConfigError("not a JSON value") from fault
+    fields = FieldReader("batch", data)
     if not isinstance(fields.data.get("input"), list):
-        raise FieldError("batch lacks 'input'")
+        raise ConfigError("batch lacks 'input'")
     messages = fields.items("input")
     if not all(isinstance(message, dict) for message in messages):
-        raise FieldError("batch holds a message that is not an object")
-    return Batch(fields.whole("ts"), fields.whole("turn"), messages)
+        raise ConfigError("batch holds a message that is not an object")
+    return Batch(fields.integer("ts"), fields.integer("turn"), messages)
 
 
 def front_of(message: dict[str, Any]) -> int:
     """The instance a message is for."""
-    return Fields(str(message.get("kind", "message")), message).whole("front")
+    return FieldReader(str(message.get("kind", "message")), message).integer("front")
 
 
 def is_start(message: dict[str, Any]) -> bool:
@@ -69,49 +69,49 @@
 
 def read_start(message: dict[str, Any]) -> tuple[api.Settings, int]:
     """Reads a start: the settings and the seed."""
-    fields = Fields("Spawn", message)
-    return read_settings(fields.data.get("info")), fields.whole("entropy")
+    fields = FieldReader("Spawn", message)
+    return read_settings(fields.data.get("info")), fields.integer("entropy")
 
 
 def _read_listed(item: object) -> api.EndpointMetadata:
-    row = Fields("member", item)
+    row = FieldReader("member", item)
     return api.EndpointMetadata(
         id=row.text("cache"),
-        state=row.word("condition", STATES, "in_service"),
+        state=row.one_of("condition", ENDPOINT_STATES, "in_service"),
         kind=row.text("family-type", ""),
         zone=row.text("area", ""),
-        cell=row.whole("stripe", 0),
+        cell=row.integer("stripe", 0),
         weight=row.number("capacity-hint", 1.0),
-        started_at=row.whole("up-since", 0),
+        started_at=row.integer("up-since", 0),
     )
 
 
-def _read_request(row: Fields, settings: api.Settings) -> api.Request:
+def _read_request(row: FieldReader, settings: api.Settings) -> api.Request:
     if row.text("grade") not in settings.classes:
-        raise FieldError(f"Query has an unknown 'grade': {row.text('grade')}")
+        raise ConfigError(f"Query has an unknown 'grade': {row.text('grade')}")
     return api.Request(
         id=row.text("ticket"),
         class_name=row.text("grade"),
         object=row.text("resource", ""),
-        timeout=row.whole("ttl"),
+        timeout=row.integer("ttl"),
         size_kb=row.number("bytes-k", 0.0),
-        group=row.whole("batch-id") if "batch-id" in row.data else None,
-        part=row.whole("slice", 0),
-        is_write=row.flag("write"),
+        group=row.integer("batch-id") if "batch-id" in row.data else None,
+        part=row.integer("slice", 0),
+        is_write=row.boolean("write"),
     )
 
 
-def _read_outcome(row: Fields) -> api.AttemptOutcome:
+def _read_outcome(row: FieldReader) -> api.AttemptOutcome:
     try:
-        note = api.CacheStatus(row.whole("remark", 0))
+        note = api.CacheStatus(row.integer("remark", 0))
     except ValueError:
         note = api.CacheStatus.UNKNOWN
     return api.AttemptOutcome(
         request_id=row.text("ticket"),
-        attempt=row.whole("attempt", 0),
-        status=row.word("rc", STATUSES),
-        elapsed=row.whole("took", 0),
-        is_final=row.flag("no-more"),
+        attempt=row.integer("attempt", 0),
+        status=row.one_of("rc", STATUSES),
+        elapsed=row.integer("took", 0),
+        is_final=row.boolean("no-more"),
         cache_status=note,
     )
 
@@ -119,28 +119,28 @@
 def read_event(message: dict[str, Any], settings: api.Settings) -> api.Event | None:
     """Reads an event; None where it answers nothing that a router asks for."""
     kind = message.get("kind")
-    row = Fields(str(kind), message)
+    row = FieldReader(str(kind), message)
     if kind == "Query":
         return _read_request(row, settings)
     if kind == "Returned":
         return _read_outcome(row)
     if kind == "Ring":
-        return api.TimerFired(row.whole("ref"))
+        return api.TimerFired(row.integer("ref"))
     if kind == "Headers":
-        return api.ResponseStarted(row.text("ticket"), row.whole("attempt", 0))
+        return api.ResponseStarted(row.text("ticket"), row.integer("attempt", 0))
     if kind == "ClientGone":
         return api.ClientDisconnected(row.text("ticket"))
     if kind == "Registry":
         return api.EndpointUpdate(
-            row.word("scope", LIST_KINDS), tuple(_read_listed(item) for item in row.items("members"))
+            row.one_of("scope", LIST_KINDS), tuple(_read_listed(item) for item in row.items("members"))
         )
     if kind == "Invalidated":
         name = row.text("resource", "")
-        group = row.whole("family-id") if "family-id" in row.data else None
-        return api.Invalidation(name or None, group, row.whole("oldness", 0))
+        group = row.integer("family-id") if "family-id" in row.data else None
+        return api.Invalidation(name or None, group, row.integer("oldness", 0))
     if kind in UNASKED:
         return None
-    raise FieldError(f"unknown message kind: {kind}")
+    raise ConfigError(f"unknown message kind: {kind}")
 
 
 def write_action(front: int, action: api.Action) -> dict[str, object]:
--- a/olivepost/simulator_adapter/host.py
+++ b/olivepost/simulator_adapter/host.py
@@ -4,12 +4,12 @@
 
 from typing import IO
 
-from olivepost.config import FieldError
+from olivepost.config import ConfigError
 from olivepost.router import Router
 from olivepost.simulator_adapter import codec
 
 
-class Host:
+class RouterHost:
     """Routers by instance number."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
                 continue
             router = self._routers.get(front)
             if router is None:
-                raise FieldError(f"front {front} has not been started")
+                raise ConfigError(f"front {front} has not been started")
             if codec.is_stop(message):
                 del self._routers[front]
                 continue
@@ -39,11 +39,11 @@
 
 def run(source: IO[bytes], sink: IO[bytes], errors: IO[str]) -> int:
     """Serves batches until the input ends; returns the exit code."""
-    host = Host()
+    host = RouterHost()
     for number, line in enumerate(source, 1):
         try:
             sink.write(host.reply(line))
-        except FieldError as fault:
+        except ConfigError as fault:
             print(f"olivepost.simulator_adapter: line {number}: {fault}", file=errors)
             return 2
         sink.flush()
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -8,7 +8,7 @@
 
 from examples.toy_server import CONFIG
 from olivepost import interface as api
-from olivepost.config import TURN, FieldError, load, read_config
+from olivepost.config import TURN, ConfigError, load, read_config
 from tests.rig import toy_config
 
 
@@ -17,16 +17,29 @@
     assert config.name == "example" and config.listen == ("127.0.0.1", 8080)
     assert config.coordinator == ("127.0.0.1", 7370) and config.seed == 0x8C1F30D27A5BE964
     assert config.settings.classes["image"].idempotency is api.Idempotency.IDEMPOTENT
-    bounds = config.bounds
-    assert bounds.streams == 32 and bounds.connect == 400_000_000 and bounds.idle == 30_000_000_000
-    assert bounds.clients >= 1024 // 3 and bounds.bodies * bounds.buffer_size <= 192 * 1_048_576 // 2
-    assert bounds.copies < bounds.bodies and config.settings.local_transfer_capacity == 0 == config.flow
-    assert bounds.links * bounds.streams >= bounds.clients
+    bounds = config.limits
+    assert (
+        bounds.max_requests_per_connection == 32
+        and bounds.connect_timeout == 400_000_000
+        and bounds.upstream_idle_timeout == 30_000_000_000
+    )
+    assert (
+        bounds.max_client_connections >= 1024 // 3
+        and bounds.body_buffers * bounds.buffer_size <= 192 * 1_048_576 // 2
+    )
+    assert (
+        bounds.cache_buffers < bounds.body_buffers
+        and config.settings.local_transfer_capacity == 0 == config.transfer_bytes_per_s
+    )
+    assert (
+        bounds.max_connections_per_endpoint * bounds.max_requests_per_connection
+        >= bounds.max_client_connections
+    )
 
 
 def test_own_link_in_transfers() -> None:
     config = read_config(toy_config(flow_bytes_per_s=1000, link_bytes_per_s=4500.0), {})
-    assert config.settings.local_transfer_capacity == 4.5 and config.flow == 1000
+    assert config.settings.local_transfer_capacity == 4.5 and config.transfer_bytes_per_s == 1000
 
 
 def test_the_module_gives_up_in_time_for_a_front_that_is_busy() -> None:
@@ -45,19 +58,24 @@
 
 @pytest.mark.parametrize(("memory", "sockets"), [(32, 256), (64, 256), (192, 1024), (2048, 4096)])
 def test_small_limits_are_valid_and_the_front_fits_into_them(memory: int, sockets: int) -> None:
-    bounds = read_config(toy_config(limits={"memory_mb": memory, "sockets": sockets}), {}).bounds
-    held = (bounds.readers + bounds.bodies) * bounds.buffer_size
-    threads = (bounds.clients + 2 * bounds.all_links) * 24 * 1024  # what is touched of a thread's stack
+    bounds = read_config(toy_config(limits={"memory_mb": memory, "sockets": sockets}), {}).limits
+    held = (bounds.read_buffers + bounds.body_buffers) * bounds.buffer_size
+    threads = (
+        (bounds.max_client_connections + 2 * bounds.max_upstream_connections) * 24 * 1024
+    )  # what is touched of a thread's stack
     assert 22 * 2**20 + held + threads < memory * 2**20
-    assert bounds.clients + bounds.all_links + 16 < sockets and bounds.clients >= 32
-    assert bounds.copies < bounds.bodies and bounds.bodies * bounds.buffer_size >= 240_000
+    assert (
+        bounds.max_client_connections + bounds.max_upstream_connections + 16 < sockets
+        and bounds.max_client_connections >= 32
+    )
+    assert bounds.cache_buffers < bounds.body_buffers and bounds.body_buffers * bounds.buffer_size >= 240_000
 
 
 def test_limits_and_unknown_keys() -> None:
     config = read_config(toy_config(limits={"sockets": 256, "of_tomorrow": 1}, of_tomorrow=[]), {})
-    assert config.bounds.sockets == 256 and config.bounds.memory_mb == 192
-    assert config.bounds.buffer_size == 16_384
-    assert config.bounds.clients < 256 // 2
+    assert config.limits.max_sockets == 256 and config.limits.memory_mb == 192
+    assert config.limits.buffer_size == 16_384
+    assert config.limits.max_client_connections < 256 // 2
 
 
 READ = {"name": "a", "deadline": 1_000_000_000, "effect": "read_like"}
@@ -106,23 +124,23 @@
     ],
 )
 def test_a_fault_names_its_key(changes: dict[str, Any], key: str) -> None:
-    with pytest.raises(FieldError, match=key):
+    with pytest.raises(ConfigError, match=key):
         read_config(toy_config(**changes), {})
 
 
 def test_a_faulty_variable_is_named(tmp_path: Path) -> None:
-    with pytest.raises(FieldError, match="BALANCER_LISTEN"):
+    with pytest.raises(ConfigError, match="BALANCER_LISTEN"):
         read_config(toy_config(), {"BALANCER_LISTEN": "x"})
-    with pytest.raises(FieldError, match="BALANCER_CONFIG"):
+    with pytest.raises(ConfigError, match="BALANCER_CONFIG"):
         load({})
-    with pytest.raises(FieldError, match="BALANCER_CONFIG"):
+    with pytest.raises(ConfigError, match="BALANCER_CONFIG"):
         load({"BALANCER_CONFIG": str(tmp_path / "none.json")})
     path = tmp_path / "odd.json"
     path.write_text(json.dumps([1]))
-    with pytest.raises(FieldError, match="not an object"):
+    with pytest.raises(ConfigError, match="not an object"):
         load({}, str(path))
     path.write_text("{")
-    with pytest.raises(FieldError, match="not JSON"):
+    with pytest.raises(ConfigError, match="not JSON"):
         load({}, str(path))
 
 
@@ -135,7 +153,9 @@
         config = read_config(toy_config(settings=settings), {})
         assert len(config.settings.classes) == 30 and config.settings.max_attempts == 1
         assert config.settings.overload_window == 2_000_000_000
-        assert config.bounds.streams == 32 and config.bounds.connect == 400_000_000
+        assert (
+            config.limits.max_requests_per_connection == 32 and config.limits.connect_timeout == 400_000_000
+        )
 
 
 @pytest.mark.parametrize("deadline_ms", [40, 200, 5_000])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,5 +13,7 @@
 def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
     """As if bodies were larger than the machine takes at once."""
     monkeypatch.setattr(
-        sockets, "widen", lambda sock, _: sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096)
+        sockets,
+        "set_send_buffer",
+        lambda sock, _: sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4_096),
     )
