--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -21,10 +21,10 @@
 from olivepost.config import SECOND, read_address, read_config
 from olivepost.proxy import server, sockets
 from olivepost.proxy.discovery import client as discovery
-from olivepost.proxy.downstream.listener import Connection
-from olivepost.proxy.event_loop import Engine, Stop
+from olivepost.proxy.downstream.listener import DownstreamConnection
+from olivepost.proxy.event_loop import EventLoop, StopEventLoop
 from olivepost.proxy.upstream import pool
-from olivepost.proxy.upstream.pool import Link
+from olivepost.proxy.upstream.pool import UpstreamConnection
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig, toy_config
 
 MS = 1_000_000
@@ -46,14 +46,14 @@
         serve_all(member, command)
 
 
-def connection_of(made: Rig) -> Connection:
+def connection_of(made: Rig) -> DownstreamConnection:
     """The one connection that is open."""
-    assert made.until(lambda: made.front.clients.open == 1)
-    (connection,) = made.front.clients._open
+    assert made.until(lambda: made.front.downstream.open_count == 1)
+    (connection,) = made.front.downstream._open
     return connection
 
 
-def rested(made: Rig) -> Connection:
+def rested(made: Rig) -> DownstreamConnection:
     """The one connection, once its answer is written and its writer is done with it."""
     connection = connection_of(made)
     assert made.until(lambda: connection.idle and not connection._lock.locked())
@@ -74,24 +74,24 @@
     """It is in the machine's buffer when the connection ends: read after that, it is not taken up."""
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200
-        connection, hang_up = rested(made), sockets.hang_up
+        connection, hang_up = rested(made), sockets.shutdown
         before, sent, posted = len(made.fetches()), list[bytes](), list[Any]()
-        made.front.clients.post = posted.append
+        made.front.downstream.post = posted.append
 
         def crossed(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
             if sock is connection._sock and not sent:
                 sent.append(Client.request())
                 client.send(sent[0])
-                made.until(lambda: not sockets.quiet(sock))
+                made.until(lambda: not sockets.has_nothing_unread(sock))
             hang_up(sock, how)
 
-        monkeypatch.setattr(sockets, "hang_up", crossed)
+        monkeypatch.setattr(sockets, "shutdown", crossed)
         connection.limit = 1 if end == "expire" else 0
         getattr(connection, end)()
         assert sent and client.closed()
         client.sock.close()
-        assert made.until(lambda: made.front.clients.open == 0)
-        monkeypatch.setattr(sockets, "hang_up", hang_up)
+        assert made.until(lambda: made.front.downstream.open_count == 0)
+        monkeypatch.setattr(sockets, "shutdown", hang_up)
         assert not posted and len(made.fetches()) == before
 
 
@@ -138,7 +138,7 @@
 
 
 def test_who_rests_and_then_writes_slowly_has_time_for_the_whole_request() -> None:
-    with rig(bounds={"client_idle": 800 * MS}) as made, made.client() as client:
+    with rig(bounds={"keepalive_timeout": 800 * MS}) as made, made.client() as client:
         assert client.ask()[0] == 200
         connection, request = rested(made), Client.request()
         rests = connection.limit
@@ -152,13 +152,13 @@
 def test_who_has_just_been_answered_is_not_evicted() -> None:
     """A reset could overtake the answer; where the cap is reached another, or nobody yet, goes."""
     with rig(limits={"sockets": 64, "memory_mb": 64}) as made:
-        cap = made.front.config.bounds.clients
+        cap = made.front.config.limits.max_client_connections
         held = [made.client() for _ in range(cap)]
         for client in held:
             assert client.ask()[0] == 200
         now = made.front.clock.now()
-        made.front.clients.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
-        for connection in made.front.clients._open:
+        made.front.downstream.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
+        for connection in made.front.downstream._open:
             connection.since = now
         with made.client() as late:
             assert made.until(lambda: made.counted("clients_full") == 1)
@@ -184,7 +184,7 @@
         monkeypatch.setattr(threading.Thread, "start", short)
         sock = ask_narrowly(made)
         assert made.until(lambda: made.counted("threads_short") == 1)
-        assert made.until(lambda: made.front.pool.out == 0)
+        assert made.until(lambda: made.front.body_buffers.in_use == 0)
         sock.close()
 
 
@@ -233,13 +233,13 @@
     """The word of its going waits behind other work: in the engine's queue, or with its own reader."""
     late = threading.Event()
     if who == "engine":
-        abandon = Engine._abandon
+        abandon = EventLoop._abandon
 
-        def abandoned(self: Engine, now: int, exchange: Any, answer: Any) -> None:
+        def abandoned(self: EventLoop, now: int, exchange: Any, answer: Any) -> None:
             if answer is not None or late.is_set():
                 abandon(self, now, exchange, answer)
 
-        monkeypatch.setattr(Engine, "_abandon", abandoned)
+        monkeypatch.setattr(EventLoop, "_abandon", abandoned)
     else:
         wait, asked = sockets.wait_readable, threading.Event()
 
@@ -253,8 +253,8 @@
     with rig() as made:
         client = made.client()
         client.send(Client.request(patience=3000))
-        assert made.until(lambda: made.front.engine.open == 1) and connecting.begun.wait(WITHIN)
-        (connection,) = made.front.clients._open
+        assert made.until(lambda: made.front.event_loop.pending_count == 1) and connecting.begun.wait(WITHIN)
+        (connection,) = made.front.downstream._open
         leave(client.sock)
         assert made.until(connection.deserted)
         connecting.gate.set()
@@ -264,8 +264,8 @@
         client.sock.close()
         with made.client() as other:  # the link goes on
             assert other.ask(piece=7)[0] == 200
-        assert made.front.engine._router.state.endpoints.by_id["a"].failure_score == 0
-        assert made.front.engine._router.state.endpoints.by_id["b"].failure_score == 0
+        assert made.front.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
+        assert made.front.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
 
 
 def test_what_a_burst_of_leaving_clients_had_out_is_aborted() -> None:
@@ -280,10 +280,10 @@
         sent = {command.id for command in made.fetches(6)}
         for client in leaving:
             client.sock.close()
-        assert made.until(lambda: made.front.engine.open == 0)
+        assert made.until(lambda: made.front.event_loop.pending_count == 0)
         assert made.until(lambda: {it.id for cache in made.caches for it in cache.seen("abort")} == sent)
         assert not any(
-            member.failure_score for member in made.front.engine._router.state.endpoints.by_id.values()
+            member.failure_score for member in made.front.event_loop._router.state.endpoints.by_id.values()
         )
 
 
@@ -300,19 +300,19 @@
         if threading.current_thread().name.startswith("link-") and not first.is_set():
             first.set()
             until = time.monotonic() + WITHIN
-            while not sockets.ended(sock) and time.monotonic() < until:
+            while not sockets.is_closed_by_peer(sock) and time.monotonic() < until:
                 threading.Event().wait(0.001)
         return sock
 
-    read = Link._read
+    read = UpstreamConnection._read
 
-    def late(self: Link, sock: socket.socket) -> None:
-        if sockets.ended(sock):
+    def late(self: UpstreamConnection, sock: socket.socket) -> None:
+        if sockets.is_closed_by_peer(sock):
             gate.wait(WITHIN)
         read(self, sock)
 
     monkeypatch.setattr(sockets, "connect", ended)
-    monkeypatch.setattr(Link, "_read", late)
+    monkeypatch.setattr(UpstreamConnection, "_read", late)
     yield gate
     gate.set()
 
@@ -350,20 +350,20 @@
 def test_a_repeat_that_comes_up_after_its_window_is_not_begun(connecting: Connecting) -> None:
     """Rule 2 counts the first byte: a connection that comes up late must not carry it past the window."""
     with rig(settings=settings_of("idempotency_key", window=5 * SECOND)) as made, made.client() as client:
-        send = made.front.servers.send
+        send = made.front.upstream.forward
 
-        def sent(call: pool.Call) -> None:
-            made.front.servers.send = send  # type: ignore[method-assign]
-            call.begin_by = made.front.clock.now() + 50 * MS  # as the router gives it to a repeat
+        def sent(call: pool.UpstreamRequest) -> None:
+            made.front.upstream.forward = send  # type: ignore[method-assign]
+            call.start_before = made.front.clock.now() + 50 * MS  # as the router gives it to a repeat
             send(call)
 
-        made.front.servers.send = sent  # type: ignore[method-assign]
+        made.front.upstream.forward = sent  # type: ignore[method-assign]
         client.send(Client.request(patience=3000))
         assert connecting.begun.wait(WITHIN)
         past = made.front.clock.now() + 60 * MS
         assert made.until(lambda: made.front.clock.now() > past)
         connecting.gate.set()
-        assert made.outcomes("NEVER_SENT", 1)
+        assert made.outcomes("NOT_SENT", 1)
         assert client.read()[0] == 200  # it never ran: another may
         assert len(made.fetches()) == 1
 
@@ -391,16 +391,16 @@
     """Aborts wait to be written until they are let go; with `resets`, their link is reset instead."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.gate, self.resets, send = threading.Event(), False, Link._send
+        self.gate, self.resets, send = threading.Event(), False, UpstreamConnection._send
 
-        def late(link: Link, sock: socket.socket, data: bytes, call: Any) -> None:
+        def late(link: UpstreamConnection, sock: socket.socket, data: bytes, call: Any) -> None:
             if data.startswith(b"abort"):
                 self.gate.wait(WITHIN)
                 if self.resets:
                     raise ConnectionError("reset by the member")
             send(link, sock, data, call)
 
-        monkeypatch.setattr(Link, "_send", late)
+        monkeypatch.setattr(UpstreamConnection, "_send", late)
 
 
 @pytest.fixture
@@ -414,8 +414,8 @@
     slow, aborting.resets = Slow(), resets
     with rig(slow, settings=one_at_a_time()) as made, made.client() as client:
         client.send(Client.request(patience=15_000))
-        held = made.front.engine._held
-        assert made.until(lambda: any(it.next is not None for it in list(held.values())))
+        held = made.front.event_loop._held
+        assert made.until(lambda: any(it.waiting is not None for it in list(held.values())))
         assert {member.id for member in made.caches if member.seen()} == {slow.first}
         aborting.gate.set()
         assert client.read()[0] == 200
@@ -425,12 +425,12 @@
     slow = Slow()
     with rig(slow, settings=one_at_a_time()) as made, made.client() as client:
         client.send(Client.request(patience=15_000))
-        held = made.front.engine._held
-        assert made.until(lambda: any(it.next is not None for it in list(held.values())))
+        held = made.front.event_loop._held
+        assert made.until(lambda: any(it.waiting is not None for it in list(held.values())))
         other = next(member for member in made.caches if member.id != slow.first)
         rows = [{**row, "state": "terminating"} for row in made.entries if row["id"] == other.id]
         made.coordinator.add(endpoints={"version": 2, "full": False, "servers": rows})
-        assert made.outcomes("NEVER_SENT", 1)
+        assert made.outcomes("NOT_SENT", 1)
         aborting.gate.set()
         assert client.read()[0] in (200, 503) and not other.seen()
 
@@ -447,13 +447,16 @@
             serve_all(member, command)
 
     with rig(reply, settings=one_at_a_time()) as made, made.client() as client:
-        tools, ended = made.front.servers._tools, list[bool]()
+        tools, ended = made.front.upstream._tools, list[bool]()
         post = tools.post
 
         def noted(event: Any) -> None:
-            if isinstance(event, pool.Ended) and event.status is api.AttemptStatus.CONNECTION_LOST:
-                assert event.call.link is not None and event.call.link._sock is not None
-                ended.append(sockets.ended(event.call.link._sock))
+            if (
+                isinstance(event, pool.UpstreamCompleted)
+                and event.status is api.AttemptStatus.CONNECTION_LOST
+            ):
+                assert event.request.connection is not None and event.request.connection._sock is not None
+                ended.append(sockets.is_closed_by_peer(event.request.connection._sock))
             post(event)
 
         tools.post = noted
@@ -483,32 +486,32 @@
         call = made_call(made, client)
         draining = [
             dataclasses.replace(server.place, state=api.EndpointState.DRAINING)
-            for server in made.front.servers._servers.values()
+            for server in made.front.upstream._servers.values()
         ]
         before = len(made.fetches())
-        call.moved = True
+        call.is_rerouted = True
         told: list[Any] = []
-        tools = made.front.servers._tools
+        tools = made.front.upstream._tools
         post, tools.post = tools.post, told.append
-        made.front.servers.update(draining, False)
-        made.front.servers.send(call)
+        made.front.upstream.update(draining, False)
+        made.front.upstream.forward(call)
         tools.post = post
         assert [it.status for it in told] == [api.AttemptStatus.CONNECT_FAILED]
         assert len(made.fetches()) == before
 
 
-def made_call(made: Rig, client: Client) -> pool.Call:
+def made_call(made: Rig, client: Client) -> pool.UpstreamRequest:
     """A call that has been on a link."""
-    kept: list[pool.Call] = []
-    send = made.front.servers.send
+    kept: list[pool.UpstreamRequest] = []
+    send = made.front.upstream.forward
 
-    def noted(call: pool.Call) -> None:
+    def noted(call: pool.UpstreamRequest) -> None:
         kept.append(call)
         send(call)
 
-    made.front.servers.send = noted  # type: ignore[method-assign]
+    made.front.upstream.forward = noted  # type: ignore[method-assign]
     assert client.ask(piece=9)[0] == 200
-    made.front.servers.send = send  # type: ignore[method-assign]
+    made.front.upstream.forward = send  # type: ignore[method-assign]
     return kept[0]
 
 
@@ -528,7 +531,7 @@
     """SIGTERM; its time."""
     thread, at = threading.Thread(target=made.front.finish), made.front.clock.now()
     thread.start()
-    assert made.until(lambda: made.front.clients.draining)
+    assert made.until(lambda: made.front.downstream.is_draining)
     return thread, at
 
 
@@ -543,14 +546,14 @@
             assert (client.read()[0], late.read()[0]) == (503, 503)
             assert made.front.clock.now() < began + KILL
         ending.join(WITHIN)
-        assert made.front.engine.open == 0
+        assert made.front.event_loop.pending_count == 0
 
 
 @pytest.mark.usefixtures("short_end")
 def test_a_request_that_waits_for_a_connection_is_answered_before_the_kill(connecting: Connecting) -> None:
     with rig() as made, made.client() as client:
         client.send(Client.request(patience=15_000))
-        assert made.until(lambda: made.front.engine.open == 1) and connecting.begun.wait(WITHIN)
+        assert made.until(lambda: made.front.event_loop.pending_count == 1) and connecting.begun.wait(WITHIN)
         ending, began = end(made)
         assert client.read()[0] == 503 and made.front.clock.now() < began + KILL
         ending.join(WITHIN)
@@ -560,17 +563,17 @@
 
 @pytest.mark.usefixtures("short_end")
 def test_an_answer_in_the_writers_queue_is_written_before_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    gate, write = threading.Event(), Connection.write
+    gate, write = threading.Event(), DownstreamConnection.write
 
-    def late(self: Connection, *args: Any) -> Any:
+    def late(self: DownstreamConnection, *args: Any) -> Any:
         gate.wait(WITHIN)
         return write(self, *args)
 
-    monkeypatch.setattr(Connection, "write", late)
+    monkeypatch.setattr(DownstreamConnection, "write", late)
     with rig() as made, made.client() as client:
         client.send(Client.request(patience=15_000))
         made.fetches()
-        assert made.until(lambda: made.front.engine.open == 0)
+        assert made.until(lambda: made.front.event_loop.pending_count == 0)
         ending, began = end(made)
         assert made.until(lambda: made.front.clock.now() > began + 600 * MS)  # past the lingering
         gate.set()
@@ -584,10 +587,10 @@
     monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
     held = Held()
     with rig(held, limits={"sockets": 64, "memory_mb": 64}) as made:
-        busy = [made.client() for _ in range(made.front.config.bounds.clients)]
+        busy = [made.client() for _ in range(made.front.config.limits.max_client_connections)]
         for client in busy:
             client.send(Client.request(patience=15_000))
-        assert made.until(lambda: made.front.engine.open == len(busy))
+        assert made.until(lambda: made.front.event_loop.pending_count == len(busy))
         with made.client() as late:
             late.send(Client.request(patience=15_000))
             assert made.until(lambda: made.counted("clients_full") == 1)
@@ -619,7 +622,9 @@
     monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
     with rig(large) as made:
         sock = ask_narrowly(made, patience=15_000)
-        assert made.until(lambda: made.counted("slow_clients") == 1 and made.front.engine.open == 0)
+        assert made.until(
+            lambda: made.counted("slow_clients") == 1 and made.front.event_loop.pending_count == 0
+        )
         ending, began = end(made)
         # Past the accepting and the lingering: what is owed is waited for all the same.
         assert made.until(lambda: made.front.clock.now() > began + 400 * MS)
@@ -662,7 +667,7 @@
         assert client.read()[0] == 200
         client.sock.close()
         ending.join(WITHIN)
-        assert made.front.clients.open == 0
+        assert made.front.downstream.open_count == 0
 
 
 # The watch of the list
@@ -696,7 +701,9 @@
 
 
 def drained(made: Rig) -> bool:
-    return made.front.engine._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
+    return (
+        made.front.event_loop._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
+    )
 
 
 def test_a_list_in_pieces_is_read() -> None:
@@ -704,7 +711,7 @@
         other = Pieces()
         other.events = list(made.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining(made, 1)})
-        made.front.registry.follow(read_address(other.address))
+        made.front.discovery.switch_coordinator(read_address(other.address))
         assert made.until(lambda: drained(made))
         assert client.ask()[0] == 200 and made.caches[0].seen() == []
         other.close()
@@ -717,7 +724,7 @@
     with rig() as made, made.client() as client:
         other = Mute(2)
         other.events = list(made.coordinator.events)
-        made.front.registry.follow(read_address(other.address))
+        made.front.discovery.switch_coordinator(read_address(other.address))
         assert other.wait_for_poll(1)
         other.add(endpoints={"version": 2, "full": False, "servers": draining(made, 1)})
         assert made.until(lambda: drained(made))
@@ -755,11 +762,11 @@
         assert made.coordinator.wait_for_poll(1)
         made.coordinator.close()
         assert made.until(lambda: made.counted("polls_failed") >= 1)
-        idle = [made.client() for _ in range(3 * made.front.config.bounds.clients)]
+        idle = [made.client() for _ in range(3 * made.front.config.limits.max_client_connections)]
         for piece in range(6):
             with made.client() as client:
                 assert client.ask(piece=piece)[0] == 200
-        assert made.front.clients.peak <= made.front.config.bounds.clients
+        assert made.front.downstream.peak_count <= made.front.config.limits.max_client_connections
         again = Coordinator(int(made.coordinator.address.rpartition(":")[2]))
         again.events = list(made.coordinator.events)
         again.add(endpoints={"version": 2, "full": False, "servers": draining(made, 1)})
@@ -776,15 +783,15 @@
     with rig() as other:
         config = toy_config(coordinator=coordinator.address, known=other.coordinator.listed())
         nowhere = os.open(os.devnull, os.O_WRONLY)
-        made = server.Front(read_config(config, {}), nowhere)
+        made = server.ProxyServer(read_config(config, {}), nowhere)
         with Client(made.start()) as client:
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert client.read()[0] == 200
             assert client.ask()[0] == 200
-        made.registry.stop()
-        made.clients.stop()
-        made.clients.end()
-        made.engine.post(Stop())
+        made.discovery.stop()
+        made.downstream.stop_accepting()
+        made.downstream.stop_watching()
+        made.event_loop.post(StopEventLoop())
         made.log.close(WITHIN)
         os.close(nowhere)
 
@@ -792,8 +799,8 @@
 def test_small_writes_leave_at_once_on_every_socket() -> None:
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200 and made.coordinator.wait_for_poll(1)
-        follower = made.front.registry._follower
-        links = [link for server in made.front.servers._servers.values() for link in server.links]
+        follower = made.front.discovery._follower
+        links = [link for server in made.front.upstream._servers.values() for link in server.links]
         assert follower is not None and links
         for sock in (connection_of(made)._sock, follower._sock, *(link._sock for link in links)):
             assert sock is not None and sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/proxy/test_frames.py
+++ b/tests/proxy/test_frames.py
@@ -6,7 +6,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivepost.proxy.upstream.line_protocol import END, Answers, FrameError, Head, command, read_fields
+from olivepost.proxy.upstream.line_protocol import (
+    RESPONSE_END,
+    LineProtocolError,
+    ResponseLine,
+    ResponseParser,
+    encode_command,
+    parse_fields,
+)
 from tests.helpers import split
 
 STREAM = (
@@ -19,7 +26,7 @@
 
 def read(pieces: list[bytes], longest: int = 1000) -> list[object]:
     """What a parser gives, with the pieces of a body joined."""
-    answers, seen = Answers(longest), list[object]()
+    answers, seen = ResponseParser(longest), list[object]()
     for piece in pieces:
         for item in answers.feed(memoryview(piece)):
             if isinstance(item, memoryview):
@@ -34,9 +41,9 @@
 def test_a_stream_of_answers() -> None:
     whole = read([STREAM])
     fields = {"why": "warm", "entity": "4be0c1927d55a6f3", "issued": "1764576000123"}
-    assert whole[:3] == [Head("0123456789abcdef", "HIT", fields, 7), b"ab\r\n\x00\xffc", END]
-    assert whole[3:5] == [Head("t1", "PONG", {}, -1), END]
-    assert [item.word for item in whole[5:] if isinstance(item, Head)] == ["NONE", "VALID"]
+    assert whole[:3] == [ResponseLine("0123456789abcdef", "HIT", fields, 7), b"ab\r\n\x00\xffc", RESPONSE_END]
+    assert whole[3:5] == [ResponseLine("t1", "PONG", {}, -1), RESPONSE_END]
+    assert [item.word for item in whole[5:] if isinstance(item, ResponseLine)] == ["NONE", "VALID"]
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -66,7 +73,7 @@
     )
 )
 def test_garbage_raises_only_its_own_error(pieces: list[bytes]) -> None:
-    with contextlib.suppress(FrameError):
+    with contextlib.suppress(LineProtocolError):
         read(pieces)
 
 
@@ -91,12 +98,14 @@
     ],
 )
 def test_what_no_member_sends_is_an_error(line: bytes) -> None:
-    with pytest.raises(FrameError):
+    with pytest.raises(LineProtocolError):
         read([line])
 
 
 def test_commands() -> None:
-    assert command("fetch", "ab", {"lane": "x", "ttl": "5"}, b"q") == b"fetch ab lane=x,ttl=5 1\r\nq\r\n"
-    assert command("fetch", "ab", {}, b"") == b"fetch ab - 0\r\n\r\n"
-    assert command("abort", "ab") == b"abort ab\r\n"
-    assert read_fields("a=b=c,d=") == {"a": "b=c", "d": ""}
+    assert (
+        encode_command("fetch", "ab", {"lane": "x", "ttl": "5"}, b"q") == b"fetch ab lane=x,ttl=5 1\r\nq\r\n"
+    )
+    assert encode_command("fetch", "ab", {}, b"") == b"fetch ab - 0\r\n\r\n"
+    assert encode_command("abort", "ab") == b"abort ab\r\n"
+    assert parse_fields("a=b=c,d=") == {"a": "b=c", "d": ""}
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -12,7 +12,7 @@
 from examples.toy_server import Command, Coordinator, Member, body_of, entry, serve_all, tag_of
 from olivepost import interface as api
 from olivepost.config import read_address
-from olivepost.proxy.downstream.listener import Clients, Connection
+from olivepost.proxy.downstream.listener import DownstreamConnection, DownstreamServer
 from olivepost.proxy.event_loop import VOUCHED
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig
 
@@ -31,7 +31,7 @@
         fields = next(it.fields for it in made.fetches(2) if it.fields["piece"] == "3")
         assert fields["lane"] == "segment" and fields["name"] == NAME and fields["piece"] == "3"
         assert 1 <= int(fields["ttl"]) <= 1500 and "within" not in fields and "miss" not in fields
-        assert made.front.engine.open == 0
+        assert made.front.event_loop.pending_count == 0
 
 
 def test_a_miss_is_filled_from_the_parent() -> None:
@@ -83,7 +83,7 @@
             for at in range(0, len(data), 7):
                 client.send(data[at : at + 7])
             assert client.read()[2] == body_of(NAME, str(piece))
-        assert made.front.clients.open == 1
+        assert made.front.downstream.open_count == 1
 
 
 def test_what_is_sent_ahead_of_an_answer_is_not_taken_up() -> None:
@@ -104,7 +104,7 @@
     with rig() as made, made.client() as client:
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
         assert client.read()[0] == 200
-        made.front.clients.drain()
+        made.front.downstream.drain()
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
         status, headers, _ = client.read()
         assert status == 503 and headers["connection"] == "close" and client.closed()
@@ -152,7 +152,7 @@
 def test_patience_beyond_the_deadline_is_taken() -> None:
     with rig() as made, made.client() as client:
         assert client.ask(patience=999_999_999)[0] == 200
-        assert made.front.engine.open == 0
+        assert made.front.event_loop.pending_count == 0
 
 
 def silent(member: Member, command: Command) -> None:
@@ -164,8 +164,8 @@
         with made.client() as client:
             client.send(client.request())
             command = made.fetches()[0]
-            assert made.front.engine.open == 1
-        assert made.until(lambda: made.front.engine.open == 0)
+            assert made.front.event_loop.pending_count == 1
+        assert made.until(lambda: made.front.event_loop.pending_count == 0)
         assert made.until(lambda: any(cache.seen("abort") for cache in made.caches))
         assert [it.id for cache in made.caches for it in cache.seen("abort")] == [command.id]
 
@@ -191,7 +191,7 @@
 
 @pytest.mark.usefixtures("narrow")
 def test_a_client_that_reads_by_drops_has_an_absolute_limit() -> None:
-    with rig(large, bounds={"slow": 300_000_000}) as made:
+    with rig(large, bounds={"slow_client_timeout": 300_000_000}) as made:
         sock = ask_narrowly(made, patience=15_000)
         got, pause = 0, threading.Event()
         try:
@@ -200,23 +200,23 @@
                 pause.wait(0.005)
         except ConnectionResetError:
             pass
-        assert got < 240_000 and made.until(lambda: made.front.clients.open == 0)
+        assert got < 240_000 and made.until(lambda: made.front.downstream.open_count == 0)
         sock.close()
 
 
 def test_bodies_that_clients_hold_do_not_make_the_front_deaf() -> None:
     """With all buffers for bodies held, requests still get their refusal, and no member is blamed."""
     with rig() as made, made.client() as client:
-        taken = made.front.pool.take(made.front.config.bounds.bodies)
+        taken = made.front.body_buffers.acquire(made.front.config.limits.body_buffers)
         assert taken is not None
         assert client.ask(patience=15_000)[0] == 503 and made.counted("pool_empty") >= 1
         assert not any(
-            member.failure_score for member in made.front.engine._router.state.endpoints.by_id.values()
+            member.failure_score for member in made.front.event_loop._router.state.endpoints.by_id.values()
         )
         with made.client() as other:
             other.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert other.read()[0] == 200
-        made.front.pool.give_back(taken)
+        made.front.body_buffers.release(taken)
         assert client.ask()[0] == 200
 
 
@@ -238,14 +238,14 @@
 
 
 def test_a_fault_in_one_connection_ends_only_that(monkeypatch: pytest.MonkeyPatch) -> None:
-    route = Connection._route
+    route = DownstreamConnection._route
 
-    def odd(self: Connection, message: Any, at: int) -> None:
+    def odd(self: DownstreamConnection, message: Any, at: int) -> None:
         if message.first[1] == "/fault":
             raise RuntimeError("unforeseen")
         route(self, message, at)
 
-    monkeypatch.setattr(Connection, "_route", odd)
+    monkeypatch.setattr(DownstreamConnection, "_route", odd)
     with rig() as made, made.client() as bad, made.client() as good:
         bad.send(b"GET /fault HTTP/1.1\r\n\r\n")
         assert bad.closed()
@@ -254,21 +254,21 @@
 
 def test_a_fault_in_the_engine_fails_only_that_request(monkeypatch: pytest.MonkeyPatch) -> None:
     with rig() as made, made.client() as client:
-        handle = made.front.engine._router.handle
+        handle = made.front.event_loop._router.handle
 
         def odd(now: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request) and event.part == 13:
                 raise RuntimeError("unforeseen")
             return handle(now, event)
 
-        monkeypatch.setattr(made.front.engine._router, "handle", odd)
+        monkeypatch.setattr(made.front.event_loop._router, "handle", odd)
         assert client.ask(piece=13)[0] == 502
         assert client.ask()[0] == 200 and made.counted("engine_fault") == 1
 
 
 def test_at_the_cap_the_one_idle_longest_makes_room() -> None:
     with rig(limits={"sockets": 64, "memory_mb": 64}) as made:
-        cap = made.front.config.bounds.clients
+        cap = made.front.config.limits.max_client_connections
         clients = [made.client() for _ in range(cap)]
         for client in clients:
             assert client.ask()[0] == 200
@@ -276,14 +276,14 @@
         with made.client() as late:
             assert late.ask()[0] == 200
         assert clients[1].closed() and clients[0].ask()[0] == 200
-        assert made.front.clients.open <= cap
+        assert made.front.downstream.open_count <= cap
         for client in clients:
             client.sock.close()
 
 
 def test_at_the_cap_those_that_say_nothing_go_first() -> None:
-    with rig(limits={"sockets": 64, "memory_mb": 64}, bounds={"client_first": 60 * 10**9}) as made:
-        cap = made.front.config.bounds.clients
+    with rig(limits={"sockets": 64, "memory_mb": 64}, bounds={"first_request_timeout": 60 * 10**9}) as made:
+        cap = made.front.config.limits.max_client_connections
         with made.client() as usual:
             assert usual.ask()[0] == 200
             quiet = [made.client() for _ in range(2 * cap)]
@@ -301,10 +301,10 @@
         serve_all(member, command)
 
     with rig(reply, limits={"sockets": 64, "memory_mb": 64}) as made:
-        clients = [made.client() for _ in range(made.front.config.bounds.clients)]
+        clients = [made.client() for _ in range(made.front.config.limits.max_client_connections)]
         for client in clients:
             client.send(Client.request(patience=15_000))
-        assert made.until(lambda: made.front.engine.open == len(clients))
+        assert made.until(lambda: made.front.event_loop.pending_count == len(clients))
         with made.client() as late:
             late.send(Client.request())
             assert made.until(lambda: made.counted("clients_full") == 1)
@@ -315,7 +315,7 @@
             client.sock.close()
 
 
-SHORT = {"client_first": 300_000_000, "client_idle": 300_000_000}
+SHORT = {"first_request_timeout": 300_000_000, "keepalive_timeout": 300_000_000}
 
 
 def test_a_client_that_says_nothing_is_closed_in_time() -> None:
@@ -355,14 +355,14 @@
         with pytest.raises(OSError):
             for _ in range(10_000):
                 client.send(b"x" * 65_536)
-        assert made.until(lambda: made.front.clients.open == 0)
+        assert made.until(lambda: made.front.downstream.open_count == 0)
 
 
 def test_a_client_that_never_ends_its_side_is_cut() -> None:
     with rig() as made, made.client() as client:
         client.send(b"nonsense\r\n\r\n")
         assert client.read()[0] == 400 and client.closed()
-        assert made.until(lambda: made.front.clients.open == 0)
+        assert made.until(lambda: made.front.downstream.open_count == 0)
 
 
 # Servers
@@ -456,7 +456,7 @@
     with rig(reply) as made, made.client() as client:
         for piece in range(6):
             assert client.ask(FILLED, piece=piece)[2] == body_of(FILLED, str(piece))
-        assert len(made.fetches(12)) == 12 and made.counted("attempts_no_copy") == 6
+        assert len(made.fetches(12)) == 12 and made.counted("attempts_not_cached") == 6
 
 
 STOPS = [b"{id} HIT why=warm,entity=x,issued=1 100000\r\n" + b"x" * 30_000, b"{id} HI", b""]
@@ -503,7 +503,7 @@
         except OSError:
             pass
 
-    with rig(reply, bounds={"answer_span": 300_000_000}) as made, made.client() as client:
+    with rig(reply, bounds={"response_timeout": 300_000_000}) as made, made.client() as client:
         assert client.ask(patience=15_000)[2] == body_of(NAME, "3")
         assert made.counted("links_broken") == 1
         over.set()
@@ -525,7 +525,7 @@
                 for waiting in held:
                     serve_all(member, waiting)
 
-    with rig(reply, bounds={"link_quiet": 100_000_000}) as made, made.client() as client:
+    with rig(reply, bounds={"liveness_check_after": 100_000_000}) as made, made.client() as client:
         assert client.ask(patience=15_000)[2] == body_of(NAME, "3")
         assert made.counted("links_probed") >= 2 and made.counted("links_broken") == 0
 
@@ -546,7 +546,7 @@
         clients = [made.client() for _ in range(24)]
         for piece, client in enumerate(clients):
             client.send(Client.request(piece=piece, patience=15_000))
-        outcomes = made.outcomes("BROKEN_OFF", 24)
+        outcomes = made.outcomes("CONNECTION_LOST", 24)
         assert sum(not outcome.is_repeated_loss for outcome in outcomes) == made.counted("links_broken") == 2
         for client in clients:
             assert client.read()[0] in (200, 503)
@@ -563,14 +563,14 @@
             over.wait(WITHIN)
             command.sock.sendall(b"x" * 100_000 + b"\r\n")
 
-    bounds = {"answer_pause": 60 * 10**9, "answer_span": 60 * 10**9}
+    bounds = {"response_pause_timeout": 60 * 10**9, "response_timeout": 60 * 10**9}
     with rig(reply, bounds=bounds) as made:
         with made.client() as client:
             client.send(Client.request(patience=15_000))
             made.fetches()
-            assert made.until(lambda: made.front.pool.out > 15)
-        assert made.until(lambda: made.front.engine.open == 0)
-        assert made.until(lambda: made.front.pool.out < 10)
+            assert made.until(lambda: made.front.body_buffers.in_use > 15)
+        assert made.until(lambda: made.front.event_loop.pending_count == 0)
+        assert made.until(lambda: made.front.body_buffers.in_use < 10)
         over.set()
 
 
@@ -621,7 +621,7 @@
 
 
 def test_all_links_together_are_bounded() -> None:
-    with rig(bounds={"all_links": 1}) as made, made.client() as client:
+    with rig(bounds={"max_upstream_connections": 1}) as made, made.client() as client:
         assert {client.ask(piece=piece, patience=15_000)[0] for piece in range(12)} <= {200, 503}
         assert made.counted("links_opened") == 1 and made.counted("links_full") >= 1
 
@@ -644,8 +644,8 @@
         made.coordinator.add(
             endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
         )
-        placed = made.front.engine._router.state.endpoints.by_id
-        assert made.until(lambda: placed is not made.front.engine._router.state.endpoints.by_id)
+        placed = made.front.event_loop._router.state.endpoints.by_id
+        assert made.until(lambda: placed is not made.front.event_loop._router.state.endpoints.by_id)
         for piece in range(20):
             assert client.ask(piece=piece)[0] == 200
         assert made.caches[0].seen() == [] and len(made.caches[1].seen()) == 20
@@ -665,7 +665,7 @@
                 "servers": [{**made.entries[0], "state": "terminated"}, {**made.entries[0], "id": "new"}],
             }
         )
-        assert made.until(lambda: "new" in made.front.engine._router.state.endpoints.by_id)
+        assert made.until(lambda: "new" in made.front.event_loop._router.state.endpoints.by_id)
         for piece in range(12):
             assert client.ask(piece=piece)[0] == 200
         assert len(old.connections) == 2
@@ -676,7 +676,7 @@
         assert client.ask()[0] == 200
         made.coordinator.add(evict={"ref": NAME, "unix_ms": time.time_ns() // 1_000_000 - 500})
         made.coordinator.add(evict={"shard": 18, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.front.engine._router.state.invalidations
+        purges = made.front.event_loop._router.state.invalidations
         assert made.until(lambda: len(purges) == 2)
         assert client.ask()[0] == 200 and client.ask("1" * 16)[0] == 200
         first, bounded, other = (
@@ -699,7 +699,7 @@
                 {"index": 6, "endpoints": whole},
             ]
             made.coordinator._change.notify_all()
-        assert made.until(lambda: "a" not in made.front.engine._router.state.endpoints.by_id)
+        assert made.until(lambda: "a" not in made.front.event_loop._router.state.endpoints.by_id)
         assert client.ask()[0] == 200
 
 
@@ -708,7 +708,7 @@
         made.coordinator.add(endpoints={"servers": [{"id": "x y", "addr": "127.0.0.1:1"}]})
         made.coordinator.add(evict={})
         made.coordinator.add(evict={"ref": NAME, "unix_ms": time.time_ns() // 1_000_000})
-        assert made.until(lambda: len(made.front.engine._router.state.invalidations) == 1)
+        assert made.until(lambda: len(made.front.event_loop._router.state.invalidations) == 1)
         assert made.counted("updates_odd") == 2 and client.ask()[0] == 200
 
 
@@ -724,12 +724,12 @@
     with rig() as made:
         other = Coordinator()
         made.coordinator.add(evict={"shard": 1, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.front.engine._router.state.invalidations
+        purges = made.front.event_loop._router.state.invalidations
         assert made.until(lambda: len(purges) == 1)
         other.events = list(made.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        assert made.front.registry.follow(read_address(other.address))
-        assert not made.front.registry.follow(read_address(other.address))
+        assert made.front.discovery.switch_coordinator(read_address(other.address))
+        assert not made.front.discovery.switch_coordinator(read_address(other.address))
         made.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # to nobody
         assert made.until(lambda: len(purges) == 2)
         assert other.wait_for_poll(2) and other.follows[0] == 2
@@ -764,8 +764,8 @@
         other.events = list(made.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         began = time.monotonic()
-        made.front.registry.follow(read_address(other.address))
-        purges = made.front.engine._router.state.invalidations
+        made.front.discovery.switch_coordinator(read_address(other.address))
+        purges = made.front.event_loop._router.state.invalidations
         assert made.until(lambda: ("group", 2) in purges._times)
         assert other.stopped and time.monotonic() - began >= 1  # the poll's own wait was left to it
         assert made.counted("polls_failed") <= 2
@@ -778,18 +778,19 @@
         made.coordinator.add(
             endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
         )
-        assert made.until(lambda: made.front.registry._last == 2)
+        assert made.until(lambda: made.front.discovery._last == 2)
         lagging = Coordinator()
         lagging.events = made.coordinator.events[:1]
-        made.front.registry.follow(read_address(lagging.address))
+        made.front.discovery.switch_coordinator(read_address(lagging.address))
         assert lagging.wait_for_poll(2) and lagging.follows[:2] == [2, 2]  # it is waited for
-        assert made.until(lambda: made.front.registry._lower >= 1)
+        assert made.until(lambda: made.front.discovery._lower >= 1)
         lagging.events = list(made.coordinator.events)
         lagging.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.front.engine._router.state.invalidations
+        purges = made.front.event_loop._router.state.invalidations
         assert made.until(lambda: ("group", 2) in purges._times)
         assert (
-            made.front.engine._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
+            made.front.event_loop._router.state.endpoints.by_id["a"].metadata.state
+            is api.EndpointState.DRAINING
         )
         assert 0 not in lagging.follows
         lagging.close()
@@ -803,7 +804,7 @@
 
 def ask_until_own(made: Rig, client: Client) -> None:
     """The first answer is for a new name, the second is kept, the third is the front's own."""
-    assert made.until(lambda: made.front.engine._heard)
+    assert made.until(lambda: made.front.event_loop._heard)
     for _ in range(3):
         assert client.ask()[2] == body_of(NAME, "3")
     assert made.counted("own_copies") == 1 and len(made.fetches(2)) == 2
@@ -821,7 +822,7 @@
     with rig(**OWN) as made, made.client() as client:
         ask_until_own(made, client)
         made.coordinator.add(evict={"shard": 17, "unix_ms": time.time_ns() // 1_000_000 + 1})
-        assert made.until(lambda: len(made.front.copies) == 0)
+        assert made.until(lambda: len(made.front.response_cache) == 0)
         assert client.ask()[0] == 200 and len(made.fetches(3)) == 3
 
 
@@ -830,7 +831,7 @@
         ask_until_own(made, client)
         made.coordinator.close()
         assert made.until(lambda: made.counted("polls_failed") >= 2)
-        made.front.engine._heard -= VOUCHED
+        made.front.event_loop._heard -= VOUCHED
         assert client.ask()[0] == 200 and made.counted("own_copies") == 1
 
 
@@ -849,7 +850,7 @@
         made.fetches()
         ending = threading.Thread(target=made.front.finish)
         ending.start()
-        assert made.until(lambda: made.front.clients.draining)
+        assert made.until(lambda: made.front.downstream.is_draining)
         with made.client() as late:
             late.send(Client.request(patience=15_000))
             gate.set()
@@ -861,25 +862,25 @@
         client.sock.close()
         idle.sock.close()
         ending.join(WITHIN)
-        assert not ending.is_alive() and made.front.clients.open == 0
+        assert not ending.is_alive() and made.front.downstream.open_count == 0
 
 
 def test_what_the_machine_has_accepted_is_answered_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy front has requests that wait to be read, and connections that wait to be accepted."""
-    gate, start = threading.Event(), Clients._start
+    gate, start = threading.Event(), DownstreamServer._start
 
-    def late(self: Clients, sock: socket.socket) -> None:
+    def late(self: DownstreamServer, sock: socket.socket) -> None:
         gate.wait(WITHIN)
         start(self, sock)
 
     with rig() as made, made.client() as idle:
         assert idle.ask()[0] == 200
-        monkeypatch.setattr(Clients, "_start", late)
+        monkeypatch.setattr(DownstreamServer, "_start", late)
         waiting = [made.client() for _ in range(5)]
         for client in waiting:
             client.send(Client.request(patience=15_000))
-        made.front.clients.drain()
-        stopping = threading.Thread(target=made.front.clients.stop)
+        made.front.downstream.drain()
+        stopping = threading.Thread(target=made.front.downstream.stop_accepting)
         stopping.start()
         gate.set()
         for client in waiting:
@@ -894,12 +895,12 @@
 def test_a_request_that_waits_to_be_read_keeps_its_connection_at_the_end() -> None:
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200
-        (connection,) = made.front.clients._open
+        (connection,) = made.front.downstream._open
         with connection._lock:  # its reader is held up
             client.send(Client.request(patience=15_000))
             assert made.until(lambda: not connection.quiet)
-            made.front.clients.drain()
-            closing = threading.Thread(target=made.front.clients.close_idle)
+            made.front.downstream.drain()
+            closing = threading.Thread(target=made.front.downstream.close_idle)
             closing.start()
         closing.join(WITHIN)
         status, headers, _ = client.read()
@@ -910,7 +911,7 @@
     with rig() as made:
         client = made.client()
         assert client.ask()[0] == 200
-        made.front.clients.stop()
+        made.front.downstream.stop_accepting()
         again = Rig(listen=f"127.0.0.1:{made.address[1]}")
         with again.client() as other:
             assert other.ask()[0] == 200
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -37,7 +37,7 @@
 
 
 def room(made: Rig) -> int:
-    return made.front.clients._large
+    return made.front.downstream._large
 
 
 def test_a_write_goes_on_with_its_body_and_key_and_joins_nothing() -> None:
@@ -54,7 +54,7 @@
 def test_a_write_is_answered_from_no_copy_of_the_fronts_own() -> None:
     own: dict[str, Any] = {"flow_bytes_per_s": 100_000_000, "link_bytes_per_s": 400_000_000}
     with rig(stored, settings=settings(), **own) as made, made.client() as client:
-        assert made.until(lambda: made.front.engine._heard)
+        assert made.until(lambda: made.front.event_loop._heard)
         for count in range(1, 5):
             client.send(put())
             assert client.read()[0] == 200 and len(made.fetches(count)) == count
@@ -80,8 +80,8 @@
 
 def test_no_class_writes_on_the_platform() -> None:
     """Its bodies stay small and no memory is set aside for them."""
-    bounds = read_config(toy_config(), {}).bounds
-    assert bounds.request_body == SMALL_BODY and bounds.large_bodies == 0
+    bounds = read_config(toy_config(), {}).limits
+    assert bounds.max_request_body == SMALL_BODY and bounds.large_body_bytes == 0
     with rig() as made, made.client() as client:
         client.send(put())
         assert client.read()[0] == 405 and not any(member.seen() for member in made.members)
@@ -96,7 +96,7 @@
         stored(member, command)
 
     large = b"y" * OBJECT
-    with rig(reply, settings=settings("read_like"), bounds={"large_bodies": 2 * OBJECT}) as made:
+    with rig(reply, settings=settings("read_like"), bounds={"large_body_bytes": 2 * OBJECT}) as made:
         first, leaving, late = made.client(), made.client(), made.client()
         first.send(put(large))
         leaving.send(put(large, "0" * 16)[: -OBJECT // 2])
@@ -117,7 +117,7 @@
 
 def test_a_large_body_that_nobody_wants_gives_its_room_back() -> None:
     """The health page answers and its connection stays; not the end of its rest is what frees the room."""
-    rests = {"client_idle": 60_000_000_000}
+    rests = {"keepalive_timeout": 60_000_000_000}
     with rig(stored, settings=settings(), bounds=rests) as made, made.client() as client:
         client.send(b"GET /-/healthy HTTP/1.1\r\nContent-Length: 100000\r\n\r\n")
         assert made.until(lambda: room(made) == 100_000)
@@ -127,6 +127,6 @@
 
 
 def test_small_bodies_need_no_room() -> None:
-    with rig(stored, settings=settings(), bounds={"large_bodies": 0}) as made, made.client() as client:
+    with rig(stored, settings=settings(), bounds={"large_body_bytes": 0}) as made, made.client() as client:
         client.send(put(b"x" * SMALL_BODY))
         assert client.read()[0] == 200
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,8 +16,8 @@
 from examples.toy_server import CONFIG, Command, Coordinator, Member, Reply, entry, serve_all
 from olivepost import interface as api
 from olivepost.config import read_config
-from olivepost.proxy.event_loop import Stop
-from olivepost.proxy.server import Front
+from olivepost.proxy.event_loop import StopEventLoop
+from olivepost.proxy.server import ProxyServer
 
 NAME = "7f3a9c21e0b4d655"
 WITHIN = 20.0  # seconds that a test waits for what must come
@@ -122,9 +122,9 @@
         config = toy_config(coordinator=self.coordinator.address, known=self.coordinator.listed(), **changes)
         self._nowhere = os.open(os.devnull, os.O_WRONLY)
         read = read_config(config, {})
-        self.front = Front(replace(read, bounds=replace(read.bounds, **(bounds or {}))), self._nowhere)
+        self.front = ProxyServer(replace(read, limits=replace(read.limits, **(bounds or {}))), self._nowhere)
         self.told: list[api.AttemptOutcome] = []
-        router = self.front.engine._router
+        router = self.front.event_loop._router
         handle = router.handle
 
         def noted(now: int, event: api.Event) -> list[api.Action]:
@@ -162,14 +162,14 @@
         return [it for it in self.told if it.status.name == status]
 
     def counted(self, name: str) -> int:
-        return self.front.log.totals().get(name, 0)
+        return self.front.log.counters().get(name, 0)
 
     def close(self) -> None:
-        self.front.registry.stop()
-        self.front.clients.stop()
-        self.front.clients.end()
-        self.front.servers.close()
-        self.front.engine.post(Stop())
+        self.front.discovery.stop()
+        self.front.downstream.stop_accepting()
+        self.front.downstream.stop_watching()
+        self.front.upstream.close()
+        self.front.event_loop.post(StopEventLoop())
         for server in (*self.members, self.coordinator):
             server.close()
         self.front.log.close(WITHIN)
@@ -191,8 +191,8 @@
     made = Rig(reply, bounds, **changes)
     try:
         yield made
-        assert made.until(lambda: made.front.engine.open == 0), "a request is left open"
+        assert made.until(lambda: made.front.event_loop.pending_count == 0), "a request is left open"
     finally:
         made.close()
-    assert made.until(lambda: made.front.pool.out == 0), "a buffer is left out"
-    assert made.until(lambda: made.front.rooms.out == 0), "a reader's buffer is left out"
+    assert made.until(lambda: made.front.body_buffers.in_use == 0), "a buffer is left out"
+    assert made.until(lambda: made.front.read_buffers.in_use == 0), "a reader's buffer is left out"
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -12,7 +12,7 @@
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store import scripts
-from olivepost.shared_store.store_health import Gate, Trust
+from olivepost.shared_store.store_health import BreakerState, TrustLevel
 from tests.helpers import MS, SECOND
 from tests.shared_store.model import branch, counted
 
@@ -136,9 +136,12 @@
     before = made.counts.consults
     made.run(4 * SECOND)
     assert made.counts.consults == before
-    assert all(front.sharing and front.sharing.stores["s0"].gate is not Gate.OPEN for front in made.fronts)
+    assert all(
+        front.sharing and front.sharing.stores["s0"].breaker is not BreakerState.CLOSED
+        for front in made.fronts
+    )
     made.run(5 * SECOND)
-    assert all(front.sharing and front.sharing.stores["s0"].up for front in made.fronts)
+    assert all(front.sharing and front.sharing.stores["s0"].is_available for front in made.fronts)
     assert made.counts.served >= made.counts.requests - 1
 
 
@@ -174,7 +177,7 @@
     made.request(made.fronts[1], NAME)
     made.run(SECOND)
     assert counted(made, "hints_given") == before and not made.counts.older_than_purge
-    assert counted(made, "replies_went_back") + counted(made, "replies_moved") >= 3
+    assert counted(made, "replies_rolled_back") + counted(made, "replies_moved") >= 3
 
 
 def test_numbers_of_claims_grow_over_a_snapshot_that_nobody_has_noticed() -> None:
@@ -190,9 +193,9 @@
         if name == "c":
             store.go_back(0)
         made.now += MS
-        look = ev.Look(generation, name, ("o:x", "g:1"), b"record", 1_000)
-        reply = made.run_script(made.fronts[0], ev.Command(1, "s0", look))
-        assert isinstance(reply, ev.Reply) and reply.values[0] == b"mine"
+        look = ev.LookUp(generation, name, ("o:x", "g:1"), b"record", 1_000)
+        reply = made.run_script(made.fronts[0], ev.StoreCommand(1, "s0", look))
+        assert isinstance(reply, ev.StoreReply) and reply.values[0] == b"mine"
         numbers.append(int(cast("bytes", reply.values[1])))
     assert numbers == sorted(set(numbers))
 
@@ -208,8 +211,8 @@
     assert invalidation.age_bound(state, now, request) is not None
 
 
-def _purged(made: Branch) -> ev.Purged:
-    return ev.Purged(api.Invalidation(None, 3, 0), made.now // MS)
+def _purged(made: Branch) -> ev.InvalidationReceived:
+    return ev.InvalidationReceived(api.Invalidation(None, 3, 0), made.now // MS)
 
 
 def test_a_front_restarted_does_not_use_what_the_one_before_it_lent() -> None:
@@ -281,7 +284,7 @@
     made.request(made.fronts[0], NAME)
     made.run(SECOND)
     assert made.counts.served == 1 and counted(made, "records_odd") >= 3
-    assert all(front.sharing and front.sharing.stores["s0"].up for front in made.fronts)
+    assert all(front.sharing and front.sharing.stores["s0"].is_available for front in made.fronts)
 
 
 def test_names_of_a_lost_store_go_without_and_the_others_with() -> None:
@@ -292,7 +295,7 @@
     made.run(4 * SECOND)
     for front in made.fronts:
         assert front.sharing is not None
-        ups = {name: store.up for name, store in front.sharing.stores.items()}
+        ups = {name: store.is_available for name, store in front.sharing.stores.items()}
         assert ups == {"s0": True, "s1": False, "s2": True}
     assert made.counts.served == made.counts.requests
 
@@ -306,16 +309,16 @@
     front = made.fronts[0]
     assert front.sharing is not None
     standing = front.sharing.stores["s0"]
-    seen: set[Trust] = set()
+    seen: set[TrustLevel] = set()
     for _ in range(2_000):
         made.run(MS // 10)
         seen.add(standing.trust)
-        if standing.trust is Trust.SURE and standing.generation in {
+        if standing.trust is TrustLevel.TRUSTED and standing.generation in {
             int(key.split(b":")[1]) for key in made.stores["s0"].data if key.endswith(b":purges")
         }:
             kept = made.stores["s0"].data[b"t:%d:purges" % standing.generation]
             assert len(kept) == made.groups
-    assert Trust.RESTORING in seen and standing.up
+    assert TrustLevel.RESTORING in seen and standing.is_available
 
 
 def test_a_reply_three_seconds_late_is_treated_as_unknown() -> None:
@@ -387,7 +390,7 @@
     for count, front in enumerate(made.fronts[1:3]):
         assert key in holders(made)
         ask = api.LookUpHint(f"q{count}", f"{NAME}.0", holder, "", 10 * MS, SECOND)
-        front.do_sharing(ev.Consulted(ask, NAME, 7))
+        front.do_sharing(ev.LookupRequested(ask, NAME, 7))
         made.run(20 * MS)
         front.do_sharing(api.ReportStaleHint(ask.request_id, ask.name, holder))
         made.run(20 * MS)
@@ -404,7 +407,7 @@
     made.caches[holder].started = made.now - 3600 * SECOND  # warm, so that a look comes first
     made.list_anew()
     front = made.fronts[1]
-    front.do_sharing(ev.Consulted(api.LookUpHint("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7))
+    front.do_sharing(ev.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7))
     made.run(20 * MS)
     assert key not in holders(made)
 
@@ -415,14 +418,14 @@
     (generation,) = {front.sharing.stores["s0"].generation for front in made.fronts if front.sharing}
     claims = []
     for front in made.fronts[:2]:
-        look = ev.Look(generation, "n", ("o:x", "g:1"), b"record", 500)
-        reply = made.run_script(front, ev.Command(1, "s0", look))
-        assert isinstance(reply, ev.Reply) and reply.values[0] == b"mine"
+        look = ev.LookUp(generation, "n", ("o:x", "g:1"), b"record", 500)
+        reply = made.run_script(front, ev.StoreCommand(1, "s0", look))
+        assert isinstance(reply, ev.StoreReply) and reply.values[0] == b"mine"
         claims.append(cast("bytes", reply.values[1]) + b" record")
         made.now += 600 * MS
         made.now -= 200 * MS if len(claims) == 2 else 0
     for claim, word in ((claims[0], b"lost"), (claims[1], b"done"), (claims[1], b"lost")):
-        settle = ev.Settle(generation, "n", claim, b"holder", 5, 1_000)
+        settle = ev.PublishLocation(generation, "n", claim, b"holder", 5, 1_000)
         script = scripts.script_of(settle, "t", "x")
         words = [w if isinstance(w, bytes) else str(w).encode() for w in script.arguments]
         text = scripts.NAMES["settle"].encode()
@@ -437,6 +440,8 @@
     sharing, front = made.fronts[0].sharing, made.fronts[0]
     assert sharing is not None and len(sharing.claims) == 1
     later = front.clock(made.now) + 20 * SECOND
-    actions = sharing.handle(later, ev.Ended(api.ReleaseLease("r1", "c0", 1)))
-    assert not [a for a in actions if isinstance(a, ev.Command) and isinstance(a.op, ev.Settle)]
+    actions = sharing.handle(later, ev.LeaseReleased(api.ReleaseLease("r1", "c0", 1)))
+    assert not [
+        a for a in actions if isinstance(a, ev.StoreCommand) and isinstance(a.operation, ev.PublishLocation)
+    ]
     assert sharing.counts["claims_outlived"] == 1
--- a/tests/shared_store/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -17,8 +17,8 @@
 from olivepost.cli import main
 from olivepost.config import read_config
 from olivepost.operator_config.model import OperatorSettings
-from olivepost.proxy.event_loop import Stop
-from olivepost.proxy.server import Front
+from olivepost.proxy.event_loop import StopEventLoop
+from olivepost.proxy.server import ProxyServer
 from standins.redis.server import Server
 from tests.rig import Client, toy_config
 
@@ -44,7 +44,7 @@
             config = toy_config(
                 name=name, coordinator=self.coordinator.address, known=self.coordinator.listed()
             )
-            front = Front(read_config(config, {}), self._nowhere, operator=operator)
+            front = ProxyServer(read_config(config, {}), self._nowhere, operator=operator)
             self.fronts.append(front)
             self.addresses.append(front.start())
 
@@ -52,8 +52,8 @@
         return self.until(lambda: all(self.stands(front) == wanted for front in self.fronts), within)
 
     @staticmethod
-    def stands(front: Front) -> bool:
-        return front.engine._router.state.is_store_available
+    def stands(front: ProxyServer) -> bool:
+        return front.event_loop._router.state.is_store_available
 
     @staticmethod
     def until(holds: Any, within: float = 10.0) -> bool:
@@ -63,7 +63,7 @@
         return bool(held)
 
     def count(self, name: str) -> int:
-        return sum(front.stores.core.counts.get(name, 0) for front in self.fronts if front.stores)
+        return sum(front.shared_store.core.counts.get(name, 0) for front in self.fronts if front.shared_store)
 
     def ask(self, front: int, name: str, **more: Any) -> int:
         with Client(self.addresses[front]) as client:
@@ -71,13 +71,13 @@
 
     def close(self) -> None:
         for front in self.fronts:
-            front.registry.stop()
-            front.clients.stop()
-            if front.stores:
-                front.stores.close()
-            front.clients.end()
-            front.servers.close()
-            front.engine.post(Stop())
+            front.discovery.stop()
+            front.downstream.stop_accepting()
+            if front.shared_store:
+                front.shared_store.close()
+            front.downstream.stop_watching()
+            front.upstream.close()
+            front.event_loop.post(StopEventLoop())
             front.log.close(5.0)
         for server in (*self.caches, *self.others, self.coordinator):
             server.close()
@@ -101,16 +101,16 @@
         assert made.ask(0, FILLED, patience=6000) == 200
         assert made.until(lambda: made.count("claims_settled") == 1)
         assert made.ask(1, FILLED, patience=6000) == 200
-        assert made.until(lambda: made.count("hints_given") >= 1), made.fronts[1].log.totals()
+        assert made.until(lambda: made.count("hints_given") >= 1), made.fronts[1].log.counters()
 
 
 def test_purges_come_through_the_store() -> None:
     with pair() as made:
         assert made.up()
-        assert made.fronts[0].stores is not None
-        made.fronts[0].stores.purged(api.Invalidation("x", None, 0), time.time_ns())
+        assert made.fronts[0].shared_store is not None
+        made.fronts[0].shared_store.invalidate(api.Invalidation("x", None, 0), time.time_ns())
         assert made.until(lambda: made.count("purges_heard") == 1)
-        router = made.fronts[1].engine._router
+        router = made.fronts[1].event_loop._router
         assert made.until(
             lambda: router.state.invalidations.latest(api.Request("i", "image", "x", 1, group=1)) > 0
         )
@@ -145,12 +145,12 @@
 def test_a_store_that_loses_everything_gets_a_new_generation() -> None:
     with pair() as made:
         assert made.up()
-        before = made.fronts[0].stores.core.stores["s"].generation  # type: ignore[union-attr]
+        before = made.fronts[0].shared_store.core.stores["s"].generation  # type: ignore[union-attr]
         made.server.call(lambda: made.server.change({"lose": True}))
         assert made.until(
             lambda: (
                 {
-                    f.stores.core.stores["s"].generation > before  # type: ignore[union-attr]
+                    f.shared_store.core.stores["s"].generation > before  # type: ignore[union-attr]
                     for f in made.fronts
                 }
                 == {True}
--- a/tests/shared_store/test_parts.py
+++ b/tests/shared_store/test_parts.py
@@ -11,87 +11,102 @@
 
 from olivepost.shared_store import client, records
 from olivepost.shared_store import messages as ev
-from olivepost.shared_store.invalidations import MOST, KnownPurges
-from olivepost.shared_store.quota_transfers import Loans
-from olivepost.shared_store.records import Claim, Holder, Need, Piece, PurgeKey, RecordError, pack, unpack
-from olivepost.shared_store.settings import SharingSettings
-from olivepost.shared_store.store_health import BAD_IN_A_ROW, Gate, Standing, Trust, Verdict
+from olivepost.shared_store.invalidations import MOST, KnownInvalidations
+from olivepost.shared_store.quota_transfers import QuotaTransfers
+from olivepost.shared_store.records import (
+    CacheLocation,
+    FillLease,
+    InvalidationKey,
+    QuotaGrant,
+    QuotaRequest,
+    RecordError,
+    decode_record,
+    encode_record,
+)
+from olivepost.shared_store.settings import SharedStoreSettings
+from olivepost.shared_store.store_health import (
+    BAD_IN_A_ROW,
+    BreakerState,
+    ReplyVerdict,
+    StoreHealth,
+    TrustLevel,
+)
 from standins.redis.server import Server
 from tests.helpers import MS, SECOND
 
-HOLDER = Holder(cache="c", started=0, rank=2, at_ms=5, by="n1")
+HOLDER = CacheLocation(cache="c", started=0, rank=2, at_ms=5, by="n1")
 
 
-def standing() -> Standing:
-    made = Standing("s", random.Random(1), 100 * MS, SECOND, gate=Gate.OPEN)
+def standing() -> StoreHealth:
+    made = StoreHealth("s", random.Random(1), 100 * MS, SECOND, breaker=BreakerState.CLOSED)
     made.adopt(7, [])
-    made.put_back(())
+    made.confirm_published(())
     return made
 
 
 def test_a_breaker_shuts_tries_with_growing_pauses_and_opens() -> None:
     made, now, pauses = standing(), 0, []
     for _ in range(BAD_IN_A_ROW):
-        assert made.up
-        made.answered(now, False)
+        assert made.is_available
+        made.record_reply(now, False)
     for _ in range(6):
-        assert not made.due(made.until - 1)
-        pauses.append(made.until - now)
-        now = made.until
-        assert made.due(now) and not made.up
-        made.answered(now, False)
+        assert not made.allows_sync(made.retry_at - 1)
+        pauses.append(made.retry_at - now)
+        now = made.retry_at
+        assert made.allows_sync(now) and not made.is_available
+        made.record_reply(now, False)
     assert pauses[0] <= 100 * MS < pauses[3] and max(pauses) <= SECOND
-    now = made.until
-    assert made.due(now)
-    made.answered(now, True)
-    assert not made.up
-    made.answered(now, True)
-    assert made.up
+    now = made.retry_at
+    assert made.allows_sync(now)
+    made.record_reply(now, True)
+    assert not made.is_available
+    made.record_reply(now, True)
+    assert made.is_available
 
 
 def test_one_late_answer_in_three_shuts_nothing_and_most_do() -> None:
     made = standing()
     for number in range(60):
-        made.answered(0, number % 3 > 0)
-    assert made.up
+        made.record_reply(0, number % 3 > 0)
+    assert made.is_available
     for number in range(60):
-        made.answered(0, number % 3 == 0)
-    assert made.gate is Gate.SHUT
+        made.record_reply(0, number % 3 == 0)
+    assert made.breaker is BreakerState.OPEN
 
 
 @pytest.mark.parametrize(
     ("reply", "verdict"),
     [
-        (ev.Reply(1, 7, 5), Verdict.COUNTS),
-        (ev.Reply(1, 7, 4), Verdict.WENT_BACK),
-        (ev.Reply(1, 6, 9), Verdict.WENT_BACK),
-        (ev.Reply(1, 8, 0), Verdict.MOVED),
-        (ev.Reply(1, 0, 0), Verdict.EMPTY),
+        (ev.StoreReply(1, 7, 5), ReplyVerdict.CURRENT),
+        (ev.StoreReply(1, 7, 4), ReplyVerdict.ROLLED_BACK),
+        (ev.StoreReply(1, 6, 9), ReplyVerdict.ROLLED_BACK),
+        (ev.StoreReply(1, 8, 0), ReplyVerdict.MOVED),
+        (ev.StoreReply(1, 0, 0), ReplyVerdict.EMPTY),
     ],
 )
-def test_what_a_reply_says_of_its_store(reply: ev.Reply, verdict: Verdict) -> None:
+def test_what_a_reply_says_of_its_store(reply: ev.StoreReply, verdict: ReplyVerdict) -> None:
     assert standing().judge(reply, 7, 5) is verdict
 
 
 def test_a_store_that_forgot_is_not_believed_for_knowing_later_serials() -> None:
     """Guards against a snapshot: the sync that finds it out leaves a new serial there."""
     made = standing()
-    made.trust = Trust.NONE
-    assert made.judge(ev.Reply(1, 7, 99), 7, 5) is Verdict.WENT_BACK
+    made.trust = TrustLevel.NONE
+    assert made.judge(ev.StoreReply(1, 7, 99), 7, 5) is ReplyVerdict.ROLLED_BACK
     made.adopt(8, [(("g:1", 5),)])
-    assert not made.up and made.put_back(made.restore[0]) and made.up
+    assert not made.is_available and made.confirm_published(made.unpublished[0]) and made.is_available
 
 
-def borrower() -> tuple[Loans, Need]:
-    made = Loans("me", SECOND)
+def borrower() -> tuple[QuotaTransfers, QuotaRequest]:
+    made = QuotaTransfers("me", SECOND)
     made.short(0, "cold:c@1", 0.5)
     (data,) = made.needs(0).values()
-    return made, unpack(Need, data)
+    return made, decode_record(QuotaRequest, data)
 
 
 def test_a_piece_counts_once_from_when_it_was_asked_for() -> None:
     made, need = borrower()
-    piece = Piece(id="x.1", key=need.key, nonce=need.nonce, amount=0.5)
+    piece = QuotaGrant(id="x.1", key=need.key, nonce=need.nonce, amount=0.5)
     assert made.take(900 * MS, piece) == (0.5, SECOND)
     with pytest.raises(RecordError, match="come before"):
         made.take(901 * MS, piece)
@@ -113,11 +128,11 @@
     made, need = borrower()
     fields = {"id": "x.1", "key": need.key, "nonce": need.nonce, "amount": 0.5, **change}
     with pytest.raises(RecordError):
-        made.take(at, Piece(**fields))  # type: ignore[arg-type]
+        made.take(at, QuotaGrant(**fields))  # type: ignore[arg-type]
 
 
 def test_a_lender_waits_longer_than_the_borrowers_clock_may_lag() -> None:
-    lender, need = Loans("you", SECOND), borrower()[1]
+    lender, need = QuotaTransfers("you", SECOND), borrower()[1]
     offer = lender.answer(0, 1, "f", need)
     assert offer is not None and offer.until >= 1.01 * SECOND
     assert lender.answer(0, 2, "f", need) is None  # one offer at a time
@@ -125,16 +140,16 @@
 
 
 def test_what_a_front_lacks_itself_it_does_not_lend() -> None:
-    lender, need = Loans("you", SECOND), borrower()[1]
+    lender, need = QuotaTransfers("you", SECOND), borrower()[1]
     lender.short(0, need.key, 0.1)
     assert lender.answer(0, 1, "f", need) is None
 
 
 def test_forgotten_purges_raise_a_floor() -> None:
-    made = KnownPurges()
+    made = KnownInvalidations()
     for number in range(MOST + 10):
-        assert made.note(PurgeKey(f"o{number}", None), number + 1)
-    assert not made.note(PurgeKey(f"o{MOST}", None), 1)
+        assert made.note(InvalidationKey(f"o{number}", None), number + 1)
+    assert not made.note(InvalidationKey(f"o{MOST}", None), 1)
     assert len(made) == MOST and made.last_ms("never purged", 3) == 10
     assert sum(map(len, made.chunks())) == MOST
 
@@ -143,24 +158,30 @@
 @given(st.binary(max_size=200), st.integers(0, 199), st.integers(0, 7))
 def test_no_bytes_pass_for_a_record(noise: bytes, at: int, bit: int) -> None:
     with pytest.raises(RecordError):
-        unpack(Holder, noise)
-    data = bytearray(pack(HOLDER))
+        decode_record(CacheLocation, noise)
+    data = bytearray(encode_record(HOLDER))
     data[at % len(data)] ^= 1 << bit
     with pytest.raises(RecordError):
-        unpack(Holder, bytes(data))
+        decode_record(CacheLocation, bytes(data))
 
 
 def test_records_of_other_kinds_versions_and_sizes_are_refused() -> None:
-    assert unpack(Holder, pack(HOLDER)) == HOLDER
-    claim = Claim(owner="n", process="p", cache="c", source="p", started=0)
-    later = Holder(cache="c", started=0, rank=2, at_ms=5, by="n", v=2)
-    wrong: list[object] = [pack(claim), pack(later), None, 5, b"x" * (records.MOST_BYTES + 1)]
+    assert decode_record(CacheLocation, encode_record(HOLDER)) == HOLDER
+    claim = FillLease(owner="n", process="p", cache="c", source="p", started=0)
+    later = CacheLocation(cache="c", started=0, rank=2, at_ms=5, by="n", v=2)
+    wrong: list[object] = [
+        encode_record(claim),
+        encode_record(later),
+        None,
+        5,
+        b"x" * (records.MAX_RECORD_BYTES + 1),
+    ]
     for data in wrong:
         with pytest.raises(RecordError):
-            unpack(Holder, data)
+            decode_record(CacheLocation, data)
     for key in (b"", b"o:", b"g:x", b"g:-1", b"x:1", b"g:" + b"1" * 30):
         with pytest.raises(RecordError):
-            PurgeKey.read(key)
+            InvalidationKey.read(key)
 
 
 def test_a_command_that_was_cut_off_is_not_sent_again() -> None:
@@ -168,9 +189,9 @@
     server = Server()
     try:
         given = {"name": "s", "address": "{}:{}".format(*server.address)}
-        made = SharingSettings.model_validate({"branch": "b", "stores": [given]})
+        made = SharedStoreSettings.model_validate({"branch": "b", "stores": [given]})
         store = client.connect(made, made.stores[0])
-        (reply,) = client.run(store, [ev.Raise(0, 0)], "b", "me", True)
+        (reply,) = client.run(store, [ev.AdvanceGeneration(0, 0)], "b", "me", True)
         assert isinstance(reply, list)
         whole, cuts = server.faults.spoil, [True]
 
@@ -180,7 +201,7 @@
         server.faults.spoil = spoil  # type: ignore[method-assign]
         before = int(server.keyspace.data[b"b:generation"])
         with pytest.raises(redis.ConnectionError):
-            client.run(store, [ev.Raise(before, before)], "b", "me", False)
+            client.run(store, [ev.AdvanceGeneration(before, before)], "b", "me", False)
         assert int(server.keyspace.data[b"b:generation"]) > before  # it has run
         assert server.commands < 40
         store.close()
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from olivepost.shared_store.client import connect
-from olivepost.shared_store.settings import SharingSettings
+from olivepost.shared_store.settings import SharedStoreSettings
 from standins.redis.faults import ScheduleError, read_schedule
 from standins.redis.server import Server
 
@@ -199,7 +199,7 @@
             "password_file": secret,
             "tls": {"ca_file": ca_file},
         }
-        made = SharingSettings.model_validate({"branch": "b", "stores": [store]})
+        made = SharedStoreSettings.model_validate({"branch": "b", "stores": [store]})
         with connect(made, made.stores[0]) as found:
             return bool(found.ping())
 
