--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -256,7 +256,7 @@
     def fetch(self, front: Front, fetch: api.ForwardAttempt) -> None:
         """An attempt at a modelled cache: what it has, joins, or fills."""
         request, life, now = front.requests[fetch.request_id], front.life, self.now
-        number = front.router.pending[fetch.request_id].attempt_count - 1
+        number = front.router.requests.pending[fetch.request_id].attempt_count - 1
         name, cache = f"{request.object}.{request.part}", self.caches.get(fetch.cache)
         if cache is None:  # straight to a parent
             self._end(
@@ -346,10 +346,10 @@
         sent: int,
     ) -> None:
         def end() -> None:
-            if life != front.life or fetch.request_id not in front.router.pending:
+            if life != front.life or fetch.request_id not in front.router.requests.pending:
                 return
             final = status is api.AttemptStatus.OK
-            if final and number in front.router.pending[fetch.request_id].in_flight:
+            if final and number in front.router.requests.pending[fetch.request_id].in_flight:
                 self.counts.served += 1
             front.do_router(
                 api.AttemptOutcome(fetch.request_id, number, status, self.now - sent, final, note)
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -207,7 +207,7 @@
         "owned_twice": counts.owned_twice,
         "over_whole": counts.over_whole,
         "older": counts.older_than_purge,
-        "left_open": sum(len(front.router.pending) for front in made.fronts),
+        "left_open": sum(len(front.router.requests.pending) for front in made.fronts),
     }
 
 
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -65,6 +65,7 @@
 
 
 def concurrency_part(state: RoutingState, now: int, endpoint: Endpoint) -> float:
+    """This proxy's part of the attempts that an endpoint's present link bears."""
     has_weights = state.settings.has_endpoint_weights
     transfers = endpoint.metadata.weight if has_weights else DEFAULT_LINK_TRANSFERS[endpoint.role]
     link = slow_start_share(state, now, endpoint) * transfers
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -17,12 +17,12 @@
 
 def max_age(state: RoutingState, now: int, pending: PendingRequest, source: str) -> int:
     """The age bound of an attempt; 0: none. In a fault a stale response earns more than a late one."""
-    max_age = pending.request_class.freshness_lifetime
+    limit = pending.request_class.freshness_lifetime
     is_degraded = pending.attempt_count > 0 or state.endpoints.by_id[source].ejected_until > 0
-    if max_age and is_degraded:
-        max_age += pending.request_class.stale_grace
+    if limit and is_degraded:
+        limit += pending.request_class.stale_grace
     bound = age_bound(state, now, pending.request)
-    return max_age if bound is None else min(max_age or bound, bound)
+    return limit if bound is None else min(limit or bound, bound)
 
 
 def serve_cached(state: RoutingState, now: int, request: api.Request) -> bool:
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -91,9 +91,8 @@
     is_harmless = request_class.idempotency is api.Idempotency.IDEMPOTENT
     is_harmless |= is_keyed and request_class.deduplication_scope is api.DeduplicationScope.ALL
     is_harmless |= not (pending.executed or pending.in_flight)
-    retry_after = 0
-    if state.settings.supports_retry_after:
-        retry_after = int(MEAN_RETRY_AFTER * (0.5 + state.random.random()))
+    is_advised = state.settings.supports_retry_after
+    retry_after = int(MEAN_RETRY_AFTER * (0.5 + state.random.random())) if is_advised else 0
     if not is_harmless:
         return api.Fail(pending.request.id)
     return api.Reject(pending.request.id, min(state.settings.max_retry_after, retry_after))
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -228,7 +228,7 @@
             if finals(actions):
                 break
             actions = front.end(str(i), number, api.AttemptStatus.CONNECT_FAILED)
-        assert str(i) not in front.router.pending
+        assert str(i) not in front.router.requests.pending
     front.do(
         api.EndpointUpdate(
             api.EndpointUpdateKind.FULL, (cache("new:1", started_at=front.now), parent("p9:1"), ORIGIN)
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -10,7 +10,11 @@
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
 POLICY = {path: (ROOT / path).read_text(encoding="utf-8") for path in DEPLOY["policy"]}
-MECHANICS = [ROOT / "olivepost" / "router.py", *(ROOT / "olivepost" / "routing_state").glob("*.py")]
+MECHANICS = [
+    ROOT / "olivepost" / "router.py",
+    ROOT / "olivepost" / "request_lifecycle.py",
+    *(ROOT / "olivepost" / "routing_state").glob("*.py"),
+]
 ALLOWED_PACKAGES = ("olivepost.routing", "olivepost.routing_state", "olivepost.units")
 
 
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -158,7 +158,7 @@
             if finals(actions):
                 break
             actions = front.end(str(index), number, Status.CONNECTION_LOST)
-        assert str(index) not in front.router.pending
+        assert str(index) not in front.router.requests.pending
     assert sent < 60 + 10 + 0.2 * 60 + 1
 
 
@@ -245,13 +245,13 @@
     for index in range(50):
         front.fill(str(index), f"n{index}")
         front.end(str(index), 1, OK, cache_status=Note.FILLED)
-    assert len(front.router.timers) == 0 and front.router.pending == {}
+    assert len(front.router.timers) == 0 and front.router.requests.pending == {}
 
 
 def test_patience_beyond_the_deadline_is_the_deadlines() -> None:
     front = Front(make_settings())
     front.ask("1", timeout=10**18)
-    assert finals(front.wait(3 * SECOND)) and front.router.pending == {}
+    assert finals(front.wait(3 * SECOND)) and front.router.requests.pending == {}
 
 
 def test_unsafe_request_is_never_sent_twice_nor_refused_once_it_may_have_run() -> None:
@@ -527,7 +527,9 @@
     for front in (calm, slow):
         front.ask("1")
         front.wait(500 * MS)
-    assert not calm.router.pending["1"].in_flight.get(0) and slow.router.pending["1"].in_flight.get(0)
+    assert not calm.router.requests.pending["1"].in_flight.get(0) and slow.router.requests.pending[
+        "1"
+    ].in_flight.get(0)
 
 
 def test_member_late_more_often_than_its_peers_sheds_names_by_degrees() -> None:
@@ -570,7 +572,7 @@
     home = fetches(front.ask("0"))[0].cache
     for index in range(2):
         front.ask(f"f{index}")
-        outcomes.charge(front.router.state, front.now, front.router.pending[f"f{index}"], home, 1.0)
+        outcomes.charge(front.router.state, front.now, front.router.requests.pending[f"f{index}"], home, 1.0)
     assert not health.is_available(front.router.state.endpoints.by_id[home], front.now)
     front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache(home, started_at=front.now),)))
     assert health.is_available(front.router.state.endpoints.by_id[home], front.now)
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -207,5 +207,5 @@
         world.play(step)
     world.wait(5 * SECOND)
     assert not world.owed  # rule 1: every request had its one answer
-    assert not world.router.pending
+    assert not world.router.requests.pending
     assert all(member.in_flight == 0 for member in world.router.state.endpoints.by_id.values())
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -115,7 +115,7 @@
     made.ask("1", timeout=SECOND)
     made.do(api.CacheHint("1", "b:1", True, 3600 * SECOND))
     assert fetches(made.wait(500 * MS))
-    assert finals(made.wait(SECOND)) and not made.router.pending
+    assert finals(made.wait(SECOND)) and not made.router.requests.pending
 
 
 def test_a_claimed_fill_is_settled_whatever_becomes_of_it() -> None:
