--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -487,7 +487,7 @@
                 member = router.state.endpoints.by_id.get(name)
                 if member is None or member.metadata.started_at != cache.started:
                     continue
-                share = capacity.slow_start_share(router.state, at - s.overload_window, member)
+                share = capacity.slow_start_share(at - s.overload_window, member)
                 part = (
                     s.caches.overload_multiple
                     * share
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -23,9 +23,9 @@
 MAX_TRANSFER_DURATION = 2 * SECOND
 
 
-def slow_start_share(state: RoutingState, now: int, endpoint: Endpoint) -> float:
+def slow_start_share(now: int, endpoint: Endpoint) -> float:
     """The share of its link that an endpoint surely has by now."""
-    tier = state.tier_of(endpoint)
+    tier = endpoint.tier
     started_at = endpoint.metadata.started_at
     age = now - started_at if started_at and endpoint.role is not Role.ORIGIN else tier.slow_start_duration
     initial = tier.slow_start_initial_share
@@ -35,8 +35,8 @@
 def has_slow_start_budget(state: RoutingState, now: int, endpoint: Endpoint, work: float) -> bool:
     """Rule 4: whether this proxy's part of a cold endpoint's budget bears one more attempt."""
     window = state.settings.overload_window
-    share = slow_start_share(state, now - window, endpoint)
-    multiple = state.tier_of(endpoint).overload_multiple
+    share = slow_start_share(now - window, endpoint)
+    multiple = endpoint.tier.overload_multiple
     if share >= 1 or not multiple:
         return True
     is_known = state.endpoints.first_listed_at <= max(endpoint.metadata.started_at, now - window)
@@ -49,16 +49,11 @@
     return endpoint.work.total(now) + work <= budget_per_link * link + extra
 
 
-def has_concurrency(state: RoutingState, now: int, endpoint: Endpoint) -> bool:
-    """Whether one more attempt stays within the endpoint's concurrency limit."""
-    return endpoint.in_flight + 1 <= concurrency_limit(state, now, endpoint)
-
-
 def concurrency_limit(state: RoutingState, now: int, endpoint: Endpoint) -> float:
     """Attempts in flight: of the link that it has by now, as far as responses have been in time."""
     part = concurrency_part(state, now, endpoint)
     mean = max(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR - LATE_SLOPE * endpoint.late_share) * part
-    limit = mean + CHANCE_DEVIATIONS * math.sqrt(mean * (1 - 1 / state.tier_of(endpoint).proxies))
+    limit = mean + CHANCE_DEVIATIONS * math.sqrt(mean * (1 - 1 / endpoint.tier.proxies))
     if state.settings.shared_store_timeout:
         limit += transferred(state, now, concurrency_key(endpoint), part)
     return max(1.0, limit)
@@ -68,14 +63,14 @@
     """This proxy's part of the attempts that an endpoint's present link bears."""
     has_weights = state.settings.has_endpoint_weights
     transfers = endpoint.metadata.weight if has_weights else DEFAULT_LINK_TRANSFERS[endpoint.role]
-    link = slow_start_share(state, now, endpoint) * transfers
-    return IN_FLIGHT_PER_TRANSFER[endpoint.role] * link / state.tier_of(endpoint).proxies
+    link = slow_start_share(now, endpoint) * transfers
+    return IN_FLIGHT_PER_TRANSFER[endpoint.role] * link / endpoint.tier.proxies
 
 
 def certain_link(state: RoutingState, endpoint: Endpoint) -> float:
     """This proxy's part of a link, in transfers, by configuration alone: it never falls."""
     weight = endpoint.metadata.weight if state.settings.has_endpoint_weights else 0.0
-    return max(MIN_LINK_TRANSFERS, weight) / state.tier_of(endpoint).proxies
+    return max(MIN_LINK_TRANSFERS, weight) / endpoint.tier.proxies
 
 
 def transferred(state: RoutingState, now: int, key: str, part: float) -> float:
@@ -96,8 +91,8 @@
     if endpoint is None or key != slow_start_key(endpoint):
         return QuotaPart(0.0, 0.0)
     window = state.settings.overload_window
-    share = slow_start_share(state, now - window, endpoint)
-    budget_per_link = state.tier_of(endpoint).overload_multiple * share * window
+    share = slow_start_share(now - window, endpoint)
+    budget_per_link = endpoint.tier.overload_multiple * share * window
     part = budget_per_link * certain_link(state, endpoint)
     # It returns a window after the transfer's end: what the receiver sent last counts as long.
     return QuotaPart(part, endpoint.work.total(now), return_delay=window)
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -78,10 +78,9 @@
 
 def may_abandon_attempt(state: RoutingState, pending: PendingRequest) -> bool:
     """Whether a silent attempt may be left for a retry, which its endpoint may execute all the same."""
-    if pending.request_class.idempotency is not api.Idempotency.IDEMPOTENT:
-        return False
-    has_attempts = pending.attempt_count < state.settings.max_attempts
-    return state.settings.can_cancel_attempts and has_attempts and state.retry_balance >= 1
+    is_idempotent = pending.request_class.idempotency is api.Idempotency.IDEMPOTENT
+    has_attempts = pending.attempt_count < state.settings.max_attempts and state.retry_balance >= 1
+    return is_idempotent and state.settings.can_cancel_attempts and has_attempts
 
 
 def final_response(state: RoutingState, pending: PendingRequest) -> api.Reject | api.Fail:
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -6,7 +6,7 @@
 
 from olivepost import interface as api
 from olivepost.routing import capacity, health
-from olivepost.routing_state import PendingRequest, RoutingState
+from olivepost.routing_state import Endpoint, PendingRequest, RoutingState
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 
 MAX_CACHED_ORDERS = 16_384
@@ -25,9 +25,15 @@
 
 def all_caches_full(state: RoutingState, now: int, name: str) -> bool:
     """Whether every available cache has reached its concurrency limit."""
-    caches = (state.endpoints.by_id[it] for it in rendezvous_order(name, state.endpoints.caches))
-    available = (endpoint for endpoint in caches if health.is_available(endpoint, now))
-    return not any(capacity.has_concurrency(state, now, endpoint) for endpoint in available)
+    for endpoint_id in rendezvous_order(name, state.endpoints.caches):
+        endpoint = state.endpoints.by_id[endpoint_id]
+        if health.is_available(endpoint, now) and _is_below_limit(state, now, endpoint):
+            return False
+    return True
+
+
+def _is_below_limit(state: RoutingState, now: int, endpoint: Endpoint) -> bool:
+    return endpoint.in_flight + 1 <= capacity.concurrency_limit(state, now, endpoint)
 
 
 def select_cache(state: RoutingState, now: int, pending: PendingRequest) -> str | None:
@@ -61,7 +67,7 @@
         return not state.settings.can_collapse_fills  # else the fill is joined
     if not pending.rank or pending.request_class.freshness_lifetime or pending.missed_cache == cache:
         return False
-    is_warm = capacity.slow_start_share(state, now, state.endpoints.by_id[cache]) >= 1
+    is_warm = capacity.slow_start_share(now, state.endpoints.by_id[cache]) >= 1
     return is_warm and pending.attempt_count + 1 < state.settings.max_attempts
 
 
@@ -74,13 +80,13 @@
     by_id = state.endpoints.by_id
     home = by_id[order[0]]
     is_free = home.late_share <= SHED_FROM and health.is_available(home, now)
-    is_free = is_free and order[0] not in pending.avoided and capacity.has_concurrency(state, now, home)
+    is_free = is_free and order[0] not in pending.avoided and _is_below_limit(state, now, home)
     if is_free and capacity.has_slow_start_budget(state, now, home, work):
         return order[0]  # as below, in a fraction of the time
     usable = [it for it in order if capacity.has_slow_start_budget(state, now, by_id[it], work)]
     fresh = [it for it in usable if it not in pending.avoided]
     available = [it for it in fresh if health.is_available(by_id[it], now)]
-    free = [it for it in available if capacity.has_concurrency(state, now, by_id[it])]
+    free = [it for it in available if _is_below_limit(state, now, by_id[it])]
     if state.is_store_available and order[0] in available and order[0] not in free:
         state.actions.append(api.RequestQuota(concurrency_key(home), 1.0))
     elif state.is_store_available and order[0] not in usable:
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import Enum
+from enum import IntEnum
 
 from olivepost import interface as api
 from olivepost.routing_state.sliding_window import SlidingWindowSum
 
 
-class Role(Enum):
-    """What an endpoint is to this proxy."""
+class Role(IntEnum):
+    """What an endpoint is to this proxy. A number, since hashing other enums is slow in routing decisions."""
 
-    CACHE = "cache"
-    PARENT = "parent"
-    ORIGIN = "origin"
-    OTHER_ZONE = "other zone"
+    CACHE = 1
+    PARENT = 2
+    ORIGIN = 3
+    OTHER_ZONE = 4
 
 
 @dataclass(slots=True)
@@ -24,6 +24,7 @@
 
     metadata: api.EndpointMetadata
     role: Role
+    tier: api.TierSettings  # how it starts, and how many proxies share it
     work: SlidingWindowSum  # sent to it within the overload window
     late_share: float  # of its responses lately: hits at a cache, fills at a source
     last_success_at: int = -1
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -42,7 +42,8 @@
         for metadata in update.endpoints:
             self.by_id.pop(metadata.id, None)
             role = role_of(settings, metadata)
-            endpoint = self._listed(metadata, role, before.get(metadata.id))
+            tier = settings.parents if role is Role.PARENT else settings.caches
+            endpoint = self._listed(metadata, role, tier, before.get(metadata.id))
             if role in LISTED_ROLES and metadata.state is not api.EndpointState.REMOVED:
                 self.by_id[metadata.id] = endpoint
         ready = {role: self._ready(role) for role in LISTED_ROLES}
@@ -53,13 +54,15 @@
             started = [self.by_id[endpoint_id].metadata.started_at for endpoint_id in endpoint_ids]
             self.long_running[role] = started.count(0)
 
-    def _listed(self, metadata: api.EndpointMetadata, role: Role, known: Endpoint | None) -> Endpoint:
+    def _listed(
+        self, metadata: api.EndpointMetadata, role: Role, tier: api.TierSettings, known: Endpoint | None
+    ) -> Endpoint:
         """A listed endpoint; health and warmth of another process at its id start anew."""
         if known is not None and known.metadata.started_at == metadata.started_at:
             known.metadata = metadata
             return known
         work = known.work if known is not None else SlidingWindowSum(self.work_window)
-        return Endpoint(metadata, role, work, self.initial_late_share)
+        return Endpoint(metadata, role, tier, work, self.initial_late_share)
 
     def _ready(self, role: Role) -> tuple[str, ...]:
         ready = (it for it in self.by_id.values() if it.metadata.state is api.EndpointState.READY)
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -8,7 +8,6 @@
 
 from olivepost import interface as api
 from olivepost.routing_state.averages import DecayingRate, MovingAverage, MovingAverages
-from olivepost.routing_state.endpoint import Endpoint, Role
 from olivepost.routing_state.endpoint_table import LISTED_ROLES, EndpointTable
 from olivepost.routing_state.invalidation_table import InvalidationTable
 from olivepost.routing_state.levels import ClassLevels, OverloadLevel
@@ -89,7 +88,3 @@
     def work_of(self, request: api.Request, request_class: api.ClassSettings) -> float:
         """A request's own work, its class's mean where its size is not told."""
         return self.own_work(request) or self.mean_work(request_class)
-
-    def tier_of(self, endpoint: Endpoint) -> api.TierSettings:
-        """How the endpoints of a role start, and how many proxies share them."""
-        return self.settings.parents if endpoint.role is Role.PARENT else self.settings.caches
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -230,7 +230,7 @@
     tier, window = made.settings.caches, made.settings.overload_window
     part = (
         tier.overload_multiple
-        * capacity.slow_start_share(front.router.state, at - window, member)
+        * capacity.slow_start_share(at - window, member)
         * window
         * capacity.certain_link(front.router.state, member)
     )
