--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from enum import IntEnum
+from enum import IntEnum, auto
 
 from olivepost import interface as api
 from olivepost.routing_state.sliding_window import SlidingWindowSum
@@ -12,10 +12,10 @@
 class Role(IntEnum):
     """What an endpoint is to this proxy. A number, since hashing other enums is slow in routing decisions."""
 
-    CACHE = 1
-    PARENT = 2
-    ORIGIN = 3
-    OTHER_ZONE = 4
+    CACHE = auto()
+    PARENT = auto()
+    ORIGIN = auto()
+    OTHER_ZONE = auto()
 
 
 @dataclass(slots=True)
