--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -15,12 +15,12 @@
 from typing import Any, cast
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND
 from olivepost.router import Router
 from olivepost.routing import capacity
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store import scripts
 from olivepost.shared_store.coordinator import StoreCoordinator
+from olivepost.units import MILLISECOND, SECOND
 from standins.redis.keyspace import Keyspace, Wrong
 
 START = 1_800_000_000 * SECOND
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -18,7 +18,7 @@
 from benchmarks.branch import Branch
 from benchmarks.fleet import Fleet, Process, Tally, fleet, load
 from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND
+from olivepost.units import MILLISECOND, SECOND
 
 FRONTS, CACHES, ROOM, NAMES = 4, 6, 150, 1_200
 FAULTS: dict[str, list[dict[str, Any]]] = {
--- a/olivepost/config/__init__.py
+++ b/olivepost/config/__init__.py
@@ -16,8 +16,8 @@
 import orjson
 
 from olivepost import interface as api
+from olivepost.units import MILLISECOND, SECOND
 
-MILLISECOND, SECOND = 1_000_000, 1_000_000_000
 BUFFER_SIZE = 16_384
 # What a front with a full core may need from a request's last byte to its reader, and from the module's word
 # to the client's last byte. The module gives up so long before a deadline; without it a burst of connections
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -15,7 +15,7 @@
 import threading
 from collections.abc import Callable, Mapping
 
-from olivepost.config import MILLISECOND, SECOND, Address, ResourceLimits
+from olivepost.config import Address, ResourceLimits
 from olivepost.interface import ClassSettings
 from olivepost.proxy import http1, sockets
 from olivepost.proxy.buffers import BufferPool
@@ -23,6 +23,7 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.exchange import Exchange, RequestAbandoned, RequestReceived, Response, ResponseKind
 from olivepost.proxy.http1 import HttpError, Message
+from olivepost.units import MILLISECOND, SECOND
 
 HEALTH = "/-/healthy"
 TARGET = re.compile(r"/api/v2/([^/]+)/([0-9a-f]{16})/slice-(0|[1-9][0-9]{0,8})", re.ASCII)
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -12,7 +12,6 @@
 from typing import Protocol
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND
 from olivepost.proxy import invariants
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.discovery.client import DiscoveryEvent, DiscoveryHeartbeat
@@ -28,6 +27,7 @@
     command_fields,
 )
 from olivepost.router import Router
+from olivepost.units import MILLISECOND, SECOND
 
 LATE_TIMER = 5 * MILLISECOND  # a timer that fires later than this is counted
 MOST_DELAYS = 100_000
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING
 
 from olivepost import __version__
-from olivepost.config import MILLISECOND, SECOND, ConfigError, ProxyConfig, keys_needing_restart
+from olivepost.config import ConfigError, ProxyConfig, keys_needing_restart
 from olivepost.proxy import invariants
 from olivepost.proxy.buffers import BufferPool
 from olivepost.proxy.clock import Clock
@@ -26,6 +26,7 @@
 from olivepost.proxy.response_cache import ResponseCache
 from olivepost.proxy.upstream.pool import UpstreamPool, UpstreamResources
 from olivepost.router import Router
+from olivepost.units import MILLISECOND, SECOND
 
 if TYPE_CHECKING:
     from olivepost.operator_config.model import OperatorSettings
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -7,7 +7,8 @@
 import struct
 from collections.abc import Iterable
 
-from olivepost.config import SECOND, Address
+from olivepost.config import Address
+from olivepost.units import SECOND
 
 
 def set_send_buffer(sock: socket.socket, size: int) -> None:
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -17,7 +17,7 @@
 from enum import Enum
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND, Address, ResourceLimits
+from olivepost.config import Address, ResourceLimits
 from olivepost.proxy import invariants, sockets
 from olivepost.proxy.buffers import BufferPool, PooledBody
 from olivepost.proxy.clock import Clock
@@ -30,6 +30,7 @@
     ResponseParser,
     encode_command,
 )
+from olivepost.units import MILLISECOND, SECOND
 
 CACHE_STATUSES = {
     "warm": api.CacheStatus.HIT,
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -12,11 +12,11 @@
 from redis.maint_notifications import MaintNotificationsConfig
 from redis.retry import Retry
 
-from olivepost.config import SECOND
 from olivepost.operator_config.units import read_secret
 from olivepost.shared_store.messages import StoreOperation
 from olivepost.shared_store.scripts import DIGESTS, NAMES, script_of
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
+from olivepost.units import SECOND
 
 
 class PasswordFile(CredentialProvider):
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -13,7 +13,6 @@
 from dataclasses import dataclass
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store.fill_leases import OwnLease, OwnLeases
@@ -32,6 +31,7 @@
     parse_integer,
 )
 from olivepost.shared_store.store_health import BreakerState, ReplyVerdict, StoreHealth, TrustLevel
+from olivepost.units import MILLISECOND, SECOND
 
 MOST_ASKED = 4_096  # questions that are out, all stores together; beyond, advice is dropped, not requests
 ODD_EVERY = 60 * SECOND  # a line of the log on records that can't be used, at most
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -16,7 +16,6 @@
 import redis
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.event_log import EventLog
 from olivepost.shared_store import client
@@ -24,6 +23,7 @@
 from olivepost.shared_store.coordinator import StoreCoordinator
 from olivepost.shared_store.scripts import read_reply
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
+from olivepost.units import MILLISECOND, SECOND
 
 TICK = 10 * MILLISECOND
 BATCH = 64
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -7,9 +7,9 @@
 
 from pydantic import BaseModel, ConfigDict, Field, model_validator
 
-from olivepost.config import MILLISECOND, SECOND
 from olivepost.operator_config.units import SPAN_SCHEMA, HostPort, span_within, write_span
 from olivepost.shared_store.messages import SharingTerms
+from olivepost.units import MILLISECOND, SECOND
 
 NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -18,13 +18,14 @@
 
 from examples.toy_server import Command, Coordinator, Member, body_of, serve_all
 from olivepost import interface as api
-from olivepost.config import SECOND, read_address, read_config
+from olivepost.config import read_address, read_config
 from olivepost.proxy import server, sockets
 from olivepost.proxy.discovery import client as discovery
 from olivepost.proxy.downstream.listener import DownstreamConnection
 from olivepost.proxy.event_loop import EventLoop, StopEventLoop
 from olivepost.proxy.upstream import pool
 from olivepost.proxy.upstream.pool import UpstreamConnection
+from olivepost.units import SECOND
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig, toy_config
 
 MS = 1_000_000
