--- /dev/null
+++ b/olivepost/config/fields.py
@@ -0,0 +1,151 @@
+"""Typed access to decoded JSON: the field reader, its error and IPv4 addresses."""
+
+from __future__ import annotations
+
+import re
+import reprlib
+from collections.abc import Mapping
+from typing import Any, NamedTuple, TypeVar
+
+MAX_DURATION_NS = 1 << 62  # longer ones would overflow 64 bits as soon as a time is added
+MAX_OCTET = 255
+MAX_PORT = 65_535
+IPV4_ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
+
+ChoiceT = TypeVar("ChoiceT")
+
+
+class ConfigError(Exception):
+    """A configuration cannot be used.
+
+    `where` names the object that holds the fault and `key` its field; either is empty where the fault is
+    not in an object's field. `reason` says what is wrong and what is allowed.
+    """
+
+    def __init__(self, reason: str, *, where: str = "", key: str = "") -> None:
+        self.reason = reason
+        self.where = where
+        self.key = key
+        quoted_key = f"'{key}'" if key else ""
+        subject = ": ".join(part for part in (where, quoted_key) if part)
+        super().__init__(f"{subject} {reason}" if subject else reason)
+
+
+class Address(NamedTuple):
+    """An IPv4 address and a TCP port, as a socket takes them."""
+
+    host: str
+    port: int
+
+
+def read_address(text: str) -> Address:
+    """Parses `10.0.0.4:8080`; a ValueError says what is allowed."""
+    match = IPV4_ADDRESS.fullmatch(text)
+    if match is None:
+        raise ValueError(f"must be an IPv4 address and a port like 10.0.0.4:8080, not {_shorten(text)}")
+    host = match[1]
+    port = int(match[2])
+    if any(int(octet) > MAX_OCTET for octet in host.split(".")):
+        raise ValueError(f"must have octets from 0 to {MAX_OCTET}, not {_shorten(text)}")
+    if port > MAX_PORT:
+        raise ValueError(f"must have a port from 0 to {MAX_PORT}, not {_shorten(text)}")
+    return Address(host, port)
+
+
+class FieldReader:
+    """Typed access to the fields of one JSON object.
+
+    A null counts as missing. A field that is missing without a default, or of another type than asked for,
+    raises a ConfigError that names the object and the field. Immutable, so any thread may use it.
+    """
+
+    def __init__(self, where: str, data: object) -> None:
+        if not isinstance(data, dict):
+            raise ConfigError("must be an object", where=where)
+        self.where = where
+        self.data: dict[str, Any] = data
+
+    def integer(self, key: str, default: int | None = None) -> int:
+        """A whole number, also one that is written with a decimal point."""
+        value = self._get(key, (int, float), "a whole number", default)
+        if value != int(value):
+            raise self.error(key, f"must be a whole number, not {value:g}")
+        return int(value)
+
+    def number(self, key: str, default: float | None = None) -> float:
+        """Any number."""
+        return float(self._get(key, (int, float), "a number", default))
+
+    def text(self, key: str, default: str | None = None) -> str:
+        """A string."""
+        return str(self._get(key, (str,), "a string", default))
+
+    def boolean(self, key: str) -> bool:
+        """A boolean; false where it is missing."""
+        return bool(self._get(key, (bool,), "true or false", False))
+
+    def items(self, key: str) -> list[Any]:
+        """The elements of a list, unchecked; none where it is missing."""
+        return list(self._get(key, (list,), "a list", []))
+
+    def element(self, key: str, index: int) -> FieldReader:
+        """One element of a list, as an object whose only field has the list's name.
+
+        The object is empty where the list is shorter, so that the field's default applies.
+        """
+        values = self.items(key)
+        fields = {key: values[index]} if 0 <= index < len(values) else {}
+        return FieldReader(f"{self.where}.{key}[{index}]", fields)
+
+    def section(self, key: str) -> FieldReader:
+        """A nested object; an empty one where it is missing."""
+        return FieldReader(f"{self.where}.{key}", self._get(key, (dict,), "an object", {}))
+
+    def one_of(self, key: str, choices: Mapping[str, ChoiceT], default: str | None = None) -> ChoiceT:
+        """The value of `choices` that the field's string selects."""
+        value = self.text(key, default)
+        if value not in choices:
+            raise self.error(key, f"must be one of {', '.join(choices)}, not {_shorten(value)}")
+        return choices[value]
+
+    def number_within(self, key: str, minimum: float, maximum: float, default: float | None = None) -> float:
+        """A number within both bounds, which are allowed themselves."""
+        value = self.number(key, default)
+        if not minimum <= value <= maximum:
+            raise self.error(key, f"must be from {minimum:g} to {maximum:g}, not {value:g}")
+        return value
+
+    def duration(self, key: str, default: int | None = None, minimum: int = 0) -> int:
+        """Whole nanoseconds, `minimum` at least."""
+        value = self.integer(key, default)
+        if not minimum <= value <= MAX_DURATION_NS:
+            raise self.error(key, f"must be from {minimum} to {MAX_DURATION_NS} ns, not {value}")
+        return value
+
+    def address(self, key: str, default: str | None = None) -> Address:
+        """An IPv4 address and a port."""
+        text = self.text(key, default)
+        try:
+            return read_address(text)
+        except ValueError as error:
+            raise self.error(key, str(error)) from error
+
+    def error(self, key: str, reason: str) -> ConfigError:
+        """The error to raise for a field of this object."""
+        return ConfigError(reason, where=self.where, key=key)
+
+    def _get(self, key: str, types: tuple[type, ...], expected: str, default: Any) -> Any:
+        value = self.data.get(key)
+        if value is None:
+            if default is None:
+                raise self.error(key, f"is missing; it must be {expected}")
+            return default
+        is_unexpected_boolean = isinstance(value, bool) and bool not in types  # a bool is an int as well
+        if is_unexpected_boolean or not isinstance(value, types):
+            raise self.error(key, f"must be {expected}, not {_shorten(value)}")
+        return value
+
+
+def _shorten(value: object) -> str:
+    """The value on one line of a message, cut where it is long."""
+    return reprlib.repr(value)
--- /dev/null
+++ b/olivepost/config/limits.py
@@ -0,0 +1,227 @@
+"""Resource limits of a proxy process, derived from the memory and descriptors that the platform allows."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from olivepost.config.fields import FieldReader
+from olivepost.units import MILLISECOND, SECOND
+
+# What the keys may hold and what holds where they are missing.
+MIN_MEMORY_MB = 16
+MAX_MEMORY_MB = 1 << 20
+DEFAULT_MEMORY_MB = 192
+MIN_SOCKETS = 64
+MAX_SOCKETS = 1 << 20
+DEFAULT_SOCKETS = 1_024
+MAX_REQUESTS_PER_CONNECTION = 1 << 16
+DEFAULT_REQUESTS_PER_CONNECTION = 32
+MAX_UPSTREAM_IDLE_TIMEOUT_NS = 3_600 * SECOND
+DEFAULT_UPSTREAM_IDLE_TIMEOUT_NS = 30 * SECOND
+MAX_CONNECT_TIMEOUT_NS = 60 * SECOND
+DEFAULT_CONNECT_TIMEOUT_NS = 400 * MILLISECOND
+
+# Sizes of messages.
+MAX_OBJECT_SIZE = 240_000  # bytes: the platform's largest object
+SMALL_BODY_SIZE = 16_384  # bytes of a request's body that any connection may hold without a reservation
+
+# Buffers are smaller where memory is short, since each connection holds one.
+BUFFER_SIZE = 16_384  # bytes
+FULL_BUFFER_MEMORY_MB = 128  # from here on buffers have their full size
+HALF_BUFFER_MEMORY_MB = 48  # from here on half of it, below a quarter
+
+# Memory that is not available for connections and bodies.
+BYTES_PER_MB = 1_048_576
+PROGRAM_MB = 15  # the program before its first connection: 13 as the platform counts, and a reserve
+TABLES_MB = 5  # the router's name tables and pending requests, at the highest rate measured
+CONNECTION_OVERHEAD = 48 * 1_024  # bytes: the touched part of a thread's stack, its objects and its request
+MIN_SPARE_MB = 4  # with less no useful number of connections fits; the process then runs close to its limit
+
+# Connections.
+MAX_CLIENT_CONNECTIONS = 4_096
+# A bound of 4 left requests without a connection (never sent) whenever responses took long at full load.
+MIN_CONNECTIONS_PER_ENDPOINT = 3
+SPARE_CONNECTIONS_PER_ENDPOINT = 2  # beyond those that carry one request of each client connection
+
+# Bodies.
+MIN_BODY_BUFFERS = 64  # nothing can be served with fewer
+MAX_BODY_BUFFERS = 8_192
+
+
+@dataclass(frozen=True, slots=True)
+class ResourceLimits:
+    """Limits of one proxy process: sizes in bytes, durations in nanoseconds unless named otherwise."""
+
+    memory_mb: int
+    max_sockets: int
+    # Open client connections; at the cap the one that has been idle longest is closed for a new one.
+    max_client_connections: int
+    # To one endpoint: as many as carry one request of each client connection.
+    max_connections_per_endpoint: int
+    # Those that are closing count too, so that descriptors are left for clients.
+    max_upstream_connections: int
+    read_buffers: int  # buffers to receive into, one for each client and upstream connection
+    # Buffers for bodies; a pool of their own, so that peers that hold bodies can't stop the proxy reading.
+    body_buffers: int
+    cache_buffers: int  # of the body buffers, those that the response cache may hold
+    buffer_size: int
+    large_body_bytes: int  # of all request bodies beyond the small ones; 0 where no class writes
+    max_request_body: int  # an object's size where a class writes
+    max_head_size: int = 8_192  # of a request's line and headers
+    small_body_size: int = SMALL_BODY_SIZE  # that any connection may hold
+    max_response_body: int = MAX_OBJECT_SIZE
+    stack_size: int = 262_144  # of each thread
+    max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # in flight on one upstream connection
+    connect_timeout: int = DEFAULT_CONNECT_TIMEOUT_NS
+    upstream_idle_timeout: int = DEFAULT_UPSTREAM_IDLE_TIMEOUT_NS
+    # From connecting to a complete request; a client that can't send one is closed in time.
+    first_request_timeout: int = 2 * SECOND
+    # From a response to the next complete request; the platform's clients keep connections for 4 s.
+    keepalive_timeout: int = 5 * SECOND
+    write_stall_timeout: int = 2 * SECOND  # a peer that takes no byte for so long is closed
+    # For a complete response to be written, where its request's deadline is later still.
+    slow_client_timeout: int = 10 * SECOND
+    # An endpoint writes a response in one go once it has it: a pause of this length within one, or one that
+    # takes longer than this in all, means a stalled connection. Hurts where endpoints stand still.
+    response_pause_timeout: int = 200 * MILLISECOND
+    response_timeout: int = 2 * SECOND
+    # A connection with pending requests and no byte received for so long gets a liveness check, and is closed
+    # if that is not answered in time: the check is cheap, and endpoints stand still for less.
+    liveness_check_after: int = 200 * MILLISECOND
+    liveness_check_timeout: int = 200 * MILLISECOND
+    receive_poll_interval: int = 50 * MILLISECOND  # how often a silent upstream connection is checked
+    # Threads that write responses: none of them blocks, and more only wake each other at full load.
+    writer_threads: int = 1
+    max_log_lines: int = 10_000  # waiting to be written
+    backlog: int = 512
+
+
+@dataclass(frozen=True, slots=True)
+class PlatformLimits:
+    """What the platform allows the process, as its configuration says; durations in nanoseconds."""
+
+    memory_mb: int
+    max_sockets: int
+    upstream_idle_timeout: int
+    requests_per_connection: int
+    connect_timeout: int
+    has_writes: bool  # whether some class writes
+
+
+class ConnectionPlan(NamedTuple):
+    """How the places for connections are shared out."""
+
+    client: int
+    upstream: int
+
+    @property
+    def total(self) -> int:
+        """All connections; each has a read buffer."""
+        return self.client + self.upstream
+
+
+class BodyPlan(NamedTuple):
+    """How the memory that connections leave is shared out."""
+
+    buffers: int
+    large_body_bytes: int
+
+
+def read_limits(configuration: FieldReader, settings: FieldReader) -> ResourceLimits:
+    """Derives the limits from the configuration's own `limits` and from those of its settings."""
+    return derive_limits(_read_platform_limits(configuration, settings))
+
+
+def derive_limits(platform: PlatformLimits) -> ResourceLimits:
+    """Shares out memory and descriptors."""
+    buffer_size = choose_buffer_size(platform.memory_mb)
+    spare_bytes = compute_spare_bytes(platform.memory_mb)
+    connections = plan_connections(spare_bytes, buffer_size, platform.max_sockets)
+    connection_bytes = connections.total * (CONNECTION_OVERHEAD + buffer_size)
+    bodies = plan_bodies(spare_bytes - connection_bytes, buffer_size, platform.has_writes)
+    return ResourceLimits(
+        memory_mb=platform.memory_mb,
+        max_sockets=platform.max_sockets,
+        max_client_connections=connections.client,
+        max_connections_per_endpoint=plan_connections_per_endpoint(
+            platform.max_sockets, connections.client, platform.requests_per_connection
+        ),
+        max_upstream_connections=connections.upstream,
+        read_buffers=connections.total,
+        body_buffers=bodies.buffers,
+        cache_buffers=bodies.buffers * 2 // 3,
+        buffer_size=buffer_size,
+        large_body_bytes=bodies.large_body_bytes,
+        max_request_body=MAX_OBJECT_SIZE if platform.has_writes else SMALL_BODY_SIZE,
+        max_requests_per_connection=platform.requests_per_connection,
+        connect_timeout=platform.connect_timeout,
+        upstream_idle_timeout=platform.upstream_idle_timeout,
+    )
+
+
+def choose_buffer_size(memory_mb: int) -> int:
+    """Bytes of one buffer."""
+    if memory_mb >= FULL_BUFFER_MEMORY_MB:
+        return BUFFER_SIZE
+    if memory_mb >= HALF_BUFFER_MEMORY_MB:
+        return BUFFER_SIZE // 2
+    return BUFFER_SIZE // 4
+
+
+def compute_spare_bytes(memory_mb: int) -> int:
+    """Bytes for connections and bodies: nine tenths of the memory, less what the program takes itself."""
+    usable_mb = memory_mb * 9 // 10
+    return max(MIN_SPARE_MB, usable_mb - PROGRAM_MB - TABLES_MB) * BYTES_PER_MB
+
+
+def plan_connections(spare_bytes: int, buffer_size: int, max_sockets: int) -> ConnectionPlan:
+    """Shares out half of the spare memory and most of the descriptors.
+
+    Clients get nearly half of the descriptors: the usual ones hold a third, the rest is for unexpected ones.
+    Upstream connections get three eighths; the remainder is for the listener, discovery and files.
+    """
+    places = spare_bytes // 2 // (CONNECTION_OVERHEAD + buffer_size)
+    client = min(MAX_CLIENT_CONNECTIONS, max_sockets * 15 // 32, places * 3 // 5)
+    upstream = min(max_sockets * 3 // 8, places - client)
+    return ConnectionPlan(client, upstream)
+
+
+def plan_connections_per_endpoint(max_sockets: int, clients: int, requests_per_connection: int) -> int:
+    """Connections to one endpoint: enough for one request of each client, within a share of descriptors."""
+    for_all_clients = -(-clients // requests_per_connection)  # rounded up
+    share_of_sockets = max_sockets // 16
+    wanted = for_all_clients + SPARE_CONNECTIONS_PER_ENDPOINT
+    return max(MIN_CONNECTIONS_PER_ENDPOINT, min(share_of_sockets, wanted))
+
+
+def plan_bodies(available_bytes: int, buffer_size: int, has_writes: bool) -> BodyPlan:
+    """Shares out the memory that connections leave among large request bodies and the body buffers."""
+    large_body_bytes = max(2 * MAX_OBJECT_SIZE, available_bytes // 5) if has_writes else 0
+    buffer_bytes = available_bytes - 2 * large_body_bytes  # a large body may be held twice, for a moment
+    buffers = min(MAX_BODY_BUFFERS, buffer_bytes * 4 // 5 // buffer_size)
+    return BodyPlan(max(MIN_BODY_BUFFERS, buffers), large_body_bytes)
+
+
+def _read_platform_limits(configuration: FieldReader, settings: FieldReader) -> PlatformLimits:
+    process = configuration.section("limits")
+    upstream = settings.section("limits")
+    return PlatformLimits(
+        memory_mb=int(process.number_within("memory_mb", MIN_MEMORY_MB, MAX_MEMORY_MB, DEFAULT_MEMORY_MB)),
+        max_sockets=int(process.number_within("sockets", MIN_SOCKETS, MAX_SOCKETS, DEFAULT_SOCKETS)),
+        upstream_idle_timeout=_read_bound(
+            upstream, "conn-idle", MAX_UPSTREAM_IDLE_TIMEOUT_NS, DEFAULT_UPSTREAM_IDLE_TIMEOUT_NS
+        ),
+        requests_per_connection=_read_bound(
+            upstream, "max-streams", MAX_REQUESTS_PER_CONNECTION, DEFAULT_REQUESTS_PER_CONNECTION
+        ),
+        connect_timeout=_read_bound(
+            upstream, "connect-timeout", MAX_CONNECT_TIMEOUT_NS, DEFAULT_CONNECT_TIMEOUT_NS
+        ),
+        has_writes=any(settings.section("family-info").items("pass-on")),
+    )
+
+
+def _read_bound(fields: FieldReader, key: str, maximum: int, default: int) -> int:
+    """A whole bound; the default where the key is missing, or 0: the platform then names no bound."""
+    return int(fields.number_within(key, 0, maximum, default)) or default
--- /dev/null
+++ b/olivepost/config/loader.py
@@ -0,0 +1,145 @@
+"""Configuration of a proxy process: read from its file and the environment, checked, with defaults."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+from pathlib import Path
+
+import orjson
+
+from olivepost import interface as api
+from olivepost.config.fields import Address, ConfigError, FieldReader, read_address
+from olivepost.config.limits import ResourceLimits, read_limits
+from olivepost.config.router_settings import read_settings
+from olivepost.units import MILLISECOND
+
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+LISTEN_VARIABLE = "BALANCER_LISTEN"
+NAME_VARIABLE = "BALANCER_NAME"
+DEFAULT_NAME = "front"
+
+# What a proxy with a full core may need from a request's last byte to its routing, and from the router's
+# final response to the client's last byte. The router gives up so long before a deadline; without it a burst
+# of connections made final responses come too late. Hurts responses in the last tenth of a second, which are
+# late anyhow.
+MAX_DEADLINE_MARGIN_NS = 100 * MILLISECOND
+# Where a class's whole deadline is short, the margin is this part of it: a proxy must not give up most of it.
+DEADLINES_PER_MARGIN = 8
+
+MAX_BYTES_PER_S = 1e15
+CLASS_NAME = re.compile(r"[!#-*\-.0-9:-<>-~]{0,200}", re.ASCII)  # what a request's target and field can hold
+
+# Fields of ProxyConfig that a running proxy can't take over, and the keys that they are read from.
+RESTART_KEYS = {
+    "name": "name",
+    "listen": "listen",
+    "seed": "seed",
+    "settings": "settings",
+    "limits": "limits",
+    "transfer_bytes_per_s": "flow_bytes_per_s",
+}
+
+
+@dataclass(frozen=True, slots=True)
+class ProxyConfig:
+    """All that a proxy process is configured with."""
+
+    name: str
+    listen: Address
+    seed: int
+    coordinator: Address
+    known_events: object  # the coordinator's events up to the start, decoded but unchecked; None: none known
+    settings: api.Settings
+    limits: ResourceLimits
+    transfer_bytes_per_s: float  # bytes a second of one transfer on the proxy's own link; 0: unknown
+
+
+def load(environment: Mapping[str, str], path: str | None = None) -> ProxyConfig:
+    """Reads the file that `path` or the variable `BALANCER_CONFIG` names; a ConfigError names the fault."""
+    file_path = path or environment.get(CONFIG_VARIABLE)
+    if not file_path:
+        raise ConfigError(
+            "is missing; it must name the configuration file", where="environment", key=CONFIG_VARIABLE
+        )
+    try:
+        data = orjson.loads(Path(file_path).read_bytes())
+    except OSError as error:
+        raise ConfigError(
+            f"names a file that can't be read: {error.strerror}", where="environment", key=CONFIG_VARIABLE
+        ) from error
+    except orjson.JSONDecodeError as error:
+        raise ConfigError(f"is not JSON: {error}", where="configuration") from error
+    return read_config(data, environment)
+
+
+def read_config(data: object, environment: Mapping[str, str]) -> ProxyConfig:
+    """Checks a decoded configuration; the variables win over the file's `name` and `listen`."""
+    configuration = FieldReader("configuration", data)
+    listen = _read_listen(configuration, environment)
+    settings = read_settings(configuration.data.get("settings"))
+    transfer_bytes_per_s = configuration.number_within("flow_bytes_per_s", 0, MAX_BYTES_PER_S, 0)
+    link_bytes_per_s = configuration.number_within("link_bytes_per_s", 0, MAX_BYTES_PER_S, 0)
+    _check_class_names(settings)
+    settings = replace(
+        settings,
+        local_transfer_capacity=link_bytes_per_s / transfer_bytes_per_s if transfer_bytes_per_s else 0.0,
+        deadline_margin=max(settings.deadline_margin, _compute_deadline_margin(settings)),
+    )
+    return ProxyConfig(
+        name=environment.get(NAME_VARIABLE) or configuration.text("name", DEFAULT_NAME),
+        listen=listen,
+        seed=_read_seed(configuration),
+        coordinator=configuration.address("coordinator"),
+        known_events=configuration.data.get("known"),
+        settings=settings,
+        limits=read_limits(configuration, configuration.section("settings")),
+        transfer_bytes_per_s=transfer_bytes_per_s,
+    )
+
+
+def keys_needing_restart(old: ProxyConfig, new: ProxyConfig) -> list[str]:
+    """The keys whose values differ and that a running proxy can't take over."""
+    return [key for field, key in RESTART_KEYS.items() if getattr(old, field) != getattr(new, field)]
+
+
+def _read_listen(configuration: FieldReader, environment: Mapping[str, str]) -> Address:
+    listen = environment.get(LISTEN_VARIABLE)
+    if not listen:
+        return configuration.address("listen")
+    try:
+        return read_address(listen)
+    except ValueError as error:
+        raise ConfigError(str(error), where="environment", key=LISTEN_VARIABLE) from error
+
+
+def _check_class_names(settings: api.Settings) -> None:
+    """A process needs a class, and each name must fit into a request."""
+    if not settings.classes:
+        raise ConfigError("is missing or empty; it must list a class", where="settings", key="classes")
+    for name in settings.classes:
+        if not CLASS_NAME.fullmatch(name):
+            raise ConfigError(
+                'must have names of 1 to 200 visible ASCII characters without any of " + , / =,'
+                f" not {name[:80]!r}",
+                where="settings",
+                key="classes",
+            )
+
+
+def _compute_deadline_margin(settings: api.Settings) -> int:
+    """Nanoseconds before a deadline in which a final response must go out."""
+    shortest_deadline = min(spec.deadline for spec in settings.classes.values())
+    return min(MAX_DEADLINE_MARGIN_NS, shortest_deadline // DEADLINES_PER_MARGIN)
+
+
+def _read_seed(configuration: FieldReader) -> int:
+    """The seed: a string of hexadecimal digits, or a whole number."""
+    value = configuration.data.get("seed", 0)
+    if isinstance(value, int) and not isinstance(value, bool):
+        return value
+    try:
+        return int(configuration.text("seed"), 16)
+    except ValueError as error:
+        raise configuration.error("seed", "must be hexadecimal digits or a whole number") from error
--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -60,7 +60,9 @@
         raise ConfigError("server has a wrong 'id'")
     started = row.integer("started_ms", 0) * MILLISECOND
     address = (
-        ("", 0) if state is api.EndpointState.REMOVED and "addr" not in row.data else row.address("addr")
+        Address("", 0)
+        if state is api.EndpointState.REMOVED and "addr" not in row.data
+        else row.address("addr")
     )
     listed = api.EndpointMetadata(
         id=id_,
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration: what is read, what is defaulted, and messages that name the faulty key."""
+"""Configuration of a proxy process: values, defaults, derived limits, errors that name the faulty key."""
 
 import json
 from pathlib import Path
@@ -8,77 +8,85 @@
 
 from examples.toy_server import CONFIG
 from olivepost import interface as api
-from olivepost.config import TURN, ConfigError, load, read_config
+from olivepost.config import ConfigError, load, read_config
+from olivepost.config.loader import MAX_DEADLINE_MARGIN_NS
+from olivepost.units import MILLISECOND, SECOND
 from tests.rig import toy_config
 
+BYTES_PER_MB = 2**20
 
-def test_the_example_is_read() -> None:
+
+def test_example_file_is_read() -> None:
     config = load({}, str(CONFIG))
-    assert config.name == "example" and config.listen == ("127.0.0.1", 8080)
-    assert config.coordinator == ("127.0.0.1", 7370) and config.seed == 0x8C1F30D27A5BE964
+    assert config.name == "example"
+    assert config.listen == ("127.0.0.1", 8080)
+    assert config.coordinator == ("127.0.0.1", 7370)
+    assert config.seed == 0x8C1F30D27A5BE964
     assert config.settings.classes["image"].idempotency is api.Idempotency.IDEMPOTENT
-    bounds = config.limits
-    assert (
-        bounds.max_requests_per_connection == 32
-        and bounds.connect_timeout == 400_000_000
-        and bounds.upstream_idle_timeout == 30_000_000_000
-    )
-    assert (
-        bounds.max_client_connections >= 1024 // 3
-        and bounds.body_buffers * bounds.buffer_size <= 192 * 1_048_576 // 2
-    )
-    assert (
-        bounds.cache_buffers < bounds.body_buffers
-        and config.settings.local_transfer_capacity == 0 == config.transfer_bytes_per_s
-    )
-    assert (
-        bounds.max_connections_per_endpoint * bounds.max_requests_per_connection
-        >= bounds.max_client_connections
-    )
-
-
-def test_own_link_in_transfers() -> None:
+    assert config.settings.local_transfer_capacity == 0 == config.transfer_bytes_per_s
+
+
+def test_example_file_gives_limits_for_its_machine() -> None:
+    limits = load({}, str(CONFIG)).limits
+    assert limits.max_requests_per_connection == 32
+    assert limits.connect_timeout == 400 * MILLISECOND
+    assert limits.upstream_idle_timeout == 30 * SECOND
+    assert limits.max_client_connections >= 1024 // 3
+    assert limits.body_buffers * limits.buffer_size <= 192 * BYTES_PER_MB // 2
+    assert limits.cache_buffers < limits.body_buffers
+    requests_per_endpoint = limits.max_connections_per_endpoint * limits.max_requests_per_connection
+    assert requests_per_endpoint >= limits.max_client_connections
+
+
+def test_local_link_is_counted_in_transfers() -> None:
     config = read_config(toy_config(flow_bytes_per_s=1000, link_bytes_per_s=4500.0), {})
-    assert config.settings.local_transfer_capacity == 4.5 and config.transfer_bytes_per_s == 1000
+    assert config.settings.local_transfer_capacity == 4.5
+    assert config.transfer_bytes_per_s == 1000
 
 
-def test_the_module_gives_up_in_time_for_a_front_that_is_busy() -> None:
+def test_deadline_margin_leaves_time_for_a_busy_proxy() -> None:
     config = read_config(toy_config(), {})
-    assert config.settings.deadline_margin == TURN
+    assert config.settings.deadline_margin == MAX_DEADLINE_MARGIN_NS
+
+
+def test_longer_configured_deadline_margin_is_kept() -> None:
     slow = toy_config()
-    slow["settings"]["tick"] = 2 * TURN
-    assert read_config(slow, {}).settings.deadline_margin == 2 * TURN
+    slow["settings"]["tick"] = 2 * MAX_DEADLINE_MARGIN_NS
+    assert read_config(slow, {}).settings.deadline_margin == 2 * MAX_DEADLINE_MARGIN_NS
 
 
-def test_variables_win_over_the_file() -> None:
-    told = {"BALANCER_NAME": "n3", "BALANCER_LISTEN": "127.0.0.9:81", "BALANCER_CONFIG": str(CONFIG)}
-    config = load(told)
+def test_environment_takes_precedence_over_the_file() -> None:
+    environment = {
+        "BALANCER_NAME": "n3",
+        "BALANCER_LISTEN": "127.0.0.9:81",
+        "BALANCER_CONFIG": str(CONFIG),
+    }
+    config = load(environment)
     assert (config.name, config.listen) == ("n3", ("127.0.0.9", 81))
 
 
-@pytest.mark.parametrize(("memory", "sockets"), [(32, 256), (64, 256), (192, 1024), (2048, 4096)])
-def test_small_limits_are_valid_and_the_front_fits_into_them(memory: int, sockets: int) -> None:
-    bounds = read_config(toy_config(limits={"memory_mb": memory, "sockets": sockets}), {}).limits
-    held = (bounds.read_buffers + bounds.body_buffers) * bounds.buffer_size
-    threads = (
-        (bounds.max_client_connections + 2 * bounds.max_upstream_connections) * 24 * 1024
-    )  # what is touched of a thread's stack
-    assert 22 * 2**20 + held + threads < memory * 2**20
-    assert (
-        bounds.max_client_connections + bounds.max_upstream_connections + 16 < sockets
-        and bounds.max_client_connections >= 32
-    )
-    assert bounds.cache_buffers < bounds.body_buffers and bounds.body_buffers * bounds.buffer_size >= 240_000
+@pytest.mark.parametrize(("memory_mb", "sockets"), [(32, 256), (64, 256), (192, 1024), (2048, 4096)])
+def test_proxy_fits_into_the_memory_and_descriptors_it_is_given(memory_mb: int, sockets: int) -> None:
+    limits = read_config(toy_config(limits={"memory_mb": memory_mb, "sockets": sockets}), {}).limits
+    buffer_bytes = (limits.read_buffers + limits.body_buffers) * limits.buffer_size
+    threads = limits.max_client_connections + 2 * limits.max_upstream_connections
+    stack_bytes = threads * 24 * 1024  # the part of each thread's stack that is touched
+    assert 22 * BYTES_PER_MB + buffer_bytes + stack_bytes < memory_mb * BYTES_PER_MB
+    assert limits.max_client_connections + limits.max_upstream_connections + 16 < sockets
+    assert limits.max_client_connections >= 32
+    assert limits.cache_buffers < limits.body_buffers
+    assert limits.body_buffers * limits.buffer_size >= 240_000
 
 
-def test_limits_and_unknown_keys() -> None:
+def test_unknown_keys_are_skipped_and_missing_limits_have_defaults() -> None:
     config = read_config(toy_config(limits={"sockets": 256, "of_tomorrow": 1}, of_tomorrow=[]), {})
-    assert config.limits.max_sockets == 256 and config.limits.memory_mb == 192
+    assert config.limits.max_sockets == 256
+    assert config.limits.memory_mb == 192
     assert config.limits.buffer_size == 16_384
     assert config.limits.max_client_connections < 256 // 2
 
 
-READ = {"name": "a", "deadline": 1_000_000_000, "effect": "read_like"}
+READ_CLASS = {"name": "a", "deadline": 1_000_000_000, "effect": "read_like"}
 
 
 @pytest.mark.parametrize(
@@ -100,66 +108,87 @@
         ({"settings": {"classes": [{"name": "a", "deadline": 1, "effect": "read_like"}]}}, "zone"),
         ({"settings": {"zone": "x", "classes": [{"name": "a", "deadline": 1, "effect": "odd"}]}}, "effect"),
         ({"name": 3}, "name"),
-        ({"settings": {"zone": "x", "classes": [{**READ, "deadline": 0}]}}, "deadline"),
-        ({"settings": {"zone": "x", "classes": [{**READ, "deadline": 1.5}]}}, "deadline"),
-        ({"settings": {"zone": "x", "classes": [{**READ, "aim": -1}]}}, "aim"),
-        ({"settings": {"zone": "x", "classes": [{**READ, "gain": -1}]}}, "gain"),
-        ({"settings": {"zone": "x", "classes": [READ, READ]}}, "name"),
-        ({"settings": {"zone": "x", "classes": [{**READ, "name": "two words"}]}}, "classes"),
-        ({"settings": {"zone": "x", "classes": [{**READ, "group": "odd"}]}}, "group"),
-        ({"settings": {"zone": "x", "classes": [READ], "family-info": {"max-age": ["long"]}}}, "max-age"),
+        ({"settings": {"zone": "x", "classes": [{**READ_CLASS, "deadline": 0}]}}, "deadline"),
+        ({"settings": {"zone": "x", "classes": [{**READ_CLASS, "deadline": 1.5}]}}, "deadline"),
+        ({"settings": {"zone": "x", "classes": [{**READ_CLASS, "aim": -1}]}}, "aim"),
+        ({"settings": {"zone": "x", "classes": [{**READ_CLASS, "gain": -1}]}}, "gain"),
+        ({"settings": {"zone": "x", "classes": [READ_CLASS, READ_CLASS]}}, "name"),
+        ({"settings": {"zone": "x", "classes": [{**READ_CLASS, "name": "two words"}]}}, "classes"),
+        ({"settings": {"zone": "x", "classes": [{**READ_CLASS, "group": "odd"}]}}, "group"),
+        (
+            {"settings": {"zone": "x", "classes": [READ_CLASS], "family-info": {"max-age": ["long"]}}},
+            "max-age",
+        ),
         (
             {
                 "settings": {
                     "zone": "x",
-                    "classes": [READ],
+                    "classes": [READ_CLASS],
                     "family-info": {"zone-balancers": [[]]},
                     "failure-domains": ["x"],
                 }
             },
             "zone-balancers",
         ),
-        ({"settings": {"zone": "x", "classes": [READ], "contract": {"cold-from": 7}}}, "cold-from"),
+        ({"settings": {"zone": "x", "classes": [READ_CLASS], "contract": {"cold-from": 7}}}, "cold-from"),
         ({"flow_bytes_per_s": -1}, "flow_bytes_per_s"),
     ],
 )
-def test_a_fault_names_its_key(changes: dict[str, Any], key: str) -> None:
-    with pytest.raises(ConfigError, match=key):
+def test_error_names_the_faulty_key(changes: dict[str, Any], key: str) -> None:
+    with pytest.raises(ConfigError, match=key) as raised:
         read_config(toy_config(**changes), {})
+    assert key in (raised.value.key, raised.value.where)
 
 
-def test_a_faulty_variable_is_named(tmp_path: Path) -> None:
+def test_error_says_where_and_what_is_allowed() -> None:
+    changes = {"settings": {"zone": "x", "classes": [{**READ_CLASS, "effect": "odd"}]}}
+    with pytest.raises(ConfigError) as raised:
+        read_config(toy_config(**changes), {})
+    assert raised.value.where == "settings.classes[0]"
+    assert raised.value.key == "effect"
+    assert raised.value.reason == ("must be one of read_like, idempotency_key, non_idempotent, not 'odd'")
+    assert str(raised.value) == f"settings.classes[0]: 'effect' {raised.value.reason}"
+
+
+def test_faulty_listen_variable_is_named() -> None:
     with pytest.raises(ConfigError, match="BALANCER_LISTEN"):
         read_config(toy_config(), {"BALANCER_LISTEN": "x"})
+
+
+def test_missing_configuration_file_is_named_by_its_variable(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match="BALANCER_CONFIG"):
         load({})
     with pytest.raises(ConfigError, match="BALANCER_CONFIG"):
         load({"BALANCER_CONFIG": str(tmp_path / "none.json")})
+
+
+def test_file_that_is_no_json_object_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "odd.json"
     path.write_text(json.dumps([1]))
-    with pytest.raises(ConfigError, match="not an object"):
+    with pytest.raises(ConfigError, match="must be an object"):
         load({}, str(path))
     path.write_text("{")
     with pytest.raises(ConfigError, match="not JSON"):
         load({}, str(path))
 
 
-def test_odd_settings_that_have_a_meaning_are_taken() -> None:
-    """Zero and missing limits, thirty classes, whole numbers with a point, a class that earns nothing."""
-    classes = [{**READ, "name": f"c{number}", "gain": number, "aim": 0} for number in range(30)]
-    limits = {"attempts-cap": 0, "max-streams": 0, "connect-timeout": 0, "conn-idle": 0}
-    for given in (limits, {}):
-        settings = {"zone": "x", "classes": classes, "limits": given, "contract": {"fall": 2e9}}
-        config = read_config(toy_config(settings=settings), {})
-        assert len(config.settings.classes) == 30 and config.settings.max_attempts == 1
-        assert config.settings.overload_window == 2_000_000_000
-        assert (
-            config.limits.max_requests_per_connection == 32 and config.limits.connect_timeout == 400_000_000
-        )
+@pytest.mark.parametrize(
+    "limits", [{"attempts-cap": 0, "max-streams": 0, "connect-timeout": 0, "conn-idle": 0}, {}]
+)
+def test_zero_and_missing_limits_mean_their_defaults(limits: dict[str, int]) -> None:
+    """With thirty classes, of which one has no weight, and a whole number that has a decimal point."""
+    classes = [{**READ_CLASS, "name": f"c{number}", "gain": number, "aim": 0} for number in range(30)]
+    settings = {"zone": "x", "classes": classes, "limits": limits, "contract": {"fall": 2e9}}
+    config = read_config(toy_config(settings=settings), {})
+    assert len(config.settings.classes) == 30
+    assert config.settings.max_attempts == 1
+    assert config.settings.overload_window == 2 * SECOND
+    assert config.limits.max_requests_per_connection == 32
+    assert config.limits.connect_timeout == 400 * MILLISECOND
 
 
 @pytest.mark.parametrize("deadline_ms", [40, 200, 5_000])
-def test_a_short_deadline_is_not_mostly_given_up(deadline_ms: int) -> None:
-    spec = {**READ, "deadline": deadline_ms * 1_000_000}
+def test_deadline_margin_is_at_most_an_eighth_of_the_deadline(deadline_ms: int) -> None:
+    spec = {**READ_CLASS, "deadline": deadline_ms * MILLISECOND}
     config = read_config(toy_config(settings={"zone": "x", "classes": [spec]}), {})
-    assert 0 < config.settings.deadline_margin <= deadline_ms * 1_000_000 // 8
+    assert 0 < config.settings.deadline_margin <= deadline_ms * MILLISECOND // 8
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -8,7 +8,9 @@
 import pytest
 
 from examples.toy_server import Command, Member, serve_all
-from olivepost.config import OBJECT, SMALL_BODY, read_config
+from olivepost.config import MAX_OBJECT_SIZE as OBJECT
+from olivepost.config import SMALL_BODY_SIZE as SMALL_BODY
+from olivepost.config import read_config
 from tests.rig import NAME, WITHIN, Client, Rig, rig, toy_config
 
 KEY = "e88162b04f93af70ad562033008092e1"
