--- /dev/null
+++ b/olivepost/proxy/discovery/long_poll.py
@@ -0,0 +1,184 @@
+"""The long poll: a thread that polls one coordinator, with a timeout for each response and backoff."""
+
+from __future__ import annotations
+
+import random
+import socket
+import threading
+from typing import Protocol
+
+import orjson
+
+from olivepost.config import Address, ConfigError
+from olivepost.proxy import http1, sockets
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import EventLog
+from olivepost.proxy.http1 import HttpError
+from olivepost.units import MILLISECOND, SECOND
+
+# How long the coordinator may hold a poll open. Short, so that a dead one is noticed well before its events
+# count as known everywhere.
+POLL_WAIT_NS = 1 * SECOND
+# For a response's last byte, beyond the poll's own wait, counted from when the poll was sent. Guards against
+# a coordinator that stops, breaks off or trickles: its events count as known everywhere 2 s after the wait,
+# so there must be time left for another poll. Doubles with each failure in a row, up to the maximum, for
+# endpoint lists that take longer; hurts where every response does, by those first attempts.
+FIRST_RESPONSE_TIMEOUT_NS = 600 * MILLISECOND
+MAX_RESPONSE_TIMEOUT_NS = 4 * SECOND
+MAX_RESPONSE_TIMEOUT_DOUBLINGS = 8  # keeps the shift small; the maximum is reached long before
+CONNECT_TIMEOUT_NS = 500 * MILLISECOND
+# Exponential backoff after failures: each pause is half of this to all of it, at random.
+FIRST_BACKOFF_S = 0.03
+MAX_BACKOFF_S = 0.25
+MAX_BACKOFF_DOUBLINGS = 10
+MAX_HEAD_SIZE = 8_192  # bytes of a response's status line and headers
+MAX_BODY_SIZE = 16_777_216  # bytes of a response's body
+RECEIVE_SIZE = 65_536  # bytes of one read
+OK_STATUS = "200"
+
+
+class WatchState(Protocol):
+    """What a long poll asks of its owner; any long poll's thread may call it."""
+
+    clock: Clock
+    log: EventLog
+
+    def next_index(self, long_poll: LongPoll) -> int | None:
+        """The index after which to poll; None where another long poll has taken over."""
+
+    def accept_response(self, long_poll: LongPoll, data: object) -> None:
+        """Takes over the decoded body of a complete response."""
+
+
+class LongPoll:
+    """A thread that polls one coordinator until `stop`.
+
+    `stop` may be called from any thread. `_lock` guards `_sock` and `_parser`; the polling thread alone sets
+    them, and uses its own socket without the lock.
+    """
+
+    def __init__(self, watch_state: WatchState, address: Address, seed: float) -> None:
+        self._watch_state = watch_state
+        self._clock = watch_state.clock
+        self.log = watch_state.log
+        self._address = address
+        self._random = random.Random(seed)
+        self._is_stopped = threading.Event()
+        self._failures = 0  # in a row
+        self._is_lost = False  # whether the loss of the coordinator is logged
+        self._lock = threading.Lock()
+        self._sock: socket.socket | None = None
+        self._parser = _response_parser()
+        threading.Thread(target=self._run, name="discovery", daemon=True).start()
+
+    def stop(self) -> None:
+        """Aborts the open poll; a connection that is being made is closed once it is there."""
+        self._is_stopped.set()
+        with self._lock:
+            if self._sock is not None:
+                sockets.shutdown(self._sock)
+
+    def _run(self) -> None:
+        while not self._is_stopped.is_set():
+            can_reuse_connection = self._attempt_poll()
+            if can_reuse_connection:
+                continue
+            self._close_connection()
+            if self._failures:
+                self._is_stopped.wait(self._backoff_s())
+        self._close_connection()
+
+    def _attempt_poll(self) -> bool:
+        """One poll with its failures handled; returns whether the connection can be used again."""
+        timeout = self._response_timeout()
+        try:
+            if self._sock is None:
+                self._connect()
+            can_reuse_connection = self._poll(timeout)
+        except (OSError, HttpError, ConfigError, ValueError) as error:
+            self._record_failure(error)
+            return False
+        except Exception:  # the thread's top: no fault may end discovery
+            self._failures += 1
+            self.log.exception("discovery_error")
+            return False
+        self._record_success()
+        return can_reuse_connection
+
+    def _record_failure(self, error: Exception) -> None:
+        if not self._is_lost and not self._is_stopped.is_set():
+            self.log.event("discovery_lost", reason=str(error) or type(error).__name__)
+        self.log.increment("poll_failures")
+        self._failures += 1
+        self._is_lost = True
+
+    def _record_success(self) -> None:
+        if self._is_lost:
+            self.log.event("discovery_recovered")
+        self._failures = 0
+        self._is_lost = False
+
+    def _response_timeout(self) -> int:
+        """Nanoseconds for the next response beyond the poll's own wait."""
+        doublings = min(self._failures, MAX_RESPONSE_TIMEOUT_DOUBLINGS)
+        return min(MAX_RESPONSE_TIMEOUT_NS, FIRST_RESPONSE_TIMEOUT_NS << doublings)
+
+    def _backoff_s(self) -> float:
+        """Seconds until the next attempt, after one failure or more."""
+        doublings = min(self._failures - 1, MAX_BACKOFF_DOUBLINGS)
+        longest = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * (1 << doublings))
+        return longest * (0.5 + self._random.random() / 2)
+
+    def _connect(self) -> None:
+        sock = sockets.connect(
+            self._address,
+            CONNECT_TIMEOUT_NS,
+            POLL_WAIT_NS + FIRST_RESPONSE_TIMEOUT_NS,
+            FIRST_RESPONSE_TIMEOUT_NS,
+        )
+        with self._lock:
+            self._sock = sock
+            self._parser = _response_parser()
+
+    def _close_connection(self) -> None:
+        with self._lock:
+            sock = self._sock
+            self._sock = None
+        if sock is not None:
+            sock.close()
+
+    def _poll(self, timeout: int) -> bool:
+        """Polls once and hands the response over; returns whether the connection can be used again."""
+        sock = self._sock
+        index = self._watch_state.next_index(self)
+        if sock is None or index is None:
+            return False
+        deadline = self._clock.now() + POLL_WAIT_NS + timeout
+        target = f"/v2/stream?follow={index}&wait_ms={POLL_WAIT_NS // MILLISECOND}"
+        head = http1.request_head(target, f"{self._address.host}:{self._address.port}")
+        sockets.send_buffers(sock, [head])
+        response = self._receive_response(sock, deadline)
+        status = response.first[0]
+        if status != OK_STATUS:
+            raise ConnectionError(f"status {status}")
+        self._watch_state.accept_response(self, orjson.loads(response.body))
+        return response.keeps_alive
+
+    def _receive_response(self, sock: socket.socket, deadline: int) -> http1.Message:
+        while (response := self._parser.take()) is None:
+            remaining = deadline - self._clock.now()
+            if remaining <= 0:
+                raise TimeoutError("the response takes too long")
+            sockets.set_receive_timeout(sock, remaining)
+            try:
+                data = sock.recv(RECEIVE_SIZE)
+            except BlockingIOError:  # the receive timeout; whether the deadline has passed is checked above
+                continue
+            if not data:
+                raise ConnectionError("closed by the coordinator")
+            self._parser.feed(data)
+        return response
+
+
+def _response_parser() -> http1.Parser:
+    return http1.Parser(MAX_HEAD_SIZE, MAX_BODY_SIZE, answers=True)
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -14,7 +14,7 @@
 from olivepost import interface as api
 from olivepost.proxy import invariants
 from olivepost.proxy.clock import Clock
-from olivepost.proxy.discovery.client import DiscoveryEvent, DiscoveryHeartbeat
+from olivepost.proxy.discovery.messages import DiscoveryEvent, DiscoveryHeartbeat
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.exchange import Exchange, RequestAbandoned, RequestReceived, Response, ResponseKind
 from olivepost.proxy.response_cache import CacheEntry, ResponseCache, response_from
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -20,7 +20,7 @@
 from olivepost import interface as api
 from olivepost.config import read_address, read_config
 from olivepost.proxy import server, sockets
-from olivepost.proxy.discovery import client as discovery
+from olivepost.proxy.discovery import long_poll
 from olivepost.proxy.downstream.listener import DownstreamConnection
 from olivepost.proxy.event_loop import EventLoop, StopEventLoop
 from olivepost.proxy.upstream import pool
@@ -720,8 +720,8 @@
 
 def test_drains_told_within_a_silence_are_heard_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """The open poll falls silent, and the next one too; the cache drains meanwhile and stays up."""
-    monkeypatch.setattr(discovery, "WAIT", 100 * MS)
-    monkeypatch.setattr(discovery, "ANSWER_FIRST", 100 * MS)
+    monkeypatch.setattr(long_poll, "POLL_WAIT_NS", 100 * MS)
+    monkeypatch.setattr(long_poll, "FIRST_RESPONSE_TIMEOUT_NS", 100 * MS)
     with rig() as made, made.client() as client:
         other = Mute(2)
         other.events = list(made.coordinator.events)
@@ -742,7 +742,7 @@
     with rig() as made:
         assert made.coordinator.wait_for_poll(1)
         made.coordinator.close()
-        assert made.until(lambda: made.counted("polls_failed") >= 1)
+        assert made.until(lambda: made.counted("poll_failures") >= 1)
         other = Coordinator()
         other.events = list(made.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining(made, 1)})
@@ -762,7 +762,7 @@
     with rig(limits={"sockets": 64, "memory_mb": 64}) as made:
         assert made.coordinator.wait_for_poll(1)
         made.coordinator.close()
-        assert made.until(lambda: made.counted("polls_failed") >= 1)
+        assert made.until(lambda: made.counted("poll_failures") >= 1)
         idle = [made.client() for _ in range(3 * made.front.config.limits.max_client_connections)]
         for piece in range(6):
             with made.client() as client:
@@ -800,7 +800,7 @@
 def test_small_writes_leave_at_once_on_every_socket() -> None:
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200 and made.coordinator.wait_for_poll(1)
-        follower = made.front.discovery._follower
+        follower = made.front.discovery._long_poll
         links = [link for server in made.front.upstream._servers.values() for link in server.links]
         assert follower is not None and links
         for sock in (connection_of(made)._sock, follower._sock, *(link._sock for link in links)):
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -709,14 +709,14 @@
         made.coordinator.add(evict={})
         made.coordinator.add(evict={"ref": NAME, "unix_ms": time.time_ns() // 1_000_000})
         assert made.until(lambda: len(made.front.event_loop._router.state.invalidations) == 1)
-        assert made.counted("updates_odd") == 2 and client.ask()[0] == 200
+        assert made.counted("invalid_events") == 2 and client.ask()[0] == 200
 
 
 def test_the_last_list_holds_while_the_coordinator_is_gone() -> None:
     with rig() as made, made.client() as client:
         assert made.coordinator.wait_for_poll(1)
         made.coordinator.close()
-        assert made.until(lambda: made.counted("polls_failed") >= 2)
+        assert made.until(lambda: made.counted("poll_failures") >= 2)
         assert client.ask()[0] == 200
 
 
@@ -736,7 +736,7 @@
         other.add(evict={"shard": 4, "unix_ms": time.time_ns() // 1_000_000})
         assert made.until(lambda: ("group", 4) in purges._times)
         assert set(purges._times) == {("group", 1), ("group", 2), ("group", 4)}
-        assert made.counted("registry_fault") == 0
+        assert made.counted("discovery_error") == 0
         other.close()
 
 
@@ -768,7 +768,7 @@
         purges = made.front.event_loop._router.state.invalidations
         assert made.until(lambda: ("group", 2) in purges._times)
         assert other.stopped and time.monotonic() - began >= 1  # the poll's own wait was left to it
-        assert made.counted("polls_failed") <= 2
+        assert made.counted("poll_failures") <= 2
         other.over.set()
         other.close()
 
@@ -778,12 +778,12 @@
         made.coordinator.add(
             endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
         )
-        assert made.until(lambda: made.front.discovery._last == 2)
+        assert made.until(lambda: made.front.discovery._last_index == 2)
         lagging = Coordinator()
         lagging.events = made.coordinator.events[:1]
         made.front.discovery.switch_coordinator(read_address(lagging.address))
         assert lagging.wait_for_poll(2) and lagging.follows[:2] == [2, 2]  # it is waited for
-        assert made.until(lambda: made.front.discovery._lower >= 1)
+        assert made.until(lambda: made.front.discovery._lagging_responses >= 1)
         lagging.events = list(made.coordinator.events)
         lagging.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         purges = made.front.event_loop._router.state.invalidations
@@ -830,7 +830,7 @@
     with rig(**OWN) as made, made.client() as client:
         ask_until_own(made, client)
         made.coordinator.close()
-        assert made.until(lambda: made.counted("polls_failed") >= 2)
+        assert made.until(lambda: made.counted("poll_failures") >= 2)
         made.front.event_loop._heard -= VOUCHED
         assert client.ask()[0] == 200 and made.counted("own_copies") == 1
 
