--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -0,0 +1,1 @@
+"""A proxy to try on loopback, with toy endpoints and a toy coordinator."""
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,9 +1,9 @@
-"""A toy coordinator and toy members, to try a front with: loopback only, plainly written.
+"""A toy coordinator and toy endpoints, to try a proxy with: loopback only, one thread a connection.
 
     python examples/toy_server.py
 
-Members hold every object: its bytes follow from its name. Objects whose name begins with `0` are not kept
-by caches (a parent has them), those that begin with `f` are turned away everywhere.
+Endpoints hold every object: its bytes follow from its name. Caches don't keep objects whose name begins with
+`0`, so that they fill from a parent; objects whose name begins with `f` are rejected by every endpoint.
 """
 
 from __future__ import annotations
@@ -15,38 +15,50 @@
 import threading
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from hashlib import blake2b
 from pathlib import Path
 from typing import Any
 
 CONFIG = Path(__file__).with_name("config.json")
+LOOPBACK = "127.0.0.1"
+LINE_END = b"\r\n"
+BACKLOG = 64  # connections that wait to be accepted
+MAX_POLL_WAIT_S = 5.0
+NANOSECONDS_PER_MS = 1_000_000
+NOT_CACHED_PREFIX = "0"  # of names that caches don't keep
+REJECTED_PREFIX = "f"  # of names that every endpoint rejects
 
 
 def body_of(name: str, piece: str) -> bytes:
-    """The bytes of a part: up to 64 KB, every value of a byte among them."""
-    seed = blake2b(f"{name} {piece}".encode()).digest()
-    return (seed + bytes(range(256))) * (1 + seed[0] % 200)
+    """The bytes of an object's part: up to 64 KB, every value of a byte among them."""
+    digest = blake2b(f"{name} {piece}".encode()).digest()
+    repeats = 1 + digest[0] % 200
+    return (digest + bytes(range(256))) * repeats
 
 
 def tag_of(name: str, piece: str) -> str:
+    """The entity tag of an object's part."""
     return blake2b(body_of(name, piece), digest_size=8).hexdigest()
 
 
 def listen(port: int) -> socket.socket:
+    """A listener on loopback; port 0 lets the system choose."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listener.bind(("127.0.0.1", port))
-    listener.listen(64)
+    listener.bind((LOOPBACK, port))
+    listener.listen(BACKLOG)
     return listener
 
 
 def address_of(listener: socket.socket) -> str:
+    """The listener's address as configurations have it."""
     host, port = listener.getsockname()
     return f"{host}:{port}"
 
 
 class Server:
-    """Accepts connections; each is served by a thread."""
+    """Accepts connections and serves each in a thread of its own."""
 
     def __init__(self, port: int = 0) -> None:
         self._listener = listen(port)
@@ -70,10 +82,11 @@
         sock.close()
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
+        """Serves one connection until its end; `lines` reads from it."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Ends the listener and all connections, as a process that dies does."""
+        """Closes the listener and all connections, as the end of a process does."""
         for sock in (self._listener, *self.connections):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -83,93 +96,118 @@
 Reply = Callable[["Member", "Command"], None]
 
 
+@dataclass(slots=True, eq=False)
 class Command:
-    """One command of a front, and the way to answer it."""
+    """One command of a proxy, on the connection that takes its response."""
 
-    def __init__(self, sock: socket.socket, verb: str, id_: str, fields: dict[str, str], body: bytes) -> None:
-        self.sock, self.verb, self.id, self.fields, self.body = sock, verb, id_, fields, body
+    sock: socket.socket
+    verb: str
+    id: str
+    fields: dict[str, str]
+    body: bytes
 
     def answer(self, word: str, body: bytes = b"", /, **fields: str) -> None:
+        """Sends a response: its status word, fields and body."""
         listed = ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
         self.sock.sendall(f"{self.id} {word} {listed} {len(body)}\r\n".encode() + body + b"\r\n")
 
 
-def serve_all(member: Member, command: Command) -> None:
-    """What a toy member answers of itself."""
+def serve_all(_member: Member, command: Command) -> None:
+    """An endpoint's ordinary response to each command."""
     if command.verb == "alive":
         command.sock.sendall(f"{command.id} PONG\r\n".encode())
-    if command.verb != "fetch":
-        return
-    name, piece = command.fields["name"], command.fields["piece"]
-    fields = {"entity": tag_of(name, piece), "issued": str(time.time_ns() // 1_000_000)}
-    if name.startswith("f"):
+    if command.verb == "fetch":
+        serve_fetch(command)
+
+
+def serve_fetch(command: Command) -> None:
+    """Responds to a fetch as its object's name asks for."""
+    name = command.fields["name"]
+    piece = command.fields["piece"]
+    is_cached = not name.startswith(NOT_CACHED_PREFIX)
+    fields = {"entity": tag_of(name, piece), "issued": str(time.time_ns() // NANOSECONDS_PER_MS)}
+    if name.startswith(REJECTED_PREFIX):
         command.answer("SHED")
-    elif name.startswith("0") and "miss" not in command.fields:
+    elif not is_cached and "miss" not in command.fields:
         command.answer("NONE")
     elif command.fields.get("mine") == fields["entity"]:
         command.answer("VALID", why="warm", **fields)
     else:
-        why = "fill" if name.startswith("0") else "warm"
-        command.answer("HIT", body_of(name, piece), why=why, **fields)
+        command.answer("HIT", body_of(name, piece), why="warm" if is_cached else "fill", **fields)
+
+
+def read_command(sock: socket.socket, lines: Any) -> Command | None:
+    """The next command of a connection; None at its end."""
+    line = lines.readline()
+    if not line:
+        return None
+    words = line.decode().split()
+    if len(words) != 4:
+        return Command(sock, words[0], words[1], {}, b"")
+    verb, id_, listed, length = words
+    fields = {} if listed == "-" else dict(item.split("=", 1) for item in listed.split(","))
+    size = int(length)
+    body = lines.read(size + len(LINE_END))[:size]
+    return Command(sock, verb, id_, fields, body)
 
 
 class Member(Server):
-    """A cache, parent or origin."""
+    """An endpoint: a cache, a parent or an origin. `_received` guards `commands`."""
 
     def __init__(self, id_: str, port: int = 0, reply: Reply = serve_all) -> None:
-        self.id, self.reply = id_, reply
+        self.id = id_
+        self.reply = reply
         self.commands: list[Command] = []
-        self.came = threading.Condition()
+        self._received = threading.Condition()
         super().__init__(port)
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        while line := lines.readline():
-            words = line.decode().split()
-            fields, body = {}, b""
-            if len(words) == 4:
-                fields = dict(item.split("=", 1) for item in words[2].split(",")) if words[2] != "-" else {}
-                body = lines.read(int(words[3]) + 2)[:-2]
-            command = Command(sock, words[0], words[1], fields, body)
-            with self.came:
+        """Records each command, then has `reply` respond to it."""
+        while (command := read_command(sock, lines)) is not None:
+            with self._received:
                 self.commands.append(command)
-                self.came.notify_all()
+                self._received.notify_all()
             self.reply(self, command)
 
     def wait_for(self, count: int, verb: str = "fetch", within: float = 20.0) -> list[Command]:
-        """The commands of a kind, once there are so many."""
-        with self.came:
-            self.came.wait_for(lambda: len(self.seen(verb)) >= count, within)
+        """The commands with this verb, once there are `count` or after `within` seconds."""
+        with self._received:
+            self._received.wait_for(lambda: len(self.seen(verb)) >= count, within)
             return self.seen(verb)
 
     def seen(self, verb: str = "fetch") -> list[Command]:
+        """The commands with this verb so far."""
         return [command for command in self.commands if command.verb == verb]
 
 
 class Coordinator(Server):
-    """Keeps numbered events and tells them by long poll."""
+    """Service discovery: numbered events by long poll. `_change` guards the other fields."""
 
     def __init__(self, port: int = 0) -> None:
         self.events: list[dict[str, Any]] = []
-        self.polls, self.follows = 0, list[int]()
+        self.polls = 0
+        self.follows: list[int] = []  # the index that each poll asked to follow
         self._change = threading.Condition()
         super().__init__(port)
 
     def add(self, **event: Any) -> None:
+        """Publishes an event under the next index."""
         with self._change:
             self.events.append({"index": len(self.events) + 1, **event})
             self._change.notify_all()
 
     def listed(self) -> dict[str, Any]:
-        """All events so far, as `known` has them."""
+        """All events so far, as a configuration's `known` has them."""
         return {"index": len(self.events), "updates": list(self.events)}
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
+        """Responds to each poll with the events after the index it asks for."""
         while line := lines.readline():
-            while lines.readline().strip():
-                pass
+            skip_headers(lines)
             _, _, query = line.split()[1].decode().partition("?")
-            asked = dict(item.split("=") for item in query.split("&"))
-            after, wait = int(asked["follow"]), min(5.0, int(asked["wait_ms"]) / 1000)
+            parameters = dict(item.split("=") for item in query.split("&"))
+            after = int(parameters["follow"])
+            wait = min(MAX_POLL_WAIT_S, int(parameters["wait_ms"]) / 1_000)
             with self._change:
                 self.polls += 1
                 self.follows.append(after)
@@ -179,19 +217,27 @@
             self.reply(sock, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
     def reply(self, sock: socket.socket, data: bytes) -> None:
+        """Sends a complete response; tests override it."""
         sock.sendall(data)
 
     def _wait(self, after: int, wait: float) -> None:
         self._change.wait_for(lambda: len(self.events) > after, wait)
 
     def wait_for_poll(self, count: int, within: float = 20.0) -> bool:
+        """Whether there were so many polls within these seconds."""
         with self._change:
             return self._change.wait_for(lambda: self.polls >= count, within)
 
 
+def skip_headers(lines: Any) -> None:
+    """Reads up to the empty line that ends a request's headers."""
+    while lines.readline().strip():
+        pass
+
+
 def entry(member: Member, kind: str = "standard", zone: str = "west", **more: Any) -> dict[str, Any]:
-    """A member as the list has it."""
-    listed = {
+    """An endpoint as the coordinator's endpoint list has it."""
+    defaults = {
         "id": member.id,
         "addr": member.address,
         "zone": zone,
@@ -201,18 +247,25 @@
         "weight": 4,
         "started_ms": 0,
     }
-    return {**listed, **more}
+    return {**defaults, **more}
+
+
+def port_of(address: str) -> int:
+    """The port of an address like 127.0.0.1:7371."""
+    return int(address.rpartition(":")[2])
 
 
 def main() -> int:
+    """Serves what the example's configuration names, until the process is ended."""
     config = json.loads(CONFIG.read_text())
-    known = config["known"]["updates"][0]["endpoints"]["servers"]
-    members = [Member(item["id"], int(item["addr"].rpartition(":")[2])) for item in known]
-    coordinator = Coordinator(int(config["coordinator"].rpartition(":")[2]))
-    coordinator.events = config["known"]["updates"]
+    updates = config["known"]["updates"]
+    servers = updates[0]["endpoints"]["servers"]
+    members = [Member(server["id"], port_of(server["addr"])) for server in servers]
+    coordinator = Coordinator(port_of(config["coordinator"]))
+    coordinator.events = updates
     print(f"coordinator at {coordinator.address}")
     for member in members:
-        print(f"member {member.id} at {member.address}", flush=True)
+        print(f"endpoint {member.id} at {member.address}", flush=True)
     threading.Event().wait()
     return 0
 
