--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -16,7 +16,8 @@
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.http1 import HttpError
-from olivepost.proxy.upstream.pool import FIELD_VALUE, EndpointAddress
+from olivepost.proxy.upstream.endpoint_address import EndpointAddress
+from olivepost.proxy.upstream.line_protocol import FIELD_VALUE
 
 WAIT = 1 * SECOND  # of one poll: short, so that a dead one is noticed well before an event counts as told
 # An answer's last byte, beyond the poll's own wait, counted from when the poll was sent. Guards against a
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -19,13 +19,13 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.exchange import Exchange, RequestAbandoned, RequestReceived, Response, ResponseKind
 from olivepost.proxy.response_cache import CacheEntry, ResponseCache, response_from
-from olivepost.proxy.upstream.pool import (
+from olivepost.proxy.upstream.command import command_fields
+from olivepost.proxy.upstream.pool import UpstreamPool
+from olivepost.proxy.upstream.request import (
     UpstreamAborted,
     UpstreamCompleted,
-    UpstreamPool,
     UpstreamRequest,
     UpstreamUnsent,
-    command_fields,
 )
 from olivepost.router import Router
 
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -24,7 +24,8 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.event_loop import EventLoop, ShutdownDeadline, StopEventLoop, StoreEvent
 from olivepost.proxy.response_cache import ResponseCache
-from olivepost.proxy.upstream.pool import UpstreamPool, UpstreamResources
+from olivepost.proxy.upstream.pool import UpstreamPool
+from olivepost.proxy.upstream.resources import UpstreamResources
 from olivepost.router import Router
 
 if TYPE_CHECKING:
--- a/olivepost/proxy/upstream/__init__.py
+++ b/olivepost/proxy/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the endpoints: connections to caches, parents and the origin, and their line protocol."""
+"""Upstream side of the proxy: endpoint pool, connections to caches, parents and the origin, line protocol."""
--- /dev/null
+++ b/olivepost/proxy/upstream/completion.py
@@ -0,0 +1,88 @@
+"""How an upstream request ended: by its endpoint's complete response, or with its connection."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from olivepost import interface as api
+from olivepost.config import MILLISECOND
+from olivepost.proxy.event_log import EventLog
+from olivepost.proxy.exchange import Response, ResponseKind
+from olivepost.proxy.upstream.line_protocol import ResponseLine
+from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamEvent, UpstreamRequest, UpstreamUnsent
+
+CACHE_STATUSES = {
+    "warm": api.CacheStatus.HIT,
+    "fill": api.CacheStatus.FILLED,
+    "deep_fill": api.CacheStatus.FILLED_FROM_ORIGIN,
+    "piggy": api.CacheStatus.COLLAPSED,
+    "aged": api.CacheStatus.STALE_HIT,
+    "bounced": api.CacheStatus.SOURCE_REJECTED,
+    "dropped": api.CacheStatus.SOURCE_DISCONNECTED,
+    "lacking": api.CacheStatus.SOURCE_MISS,
+    "jammed": api.CacheStatus.FILL_LIMIT_REACHED,
+    "backfire": api.CacheStatus.ORIGIN_FAILED,
+}
+FAILURE_STATUSES = {
+    "NONE": api.AttemptStatus.NOT_CACHED,
+    "SHED": api.AttemptStatus.REJECTED,
+    "FAULT": api.AttemptStatus.ERROR,
+    "LATE": api.AttemptStatus.NOT_SENT,
+}
+MAX_TIMESTAMP_DIGITS = 15  # of `issued`, in Unix milliseconds; today's have 13
+
+
+def completed_from_response(
+    request: UpstreamRequest, line: ResponseLine, completed_at: int, log: EventLog
+) -> UpstreamCompleted:
+    """Return how a request ended, by its response's line and the body read for it."""
+    cache_status = CACHE_STATUSES.get(line.fields.get("why", ""), api.CacheStatus.UNKNOWN)
+    response = _response(request, line)
+    if response is not None:
+        status = api.AttemptStatus.OK
+    elif request.lacks_buffers:
+        status = api.AttemptStatus.CANCELLED  # the proxy's own want: it says nothing of the endpoint
+    elif line.status in FAILURE_STATUSES:
+        status = FAILURE_STATUSES[line.status]
+    else:
+        status = api.AttemptStatus.ERROR
+        log.increment("unexpected_responses")
+    return UpstreamCompleted(request, status, completed_at, cache_status, response)
+
+
+def events_of_loss(
+    requests: list[UpstreamRequest], lost_at: int, was_connected: bool
+) -> Iterator[UpstreamEvent]:
+    """Yield what becomes of the requests that were open on a connection when it ended.
+
+    One that has not begun is forwarded again, once; the first of the others counts as the connection's loss.
+    """
+    is_repeated_loss = False
+    for request in requests:
+        request.discard_body()
+        if not request.is_started and was_connected and not request.is_rerouted:
+            yield UpstreamUnsent(request)
+            continue
+        status = api.AttemptStatus.CONNECT_FAILED
+        if request.is_started:
+            status = api.AttemptStatus.CONNECTION_LOST
+        yield UpstreamCompleted(request, status, lost_at, is_repeated_loss=is_repeated_loss)
+        is_repeated_loss = True
+
+
+def _response(request: UpstreamRequest, line: ResponseLine) -> Response | None:
+    """Return the response to pass on; None where the endpoint served none."""
+    etag = line.fields.get("entity", "")
+    if line.status == "HIT" and request.body is not None:
+        generated_at = _generated_at(line.fields.get("issued", ""))
+        return Response(ResponseKind.SERVED, etag, request.body, generated_at)
+    # Only the very response that the client holds, by its tag, may be called not modified.
+    if line.status == "VALID" and etag and etag == request.exchange.etag:
+        return Response(ResponseKind.NOT_MODIFIED, etag)
+    return None
+
+
+def _generated_at(issued: str) -> int:
+    """Return Unix nanoseconds from the field's milliseconds; 0 where it is missing or malformed."""
+    is_timestamp = issued.isascii() and issued.isdigit() and len(issued) <= MAX_TIMESTAMP_DIGITS
+    return int(issued) * MILLISECOND if is_timestamp else 0
--- /dev/null
+++ b/olivepost/proxy/upstream/endpoint_address.py
@@ -0,0 +1,22 @@
+"""Where an endpoint of the endpoint list is reached."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from olivepost import interface as api
+from olivepost.config import Address
+
+
+@dataclass(frozen=True, slots=True)
+class EndpointAddress:
+    """Address of one process of an endpoint; another start of the endpoint is another process."""
+
+    id: str
+    socket_address: Address
+    started_at: int  # Unix nanoseconds
+    state: api.EndpointState
+
+    def is_same_process(self, other: EndpointAddress) -> bool:
+        """Whether connections made to the other address lead to this process."""
+        return self.socket_address == other.socket_address and self.started_at == other.started_at
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -1,7 +1,7 @@
-"""The lines that fronts and members speak: commands written, answers parsed. No I/O here.
+"""Line protocol between the proxy and its endpoints: commands encoded, responses parsed. No I/O here.
 
-A command or an answer is a line of words that ends in CR LF. Where its last word is a length, so many
-bytes and CR LF follow.
+A command or a response is a line of words that ends in CR LF. Where its last word is a length, that many
+bytes and another CR LF follow.
 """
 
 from __future__ import annotations
@@ -10,123 +10,146 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-MAX_LINE_SIZE = 1_024
-PLAIN = re.compile(rb"[ -~]*")
+from olivepost.proxy.upstream.errors import LineProtocolError
 
+MAX_LINE_SIZE = 1_024  # bytes, with CR LF; the protocol's own bound
+MAX_LENGTH_DIGITS = 9  # of a body's length: no endpoint sends a body of a gigabyte
+MAX_REPORTED_SIZE = 80  # bytes of a rejected line that an error carries
+LINE_END = b"\r\n"
+NO_BODY = -1  # length of a response that has neither a body nor the CR LF behind one
+IN_LINE = -1  # remaining bytes of a body while the parser reads a line
 
-class LineProtocolError(Exception):
-    """Bytes that no member of the published protocol sends; the link can't be used further."""
+PRINTABLE_ASCII = re.compile(rb"[ -~]*")
+# What a field's value and an endpoint's id may hold: printable ASCII without what separates fields and words
+# (space, `"`, `+`, `,`, `=`). Three other patterns come close to it, each with a reason of its own:
+# - class names (olivepost.config) have no `/`, since they stand in a request's target as well;
+# - idempotency keys (olivepost.proxy.downstream) have no `/` either, and 128 characters at most;
+# - entity tags (olivepost.proxy.downstream) may hold `+`, which separates nothing in their field, stand
+#   within double quotes and have 128 characters at most.
+FIELD_VALUE = re.compile(r"[!#-*\-.-<>-~]{1,200}", re.ASCII)
 
 
 @dataclass(slots=True)
 class ResponseLine:
-    """The line of an answer."""
+    """First line of a response."""
 
-    id: str
-    word: str
+    request_id: str
+    status: str  # HIT, VALID, NONE, SHED, FAULT, LATE or PONG; others are left to the caller
     fields: dict[str, str]
-    length: int
+    body_length: int  # bytes; NO_BODY: neither a body nor its line end follows
 
 
 class ResponseEnd:
-    """An answer is whole."""
+    """Marks that a response is complete."""
 
 
 RESPONSE_END = ResponseEnd()
 
 
 def encode_command(
-    name: str, id_: str, fields: dict[str, str] | None = None, body: bytes | None = None
+    verb: str, request_id: str, fields: dict[str, str] | None = None, body: bytes | None = None
 ) -> bytes:
-    """One command as it goes on the wire."""
+    """Encode one command; without a body (None, not an empty one) it has no fields and no length."""
     if body is None:
-        return f"{name} {id_}\r\n".encode("ascii")
-    listed = ",".join(f"{key}={value}" for key, value in (fields or {}).items()) or "-"
-    return f"{name} {id_} {listed} {len(body)}\r\n".encode("ascii") + body + b"\r\n"
+        return f"{verb} {request_id}\r\n".encode("ascii")
+    field_list = ",".join(f"{name}={value}" for name, value in (fields or {}).items()) or "-"
+    return f"{verb} {request_id} {field_list} {len(body)}\r\n".encode("ascii") + body + LINE_END
 
 
 def parse_fields(text: str) -> dict[str, str]:
-    """FIELDS: `name=value,name=value`, or `-` for none."""
+    """Parse `name=value,name=value`, or `-` for no field; a name is neither empty nor repeated."""
     if text == "-":
         return {}
     fields: dict[str, str] = {}
     for item in text.split(","):
-        name, sign, value = item.partition("=")
-        if not sign or not name or name in fields:
-            raise LineProtocolError(f"odd field: {item[:80]!r}")
+        name, separator, value = item.partition("=")
+        if not separator or not name or name in fields:
+            raise LineProtocolError("a field without a name of its own", item[:MAX_REPORTED_SIZE])
         fields[name] = value
     return fields
 
 
-def parse_response_line(line: bytes, longest_body: int) -> ResponseLine:
-    """One answer's line, without its line end."""
-    if not PLAIN.fullmatch(line):
-        raise LineProtocolError("a line with bytes that are not plain ASCII")
+def parse_response_line(line: bytes, max_body_size: int) -> ResponseLine:
+    """Parse a response's line, given without its line end; LineProtocolError where it is malformed."""
+    if not PRINTABLE_ASCII.fullmatch(line):
+        raise LineProtocolError("a line with bytes outside printable ASCII", line[:MAX_REPORTED_SIZE])
     words = line.decode("ascii").split(" ")
     if len(words) == 2 and words[1] == "PONG":
         words += ["-", ""]
     if len(words) != 4 or not words[0] or not words[1]:
-        raise LineProtocolError(f"a line that is no answer: {line[:80]!r}")
-    length = -1 if words[3] == "" and words[1] == "PONG" else _read_length(words[3], longest_body)
-    return ResponseLine(words[0], words[1], parse_fields(words[2]), length)
+        raise LineProtocolError("a line that is not a response", line[:MAX_REPORTED_SIZE])
+    request_id, status, field_list, length = words
+    has_body = bool(length) or status != "PONG"
+    body_length = _parse_body_length(length, max_body_size) if has_body else NO_BODY
+    return ResponseLine(request_id, status, parse_fields(field_list), body_length)
 
 
-def _read_length(word: str, most: int) -> int:
-    if not (word.isascii() and word.isdigit()) or len(word) > 9 or int(word) > most:
-        raise LineProtocolError(f"a length that can't be: {word[:80]!r}")
-    return int(word)
+def _parse_body_length(text: str, max_body_size: int) -> int:
+    is_number = text.isascii() and text.isdigit() and len(text) <= MAX_LENGTH_DIGITS
+    if not is_number or int(text) > max_body_size:
+        raise LineProtocolError(f"a body length outside 0 to {max_body_size}", text[:MAX_REPORTED_SIZE])
+    return int(text)
 
 
 class ResponseParser:
-    """Parses what a member sends, whatever the split of its bytes.
+    """Parses what an endpoint sends, whatever the split of its bytes. One thread at a time may use it.
 
-    `feed` gives a `ResponseLine`, then pieces of the body (views of what was fed), then `RESPONSE_END`.
+    After a LineProtocolError the stream can't be parsed further.
     """
 
-    def __init__(self, longest_body: int) -> None:
-        self._longest, self._line = longest_body, bytearray()
-        self._left = -1  # bytes of a body and its CR LF that are still to come; -1: in a line
+    def __init__(self, max_body_size: int) -> None:
+        self._max_body_size = max_body_size
+        self._line = bytearray()
+        self._remaining = IN_LINE  # bytes of a body and its CR LF that are still to come
 
     @property
-    def between(self) -> bool:
-        """Whether no answer has begun that is not whole."""
-        return self._left < 0 and not self._line
+    def is_between_responses(self) -> bool:
+        """Whether no response has begun that is not complete."""
+        return self._remaining < 0 and not self._line
 
     def feed(self, data: memoryview) -> Iterator[ResponseLine | memoryview | ResponseEnd]:
+        """Yield a `ResponseLine`, pieces of its body (views of `data`), then `RESPONSE_END`, and so on."""
         while data:
-            if self._left < 0:
-                data, head = self._take_line(data)
-                if head is None:
+            if self._remaining < 0:
+                data, response_line = self._take_line(data)
+                if response_line is None:
                     continue
-                yield head
-                if head.length < 0:
+                yield response_line
+                if response_line.body_length < 0:
                     yield RESPONSE_END
                 else:
-                    self._left = head.length + 2
-            elif self._left > 2:
-                piece = data[: self._left - 2]
-                self._left -= len(piece)
+                    self._remaining = response_line.body_length + len(LINE_END)
+            elif self._remaining > len(LINE_END):
+                piece = data[: self._remaining - len(LINE_END)]
+                self._remaining -= len(piece)
                 data = data[len(piece) :]
                 yield piece
             else:
-                if data[0] != b"\r\n"[2 - self._left]:
-                    raise LineProtocolError("no line end after a body")
-                self._left -= 1
+                self._take_line_end_byte(data[0])
                 data = data[1:]
-                if not self._left:
-                    self._left = -1
+                if self._remaining < 0:
                     yield RESPONSE_END
 
     def _take_line(self, data: memoryview) -> tuple[memoryview, ResponseLine | None]:
+        """Take up to a line's end; the rest of the data, and the line where it is complete."""
         end = bytes(data[:MAX_LINE_SIZE]).find(b"\n")
         piece = data[: end + 1] if end >= 0 else data
         if len(self._line) + len(piece) > MAX_LINE_SIZE:
-            raise LineProtocolError("a line without an end")
+            raise LineProtocolError(f"a line of more than {MAX_LINE_SIZE} bytes")
         self._line += piece
         if end < 0:
             return data[len(piece) :], None
         line = bytes(self._line)
         self._line.clear()
-        if not line.endswith(b"\r\n"):
-            raise LineProtocolError("a line that ends without CR")
-        return data[len(piece) :], parse_response_line(line[:-2], self._longest)
+        if not line.endswith(LINE_END):
+            raise LineProtocolError("a line that ends without CR", line[:MAX_REPORTED_SIZE])
+        response_line = parse_response_line(line[: -len(LINE_END)], self._max_body_size)
+        return data[len(piece) :], response_line
+
+    def _take_line_end_byte(self, byte: int) -> None:
+        """Take one byte of the CR LF behind a body."""
+        if byte != LINE_END[-self._remaining]:
+            raise LineProtocolError("no CR LF after a body", bytes((byte,)))
+        self._remaining -= 1
+        if not self._remaining:
+            self._remaining = IN_LINE
--- /dev/null
+++ b/olivepost/proxy/upstream/request.py
@@ -0,0 +1,84 @@
+"""An upstream request, its stages, and the messages in which its connection reports what became of it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from enum import Enum
+from typing import TYPE_CHECKING
+
+from olivepost import interface as api
+from olivepost.proxy.buffers import PooledBody
+from olivepost.proxy.exchange import Exchange, Response
+
+if TYPE_CHECKING:
+    from olivepost.proxy.upstream.connection import UpstreamConnection
+
+
+class RequestStage(Enum):
+    """How far an upstream request has come on its connection."""
+
+    QUEUED = "queued"
+    WRITING = "writing"  # the writer thread has taken it: it may reach the endpoint
+    DONE = "done"
+
+
+@dataclass(slots=True, eq=False)
+class UpstreamRequest:
+    """One attempt of an exchange on its way to an endpoint.
+
+    The event loop creates it. While it is open on a connection, that connection's lock guards `connection`,
+    `stage`, `body` and `lacks_buffers`; `is_started` belongs to the connection's writer thread.
+    """
+
+    exchange: Exchange
+    number: int  # of the attempt within its exchange
+    cache: str
+    source: str
+    forwarded_at: int  # Unix nanoseconds
+    fields: dict[str, str]
+    start_before: int = 0  # Unix nanoseconds; not to be written later; 0: no bound
+    stage: RequestStage = RequestStage.QUEUED
+    is_started: bool = False  # its first byte has been written
+    is_rerouted: bool = False  # it was on a connection that was lost before its first byte was written
+    connection: UpstreamConnection | None = None
+    body: PooledBody | None = None  # of the response
+    lacks_buffers: bool = False  # no buffers came free for the body of its response
+    timer_id: int = 0  # of the event loop's timer for its timeout
+
+    def discard_body(self) -> None:
+        """Release what has been read of its response."""
+        if self.body is not None:
+            self.body.release()
+            self.body = None
+
+
+@dataclass(slots=True)
+class UpstreamCompleted:
+    """An upstream request has ended."""
+
+    request: UpstreamRequest
+    status: api.AttemptStatus
+    completed_at: int  # when the last byte of its response was read, in Unix nanoseconds
+    cache_status: api.CacheStatus = api.CacheStatus.UNKNOWN
+    response: Response | None = None
+    # It ended with its connection, and another request that ended with it has been reported already.
+    is_repeated_loss: bool = False
+
+
+@dataclass(slots=True)
+class UpstreamAborted:
+    """The abort of an upstream request has been written, or its connection has ended."""
+
+    request: UpstreamRequest
+
+
+@dataclass(slots=True)
+class UpstreamUnsent:
+    """An upstream request's connection was lost before its first byte was written: forward it again."""
+
+    request: UpstreamRequest
+
+
+UpstreamEvent = UpstreamCompleted | UpstreamUnsent | UpstreamAborted
+RequestFilter = Callable[[UpstreamRequest], bool]
--- /dev/null
+++ b/olivepost/proxy/upstream/writer.py
@@ -0,0 +1,133 @@
+"""Writer of an upstream connection: the thread that connects, writes, and closes the socket at the end."""
+
+from __future__ import annotations
+
+import queue
+import socket
+import threading
+
+from olivepost.config import SECOND
+from olivepost.proxy import sockets
+from olivepost.proxy.upstream.connection import UpstreamConnection, WriterSignal
+from olivepost.proxy.upstream.line_protocol import encode_command
+from olivepost.proxy.upstream.reader import ConnectionReader
+from olivepost.proxy.upstream.request import UpstreamAborted, UpstreamRequest
+
+LIVENESS_COMMAND = encode_command("alive", "link")
+IDLE_MARGIN = 1 * SECOND  # nanoseconds that the proxy closes an idle connection before its endpoint does
+DRAIN_POLL_S = 0.1  # how often a draining connection's open requests are counted
+
+
+class ConnectionWriter:
+    """Takes requests and aborts from a connection's outbox and writes them; owns the socket and the reader.
+
+    `start` is called by the event loop, all else runs on the thread that it starts.
+    """
+
+    def __init__(self, connection: UpstreamConnection) -> None:
+        self._connection = connection
+        self._resources = connection.resources
+        self._is_draining = False
+
+    def start(self) -> None:
+        """Start the thread; RuntimeError where the system has none left."""
+        name = f"upstream-writer-{self._connection.address.id}"
+        threading.Thread(target=self._run, name=name, daemon=True).start()
+
+    def _run(self) -> None:
+        connection = self._connection
+        sock = self._connect()
+        if sock is None:
+            connection.end()
+            connection.is_closed = True
+            return
+        connection.attach(sock)
+        reader = threading.Thread(
+            target=ConnectionReader(connection).run, args=(sock,), name="upstream-reader", daemon=True
+        )
+        try:
+            reader.start()
+            self._write(sock)
+        except OSError as error:
+            connection.record_loss(error.strerror or str(error))
+        except Exception:  # a thread's top: its connection must end and be reported whatever went wrong
+            self._resources.log.exception("upstream_connection_fault", endpoint=connection.address.id)
+        finally:
+            connection.end()
+            sockets.shutdown(sock)
+            if reader.ident is not None:
+                reader.join()
+            sock.close()
+            connection.is_closed = True
+
+    def _connect(self) -> socket.socket | None:
+        """Return a connected socket; None, and logged, where the endpoint can't be reached."""
+        limits = self._resources.limits
+        log = self._resources.log
+        address = self._connection.address
+        try:
+            sock = sockets.connect(
+                address.socket_address,
+                limits.connect_timeout,
+                limits.receive_poll_interval,
+                limits.write_stall_timeout,
+            )
+        except OSError as error:
+            log.increment("connect_failed")
+            log.event("connect_failed", endpoint=address.id, reason=error.strerror or str(error))
+            return None
+        log.increment("upstream_connections_opened")
+        return sock
+
+    def _write(self, sock: socket.socket) -> None:
+        """Write what the outbox brings, until the connection ends or was idle nearly as long as it may be."""
+        connection = self._connection
+        idle_timeout = self._resources.limits.upstream_idle_timeout
+        idle_timeout_s = max(idle_timeout - IDLE_MARGIN, idle_timeout // 2) / SECOND
+        while not connection.is_closing and not (self._is_draining and not connection.open_count):
+            timeout_s = DRAIN_POLL_S if self._is_draining else idle_timeout_s
+            try:
+                message = connection.outbox.get(timeout=timeout_s)
+            except queue.Empty:
+                connection.close_if_unused()
+                continue
+            if isinstance(message, UpstreamRequest):
+                self._write_request(sock, message)
+            elif isinstance(message, UpstreamAborted):
+                self._send(sock, encode_command("abort", message.request.exchange.id), None)
+                connection.confirm_abort(message)
+            elif message is WriterSignal.DRAIN:
+                self._is_draining = True
+            else:
+                self._send(sock, LIVENESS_COMMAND, None)
+
+    def _write_request(self, sock: socket.socket, request: UpstreamRequest) -> None:
+        exchange = request.exchange
+        clock = self._resources.clock
+        # An endpoint may close an idle connection, and its reader may not have come to that yet. A request
+        # that is written then may have run for all that is known; one not begun is forwarded again.
+        is_idle = self._connection.open_count <= 1 and self._connection.liveness.is_idle(clock.now())
+        if exchange.is_client_gone():  # the event loop is about to learn of it, and takes the request back
+            self._resources.log.increment("requests_of_disconnected_clients")
+            return
+        if is_idle and sockets.is_closed_by_peer(sock):
+            raise ConnectionError("closed by the endpoint while idle")
+        now = clock.now()
+        if self._connection.start_writing(request, now):
+            # Encoded only now, so that a body is not held once more while its request waits.
+            data = encode_command("fetch", exchange.id, request.fields, exchange.body)
+            self._send(sock, data, request)
+
+    def _send(self, sock: socket.socket, data: bytes, request: UpstreamRequest | None) -> None:
+        """Write one command to its end; OSError where the endpoint takes none of it for too long."""
+        view = memoryview(data)
+        if request is not None:
+            # Before the first byte: whoever ends the connection meanwhile must take it as begun.
+            request.is_started = True
+        while view:
+            try:
+                view = view[sock.send(view) :]
+            except OSError:
+                if request is not None and len(view) == len(data):
+                    request.is_started = False
+                raise
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -23,8 +23,9 @@
 from olivepost.proxy.discovery import client as discovery
 from olivepost.proxy.downstream.listener import DownstreamConnection
 from olivepost.proxy.event_loop import EventLoop, StopEventLoop
-from olivepost.proxy.upstream import pool
-from olivepost.proxy.upstream.pool import UpstreamConnection
+from olivepost.proxy.upstream.reader import ConnectionReader
+from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
+from olivepost.proxy.upstream.writer import ConnectionWriter
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig, toy_config
 
 MS = 1_000_000
@@ -199,7 +200,7 @@
         connect = sockets.connect
 
         def late(*args: Any) -> socket.socket:
-            if threading.current_thread().name.startswith("link-"):
+            if threading.current_thread().name.startswith("upstream-writer-"):
                 self.begun.set()
                 self.gate.wait(WITHIN)
             return connect(*args)
@@ -258,7 +259,7 @@
         leave(client.sock)
         assert made.until(connection.deserted)
         connecting.gate.set()
-        assert made.until(lambda: made.counted("calls_of_gone_clients") == 1)
+        assert made.until(lambda: made.counted("requests_of_disconnected_clients") == 1)
         assert no_fetch(made)
         late.set()
         client.sock.close()
@@ -297,22 +298,22 @@
 
     def ended(*args: Any) -> socket.socket:
         sock = connect(*args)
-        if threading.current_thread().name.startswith("link-") and not first.is_set():
+        if threading.current_thread().name.startswith("upstream-writer-") and not first.is_set():
             first.set()
             until = time.monotonic() + WITHIN
             while not sockets.is_closed_by_peer(sock) and time.monotonic() < until:
                 threading.Event().wait(0.001)
         return sock
 
-    read = UpstreamConnection._read
+    read = ConnectionReader.run
 
-    def late(self: UpstreamConnection, sock: socket.socket) -> None:
+    def late(self: ConnectionReader, sock: socket.socket) -> None:
         if sockets.is_closed_by_peer(sock):
             gate.wait(WITHIN)
         read(self, sock)
 
     monkeypatch.setattr(sockets, "connect", ended)
-    monkeypatch.setattr(UpstreamConnection, "_read", late)
+    monkeypatch.setattr(ConnectionReader, "run", late)
     yield gate
     gate.set()
 
@@ -334,7 +335,12 @@
         threading.Timer(0, resting.wait, (0.2,)).start()
         ask = threading.Thread(target=client.send, args=(Client.request(patience=15_000),))
         ask.start()
-        assert made.until(lambda: made.counted("links_broken") >= 1 or made.counted("links_opened") >= 1)
+        assert made.until(
+            lambda: (
+                made.counted("upstream_connections_lost") >= 1
+                or made.counted("upstream_connections_opened") >= 1
+            )
+        )
         resting.set()
         assert client.read()[0] == 200
         ask.join(WITHIN)
@@ -352,10 +358,10 @@
     with rig(settings=settings_of("idempotency_key", window=5 * SECOND)) as made, made.client() as client:
         send = made.front.upstream.forward
 
-        def sent(call: pool.UpstreamRequest) -> None:
+        def sent(request: UpstreamRequest) -> None:
             made.front.upstream.forward = send  # type: ignore[method-assign]
-            call.start_before = made.front.clock.now() + 50 * MS  # as the router gives it to a repeat
-            send(call)
+            request.start_before = made.front.clock.now() + 50 * MS  # as the router gives it to a repeat
+            send(request)
 
         made.front.upstream.forward = sent  # type: ignore[method-assign]
         client.send(Client.request(patience=3000))
@@ -391,16 +397,16 @@
     """Aborts wait to be written until they are let go; with `resets`, their link is reset instead."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.gate, self.resets, send = threading.Event(), False, UpstreamConnection._send
+        self.gate, self.resets, send = threading.Event(), False, ConnectionWriter._send
 
-        def late(link: UpstreamConnection, sock: socket.socket, data: bytes, call: Any) -> None:
+        def late(writer: ConnectionWriter, sock: socket.socket, data: bytes, call: Any) -> None:
             if data.startswith(b"abort"):
                 self.gate.wait(WITHIN)
                 if self.resets:
                     raise ConnectionError("reset by the member")
-            send(link, sock, data, call)
+            send(writer, sock, data, call)
 
-        monkeypatch.setattr(UpstreamConnection, "_send", late)
+        monkeypatch.setattr(ConnectionWriter, "_send", late)
 
 
 @pytest.fixture
@@ -447,14 +453,11 @@
             serve_all(member, command)
 
     with rig(reply, settings=one_at_a_time()) as made, made.client() as client:
-        tools, ended = made.front.upstream._tools, list[bool]()
+        tools, ended = made.front.upstream._resources, list[bool]()
         post = tools.post
 
         def noted(event: Any) -> None:
-            if (
-                isinstance(event, pool.UpstreamCompleted)
-                and event.status is api.AttemptStatus.CONNECTION_LOST
-            ):
+            if isinstance(event, UpstreamCompleted) and event.status is api.AttemptStatus.CONNECTION_LOST:
                 assert event.request.connection is not None and event.request.connection._sock is not None
                 ended.append(sockets.is_closed_by_peer(event.request.connection._sock))
             post(event)
@@ -476,7 +479,7 @@
 
     with rig(reply) as made, made.client() as client:
         assert client.ask(If_None_Match='"mine"')[0] != 304
-        assert made.counted("odd_answer") == 2
+        assert made.counted("unexpected_responses") == 2
         assert client.ask(If_None_Match='"mine"')[0] == 304
 
 
@@ -485,13 +488,13 @@
         assert client.ask()[0] == 200
         call = made_call(made, client)
         draining = [
-            dataclasses.replace(server.place, state=api.EndpointState.DRAINING)
-            for server in made.front.upstream._servers.values()
+            dataclasses.replace(server.address, state=api.EndpointState.DRAINING)
+            for server in made.front.upstream._endpoints.values()
         ]
         before = len(made.fetches())
         call.is_rerouted = True
         told: list[Any] = []
-        tools = made.front.upstream._tools
+        tools = made.front.upstream._resources
         post, tools.post = tools.post, told.append
         made.front.upstream.update(draining, False)
         made.front.upstream.forward(call)
@@ -500,14 +503,14 @@
         assert len(made.fetches()) == before
 
 
-def made_call(made: Rig, client: Client) -> pool.UpstreamRequest:
+def made_call(made: Rig, client: Client) -> UpstreamRequest:
     """A call that has been on a link."""
-    kept: list[pool.UpstreamRequest] = []
+    kept: list[UpstreamRequest] = []
     send = made.front.upstream.forward
 
-    def noted(call: pool.UpstreamRequest) -> None:
-        kept.append(call)
-        send(call)
+    def noted(request: UpstreamRequest) -> None:
+        kept.append(request)
+        send(request)
 
     made.front.upstream.forward = noted  # type: ignore[method-assign]
     assert client.ask(piece=9)[0] == 200
@@ -800,7 +803,7 @@
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200 and made.coordinator.wait_for_poll(1)
         follower = made.front.discovery._follower
-        links = [link for server in made.front.upstream._servers.values() for link in server.links]
+        links = [link for server in made.front.upstream._endpoints.values() for link in server.connections]
         assert follower is not None and links
         for sock in (connection_of(made)._sock, follower._sock, *(link._sock for link in links)):
             assert sock is not None and sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -426,7 +426,7 @@
 
     with rig(reply) as made, made.client() as client:
         assert client.ask()[0] == 503
-        assert made.counted("links_broken") >= 1
+        assert made.counted("upstream_connections_lost") >= 1
 
 
 def test_answers_of_nobody_are_dropped_and_the_link_goes_on() -> None:
@@ -440,8 +440,8 @@
     with rig(reply) as made, made.client() as client:
         for piece in range(12):
             assert client.ask(piece=piece)[2] == body_of(NAME, str(piece))
-        assert made.counted("links_broken") == 0 and made.counted("answers_of_nobody") >= 12
-        assert made.until(lambda: made.counted("answers_again") >= 11)
+        assert made.counted("upstream_connections_lost") == 0 and made.counted("unmatched_responses") >= 12
+        assert made.until(lambda: made.counted("duplicate_responses") >= 11)
         assert sum(len(cache.connections) for cache in made.caches) == 2
 
 
@@ -483,8 +483,8 @@
         for piece, client in enumerate(clients):
             assert client.read()[2] == body_of(NAME, str(piece))
             client.sock.close()
-        assert made.counted("links_broken") == 1 and made.counted("attempts_timed_out") == 0
-        assert (made.counted("links_probed") == 1) is (begun == b"")
+        assert made.counted("upstream_connections_lost") == 1 and made.counted("attempts_timed_out") == 0
+        assert (made.counted("liveness_checks_sent") == 1) is (begun == b"")
 
 
 def test_an_answer_that_trickles_ends_its_link() -> None:
@@ -505,7 +505,7 @@
 
     with rig(reply, bounds={"response_timeout": 300_000_000}) as made, made.client() as client:
         assert client.ask(patience=15_000)[2] == body_of(NAME, "3")
-        assert made.counted("links_broken") == 1
+        assert made.counted("upstream_connections_lost") == 1
         over.set()
 
 
@@ -527,7 +527,7 @@
 
     with rig(reply, bounds={"liveness_check_after": 100_000_000}) as made, made.client() as client:
         assert client.ask(patience=15_000)[2] == body_of(NAME, "3")
-        assert made.counted("links_probed") >= 2 and made.counted("links_broken") == 0
+        assert made.counted("liveness_checks_sent") >= 2 and made.counted("upstream_connections_lost") == 0
 
 
 def test_a_link_with_many_calls_is_one_piece_of_evidence() -> None:
@@ -547,7 +547,11 @@
         for piece, client in enumerate(clients):
             client.send(Client.request(piece=piece, patience=15_000))
         outcomes = made.outcomes("CONNECTION_LOST", 24)
-        assert sum(not outcome.is_repeated_loss for outcome in outcomes) == made.counted("links_broken") == 2
+        assert (
+            sum(not outcome.is_repeated_loss for outcome in outcomes)
+            == made.counted("upstream_connections_lost")
+            == 2
+        )
         for client in clients:
             assert client.read()[0] in (200, 503)
             client.sock.close()
@@ -588,7 +592,7 @@
 
     with rig(reply) as made, made.client() as client:
         assert client.ask(patience=15_000)[2] == body_of(NAME, "3")
-        assert made.counted("links_broken") == 1
+        assert made.counted("upstream_connections_lost") == 1
 
 
 def test_a_refused_connection_never_ran() -> None:
@@ -617,13 +621,16 @@
         assert made.until(lambda: any(cache.seen("abort") for cache in made.caches))
         with made.client() as client:
             assert client.ask()[0] == 200
-        assert made.counted("links_broken") == 0
+        assert made.counted("upstream_connections_lost") == 0
 
 
 def test_all_links_together_are_bounded() -> None:
     with rig(bounds={"max_upstream_connections": 1}) as made, made.client() as client:
         assert {client.ask(piece=piece, patience=15_000)[0] for piece in range(12)} <= {200, 503}
-        assert made.counted("links_opened") == 1 and made.counted("links_full") >= 1
+        assert (
+            made.counted("upstream_connections_opened") == 1
+            and made.counted("upstream_connections_full") >= 1
+        )
 
 
 def test_a_silent_member_holds_up_no_other() -> None:
--- a/tests/proxy/test_frames.py
+++ b/tests/proxy/test_line_protocol.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from olivepost.proxy.upstream.errors import LineProtocolError
 from olivepost.proxy.upstream.line_protocol import (
     RESPONSE_END,
-    LineProtocolError,
     ResponseLine,
     ResponseParser,
     encode_command,
@@ -43,7 +43,7 @@
     fields = {"why": "warm", "entity": "4be0c1927d55a6f3", "issued": "1764576000123"}
     assert whole[:3] == [ResponseLine("0123456789abcdef", "HIT", fields, 7), b"ab\r\n\x00\xffc", RESPONSE_END]
     assert whole[3:5] == [ResponseLine("t1", "PONG", {}, -1), RESPONSE_END]
-    assert [item.word for item in whole[5:] if isinstance(item, ResponseLine)] == ["NONE", "VALID"]
+    assert [item.status for item in whole[5:] if isinstance(item, ResponseLine)] == ["NONE", "VALID"]
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
