--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -103,16 +103,16 @@
 
     def _write_request(self, sock: socket.socket, request: UpstreamRequest) -> None:
         exchange = request.exchange
-        clock = self._resources.clock
-        # An endpoint may close an idle connection, and its reader may not have come to that yet. A request
-        # that is written then may have run for all that is known; one not begun is forwarded again.
-        is_idle = self._connection.open_count <= 1 and self._connection.liveness.is_idle(clock.now())
         if exchange.is_client_gone():  # the event loop is about to learn of it, and takes the request back
             self._resources.log.increment("requests_of_disconnected_clients")
             return
-        if is_idle and sockets.is_closed_by_peer(sock):
-            raise ConnectionError("closed by the endpoint while idle")
-        now = clock.now()
+        now = self._resources.clock.now()
+        # An endpoint may close an idle connection, and its reader may not have come to that yet. A request
+        # that is written then may have run for all that is known; one not begun is forwarded again.
+        if self._connection.open_count <= 1 and self._connection.liveness.is_idle(now):
+            if sockets.is_closed_by_peer(sock):
+                raise ConnectionError("closed by the endpoint while idle")
+            now = self._resources.clock.now()  # the check may have waited: `start_before` is a strict bound
         if self._connection.start_writing(request, now):
             # Encoded only now, so that a body is not held once more while its request waits.
             data = encode_command("fetch", exchange.id, request.fields, exchange.body)
