--- a/tests/proxy/test_line_protocol.py
+++ b/tests/proxy/test_line_protocol.py
@@ -1,4 +1,4 @@
-"""The members' wire: any split of the bytes gives the same answers, garbage only its own error."""
+"""Line protocol: any split of the bytes gives the same responses, malformed bytes only its own error."""
 
 import contextlib
 
@@ -8,6 +8,7 @@
 
 from olivepost.proxy.upstream.errors import LineProtocolError
 from olivepost.proxy.upstream.line_protocol import (
+    FIELD_VALUE,
     RESPONSE_END,
     ResponseLine,
     ResponseParser,
@@ -24,32 +25,37 @@
 )
 
 
-def read(pieces: list[bytes], longest: int = 1000) -> list[object]:
-    """What a parser gives, with the pieces of a body joined."""
-    answers, seen = ResponseParser(longest), list[object]()
+def parse(pieces: list[bytes], max_body_size: int = 1000) -> list[object]:
+    """Return what a parser yields, with the pieces of a body joined."""
+    parser = ResponseParser(max_body_size)
+    parsed: list[object] = []
     for piece in pieces:
-        for item in answers.feed(memoryview(piece)):
+        for item in parser.feed(memoryview(piece)):
             if isinstance(item, memoryview):
-                joined = seen.pop() if seen and isinstance(seen[-1], bytes) else b""
+                joined = parsed.pop() if parsed and isinstance(parsed[-1], bytes) else b""
                 assert isinstance(joined, bytes)
-                seen.append(joined + bytes(item))
+                parsed.append(joined + bytes(item))
             else:
-                seen.append(item)
-    return seen
+                parsed.append(item)
+    return parsed
 
 
-def test_a_stream_of_answers() -> None:
-    whole = read([STREAM])
+def test_stream_of_responses_is_parsed_in_order() -> None:
+    parsed = parse([STREAM])
     fields = {"why": "warm", "entity": "4be0c1927d55a6f3", "issued": "1764576000123"}
-    assert whole[:3] == [ResponseLine("0123456789abcdef", "HIT", fields, 7), b"ab\r\n\x00\xffc", RESPONSE_END]
-    assert whole[3:5] == [ResponseLine("t1", "PONG", {}, -1), RESPONSE_END]
-    assert [item.status for item in whole[5:] if isinstance(item, ResponseLine)] == ["NONE", "VALID"]
+    assert parsed[:3] == [
+        ResponseLine("0123456789abcdef", "HIT", fields, 7),
+        b"ab\r\n\x00\xffc",
+        RESPONSE_END,
+    ]
+    assert parsed[3:5] == [ResponseLine("t1", "PONG", {}, -1), RESPONSE_END]
+    assert [item.status for item in parsed[5:] if isinstance(item, ResponseLine)] == ["NONE", "VALID"]
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
-def test_any_split_gives_the_same(cuts: list[int]) -> None:
-    assert read(split(STREAM, cuts)) == read([STREAM])
+def test_any_split_of_a_stream_gives_the_same_responses(cuts: list[int]) -> None:
+    assert parse(split(STREAM, cuts)) == parse([STREAM])
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
@@ -72,9 +78,9 @@
         max_size=8,
     )
 )
-def test_garbage_raises_only_its_own_error(pieces: list[bytes]) -> None:
+def test_malformed_bytes_raise_only_line_protocol_errors(pieces: list[bytes]) -> None:
     with contextlib.suppress(LineProtocolError):
-        read(pieces)
+        parse(pieces)
 
 
 @pytest.mark.parametrize(
@@ -97,15 +103,27 @@
         b"a HIT - \r\n",
     ],
 )
-def test_what_no_member_sends_is_an_error(line: bytes) -> None:
+def test_malformed_response_is_an_error(line: bytes) -> None:
     with pytest.raises(LineProtocolError):
-        read([line])
+        parse([line])
 
 
-def test_commands() -> None:
+def test_command_is_encoded_as_on_the_wire() -> None:
     assert (
         encode_command("fetch", "ab", {"lane": "x", "ttl": "5"}, b"q") == b"fetch ab lane=x,ttl=5 1\r\nq\r\n"
     )
     assert encode_command("fetch", "ab", {}, b"") == b"fetch ab - 0\r\n\r\n"
     assert encode_command("abort", "ab") == b"abort ab\r\n"
     assert parse_fields("a=b=c,d=") == {"a": "b=c", "d": ""}
+
+
+@pytest.mark.parametrize("separator", [*' ",+=\r\n', "\x7f", "\xe9"])
+def test_field_value_holds_no_separator(separator: str) -> None:
+    assert FIELD_VALUE.fullmatch("a/b:c;d<e>f")
+    assert not FIELD_VALUE.fullmatch(f"a{separator}b")
+
+
+def test_line_protocol_error_carries_what_was_received() -> None:
+    with pytest.raises(LineProtocolError, match="not a response") as caught:
+        parse([b"a HIT -\r\n"])
+    assert caught.value.received == b"a HIT -"
