--- a/olivepost/proxy/discovery/event_parser.py
+++ b/olivepost/proxy/discovery/event_parser.py
@@ -7,7 +7,8 @@
 from olivepost import interface as api
 from olivepost.config import ENDPOINT_STATES, Address, ConfigError, FieldReader
 from olivepost.proxy.discovery.messages import DiscoveryEvent
-from olivepost.proxy.upstream.pool import FIELD_VALUE, EndpointAddress
+from olivepost.proxy.upstream.endpoint_address import EndpointAddress
+from olivepost.proxy.upstream.line_protocol import FIELD_VALUE
 from olivepost.units import MILLISECOND
 
 NO_ADDRESS = Address("", 0)  # of an endpoint that is removed, where the coordinator gives none
--- a/olivepost/proxy/discovery/messages.py
+++ b/olivepost/proxy/discovery/messages.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from olivepost import interface as api
-from olivepost.proxy.upstream.pool import EndpointAddress
+from olivepost.proxy.upstream.endpoint_address import EndpointAddress
 
 
 @dataclass(frozen=True, slots=True)
