--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -8,6 +8,18 @@
 from olivepost.config.fields import FieldReader
 from olivepost.units import MILLISECOND, SECOND
 
+
+class Share(NamedTuple):
+    """A fraction of a whole amount."""
+
+    numerator: int
+    denominator: int
+
+    def of(self, amount: int) -> int:
+        """The share, rounded down."""
+        return amount * self.numerator // self.denominator
+
+
 # What the keys may hold and what holds where they are missing.
 MIN_MEMORY_MB = 16
 MAX_MEMORY_MB = 1 << 20
@@ -33,18 +45,29 @@
 
 # Memory that is not available for connections and bodies.
 BYTES_PER_MB = 1_048_576
+USABLE_MEMORY = Share(9, 10)  # the rest is a reserve against the platform's limit
 PROGRAM_MB = 15  # the program before its first connection: 13 as the platform counts, and a reserve
 TABLES_MB = 5  # the router's name tables and pending requests, at the highest rate measured
 CONNECTION_OVERHEAD = 48 * 1_024  # bytes: the touched part of a thread's stack, its objects and its request
 MIN_SPARE_MB = 4  # with less no useful number of connections fits; the process then runs close to its limit
 
 # Connections.
+CONNECTION_MEMORY = Share(1, 2)  # of the spare memory; bodies have what connections leave
+CLIENT_PLACES = Share(3, 5)  # of the connections that fit into memory
+CLIENT_SOCKETS = Share(15, 32)  # of the descriptors: usual clients hold a third, others may have the rest
+UPSTREAM_SOCKETS = Share(3, 8)  # of the descriptors; what is left serves the listener, discovery and files
+ENDPOINT_SOCKETS = Share(1, 16)  # of the descriptors, to one endpoint
 MAX_CLIENT_CONNECTIONS = 4_096
 # A bound of 4 left requests without a connection (never sent) whenever responses took long at full load.
 MIN_CONNECTIONS_PER_ENDPOINT = 3
 SPARE_CONNECTIONS_PER_ENDPOINT = 2  # beyond those that carry one request of each client connection
 
 # Bodies.
+LARGE_BODY_MEMORY = Share(1, 5)  # of what connections leave, where a class writes
+MIN_LARGE_BODY_BYTES = 2 * MAX_OBJECT_SIZE
+LARGE_BODY_COPIES = 2  # a large body may be held twice, for a moment
+BODY_BUFFER_MEMORY = Share(4, 5)  # of what large bodies leave
+CACHE_BUFFERS = Share(2, 3)  # of the body buffers
 MIN_BODY_BUFFERS = 64  # nothing can be served with fewer
 MAX_BODY_BUFFERS = 8_192
 
@@ -150,7 +173,7 @@
         max_upstream_connections=connections.upstream,
         read_buffers=connections.total,
         body_buffers=bodies.buffers,
-        cache_buffers=bodies.buffers * 2 // 3,
+        cache_buffers=CACHE_BUFFERS.of(bodies.buffers),
         buffer_size=buffer_size,
         large_body_bytes=bodies.large_body_bytes,
         max_request_body=MAX_OBJECT_SIZE if platform.has_writes else SMALL_BODY_SIZE,
@@ -170,36 +193,33 @@
 
 
 def compute_spare_bytes(memory_mb: int) -> int:
-    """Bytes for connections and bodies: nine tenths of the memory, less what the program takes itself."""
-    usable_mb = memory_mb * 9 // 10
-    return max(MIN_SPARE_MB, usable_mb - PROGRAM_MB - TABLES_MB) * BYTES_PER_MB
+    """Bytes for connections and bodies: what the program itself leaves of the usable memory."""
+    spare_mb = USABLE_MEMORY.of(memory_mb) - PROGRAM_MB - TABLES_MB
+    return max(MIN_SPARE_MB, spare_mb) * BYTES_PER_MB
 
 
 def plan_connections(spare_bytes: int, buffer_size: int, max_sockets: int) -> ConnectionPlan:
-    """Shares out half of the spare memory and most of the descriptors.
-
-    Clients get nearly half of the descriptors: the usual ones hold a third, the rest is for unexpected ones.
-    Upstream connections get three eighths; the remainder is for the listener, discovery and files.
-    """
-    places = spare_bytes // 2 // (CONNECTION_OVERHEAD + buffer_size)
-    client = min(MAX_CLIENT_CONNECTIONS, max_sockets * 15 // 32, places * 3 // 5)
-    upstream = min(max_sockets * 3 // 8, places - client)
+    """Shares out the connections that the spare memory and the descriptors allow."""
+    places = CONNECTION_MEMORY.of(spare_bytes) // (CONNECTION_OVERHEAD + buffer_size)
+    client = min(MAX_CLIENT_CONNECTIONS, CLIENT_SOCKETS.of(max_sockets), CLIENT_PLACES.of(places))
+    upstream = min(UPSTREAM_SOCKETS.of(max_sockets), places - client)
     return ConnectionPlan(client, upstream)
 
 
 def plan_connections_per_endpoint(max_sockets: int, clients: int, requests_per_connection: int) -> int:
     """Connections to one endpoint: enough for one request of each client, within a share of descriptors."""
     for_all_clients = -(-clients // requests_per_connection)  # rounded up
-    share_of_sockets = max_sockets // 16
     wanted = for_all_clients + SPARE_CONNECTIONS_PER_ENDPOINT
-    return max(MIN_CONNECTIONS_PER_ENDPOINT, min(share_of_sockets, wanted))
+    return max(MIN_CONNECTIONS_PER_ENDPOINT, min(ENDPOINT_SOCKETS.of(max_sockets), wanted))
 
 
 def plan_bodies(available_bytes: int, buffer_size: int, has_writes: bool) -> BodyPlan:
     """Shares out the memory that connections leave among large request bodies and the body buffers."""
-    large_body_bytes = max(2 * MAX_OBJECT_SIZE, available_bytes // 5) if has_writes else 0
-    buffer_bytes = available_bytes - 2 * large_body_bytes  # a large body may be held twice, for a moment
-    buffers = min(MAX_BODY_BUFFERS, buffer_bytes * 4 // 5 // buffer_size)
+    large_body_bytes = 0
+    if has_writes:
+        large_body_bytes = max(MIN_LARGE_BODY_BYTES, LARGE_BODY_MEMORY.of(available_bytes))
+    remaining_bytes = available_bytes - LARGE_BODY_COPIES * large_body_bytes
+    buffers = min(MAX_BODY_BUFFERS, BODY_BUFFER_MEMORY.of(remaining_bytes) // buffer_size)
     return BodyPlan(max(MIN_BODY_BUFFERS, buffers), large_body_bytes)
 
 
--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -23,7 +23,7 @@
 class DiscoveryClient:
     """Follows a coordinator; while it can't be reached or understood, the last endpoint list stays in force.
 
-    Any thread may call it, once `start` has returned. `_lock` guards all fields that change: `_address`,
+    Any thread may call it. `_lock` guards all fields that change: `_address`,
     `_long_poll`, `_last_index`, `_has_endpoints`, `_is_resyncing` and `_lagging_responses`. Events are posted
     with the lock held, in their order.
     """
@@ -50,9 +50,10 @@
 
     def start(self, known: object) -> None:
         """Applies the events of the configuration, if any, then follows the coordinator from there."""
-        if known is not None:
-            self._apply(known)
-        self._long_poll = LongPoll(self, self._address, self._random.random())
+        with self._lock:
+            if known is not None:
+                self._apply(known)
+            self._long_poll = LongPoll(self, self._address, self._random.random())
 
     def stop(self) -> None:
         """Aborts the open poll; no event is posted afterwards."""
