--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -246,7 +246,7 @@
     def _connect(self) -> None:
         sock = sockets.connect(self._address, CONNECT_WITHIN, WAIT + ANSWER_FIRST, ANSWER_FIRST)
         with self._lock:
-            self._sock, self._parser = sock, http1.Parser(HEAD_SIZE, BODY_SIZE, answers=True)
+            self._sock, self._parser = sock, http1.ResponseParser(HEAD_SIZE, BODY_SIZE)
 
     def _drop(self) -> None:
         with self._lock:
@@ -275,7 +275,7 @@
             if not data:
                 raise ConnectionError("closed by the coordinator")
             self._parser.feed(data)
-        if message.first[0] != "200":
-            raise ConnectionError(f"status {message.first[0]}")
+        if message.start_line.status != "200":
+            raise ConnectionError(f"status {message.start_line.status}")
         self._registry.take(self, orjson.loads(message.body))
         return message.keeps_alive
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -22,7 +22,7 @@
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.exchange import Exchange, RequestAbandoned, RequestReceived, Response, ResponseKind
-from olivepost.proxy.http1 import HttpError, Message
+from olivepost.proxy.http1 import HttpError, Message, RequestLine
 
 HEALTH = "/-/healthy"
 TARGET = re.compile(r"/api/v2/([^/]+)/([0-9a-f]{16})/slice-(0|[1-9][0-9]{0,8})", re.ASCII)
@@ -258,7 +258,7 @@
     def __init__(self, side: DownstreamServer, sock: socket.socket) -> None:
         self._side, self._sock = side, sock
         self._lock = threading.Lock()
-        self._parser = http1.Parser(side.limits.max_head_size, side.limits.max_request_body)
+        self._parser = http1.RequestParser(side.limits.max_head_size, side.limits.max_request_body)
         self._exchange: Exchange | None = None
         self._large = 0  # bytes of its request's body for which it has taken room
         self._keeps = True  # what the request in hand says of the connection
@@ -428,8 +428,8 @@
         self._side.log.increment("sent_ahead")
         self._keeps = False
 
-    def _route(self, message: Message, at: int) -> None:
-        method, target = message.first
+    def _route(self, message: Message[RequestLine], at: int) -> None:
+        method, target, _ = message.start_line
         if method not in ("GET", "PUT"):
             raise HttpError(405, "only GET and PUT")
         if target == HEALTH:
@@ -463,7 +463,7 @@
         """Writes an answer of the front's own, which has no body; who does not even take that is cut."""
         closes = not self._stays  # once: a drain that begins meanwhile must not end what was told to stay
         try:
-            head = http1.answer_head(status, 0, headers, closes)
+            head = http1.response_head(status, 0, headers, closes)
             left = sockets.send_buffers(self._sock, [head], socket.MSG_DONTWAIT)
         except OSError:
             left = [memoryview(b"")]
@@ -569,31 +569,31 @@
     """The final answer as HTTP has it."""
     headers = {"ETag": f'"{answer.etag}"'} if answer.etag else {}
     if answer.kind is ResponseKind.SERVED and answer.body is not None:
-        return [http1.answer_head(200, answer.body.length, headers, close), *answer.body.parts()]
+        return [http1.response_head(200, answer.body.length, headers, close), *answer.body.parts()]
     if answer.kind is ResponseKind.NOT_MODIFIED:
-        return [http1.answer_head(304, None, headers, close)]
+        return [http1.response_head(304, None, headers, close)]
     if answer.kind is ResponseKind.REJECTED:
         if answer.retry_after > 0:
             headers["X-Come-Back-Ms"] = str(max(1, answer.retry_after // MILLISECOND))
-        return [http1.answer_head(REFUSED, 0, headers, close)]
-    return [http1.answer_head(FAILED, 0, headers, close)]
+        return [http1.response_head(REFUSED, 0, headers, close)]
+    return [http1.response_head(FAILED, 0, headers, close)]
 
 
-def _value(message: Message, name: str, form: re.Pattern[str]) -> str:
+def _value(message: Message[RequestLine], name: str, form: re.Pattern[str]) -> str:
     value = message.header(name)
     if value is None or not form.fullmatch(value):
         raise HttpError(400, f"missing or bad '{name}'")
     return value
 
 
-def _group(message: Message) -> int:
+def _group(message: Message[RequestLine]) -> int:
     group = int(_value(message, "x-set", GROUP))
     if group > 255:
         raise HttpError(400, "bad 'x-set'")
     return group
 
 
-def _own_tag(message: Message) -> str:
+def _own_tag(message: Message[RequestLine]) -> str:
     """The client's one strong tag, bare; lists, weak tags and what the members' wire can't hold give none."""
     values = message.headers.get("if-none-match", ())
     match = STRONG_TAG.fullmatch(values[0]) if len(values) == 1 else None
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -1,11 +1,16 @@
-"""HTTP/1.1: requests and answers parsed and written. No I/O here."""
+"""HTTP/1.1 message parsing and head encoding, without I/O (RFC 9112).
+
+`RequestParser` serves the downstream connections, `ResponseParser` the discovery client.
+"""
 
 from __future__ import annotations
 
 import re
+from collections.abc import Mapping
 from dataclasses import dataclass
+from typing import ClassVar, Generic, NamedTuple, Protocol, TypeVar
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     304: "Not Modified",
     400: "Bad Request",
@@ -20,32 +25,65 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
-TARGET = re.compile(rb"[!-~]+")
-VALUE = re.compile(rb"[\t -~\x80-\xff]*")
-STATUS = re.compile(rb"[1-9][0-9]{2}")
-DIGITS = re.compile(r"[0-9]{1,10}", re.ASCII)
+VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
+STATUSES_WITHOUT_BODY = ("204", "304")  # RFC 9110, section 6.4.1
+END_OF_LINE = b"\r\n"
+END_OF_HEAD = b"\r\n\r\n"
+_TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")
+_REQUEST_TARGET = re.compile(rb"[!-~]+")
+_FIELD_VALUE = re.compile(rb"[\t -~\x80-\xff]*")
+_STATUS_CODE = re.compile(rb"[1-9][0-9]{2}")
+_CONTENT_LENGTH = re.compile(r"[0-9]{1,10}", re.ASCII)
 
 
 class HttpError(Exception):
-    """A message that can't be used, with the status that answers it."""
+    """A message that can't be accepted.
+
+    `status` is the status code of the response to it, `reason` says what is wrong with the message.
+    """
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
+        self.reason = reason
 
 
-@dataclass(slots=True)
-class Message:
-    """A request (`first` has method and target) or an answer (`first` has the status), whole."""
+class RequestLine(NamedTuple):
+    """The start line of a request."""
 
-    first: tuple[str, str]
+    method: str
+    target: str
     version: str
+
+
+class StatusLine(NamedTuple):
+    """The start line of a response, without its reason phrase; `status` has three digits."""
+
+    status: str
+    version: str
+
+
+class StartLine(Protocol):
+    """What request lines and status lines have in common."""
+
+    @property
+    def version(self) -> str:
+        """`HTTP/1.0` or `HTTP/1.1`."""
+
+
+StartLineT = TypeVar("StartLineT", bound=StartLine)
+
+
+@dataclass(slots=True)
+class Message(Generic[StartLineT]):
+    """A complete request or response; the names in `headers` are in lower case."""
+
+    start_line: StartLineT
     headers: dict[str, tuple[str, ...]]
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """The one value of a header; None where it is absent; one that came twice is an error."""
+        """Returns the value of a field, None where it is absent; raises HttpError where it is repeated."""
         values = self.headers.get(name, ())
         if len(values) > 1:
             raise HttpError(400, f"'{name}' came {len(values)} times")
@@ -53,129 +91,169 @@
 
     @property
     def keeps_alive(self) -> bool:
-        """Whether the peer will use the connection further."""
-        listed = ",".join(self.headers.get("connection", ()))
-        words = {word.strip().lower() for word in listed.split(",")}
-        return "close" not in words and (self.version == "HTTP/1.1" or "keep-alive" in words)
-
+        """Whether the peer keeps the connection open after this message (RFC 9112, section 9.3)."""
+        joined = ",".join(self.headers.get("connection", ()))
+        options = {option.strip().lower() for option in joined.split(",")}
+        if "close" in options:
+            return False
+        return self.start_line.version == "HTTP/1.1" or "keep-alive" in options
 
-def read_request_line(line: bytes) -> tuple[tuple[str, str], str]:
-    words = line.split(b" ")
-    if len(words) != 3 or not TOKEN.fullmatch(words[0]) or not TARGET.fullmatch(words[1]):
-        raise HttpError(400, "bad request line")
-    if words[2] not in (b"HTTP/1.1", b"HTTP/1.0"):
-        raise HttpError(505 if words[2].startswith(b"HTTP/") else 400, "bad version")
-    return (words[0].decode("ascii"), words[1].decode("ascii")), words[2].decode("ascii")
 
-
-def read_status_line(line: bytes) -> tuple[tuple[str, str], str]:
-    words = line.split(b" ", 2)
-    known = words[0] in (b"HTTP/1.1", b"HTTP/1.0")
-    if len(words) < 2 or not known or not STATUS.fullmatch(words[1]):
-        raise HttpError(400, "bad status line")
-    return (words[1].decode("ascii"), ""), words[0].decode("ascii")
-
-
-def read_headers(lines: list[bytes]) -> dict[str, tuple[str, ...]]:
+def parse_headers(lines: list[bytes]) -> dict[str, tuple[str, ...]]:
+    """Parses field lines into values by lower-case name, in their order; raises HttpError."""
     headers: dict[str, tuple[str, ...]] = {}
     for line in lines:
-        name, sign, value = line.partition(b":")
-        if not sign or not TOKEN.fullmatch(name) or not VALUE.fullmatch(value):
+        name, colon, value = line.partition(b":")
+        if not colon or not _TOKEN.fullmatch(name) or not _FIELD_VALUE.fullmatch(value):
             raise HttpError(400, "bad header line")
         key = name.decode("ascii").lower()
         headers[key] = (*headers.get(key, ()), value.strip(b" \t").decode("latin-1"))
     return headers
 
 
-class Parser:
-    """Takes bytes in any split and gives whole messages, one after another."""
+class Parser(Generic[StartLineT]):
+    """Takes bytes in any split and gives complete messages, one after another.
+
+    Not thread-safe. A message that raised HttpError leaves the stream without a known position: the caller
+    ends the connection.
+    """
+
+    _forbidden_prefixes: ClassVar[tuple[bytes, ...]] = ()
+    _needs_length: ClassVar[bool] = False
 
-    def __init__(self, head_size: int, body_size: int, answers: bool = False) -> None:
-        self._head_size, self._body_size, self._answers = head_size, body_size, answers
+    def __init__(self, max_head_size: int, max_body_size: int) -> None:
+        self._max_head_size = max_head_size
+        self._max_body_size = max_body_size
         self._data = bytearray()
-        self._seen = 0  # bytes already searched for the end of a head
-        self._head: Message | None = None
-        self._length = 0
+        self._searched = 0  # bytes that hold no end of a head
+        self._head: Message[StartLineT] | None = None
+        self._body_length = 0  # of the message whose head is parsed
 
     @property
     def held(self) -> int:
-        """Bytes that are not yet part of a message that was taken."""
+        """Bytes received that belong to no message taken so far."""
         return len(self._data)
 
     @property
     def idle(self) -> bool:
-        """Whether nothing of a next message has come."""
+        """Whether no byte of a next message has been received."""
         return self._head is None and not self._data
 
     @property
     def expects(self) -> int:
-        """Bytes of the body of a message whose head has come; 0 where there is none."""
-        return self._length if self._head is not None else 0
+        """Body length in bytes of the message whose head is parsed; 0 where there is none."""
+        return self._body_length if self._head is not None else 0
 
     def clear(self) -> None:
-        """Forgets what has come."""
+        """Drops everything received so far."""
         self._data.clear()
-        self._head, self._seen = None, 0
+        self._head = None
+        self._searched = 0
 
     def feed(self, data: bytes | memoryview) -> None:
+        """Adds received bytes."""
         self._data += data
 
-    def take(self) -> Message | None:
-        """The next whole message, if it is there."""
+    def take(self) -> Message[StartLineT] | None:
+        """Returns the next message, None until it is complete; raises HttpError."""
         if self._head is None:
-            self._read_head()
-        head = self._head
-        if head is None or len(self._data) < self._length:
+            self._parse_head()
+        message = self._head
+        if message is None or len(self._data) < self._body_length:
             return None
-        body = bytes(self._data[: self._length])
-        del self._data[: self._length]
+        message.body = bytes(self._data[: self._body_length])
+        del self._data[: self._body_length]
         self._head = None
-        return Message(head.first, head.version, head.headers, body)
+        return message
 
-    def _read_head(self) -> None:
-        if not self._answers and self._data.startswith((b"\r", b"\n")):
+    def _parse_head(self) -> None:
+        if self._data.startswith(self._forbidden_prefixes):
             raise HttpError(400, "an empty line before a request")
-        end = self._data.find(b"\r\n\r\n", max(0, self._seen - 3))
-        if (end if end >= 0 else len(self._data)) > self._head_size:
+        # The end may have begun within the bytes that were searched.
+        end = self._data.find(END_OF_HEAD, max(0, self._searched - len(END_OF_HEAD) + 1))
+        head_size = end if end >= 0 else len(self._data)
+        if head_size > self._max_head_size:
             raise HttpError(431, "header block too long")
         if end < 0:
-            self._seen = len(self._data)
+            self._searched = len(self._data)
             return
-        first, *rest = bytes(self._data[:end]).split(b"\r\n")
-        del self._data[: end + 4]
-        self._seen = 0
-        start, version = (read_status_line if self._answers else read_request_line)(first)
-        head = Message(start, version, read_headers(rest), b"")
-        self._length = self._body_length(head)
+        first_line, *field_lines = bytes(self._data[:end]).split(END_OF_LINE)
+        del self._data[: end + len(END_OF_HEAD)]
+        self._searched = 0
+        head = Message(self._parse_start_line(first_line), parse_headers(field_lines), b"")
+        self._body_length = self._read_body_length(head)
         self._head = head
 
-    def _body_length(self, head: Message) -> int:
+    def _read_body_length(self, head: Message[StartLineT]) -> int:
         if "transfer-encoding" in head.headers:
             if "content-length" in head.headers:
                 raise HttpError(400, "a length and a transfer coding")
             raise HttpError(501, "a transfer coding")
         text = head.header("content-length")
         if text is None:
-            if self._answers and head.first[0] not in ("204", "304"):
-                raise HttpError(400, "an answer of no known length")
+            if self._needs_length:
+                self._check_has_no_body(head)
             return 0
-        if not DIGITS.fullmatch(text):
+        if not _CONTENT_LENGTH.fullmatch(text):
             raise HttpError(400, "bad length")
-        if int(text) > self._body_size:
+        length = int(text)
+        if length > self._max_body_size:
             raise HttpError(413, "body too long")
-        return int(text)
+        return length
+
+    def _parse_start_line(self, line: bytes) -> StartLineT:
+        """Parses the first line of a message; raises HttpError."""
+        raise NotImplementedError
+
+    def _check_has_no_body(self, head: Message[StartLineT]) -> None:
+        """Raises HttpError where a message without a length may have a body."""
+
+
+class RequestParser(Parser[RequestLine]):
+    """Parses requests; one without a Content-Length has no body."""
+
+    _forbidden_prefixes = (b"\r", b"\n")
+
+    def _parse_start_line(self, line: bytes) -> RequestLine:
+        words = line.split(b" ")
+        if len(words) != 3 or not _TOKEN.fullmatch(words[0]) or not _REQUEST_TARGET.fullmatch(words[1]):
+            raise HttpError(400, "bad request line")
+        method, target, version = words
+        if version not in VERSIONS:
+            raise HttpError(505 if version.startswith(b"HTTP/") else 400, "bad version")
+        return RequestLine(method.decode("ascii"), target.decode("ascii"), version.decode("ascii"))
+
+
+class ResponseParser(Parser[StatusLine]):
+    """Parses responses; one without a Content-Length is accepted only where its status allows no body."""
+
+    _needs_length = True
+
+    def _parse_start_line(self, line: bytes) -> StatusLine:
+        words = line.split(b" ", 2)
+        if len(words) < 2 or words[0] not in VERSIONS or not _STATUS_CODE.fullmatch(words[1]):
+            raise HttpError(400, "bad status line")
+        return StatusLine(words[1].decode("ascii"), words[0].decode("ascii"))
+
+    def _check_has_no_body(self, head: Message[StatusLine]) -> None:
+        if head.start_line.status not in STATUSES_WITHOUT_BODY:
+            raise HttpError(400, "an answer of no known length")
+
 
+def response_head(status: int, length: int | None, headers: Mapping[str, str], closes: bool) -> bytes:
+    """Encodes the status line and the fields of a response.
 
-def answer_head(status: int, length: int | None, headers: dict[str, str], close: bool) -> bytes:
-    """Status line and headers of an answer; a length of None is left out."""
-    lines = [f"HTTP/1.1 {status} {REASONS[status]}", *(f"{name}: {value}" for name, value in headers.items())]
+    A `length` of None leaves out Content-Length; `closes` announces that the connection ends.
+    """
+    lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}"]
+    lines.extend(f"{name}: {value}" for name, value in headers.items())
     if length is not None:
         lines.append(f"Content-Length: {length}")
-    if close:
+    if closes:
         lines.append("Connection: close")
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
 def request_head(target: str, host: str) -> bytes:
-    """A GET that keeps its connection."""
+    """Encodes a GET request that keeps its connection open."""
     return f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode("ascii")
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -241,7 +241,7 @@
     route = DownstreamConnection._route
 
     def odd(self: DownstreamConnection, message: Any, at: int) -> None:
-        if message.first[1] == "/fault":
+        if message.start_line.target == "/fault":
             raise RuntimeError("unforeseen")
         route(self, message, at)
 
--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -1,14 +1,28 @@
 """HTTP/1.1: any split of the bytes gives the same messages, garbage only its own error."""
 
+from __future__ import annotations
+
 import contextlib
+from collections.abc import Callable
+from typing import Any
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivepost.proxy.http1 import HttpError, Message, Parser, answer_head
+from olivepost.proxy.http1 import (
+    HttpError,
+    Message,
+    Parser,
+    RequestLine,
+    RequestParser,
+    ResponseParser,
+    response_head,
+)
 from tests.helpers import split
 
+MAX_HEAD_SIZE = 500
+MAX_BODY_SIZE = 100
 STREAM = (
     b"GET /a HTTP/1.1\r\nHost: x\r\nX-Set:  17 \r\n\r\n"
     b"GET /b HTTP/1.1\r\nContent-Length: 5\r\nConnection: keep-alive, Close\r\n\r\nab\r\nc"
@@ -16,31 +30,36 @@
 )
 
 
-def read(pieces: list[bytes], answers: bool = False) -> list[Message]:
-    parser, seen = Parser(500, 100, answers), list[Message]()
+def parse(
+    pieces: list[bytes], make_parser: Callable[[int, int], Parser[Any]] = RequestParser
+) -> list[Message[Any]]:
+    """Feeds the pieces to a new parser, and takes all messages after each."""
+    parser = make_parser(MAX_HEAD_SIZE, MAX_BODY_SIZE)
+    messages = list[Message[Any]]()
     for piece in pieces:
         parser.feed(piece)
         while (message := parser.take()) is not None:
-            seen.append(message)
-    return seen
+            messages.append(message)
+    return messages
 
 
-def test_a_stream_of_requests() -> None:
-    first, second, third = read([STREAM])
-    assert first.first == ("GET", "/a") and first.header("x-set") == "17" and first.keeps_alive
+def test_requests_of_one_stream_are_taken_one_after_another() -> None:
+    first, second, third = parse([STREAM])
+    assert first.start_line == RequestLine("GET", "/a", "HTTP/1.1")
+    assert first.header("x-set") == "17" and first.keeps_alive
     assert second.body == b"ab\r\nc" and not second.keeps_alive
-    assert third.version == "HTTP/1.0" and not third.keeps_alive
+    assert third.start_line.version == "HTTP/1.0" and not third.keeps_alive
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.lists(st.integers(0, len(STREAM)), max_size=12))
-def test_any_split_gives_the_same(cuts: list[int]) -> None:
-    assert read(split(STREAM, cuts)) == read([STREAM])
+def test_any_split_of_a_stream_gives_the_same_messages(cuts: list[int]) -> None:
+    assert parse(split(STREAM, cuts)) == parse([STREAM])
 
 
 @settings(derandomize=True, max_examples=300, deadline=None)
 @given(
-    st.booleans(),
+    st.sampled_from([RequestParser, ResponseParser]),
     st.lists(
         st.one_of(
             st.binary(max_size=80),
@@ -51,9 +70,11 @@
         max_size=8,
     ),
 )
-def test_garbage_raises_only_its_own_error(answers: bool, pieces: list[bytes]) -> None:
+def test_garbage_raises_only_http_error(
+    make_parser: Callable[[int, int], Parser[Any]], pieces: list[bytes]
+) -> None:
     with contextlib.suppress(HttpError):
-        read(pieces, answers)
+        parse(pieces, make_parser)
 
 
 @pytest.mark.parametrize(
@@ -77,23 +98,29 @@
         (b"GET / HTTP/1.1\r\na: \x00\r\n\r\n", 400),
     ],
 )
-def test_requests_that_cannot_be_used(data: bytes, status: int) -> None:
+def test_malformed_request_raises_the_status_of_its_response(data: bytes, status: int) -> None:
     with pytest.raises(HttpError) as caught:
-        read([data])
+        parse([data])
     assert caught.value.status == status
+    assert caught.value.reason == str(caught.value) != ""
 
 
 @pytest.mark.parametrize(
     "data", [b"HTTP/1.1 200 OK\r\n\r\n", b"HTTP/3 200\r\n\r\n", b"HTTP/1.1 2x0 OK\r\n\r\n"]
 )
-def test_answers_that_cannot_be_used(data: bytes) -> None:
+def test_malformed_response_raises_http_error(data: bytes) -> None:
     with pytest.raises(HttpError):
-        read([data], answers=True)
+        parse([data], ResponseParser)
+
+
+def test_response_without_a_length_is_accepted_where_its_status_has_no_body() -> None:
+    (message,) = parse([b"HTTP/1.1 304 Not Modified\r\n\r\n"], ResponseParser)
+    assert message.start_line.status == "304" and message.body == b""
 
 
-def test_an_answer_is_written() -> None:
-    assert answer_head(503, 0, {"X-Come-Back-Ms": "40"}, True) == (
+def test_response_head_has_its_fields_in_order() -> None:
+    assert response_head(503, 0, {"X-Come-Back-Ms": "40"}, True) == (
         b"HTTP/1.1 503 Service Unavailable\r\nX-Come-Back-Ms: 40\r\nContent-Length: 0\r\n"
         b"Connection: close\r\n\r\n"
     )
-    assert b"Content-Length" not in answer_head(304, None, {}, False)
+    assert b"Content-Length" not in response_head(304, None, {}, False)
