--- a/olivepost/proxy/downstream/__init__.py
+++ b/olivepost/proxy/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the clients: listener, connections, response writers."""
+"""The client side: listener, connections, request mapping and response writing."""
--- /dev/null
+++ b/olivepost/proxy/downstream/routes.py
@@ -0,0 +1,97 @@
+"""Maps a client's HTTP request to an exchange; checks its method, target and fields."""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Callable, Mapping
+
+from olivepost.config import MILLISECOND
+from olivepost.interface import ClassSettings
+from olivepost.proxy.exchange import Exchange, Response
+from olivepost.proxy.http1 import HttpError, Message, RequestLine
+
+HEALTH_TARGET = "/-/healthy"
+METHODS = ("GET", "PUT")
+ALLOW_HEADER = {"Allow": ", ".join(METHODS)}  # of each response with status 405
+MAX_GROUP = 255
+_OBJECT_TARGET = re.compile(r"/api/v2/([^/]+)/([0-9a-f]{16})/slice-(0|[1-9][0-9]{0,8})", re.ASCII)
+_CALL_ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
+_TIMEOUT_MS = re.compile(r"[0-9]{1,9}", re.ASCII)
+_GROUP = re.compile(r"[0-9]{1,3}", re.ASCII)
+_IDEMPOTENCY_KEY = re.compile(r"[!#-*\-.0-9:;<>-~]{1,128}", re.ASCII)
+_STRONG_ETAG = re.compile(r'"([!#-+\--<>-~]{1,128})"', re.ASCII)  # that a field of the line protocol can hold
+
+
+def is_health_check(request_line: RequestLine) -> bool:
+    """Whether the proxy answers the request itself, with its health."""
+    return request_line.target == HEALTH_TARGET and request_line.method in METHODS
+
+
+def build_exchange(
+    message: Message[RequestLine],
+    classes: Mapping[str, ClassSettings],
+    received_at: int,
+    deliver: Callable[[Exchange, Response], None],
+    is_client_gone: Callable[[], bool],
+) -> Exchange:
+    """Makes the exchange of a request that was read completely at `received_at` (Unix nanoseconds).
+
+    Raises HttpError 405 for a method that is not allowed, 404 for an unknown target or class, and 400 for
+    a field that is missing or malformed.
+    """
+    method, target, _ = message.start_line
+    if method not in METHODS:
+        raise HttpError(405, "only GET and PUT")
+    match = _OBJECT_TARGET.fullmatch(target)
+    if match is None or match[1] not in classes:
+        raise HttpError(404, "unknown target")
+    is_write = method == "PUT"
+    if is_write and not classes[match[1]].is_uncacheable:
+        raise HttpError(405, "a class that nobody writes")
+    return Exchange(
+        id=_required_field(message, "x-call-id", _CALL_ID),
+        class_name=match[1],
+        object=match[2],
+        part=int(match[3]),
+        group=_group(message),
+        etag="" if is_write else _client_etag(message),
+        body=message.body,
+        timeout=int(_required_field(message, "x-patience-ms", _TIMEOUT_MS)) * MILLISECOND,
+        received_at=received_at,
+        deliver=deliver,
+        is_client_gone=is_client_gone,
+        is_write=is_write,
+        idempotency_key=_idempotency_key(message),
+    )
+
+
+def _required_field(message: Message[RequestLine], name: str, pattern: re.Pattern[str]) -> str:
+    value = message.header(name)
+    if value is None or not pattern.fullmatch(value):
+        raise HttpError(400, f"missing or bad '{name}'")
+    return value
+
+
+def _group(message: Message[RequestLine]) -> int:
+    group = int(_required_field(message, "x-set", _GROUP))
+    if group > MAX_GROUP:
+        raise HttpError(400, "bad 'x-set'")
+    return group
+
+
+def _idempotency_key(message: Message[RequestLine]) -> str:
+    """The client's key for retries of this request; empty where it gave none."""
+    if not message.header("x-dedupe-key"):
+        return ""
+    return _required_field(message, "x-dedupe-key", _IDEMPOTENCY_KEY)
+
+
+def _client_etag(message: Message[RequestLine]) -> str:
+    """The one strong entity tag of If-None-Match, without its quotes.
+
+    Empty for lists, weak tags and what a field of the line protocol can't hold: the request then goes
+    without a condition.
+    """
+    values = message.headers.get("if-none-match", ())
+    match = _STRONG_ETAG.fullmatch(values[0]) if len(values) == 1 else None
+    return match[1] if match else ""
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -20,6 +20,7 @@
 from olivepost.proxy.buffers import BufferPool
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.discovery.client import DiscoveryClient
+from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.downstream.listener import STOP_WITHIN, DownstreamServer
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.event_loop import EventLoop, ShutdownDeadline, StopEventLoop, StoreEvent
@@ -105,7 +106,9 @@
         )
         self.event_loop.attach_upstream(self.upstream)
         self.downstream = DownstreamServer(
-            bounds, config.settings.classes, self.read_buffers, self.clock, self.log, self.event_loop.post
+            DownstreamContext(
+                bounds, config.settings.classes, self.read_buffers, self.clock, self.log, self.event_loop.post
+            )
         )
         self.discovery = DiscoveryClient(
             config.coordinator, self.clock, self.log, self.event_loop.post, config.seed
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -21,7 +21,7 @@
 from olivepost.config import SECOND, read_address, read_config
 from olivepost.proxy import server, sockets
 from olivepost.proxy.discovery import client as discovery
-from olivepost.proxy.downstream.listener import DownstreamConnection
+from olivepost.proxy.downstream.connection import DownstreamConnection
 from olivepost.proxy.event_loop import EventLoop, StopEventLoop
 from olivepost.proxy.upstream import pool
 from olivepost.proxy.upstream.pool import UpstreamConnection
@@ -76,7 +76,7 @@
         assert client.ask()[0] == 200
         connection, hang_up = rested(made), sockets.shutdown
         before, sent, posted = len(made.fetches()), list[bytes](), list[Any]()
-        made.front.downstream.post = posted.append
+        made.front.downstream.context.post = posted.append
 
         def crossed(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
             if sock is connection._sock and not sent:
@@ -157,7 +157,7 @@
         for client in held:
             assert client.ask()[0] == 200
         now = made.front.clock.now()
-        made.front.downstream.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
+        made.front.downstream.context.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
         for connection in made.front.downstream._open:
             connection.since = now
         with made.client() as late:
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -12,7 +12,8 @@
 from examples.toy_server import Command, Coordinator, Member, body_of, entry, serve_all, tag_of
 from olivepost import interface as api
 from olivepost.config import read_address
-from olivepost.proxy.downstream.listener import DownstreamConnection, DownstreamServer
+from olivepost.proxy.downstream.connection import DownstreamConnection
+from olivepost.proxy.downstream.listener import DownstreamServer
 from olivepost.proxy.event_loop import VOUCHED
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig
 
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -37,7 +37,7 @@
 
 
 def room(made: Rig) -> int:
-    return made.front.downstream._large
+    return made.front.downstream.context.large_bodies.reserved_bytes
 
 
 def test_a_write_goes_on_with_its_body_and_key_and_joins_nothing() -> None:
