--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -46,9 +46,12 @@
 def test_requests_of_one_stream_are_taken_one_after_another() -> None:
     first, second, third = parse([STREAM])
     assert first.start_line == RequestLine("GET", "/a", "HTTP/1.1")
-    assert first.header("x-set") == "17" and first.keeps_alive
-    assert second.body == b"ab\r\nc" and not second.keeps_alive
-    assert third.start_line.version == "HTTP/1.0" and not third.keeps_alive
+    assert first.header("x-set") == "17"
+    assert first.keeps_alive
+    assert second.body == b"ab\r\nc"
+    assert not second.keeps_alive
+    assert third.start_line.version == "HTTP/1.0"
+    assert not third.keeps_alive
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
@@ -115,7 +118,8 @@
 
 def test_response_without_a_length_is_accepted_where_its_status_has_no_body() -> None:
     (message,) = parse([b"HTTP/1.1 304 Not Modified\r\n\r\n"], ResponseParser)
-    assert message.start_line.status == "304" and message.body == b""
+    assert message.start_line.status == "304"
+    assert message.body == b""
 
 
 def test_response_head_has_its_fields_in_order() -> None:
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -1,4 +1,4 @@
-"""Requests that write: they go on with their body and key, uncached, and their bodies are bounded."""
+"""Requests that write are forwarded with body and idempotency key, never cached, and bounded in size."""
 
 from __future__ import annotations
 
@@ -9,55 +9,59 @@
 
 from examples.toy_server import Command, Member, serve_all
 from olivepost.config import OBJECT, SMALL_BODY, read_config
+from olivepost.proxy.downstream.body_budget import LargeBodyBudget, LargeBodyReservation
 from tests.rig import NAME, WITHIN, Client, Rig, rig, toy_config
 
 KEY = "e88162b04f93af70ad562033008092e1"
 
 
-def settings(effect: str = "idempotency_key") -> dict[str, Any]:
-    """The example's settings with a first class that writes."""
-    given: dict[str, Any] = toy_config()["settings"]
-    row = {**given["classes"][0], "effect": effect, "window": 5_000_000_000}
-    family = {**given["family-info"], "pass-on": [True]}
-    return {**given, "classes": [row, *given["classes"][1:]], "family-info": family}
+def write_settings(effect: str = "idempotency_key") -> dict[str, Any]:
+    """The example's settings, with a first class that clients may write."""
+    example: dict[str, Any] = toy_config()["settings"]
+    row = {**example["classes"][0], "effect": effect, "window": 5_000_000_000}
+    family = {**example["family-info"], "pass-on": [True]}
+    return {**example, "classes": [row, *example["classes"][1:]], "family-info": family}
 
 
-def put(body: bytes = b"z" * 100, name: str = NAME, **headers: str) -> bytes:
-    """A request that writes."""
+def put_request(body: bytes = b"z" * 100, name: str = NAME, **headers: str) -> bytes:
+    """A PUT request, with its body."""
     request = Client.request(name, "segment", 3, 15_000, **{"Content_Length": str(len(body)), **headers})
     return b"PUT" + request[3:] + body
 
 
-def stored(member: Member, command: Command) -> None:
-    """Members that answer what writes, and the rest as ever."""
+def serve_writes(member: Member, command: Command) -> None:
+    """Answers a request with a body, and all others as the toy members do."""
     if command.verb == "fetch" and command.body:
         command.answer("HIT", b"done", why="fill", entity="new", issued="1")
     else:
         serve_all(member, command)
 
 
-def room(made: Rig) -> int:
+def reserved_bytes(made: Rig) -> int:
+    """What large request bodies have reserved of their budget."""
     return made.front.downstream.context.large_bodies.reserved_bytes
 
 
-def test_a_write_goes_on_with_its_body_and_key_and_joins_nothing() -> None:
-    with rig(stored, settings=settings()) as made, made.client() as client:
-        client.send(put(b"\0\r\nbody" * 20, X_Dedupe_Key=KEY, If_None_Match='"mine"'))
+def test_write_is_forwarded_with_its_body_and_idempotency_key_and_joins_no_other() -> None:
+    with rig(serve_writes, settings=write_settings()) as made, made.client() as client:
+        client.send(put_request(b"\0\r\nbody" * 20, X_Dedupe_Key=KEY, If_None_Match='"mine"'))
         status, _, body = client.read()
         assert (status, body) == (200, b"done")
         (command,) = made.fetches()
-        assert command.body == b"\0\r\nbody" * 20 and command.fields["dedupe"] == KEY
+        assert command.body == b"\0\r\nbody" * 20
+        assert command.fields["dedupe"] == KEY
         assert command.fields["miss"] in ("p", "o")
         assert not {"prio", "mine", "f"} & command.fields.keys()
 
 
-def test_a_write_is_answered_from_no_copy_of_the_fronts_own() -> None:
-    own: dict[str, Any] = {"flow_bytes_per_s": 100_000_000, "link_bytes_per_s": 400_000_000}
-    with rig(stored, settings=settings(), **own) as made, made.client() as client:
+def test_write_is_not_answered_from_the_response_cache() -> None:
+    rates: dict[str, Any] = {"flow_bytes_per_s": 100_000_000, "link_bytes_per_s": 400_000_000}
+    with rig(serve_writes, settings=write_settings(), **rates) as made, made.client() as client:
         assert made.until(lambda: made.front.event_loop._heard)
         for count in range(1, 5):
-            client.send(put())
-            assert client.read()[0] == 200 and len(made.fetches(count)) == count
+            client.send(put_request())
+            assert client.read()[0] == 200
+            assert len(made.fetches(count)) == count
         assert made.counted("own_copies") == 0
 
 
@@ -65,68 +69,90 @@
     ("request_", "status"),
     [
         (b"PUT" + Client.request(class_name="image", Content_Length="1")[3:] + b"x", 405),
-        (put(X_Dedupe_Key="two words"), 400),
+        (put_request(X_Dedupe_Key="two words"), 400),
         (b"PUT" + Client.request(Content_Length="60000000")[3:], 413),
         (b"POST" + Client.request(Content_Length="1")[3:] + b"x", 405),
     ],
-    ids=["nobody writes it", "key", "length", "method"],
+    ids=["class without writes", "malformed key", "body too long", "method not allowed"],
 )
-def test_writes_that_cant_be_used_reach_no_cache(request_: bytes, status: int) -> None:
-    with rig(stored, settings=settings()) as made, made.client() as client:
+def test_rejected_write_is_not_forwarded(request_: bytes, status: int) -> None:
+    with rig(serve_writes, settings=write_settings()) as made, made.client() as client:
         client.send(request_)
         assert client.read()[0] == status
         assert not any(member.seen() for member in made.members)
 
 
-def test_no_class_writes_on_the_platform() -> None:
-    """Its bodies stay small and no memory is set aside for them."""
-    bounds = read_config(toy_config(), {}).limits
-    assert bounds.max_request_body == SMALL_BODY and bounds.large_body_bytes == 0
+def test_platform_classes_reject_writes() -> None:
+    """Request bodies stay small there, and no memory is reserved for large ones."""
+    limits = read_config(toy_config(), {}).limits
+    assert limits.max_request_body == SMALL_BODY
+    assert limits.large_body_bytes == 0
     with rig() as made, made.client() as client:
-        client.send(put())
-        assert client.read()[0] == 405 and not any(member.seen() for member in made.members)
+        client.send(put_request())
+        assert client.read()[0] == 405
+        assert not any(member.seen() for member in made.members)
 
 
-def test_large_bodies_have_room_together_and_give_it_back() -> None:
-    """One too many is refused before it is read; an answer and a client that leaves free the room."""
+def test_large_bodies_share_one_budget_and_release_it() -> None:
+    """One too many is rejected before it is read; a response and a client that closes release theirs."""
     gate = threading.Event()
 
     def reply(member: Member, command: Command) -> None:
         gate.wait(WITHIN)
-        stored(member, command)
+        serve_writes(member, command)
 
     large = b"y" * OBJECT
-    with rig(reply, settings=settings("read_like"), bounds={"large_body_bytes": 2 * OBJECT}) as made:
+    with rig(reply, settings=write_settings("read_like"), bounds={"large_body_bytes": 2 * OBJECT}) as made:
         first, leaving, late = made.client(), made.client(), made.client()
-        first.send(put(large))
-        leaving.send(put(large, "0" * 16)[: -OBJECT // 2])
-        assert made.until(lambda: room(made) == 2 * OBJECT)
-        late.send(put(large, "1" * 16)[:-OBJECT])
-        assert late.read()[0] == 503 and late.closed()
+        first.send(put_request(large))
+        leaving.send(put_request(large, "0" * 16)[: -OBJECT // 2])
+        assert made.until(lambda: reserved_bytes(made) == 2 * OBJECT)
+        late.send(put_request(large, "1" * 16)[:-OBJECT])
+        assert late.read()[0] == 503
+        assert late.closed()
         leaving.sock.close()
-        assert made.until(lambda: room(made) == OBJECT)
+        assert made.until(lambda: reserved_bytes(made) == OBJECT)
         gate.set()
         assert first.read()[0] == 200
-        assert made.until(lambda: room(made) == 0)
-        first.send(put(large))
+        assert made.until(lambda: reserved_bytes(made) == 0)
+        first.send(put_request(large))
         assert first.read()[0] == 200
-        assert [len(it.body) for it in made.fetches(2) if it.body] == [OBJECT, OBJECT]
+        assert [len(command.body) for command in made.fetches(2) if command.body] == [OBJECT, OBJECT]
         for client in (first, late):
             client.sock.close()
 
 
-def test_a_large_body_that_nobody_wants_gives_its_room_back() -> None:
-    """The health page answers and its connection stays; not the end of its rest is what frees the room."""
-    rests = {"keepalive_timeout": 60_000_000_000}
-    with rig(stored, settings=settings(), bounds=rests) as made, made.client() as client:
+def test_large_body_of_a_health_check_releases_its_reservation() -> None:
+    """Its connection stays open: it is the response that releases, not the end of the keep-alive time."""
+    keepalive = {"keepalive_timeout": 60_000_000_000}
+    with rig(serve_writes, settings=write_settings(), bounds=keepalive) as made, made.client() as client:
         client.send(b"GET /-/healthy HTTP/1.1\r\nContent-Length: 100000\r\n\r\n")
-        assert made.until(lambda: room(made) == 100_000)
+        assert made.until(lambda: reserved_bytes(made) == 100_000)
         client.send(b"x" * 100_000)
         assert client.read()[0] == 200
-        assert made.until(lambda: room(made) == 0) and client.ask()[0] == 200
+        assert made.until(lambda: reserved_bytes(made) == 0)
+        assert client.ask()[0] == 200
 
 
-def test_small_bodies_need_no_room() -> None:
-    with rig(stored, settings=settings(), bounds={"large_body_bytes": 0}) as made, made.client() as client:
-        client.send(put(b"x" * SMALL_BODY))
+def test_small_body_needs_no_reservation() -> None:
+    with (
+        rig(serve_writes, settings=write_settings(), bounds={"large_body_bytes": 0}) as made,
+        made.client() as client,
+    ):
+        client.send(put_request(b"x" * SMALL_BODY))
         assert client.read()[0] == 200
+
+
+def test_reservation_takes_from_the_budget_once_and_gives_it_back_once() -> None:
+    budget = LargeBodyBudget(max_bytes=100, small_body_size=10)
+    first, second = LargeBodyReservation(budget), LargeBodyReservation(budget)
+    assert first.reserve(60)
+    assert first.reserve(60)
+    assert budget.reserved_bytes == 60
+    assert not second.reserve(41)
+    assert second.reserve(10)
+    assert budget.reserved_bytes == 60
+    first.release()
+    first.release()
+    assert budget.reserved_bytes == 0
+    assert second.reserve(100)
