--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -21,8 +21,8 @@
     """A connection with a reader thread of its own; the reader goes on while a request is in flight.
 
     So a client that closes is noticed at once. The reader thread calls `run`, the event loop calls the
-    exchange's `deliver`, and writer threads call `write`, `finish` and `give_up`. `_lock` (see
-    ConnectionLifecycle) guards `_closes_after_response` and `_dropped_bytes` too.
+    exchange's `deliver`, and writer threads call `write`, `finish_writing` and `abandon_response`. `_lock`
+    (see ConnectionLifecycle) guards `_closes_after_response` and `_dropped_bytes` too.
     """
 
     def __init__(
@@ -86,9 +86,9 @@
                     self._receive(view[:count], received_at)
 
     def _receive(self, data: memoryview, received_at: int) -> None:
-        if self.asked and self._parser.idle:
+        if self.has_received_request and self._parser.is_idle:
             # A request's first byte may come late in the keep-alive time; the request then has its own time.
-            self.limit = received_at + self._context.limits.first_request_timeout
+            self.deadline = received_at + self._context.limits.first_request_timeout
         self._parser.feed(data)
         self._take_requests(received_at)
 
@@ -112,12 +112,12 @@
             try:
                 message = self._parser.take()
                 if message is None:
-                    if not self._body_reservation.reserve(self._parser.expects):
+                    if not self._body_reservation.reserve(self._parser.expected_body_size):
                         raise HttpError(503, "no room for a body")
                     return
                 self._keeps_alive = message.keeps_alive
                 self._route(message, received_at)
-                if self._exchange is not None and self._parser.held:
+                if self._exchange is not None and self._parser.buffered_size:
                     self._refuse_pipelining()
             except HttpError as error:
                 self._context.log.increment(f"bad_request_{error.status}")
@@ -135,10 +135,12 @@
         if is_health_check(message.start_line):
             self._send_head(503 if context.is_draining else 200, {})
             return
-        exchange = build_exchange(message, context.classes, received_at, self._deliver, self.deserted)
+        exchange = build_exchange(
+            message, context.classes, received_at, self._deliver, self.is_closed_by_client
+        )
         self._exchange = exchange
-        self.asked = True
-        self.limit = 0
+        self.has_received_request = True
+        self.deadline = 0
         context.post(RequestReceived(exchange))
 
     # The event loop's thread.
@@ -158,15 +160,15 @@
             try:
                 unsent = sockets.send_buffers(self._sock, buffers, socket.MSG_DONTWAIT)
             except OSError:
-                self.cut()
+                self.abort()
                 unsent = []
             if unsent:
-                self.limit = self._write_deadline(exchange)
+                self.deadline = self._write_deadline(exchange)
             else:
                 self._complete(response)
             return unsent
 
-    def finish(self, exchange: Exchange, response: Response, unsent: list[memoryview]) -> None:
+    def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview]) -> None:
         """Writes the rest, waiting for the client to read, up to the write stall timeout for each part."""
         with self._lock:
             if self._release_if_abandoned(exchange, response):
@@ -175,15 +177,15 @@
             try:
                 sockets.send_buffers(self._sock, unsent)
             except OSError:
-                self.cut()
+                self.abort()
             self._is_write_blocked = False
             self._complete(response)
 
-    def give_up(self, exchange: Exchange, response: Response) -> None:
+    def abandon_response(self, exchange: Exchange, response: Response) -> None:
         """Cuts off a response that no thread can finish."""
         with self._lock:
             if not self._release_if_abandoned(exchange, response):
-                self.cut()
+                self.abort()
                 self._complete(response)
 
     def _release_if_abandoned(self, exchange: Exchange, response: Response) -> bool:
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -27,9 +27,10 @@
 
     `_lock` guards every field below and orders bytes and endings: bytes are received with it, and whoever
     ends the connection sets `_is_ending` with it first. So a request that was received before the ending
-    gets its response, and one that comes after it is not forwarded. Without the lock other threads read
-    `limit`, `since`, `asked`, `idle` and `owed` to select connections, and check again with it before they
-    act. `_is_closed` is set once by the reader thread without it, and `cut` may be called without it.
+    gets its response, and one that comes after it is not forwarded. Without the lock the
+    accept thread and the deadline thread read the public fields and properties to select connections, and
+    check again with it before they act. `_is_closed` is set once by the reader thread without it, and
+    `abort` may be called without it.
     """
 
     def __init__(self, context: DownstreamContext, sock: socket.socket) -> None:
@@ -43,30 +44,30 @@
         self._is_ending = False  # our last response is sent, or none will be
         self._is_write_blocked = False  # a writer holds the lock and waits for the client to read
         self._is_closed = False  # by the client, or after our ending
-        self.asked = False  # a complete request was received
-        self.since = context.clock.now()  # when the connection last became idle
+        self.has_received_request = False  # a complete request was received
+        self.idle_since = context.clock.now()  # when the connection last became idle
         # When the connection must have left its present state, whatever bytes come until then; 0 while a
         # request is in flight, which has the event loop's own deadline.
-        self.limit = self.since + context.limits.first_request_timeout
+        self.deadline = self.idle_since + context.limits.first_request_timeout
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it has received a request before, and none is in flight."""
-        return self.asked and self._exchange is None
+        return self.has_received_request and self._exchange is None
 
     @property
-    def owed(self) -> bool:
+    def has_pending_response(self) -> bool:
         """Whether the client waits for a response, or has sent a part of a request."""
         if self._exchange is not None:
             return True
-        return not (self._is_ending or self._parser.idle)
+        return not (self._is_ending or self._parser.is_idle)
 
     @property
-    def quiet(self) -> bool:
+    def has_nothing_unread(self) -> bool:
         """Whether the socket has no received bytes that the reader thread has not taken yet."""
         return sockets.has_nothing_unread(self._sock)
 
-    def deserted(self) -> bool:
+    def is_closed_by_client(self) -> bool:
         """Whether the client has closed, reset or half-closed, also where the reader thread is late."""
         return self._is_closed or sockets.is_closed_by_peer(self._sock)
 
@@ -77,7 +78,7 @@
         if not self._lock.acquire(blocking=False):
             return False  # its reader or a writer uses it
         try:
-            if self._exchange is not None or not self.quiet:
+            if self._exchange is not None or not self.has_nothing_unread:
                 return False
             self._shut_down()
             return True
@@ -88,8 +89,8 @@
         """Ends a connection whose deadline has passed; half a request gets a response with status 408."""
         if not self._lock.acquire(blocking=False):
             if self._is_write_blocked:  # otherwise its reader has just received something
-                self.limit = 0
-                self.cut()
+                self.deadline = 0
+                self.abort()
             return
         try:
             self._expire_locked()
@@ -98,26 +99,26 @@
 
     def _expire_locked(self) -> None:
         now = self._context.clock.now()
-        if not 0 < self.limit < now:
+        if not 0 < self.deadline < now:
             return  # a request was received since the caller read the deadline
         if self._is_ending or self._exchange is not None:
             self._shut_down()
-        elif not self._parser.idle:
+        elif not self._parser.is_idle:
             self._keeps_alive = False
             self._send_head(408, {})
-        elif self.quiet:
+        elif self.has_nothing_unread:
             self._half_close()
         else:
-            self.limit = now + READER_GRACE_NS  # the reader thread is late, not the client
+            self.deadline = now + READER_GRACE_NS  # the reader thread is late, not the client
 
     def close_if_idle(self) -> None:
         """Half-closes an idle connection; one with unread bytes ends after the response to them."""
         with self._lock:
-            is_idle = self._exchange is None and self._parser.idle
-            if is_idle and not self._is_ending and not self._is_closed and self.quiet:
+            is_idle = self._exchange is None and self._parser.is_idle
+            if is_idle and not self._is_ending and not self._is_closed and self.has_nothing_unread:
                 self._half_close()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Shuts down the socket at once; the client can tell that its response is incomplete."""
         self._context.log.increment("answers_cut")
         self._keeps_alive = False
@@ -132,20 +133,20 @@
     def _become_idle(self) -> None:
         """No request is in flight: the next one must be complete by the keep-alive deadline."""
         self._body_reservation.release()
-        self.since = self._context.clock.now()
-        self.limit = self.since + self._context.limits.keepalive_timeout
+        self.idle_since = self._context.clock.now()
+        self.deadline = self.idle_since + self._context.limits.keepalive_timeout
 
     def _half_close(self) -> None:
         """Closes our side; the client has the linger timeout to close its own."""
         self._is_ending = True
-        self.limit = self._context.clock.now() + LINGER_TIMEOUT_NS
+        self.deadline = self._context.clock.now() + LINGER_TIMEOUT_NS
         self._parser.clear()
         self._body_reservation.release()
         sockets.shutdown(self._sock, socket.SHUT_WR)
 
     def _shut_down(self) -> None:
         """Ends both directions; what the reader thread still receives is dropped."""
-        self.limit = 0
+        self.deadline = 0
         self._is_ending = True
         sockets.shutdown(self._sock)
 
@@ -154,7 +155,7 @@
         closes = not self._stays_open  # read once: a drain that begins meanwhile must not change it
         is_sent = self._try_send(response_head(status, 0, headers, closes))
         if not is_sent:
-            self.cut()
+            self.abort()
         if closes or not is_sent:
             self._half_close()
         else:
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -30,8 +30,8 @@
 class DownstreamServer:
     """Owns the listener and all downstream connections.
 
-    `_lock` guards `_open` and `peak_count`. Three kinds of threads belong to it: the accept thread, the
-    deadline thread, and a reader thread for each connection.
+    `_lock` guards `_connections` and `peak_count`. Three kinds of threads belong to it: the accept thread,
+    the deadline thread, and a reader thread for each connection.
     """
 
     def __init__(self, context: DownstreamContext) -> None:
@@ -41,14 +41,14 @@
         self._slots = threading.Semaphore(context.limits.max_client_connections)
         self._stopped = threading.Event()
         self._lock = threading.Lock()
-        self._open: set[DownstreamConnection] = set()
+        self._connections: set[DownstreamConnection] = set()
         self._acceptor: threading.Thread | None = None
         self._is_stopping = False
 
     @property
     def open_count(self) -> int:
         """Connections that are open."""
-        return len(self._open)
+        return len(self._connections)
 
     @property
     def is_draining(self) -> bool:
@@ -59,7 +59,7 @@
     def has_pending_responses(self) -> bool:
         """Whether a client waits for the rest of a response, or has sent a part of a request."""
         with self._lock:
-            return any(connection.owed for connection in self._open)
+            return any(connection.has_pending_response for connection in self._connections)
 
     def listen(self, address: Address) -> Address:
         """Binds and starts to accept; returns the bound address; raises OSError.
@@ -88,7 +88,7 @@
     def close_idle(self) -> None:
         """Half-closes connections without a request in flight."""
         with self._lock:
-            connections = list(self._open)
+            connections = list(self._connections)
         for connection in connections:
             connection.close_if_idle()
 
@@ -116,7 +116,7 @@
                 self._record_accept_failure(error)
                 continue
             if self._slots.acquire(blocking=False) or self._wait_for_slot():
-                self._start(sock)
+                self._start_connection(sock)
             else:
                 sock.close()
         listener.close()
@@ -147,21 +147,23 @@
         """Connections to evict, the first first: those without any request yet, then the longest idle."""
         latest = self.context.clock.now() - MIN_IDLE_BEFORE_EVICTION_NS
         with self._lock:
-            unused = [connection for connection in self._open if not connection.asked]
-            idle = [connection for connection in self._open if connection.idle]
-        candidates = [connection for connection in unused if connection.since < latest]
+            unused = [connection for connection in self._connections if not connection.has_received_request]
+            idle = [connection for connection in self._connections if connection.is_idle]
+        candidates = [connection for connection in unused if connection.idle_since < latest]
         if (
             not candidates
             and len(unused) < self.context.limits.max_client_connections // UNUSED_FLOOD_DIVISOR
         ):
-            candidates = [connection for connection in idle if connection.since < latest]
-        return sorted(candidates, key=lambda connection: (connection.owed, connection.since))
+            candidates = [connection for connection in idle if connection.idle_since < latest]
+        return sorted(
+            candidates, key=lambda connection: (connection.has_pending_response, connection.idle_since)
+        )
 
-    def _start(self, sock: socket.socket) -> None:
+    def _start_connection(self, sock: socket.socket) -> None:
         connection = DownstreamConnection(self.context, sock, self.writers, self._forget)
         with self._lock:
-            self._open.add(connection)
-            self.peak_count = max(self.peak_count, len(self._open))
+            self._connections.add(connection)
+            self.peak_count = max(self.peak_count, len(self._connections))
         try:
             # threading.Thread.start waits until the new thread has run: on a busy core that is a hand-over
             # for each connection, in which the accept thread takes no other.
@@ -176,7 +178,7 @@
     def _forget(self, connection: DownstreamConnection) -> None:
         """Removes a connection that has ended, and frees its slot."""
         with self._lock:
-            self._open.discard(connection)
+            self._connections.discard(connection)
         self._slots.release()
 
     # The deadline thread.
@@ -186,7 +188,7 @@
         while not self._stopped.wait(DEADLINE_CHECK_INTERVAL_S):
             now = self.context.clock.now()
             with self._lock:
-                expired = [connection for connection in self._open if 0 < connection.limit < now]
+                expired = [connection for connection in self._connections if 0 < connection.deadline < now]
             for connection in expired:
                 log.increment("clients_past_limit")
                 try:
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -65,10 +65,10 @@
                     self._start_slow_writer(job, unsent)
             except RuntimeError:  # no thread can be started: the client can tell that its response is cut
                 log.increment("threads_short")
-                job.connection.give_up(job.exchange, job.response)
+                job.connection.abandon_response(job.exchange, job.response)
             except Exception:  # a fault in one connection must not end the writer of all
                 log.exception("writer_fault")
-                job.connection.cut()
+                job.connection.abort()
 
     def _start_slow_writer(self, job: WriteJob, unsent: list[memoryview]) -> None:
         self._log.increment("slow_clients")
@@ -77,6 +77,6 @@
     def _finish(self, job: WriteJob, unsent: list[memoryview]) -> None:
         log = self._log
         try:
-            job.connection.finish(job.exchange, job.response, unsent)
+            job.connection.finish_writing(job.exchange, job.response, unsent)
         except Exception:  # the top of a thread: a fault is logged with its trace
             log.exception("writer_fault")
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -130,17 +130,17 @@
         self._body_length = 0  # of the message whose head is parsed
 
     @property
-    def held(self) -> int:
+    def buffered_size(self) -> int:
         """Bytes received that belong to no message taken so far."""
         return len(self._data)
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no byte of a next message has been received."""
         return self._head is None and not self._data
 
     @property
-    def expects(self) -> int:
+    def expected_body_size(self) -> int:
         """Body length in bytes of the message whose head is parsed; 0 where there is none."""
         return self._body_length if self._head is not None else 0
 
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -49,14 +49,14 @@
 def connection_of(made: Rig) -> DownstreamConnection:
     """The one connection that is open."""
     assert made.until(lambda: made.front.downstream.open_count == 1)
-    (connection,) = made.front.downstream._open
+    (connection,) = made.front.downstream._connections
     return connection
 
 
 def rested(made: Rig) -> DownstreamConnection:
     """The one connection, once its answer is written and its writer is done with it."""
     connection = connection_of(made)
-    assert made.until(lambda: connection.idle and not connection._lock.locked())
+    assert made.until(lambda: connection.is_idle and not connection._lock.locked())
     return connection
 
 
@@ -86,7 +86,7 @@
             hang_up(sock, how)
 
         monkeypatch.setattr(sockets, "shutdown", crossed)
-        connection.limit = 1 if end == "expire" else 0
+        connection.deadline = 1 if end == "expire" else 0
         getattr(connection, end)()
         assert sent and client.closed()
         client.sock.close()
@@ -109,7 +109,7 @@
         connection = rested(made)
         asked.set()
         client.send(Client.request())
-        assert made.until(lambda: not connection.quiet)
+        assert made.until(lambda: not connection.has_nothing_unread)
         assert not connection.evict()
         gate.set()
         assert client.read()[0] == 200
@@ -130,10 +130,10 @@
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200
         connection = rested(made)
-        connection.limit = 1
+        connection.deadline = 1
         with connection._lock:
             connection.expire()
-        connection.limit = 0
+        connection.deadline = 0
         assert client.ask()[0] == 200
 
 
@@ -141,9 +141,9 @@
     with rig(bounds={"keepalive_timeout": 800 * MS}) as made, made.client() as client:
         assert client.ask()[0] == 200
         connection, request = rested(made), Client.request()
-        rests = connection.limit
+        rests = connection.deadline
         client.send(request[:20])
-        assert made.until(lambda: not connection._parser.idle)
+        assert made.until(lambda: not connection._parser.is_idle)
         assert made.until(lambda: made.front.clock.now() > rests + 200 * MS)
         client.send(request[20:])
         assert client.read()[0] == 200
@@ -158,8 +158,8 @@
             assert client.ask()[0] == 200
         now = made.front.clock.now()
         made.front.downstream.context.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
-        for connection in made.front.downstream._open:
-            connection.since = now
+        for connection in made.front.downstream._connections:
+            connection.idle_since = now
         with made.client() as late:
             assert made.until(lambda: made.counted("clients_full") == 1)
             assert made.counted("clients_evicted") == 0
@@ -254,9 +254,9 @@
         client = made.client()
         client.send(Client.request(patience=3000))
         assert made.until(lambda: made.front.event_loop.pending_count == 1) and connecting.begun.wait(WITHIN)
-        (connection,) = made.front.downstream._open
+        (connection,) = made.front.downstream._connections
         leave(client.sock)
-        assert made.until(connection.deserted)
+        assert made.until(connection.is_closed_by_client)
         connecting.gate.set()
         assert made.until(lambda: made.counted("calls_of_gone_clients") == 1)
         assert no_fetch(made)
@@ -644,7 +644,7 @@
         request = Client.request(patience=15_000)
         client.send(request[:30])
         connection = connection_of(made)
-        assert made.until(lambda: not connection._parser.idle)
+        assert made.until(lambda: not connection._parser.is_idle)
         ending, began = end(made)
         assert made.until(lambda: made.front.clock.now() > began + 400 * MS)
         client.send(request[30:])
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -868,7 +868,7 @@
 
 def test_what_the_machine_has_accepted_is_answered_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy front has requests that wait to be read, and connections that wait to be accepted."""
-    gate, start = threading.Event(), DownstreamServer._start
+    gate, start = threading.Event(), DownstreamServer._start_connection
 
     def late(self: DownstreamServer, sock: socket.socket) -> None:
         gate.wait(WITHIN)
@@ -876,7 +876,7 @@
 
     with rig() as made, made.client() as idle:
         assert idle.ask()[0] == 200
-        monkeypatch.setattr(DownstreamServer, "_start", late)
+        monkeypatch.setattr(DownstreamServer, "_start_connection", late)
         waiting = [made.client() for _ in range(5)]
         for client in waiting:
             client.send(Client.request(patience=15_000))
@@ -896,10 +896,10 @@
 def test_a_request_that_waits_to_be_read_keeps_its_connection_at_the_end() -> None:
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200
-        (connection,) = made.front.downstream._open
+        (connection,) = made.front.downstream._connections
         with connection._lock:  # its reader is held up
             client.send(Client.request(patience=15_000))
-            assert made.until(lambda: not connection.quiet)
+            assert made.until(lambda: not connection.has_nothing_unread)
             made.front.downstream.drain()
             closing = threading.Thread(target=made.front.downstream.close_idle)
             closing.start()
