--- a/olivepost/proxy/discovery/long_poll.py
+++ b/olivepost/proxy/discovery/long_poll.py
@@ -158,13 +158,13 @@
         head = http1.request_head(target, f"{self._address.host}:{self._address.port}")
         sockets.send_buffers(sock, [head])
         response = self._receive_response(sock, deadline)
-        status = response.first[0]
+        status = response.start_line.status
         if status != OK_STATUS:
             raise ConnectionError(f"status {status}")
         self._watch_state.accept_response(self, orjson.loads(response.body))
         return response.keeps_alive
 
-    def _receive_response(self, sock: socket.socket, deadline: int) -> http1.Message:
+    def _receive_response(self, sock: socket.socket, deadline: int) -> http1.Message[http1.StatusLine]:
         while (response := self._parser.take()) is None:
             remaining = deadline - self._clock.now()
             if remaining <= 0:
@@ -180,5 +180,5 @@
         return response
 
 
-def _response_parser() -> http1.Parser:
-    return http1.Parser(MAX_HEAD_SIZE, MAX_BODY_SIZE, answers=True)
+def _response_parser() -> http1.ResponseParser:
+    return http1.ResponseParser(MAX_HEAD_SIZE, MAX_BODY_SIZE)
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -12,7 +12,8 @@
 from examples.toy_server import Command, Coordinator, Member, body_of, entry, serve_all, tag_of
 from olivepost import interface as api
 from olivepost.config import read_address
-from olivepost.proxy.downstream.listener import DownstreamConnection, DownstreamServer
+from olivepost.proxy.downstream.connection import DownstreamConnection
+from olivepost.proxy.downstream.listener import DownstreamServer
 from olivepost.proxy.event_loop import VOUCHED
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig
 
@@ -241,7 +242,7 @@
     route = DownstreamConnection._route
 
     def odd(self: DownstreamConnection, message: Any, at: int) -> None:
-        if message.first[1] == "/fault":
+        if message.start_line.target == "/fault":
             raise RuntimeError("unforeseen")
         route(self, message, at)
 
@@ -874,7 +875,7 @@
 
 def test_what_the_machine_has_accepted_is_answered_at_the_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy front has requests that wait to be read, and connections that wait to be accepted."""
-    gate, start = threading.Event(), DownstreamServer._start
+    gate, start = threading.Event(), DownstreamServer._start_connection
 
     def late(self: DownstreamServer, sock: socket.socket) -> None:
         gate.wait(WITHIN)
@@ -882,7 +883,7 @@
 
     with rig() as made, made.client() as idle:
         assert idle.ask()[0] == 200
-        monkeypatch.setattr(DownstreamServer, "_start", late)
+        monkeypatch.setattr(DownstreamServer, "_start_connection", late)
         waiting = [made.client() for _ in range(5)]
         for client in waiting:
             client.send(Client.request(patience=15_000))
@@ -902,10 +903,10 @@
 def test_a_request_that_waits_to_be_read_keeps_its_connection_at_the_end() -> None:
     with rig() as made, made.client() as client:
         assert client.ask()[0] == 200
-        (connection,) = made.front.downstream._open
+        (connection,) = made.front.downstream._connections
         with connection._lock:  # its reader is held up
             client.send(Client.request(patience=15_000))
-            assert made.until(lambda: not connection.quiet)
+            assert made.until(lambda: not connection.has_nothing_unread)
             made.front.downstream.drain()
             closing = threading.Thread(target=made.front.downstream.close_idle)
             closing.start()
