--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -1,95 +1,166 @@
-"""Reads an operator's file: safe YAML, no key twice, no aliases, each fault with its file, line and key."""
+"""Reads the operator's YAML file: no duplicate keys, no aliases, each fault with its file, line and key."""
 
 from __future__ import annotations
 
+from collections.abc import Iterator
+from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import yaml
 from pydantic import ValidationError
+from pydantic_core import ErrorDetails
 
 from olivepost.config import ConfigError
 from olivepost.operator_config.model import OperatorSettings
 
-MOST_BYTES = 1 << 20
+MAX_FILE_BYTES = 1 << 20
+STRING_TAG = "tag:yaml.org,2002:str"
+MERGE_TAG = "tag:yaml.org,2002:merge"  # the key `<<`
+MESSAGE_PREFIXES = ("Value error, ", "Assertion failed, ")  # pydantic's, in front of a validator's own text
+MESSAGE_BY_ERROR_TYPE = {"extra_forbidden": "no such key", "missing": "is missing"}
 
+KeyPath = tuple[str, ...]
 
-class OperatorError(ConfigError):
-    """The file can't be used; one line for each fault."""
+
+@dataclass(frozen=True, slots=True)
+class FileFault:
+    """One thing that is wrong in a file; `line` counts from 1, None where it is the file itself."""
+
+    path: str
+    message: str
+    line: int | None = None
+    key: str = ""
+
+    def __str__(self) -> str:
+        place = self.path if self.line is None else f"{self.path}:{self.line}"
+        return f"{place}: {self.key}: {self.message}" if self.key else f"{place}: {self.message}"
+
+
+class OperatorConfigError(ConfigError):
+    """The operator's file can't be used; the message has one line for each of `faults`."""
+
+    def __init__(self, *faults: FileFault) -> None:
+        super().__init__("\n".join(dict.fromkeys(map(str, faults))))
+        self.faults = faults
 
 
 def load(path: str) -> OperatorSettings:
-    """The settings of a file, or OperatorError with every fault that was found."""
-    where = Path(path)
-    try:
-        with where.open("rb") as file:
-            data = file.read(MOST_BYTES + 1)
-    except OSError as fault:
-        raise OperatorError(f"{path}: can't be read: {fault.strerror}") from fault
-    if len(data) > MOST_BYTES:
-        raise OperatorError(f"{path}: larger than {MOST_BYTES} bytes")
-    try:
-        for event in yaml.parse(data, Loader=yaml.SafeLoader):
-            if isinstance(event, yaml.AliasEvent):  # a small file must not grow into a large one
-                raise OperatorError(f"{path}:{_line(event.start_mark)}: aliases are not allowed")
-        reader = yaml.SafeLoader(data)
-        root = reader.get_single_node()
-        _no_key_twice(path, root, ())
-        plain = None if root is None else reader.construct_document(root)
-    except yaml.MarkedYAMLError as fault:
-        line = _line(fault.problem_mark) if fault.problem_mark else 1
-        raise OperatorError(f"{path}:{line}: not YAML: {fault.problem}") from fault
-    except (yaml.YAMLError, ValueError) as fault:
-        raise OperatorError(f"{path}: not YAML: {fault}") from fault
+    """Returns the settings in a file; raises OperatorConfigError."""
+    root, document = _parse(path, _read_bytes(path))
     try:
-        return OperatorSettings.model_validate({} if plain is None else plain)
-    except ValidationError as fault:
-        lines = [_fault(path, root, dict(error)) for error in fault.errors(include_url=False)]
-        raise OperatorError("\n".join(dict.fromkeys(lines))) from fault
+        return OperatorSettings.model_validate({} if document is None else document)
+    except ValidationError as error:
+        details = error.errors(include_url=False)
+        raise OperatorConfigError(*(_validation_fault(path, root, detail) for detail in details)) from error
 
 
 def schema() -> dict[str, object]:
-    """The JSON Schema of the file."""
+    """Returns the JSON Schema of the file."""
     return OperatorSettings.model_json_schema()
 
 
-def _line(mark: object) -> int:
-    return int(getattr(mark, "line", 0)) + 1
+def _read_bytes(path: str) -> bytes:
+    try:
+        with Path(path).open("rb") as file:
+            data = file.read(MAX_FILE_BYTES + 1)
+    except OSError as error:
+        raise OperatorConfigError(FileFault(path, f"can't be read: {error.strerror}")) from error
+    if len(data) > MAX_FILE_BYTES:
+        raise OperatorConfigError(FileFault(path, f"larger than {MAX_FILE_BYTES} bytes"))
+    return data
 
 
-def _no_key_twice(path: str, node: yaml.Node | None, at: tuple[str, ...]) -> None:
-    """YAML's own reader takes the last of two; which was meant can't be known."""
+def _parse(path: str, data: bytes) -> tuple[yaml.Node | None, Any]:
+    """Returns the document's node tree, for line numbers, and its plain values."""
+    try:
+        _reject_aliases(path, data)
+        loader = yaml.SafeLoader(data)
+        root = loader.get_single_node()
+        faults = tuple(_key_faults(path, root, ()))
+        if faults:
+            raise OperatorConfigError(*faults)
+        return root, None if root is None else loader.construct_document(root)
+    except yaml.MarkedYAMLError as error:
+        line = _line(error.problem_mark) if error.problem_mark else 1
+        raise OperatorConfigError(FileFault(path, f"not YAML: {error.problem}", line)) from error
+    except (yaml.YAMLError, ValueError) as error:
+        raise OperatorConfigError(FileFault(path, f"not YAML: {error}")) from error
+
+
+def _reject_aliases(path: str, data: bytes) -> None:
+    """Guards against a small file that expands to a very large document."""
+    for event in yaml.parse(data, Loader=yaml.SafeLoader):
+        if isinstance(event, yaml.AliasEvent):
+            raise OperatorConfigError(FileFault(path, "aliases are not allowed", _line(event.start_mark)))
+
+
+def _line(mark: Any) -> int:
+    """Returns the line, from 1, of a mark; its type in the stubs is a union that includes None."""
+    return int(mark.line) + 1
+
+
+def _key_faults(path: str, node: yaml.Node | None, parents: KeyPath) -> Iterator[FileFault]:
+    """Yields keys that are not strings and keys that are there twice.
+
+    YAML's own reader would take the last of two keys, and `on`, `yes` or `1` as a boolean or a number.
+    """
     if isinstance(node, yaml.MappingNode):
-        seen: set[str] = set()
+        names: set[str] = set()
         for key, value in node.value:
-            name = str(key.value)
-            if name in seen:
-                raise OperatorError(f"{path}:{_line(key.start_mark)}: {'.'.join((*at, name))}: stands twice")
-            seen.add(name)
-            _no_key_twice(path, value, (*at, name))
+            name = _key_text(key)
+            key_path = (*parents, name)
+            if name in names:
+                yield FileFault(path, "stands twice", _line(key.start_mark), ".".join(key_path))
+            elif key.tag not in (STRING_TAG, MERGE_TAG):
+                yield FileFault(path, _key_type_message(key), _line(key.start_mark), ".".join(key_path))
+            names.add(name)
+            yield from _key_faults(path, value, key_path)
     elif isinstance(node, yaml.SequenceNode):
         for index, value in enumerate(node.value):
-            _no_key_twice(path, value, (*at, str(index)))
-
-
-def _fault(path: str, root: yaml.Node | None, error: dict[str, object]) -> str:
-    """One fault as a line: file, line, key, what was found, what is allowed."""
-    where = error["loc"]
-    keys = [str(key) for key in where] if isinstance(where, tuple) else []
-    line, node = 1, root
-    for key in keys:
-        found = _inner(node, key)
-        if found is None:
+            yield from _key_faults(path, value, (*parents, str(index)))
+
+
+def _key_text(key: yaml.Node) -> str:
+    """Returns a key as the file has it."""
+    if isinstance(key, yaml.ScalarNode):
+        return str(key.value)
+    return "a sequence" if isinstance(key, yaml.SequenceNode) else "a mapping"
+
+
+def _key_type_message(key: yaml.Node) -> str:
+    kind = key.tag.rpartition(":")[2]
+    return f"a key must be a string, and YAML reads this one as {kind}"
+
+
+def _validation_fault(path: str, root: yaml.Node | None, detail: ErrorDetails) -> FileFault:
+    """Returns one fault that pydantic found: its line, its key, what is allowed and what the file has."""
+    key_path = tuple(str(key) for key in detail["loc"])
+    message = MESSAGE_BY_ERROR_TYPE.get(detail["type"])
+    if message is None:
+        message = detail["msg"]
+        for prefix in MESSAGE_PREFIXES:
+            message = message.removeprefix(prefix)
+        found = detail.get("input")
+        if found is None or isinstance(found, (str, int, float, bool)):
+            message = f"{message}, not {found!r:.60}"
+    return FileFault(path, message, _line_of(root, key_path), ".".join(key_path) or "the file")
+
+
+def _line_of(root: yaml.Node | None, key_path: KeyPath) -> int:
+    """Returns the line of the innermost key on a path that the file has."""
+    line = 1
+    node = root
+    for key in key_path:
+        child = _child(node, key)
+        if child is None:
             break
-        line, node = found
-    why = str(error["msg"]).removeprefix("Value error, ").removeprefix("Assertion failed, ")
-    allowed = {"extra_forbidden": "no such key", "missing": "is missing"}.get(str(error["type"]), why)
-    given = error.get("input")
-    told = f", not {given!r:.60}" if isinstance(given, (str, int, float, bool)) or given is None else ""
-    told = "" if error["type"] in ("extra_forbidden", "missing") else told
-    return f"{path}:{line}: {'.'.join(keys) or 'the file'}: {allowed}{told}"
+        line, node = child
+    return line
 
 
-def _inner(node: yaml.Node | None, key: str) -> tuple[int, yaml.Node] | None:
+def _child(node: yaml.Node | None, key: str) -> tuple[int, yaml.Node] | None:
+    """Returns the line and the value of a mapping's key or a sequence's index."""
     if isinstance(node, yaml.MappingNode):
         for name, value in node.value:
             if str(name.value) == key:
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -54,25 +54,25 @@
 
 
 class Claims(Section):
-    on: bool = True
+    enabled: bool = True
     most: Annotated[int, span_within("100ms", "60s"), SPAN_SCHEMA] = Field(
         default=10 * SECOND, description="the longest that a claim runs; its request's time, if that is less"
     )
 
 
 class Holders(Section):
-    on: bool = True
+    enabled: bool = True
     keep: Annotated[int, span_within("1s", "24h"), SPAN_SCHEMA] = Field(
         default=60 * SECOND, description="how long a store remembers who keeps a name"
     )
 
 
 class Purges(Section):
-    on: bool = True
+    enabled: bool = True
 
 
 class Budgets(Section):
-    on: bool = True
+    enabled: bool = True
     loan: Annotated[int, span_within("100ms", "1950ms"), SPAN_SCHEMA] = Field(
         default=1_900 * MILLISECOND,
         description="how long a borrowed piece counts, from when it was asked for",
@@ -80,7 +80,7 @@
 
 
 class Suspicions(Section):
-    on: bool = True
+    enabled: bool = True
 
 
 class Trials(Section):
@@ -144,14 +144,14 @@
             tuple(store.name for store in self.stores),
             self.wait,
             self.sync,
-            leases_enabled=self.claims.on,
+            leases_enabled=self.claims.enabled,
             max_lease_duration=self.claims.most,
-            locations_enabled=self.holders.on,
+            locations_enabled=self.holders.enabled,
             location_lifetime=self.holders.keep,
-            invalidations_enabled=self.purges.on,
-            quota_transfers_enabled=self.budgets.on,
+            invalidations_enabled=self.purges.enabled,
+            quota_transfers_enabled=self.budgets.enabled,
             quota_duration=self.budgets.loan,
-            outlier_reports_enabled=self.suspicions.on,
+            outlier_reports_enabled=self.suspicions.enabled,
             min_trial_delay=self.trials.first,
             max_trial_delay=self.trials.most,
         )
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -13,7 +13,7 @@
 
 from examples.toy_server import CONFIG
 from olivepost.cli import main
-from olivepost.operator_config.loader import OperatorError, load
+from olivepost.operator_config.loader import OperatorConfigError, load
 from olivepost.operator_config.units import read_secret, read_span, write_span
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "examples" / "sharing.yaml"
@@ -23,7 +23,7 @@
 def faults(tmp_path: Path, text: str) -> str:
     path = tmp_path / "operator.yaml"
     path.write_text(text)
-    with pytest.raises(OperatorError) as raised:
+    with pytest.raises(OperatorConfigError) as raised:
         load(str(path))
     return str(raised.value)
 
@@ -65,12 +65,41 @@
         ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1'}, {name: s, address: 'h:2'}]\n", "same"),
         ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1', user: u}]\n", "needs a password_file"),
         ("sharing:\n  branch: w\n" + STORE + "  trials: {first: 2s, most: 1s}\n", ":4: sharing.trials: most"),
+        (
+            "sharing:\n  branch: w\n" + STORE + "  claims:\n    on: false\n",
+            ":5: sharing.claims.on: a key must be a string, and YAML reads this one as bool",
+        ),
+        ("sharing:\n  7: w\n", ":2: sharing.7: a key must be a string, and YAML reads this one as int"),
+        ("sharing:\n  ? [a]\n  : w\n", ":2: sharing.a sequence: a key must be a string"),
     ],
 )
 def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, told: str) -> None:
     assert told in faults(tmp_path, text) and "operator.yaml" in faults(tmp_path, text)
 
 
+@pytest.mark.parametrize("section", ["claims", "holders", "purges", "budgets", "suspicions"])
+@pytest.mark.parametrize(
+    ("text", "is_enabled"), [("false", False), ("off", False), ("true", True), ("on", True)]
+)
+def test_each_kind_of_sharing_can_be_switched_on_and_off(
+    tmp_path: Path, section: str, text: str, is_enabled: bool
+) -> None:
+    path = tmp_path / "operator.yaml"
+    path.write_text(f"sharing:\n  branch: w\n{STORE}  {section}:\n    enabled: {text}\n")
+    sharing = load(str(path)).sharing
+    assert sharing is not None
+    assert getattr(sharing, section).enabled is is_enabled
+
+
+def test_all_faulty_keys_are_reported_at_once(tmp_path: Path) -> None:
+    text = faults(tmp_path, "sharing:\n  on: 1\n  no: 2\n  branch: w\n  branch: x\n")
+    assert [line.split(": ")[1] for line in text.splitlines()] == [
+        "sharing.on",
+        "sharing.no",
+        "sharing.branch",
+    ]
+
+
 def test_a_faulty_file_ends_with_code_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text("sharing: {}\n")
