--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -48,8 +48,11 @@
 def load(path: str) -> OperatorSettings:
     """Returns the settings in a file; raises OperatorConfigError."""
     root, document = _parse(path, _read_bytes(path))
+    if document is None or document == {}:
+        sections = ", ".join(OperatorSettings.model_fields)
+        raise OperatorConfigError(FileFault(path, f"has no section; there are: {sections}", 1, "the file"))
     try:
-        return OperatorSettings.model_validate({} if document is None else document)
+        return OperatorSettings.model_validate(document)
     except ValidationError as error:
         details = error.errors(include_url=False)
         raise OperatorConfigError(*(_validation_fault(path, root, detail) for detail in details)) from error
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -100,6 +100,16 @@
     ]
 
 
+@pytest.mark.parametrize("text", ["", "\n", "# sharing:\n#   branch: west\n", "---\n...\n", "null\n", "{}\n"])
+def test_a_file_without_a_section_is_rejected(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str
+) -> None:
+    path = tmp_path / "operator.yaml"
+    path.write_text(text)
+    assert main(["check", "--operator", str(path)]) == 2
+    assert capsys.readouterr().err == f"olivepost: {path}:1: the file: has no section; there are: sharing\n"
+
+
 def test_a_faulty_file_ends_with_code_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text("sharing: {}\n")
