--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -59,8 +59,11 @@
 
 
 def schema() -> dict[str, object]:
-    """Returns the JSON Schema of the file."""
-    return OperatorSettings.model_json_schema()
+    """Returns the JSON Schema of the file, for editors.
+
+    In pydantic's mode `serialization` a default has the form that the file takes: `10s`, not nanoseconds.
+    """
+    return OperatorSettings.model_json_schema(mode="serialization")
 
 
 def _read_bytes(path: str) -> bytes:
--- a/olivepost/operator_config/model.py
+++ b/olivepost/operator_config/model.py
@@ -1,17 +1,16 @@
-"""What an operator's file may hold: one typed section a subsystem."""
+"""The operator's file as a type: one optional section for each subsystem."""
 
 from __future__ import annotations
 
-from pydantic import BaseModel, ConfigDict, Field
+from pydantic import Field
 
+from olivepost.operator_config.section import SettingsSection
 from olivepost.shared_store.settings import SharedStoreSettings
 
 
-class OperatorSettings(BaseModel):
-    """The whole file; a section that is left out is off."""
-
-    model_config = ConfigDict(extra="forbid", frozen=True)
+class OperatorSettings(SettingsSection):
+    """The whole file; a subsystem without a section is off."""
 
     sharing: SharedStoreSettings | None = Field(
-        default=None, description="what fronts of one branch tell each other through shared stores"
+        default=None, description="what proxies of one branch share through stores of the Redis kind"
     )
--- a/olivepost/operator_config/units.py
+++ b/olivepost/operator_config/units.py
@@ -1,69 +1,110 @@
-"""Durations, addresses and files as people write them; each raises ValueError that tells what is allowed."""
+"""Durations, addresses and secrets as operators write them, parsed and formatted.
+
+Every parser raises ValueError with a message that says what is allowed.
+"""
 
 from __future__ import annotations
 
 import re
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Annotated
-
-from pydantic import BeforeValidator, WithJsonSchema
-
-SPANS = {"us": 1_000, "ms": 1_000_000, "s": 1_000_000_000, "m": 60_000_000_000, "h": 3_600_000_000_000}
-SPAN = re.compile(r"([0-9]{1,15}(?:\.[0-9]{1,6})?)(us|ms|s|m|h)", re.ASCII)
-HOST = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9.-]{0,252}[A-Za-z0-9])?", re.ASCII)
-SECRET_MOST = 4_096  # bytes
-
-
-def read_span(value: object) -> object:
-    """A duration in nanoseconds from `250ms`, `1.5s`, `2m`; whole numbers are taken as nanoseconds."""
+from typing import Annotated, Any
+
+from pydantic import BeforeValidator, GetCoreSchemaHandler, GetJsonSchemaHandler, WithJsonSchema
+from pydantic_core import CoreSchema, core_schema
+
+UNIT_NS = {
+    "us": 1_000,
+    "ms": 1_000_000,
+    "s": 1_000_000_000,
+    "m": 60_000_000_000,
+    "h": 3_600_000_000_000,
+}
+DURATION_PATTERN = re.compile(r"([0-9]{1,15}(?:\.[0-9]{1,6})?)(us|ms|s|m|h)", re.ASCII)
+HOST_NAME_PATTERN = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9.-]{0,252}[A-Za-z0-9])?", re.ASCII)
+IPV6_PATTERN = re.compile(r"[0-9A-Fa-f:.]{2,45}", re.ASCII)
+MAX_PORT = 65_535
+MAX_SECRET_BYTES = 4_096
+
+
+def parse_duration(value: object) -> int:
+    """Returns nanoseconds from `250ms`, `1.5s` or `2m`; a whole number is taken as nanoseconds."""
     if isinstance(value, int) and not isinstance(value, bool):
         return value
-    match = SPAN.fullmatch(value) if isinstance(value, str) else None
+    match = DURATION_PATTERN.fullmatch(value) if isinstance(value, str) else None
     if not match:
         raise ValueError("must be a duration like 250ms, 1.5s or 2m")
-    return int(float(match[1]) * SPANS[match[2]])
+    return int(float(match[1]) * UNIT_NS[match[2]])
+
 
+def format_duration(duration_ns: int) -> str:
+    """Formats nanoseconds in the largest unit that gives a whole number, as `parse_duration` reads it."""
+    for unit, unit_ns in reversed(UNIT_NS.items()):
+        if duration_ns and duration_ns % unit_ns == 0:
+            return f"{duration_ns // unit_ns}{unit}"
+    return f"{duration_ns / UNIT_NS['us']:g}us"
 
-def write_span(span: int) -> str:
-    """A duration as people write it, in the largest unit that leaves it whole."""
-    for unit in ("h", "m", "s", "ms", "us"):
-        if span and span % SPANS[unit] == 0:
-            return f"{span // SPANS[unit]}{unit}"
-    return f"{span / 1_000:g}us"
 
+@dataclass(frozen=True, slots=True)
+class DurationRange:
+    """Annotation of an `int` field in nanoseconds that the file holds as a duration.
 
-def span_within(least: str, most: str) -> object:
-    """A validator for durations from one to another, both included."""
-    low, high = read_span(least), read_span(most)
-    assert isinstance(low, int) and isinstance(high, int)
+    Both bounds are allowed values. In JSON and in the JSON Schema the field has the written form.
+    """
 
-    def check(value: object) -> object:
-        span = read_span(value)
-        if not isinstance(span, int) or not low <= span <= high:
-            raise ValueError(f"must be from {least} to {most}")
-        return span
+    minimum: str
+    maximum: str
 
-    return BeforeValidator(check)
+    def parse(self, value: object) -> int:
+        """Returns nanoseconds; raises ValueError outside the range."""
+        duration_ns = parse_duration(value)
+        if not parse_duration(self.minimum) <= duration_ns <= parse_duration(self.maximum):
+            raise ValueError(f"must be from {self.minimum} to {self.maximum}")
+        return duration_ns
 
+    def __get_pydantic_core_schema__(self, source: Any, handler: GetCoreSchemaHandler) -> CoreSchema:
+        """Validates by `parse` and serializes to JSON by `format_duration`."""
+        return core_schema.no_info_before_validator_function(
+            self.parse,
+            handler(source),
+            serialization=core_schema.plain_serializer_function_ser_schema(format_duration, when_used="json"),
+        )
 
-def read_address(value: object) -> object:
-    """A host and a port from `cache.example:6379` or `[::1]:6379`."""
+    def __get_pydantic_json_schema__(
+        self, _schema: CoreSchema, _handler: GetJsonSchemaHandler
+    ) -> dict[str, Any]:
+        """Describes the written form to editors."""
+        return {"type": "string", "pattern": f"^{DURATION_PATTERN.pattern}$", "examples": ["250ms"]}
+
+
+def parse_address(value: object) -> object:
+    """Returns host and port from `store.example:6379` or `[::1]:6379`; a pair is passed on as it is."""
     if isinstance(value, (list, tuple)):
         return value
-    host, colon, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
-    six = host.startswith("[") and host.endswith("]")
-    host = host[1:-1] if six else host
-    named = re.fullmatch(r"[0-9A-Fa-f:.]{2,45}", host, re.ASCII) if six else HOST.fullmatch(host)
-    if not (colon and named and port.isascii() and port.isdigit() and 1 <= int(port[:6]) <= 65_535):
+    host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
+    is_ipv6 = host.startswith("[") and host.endswith("]")
+    if is_ipv6:
+        host = host[1:-1]
+    pattern = IPV6_PATTERN if is_ipv6 else HOST_NAME_PATTERN
+    if not pattern.fullmatch(host) or not _is_port(port):
         raise ValueError("must be an address like 10.0.0.4:6379, store.example:6379 or [::1]:6379")
     return host, int(port)
 
 
+def _is_port(text: str) -> bool:
+    if not (text.isascii() and text.isdigit()):
+        return False
+    return 1 <= int(text[:6]) <= MAX_PORT  # six digits are enough to see that a number is too large
+
+
 def read_secret(path: Path) -> str:
-    """A secret from its file, without the line's end; raises OSError or ValueError, which never tell it."""
-    data = path.read_bytes()[: SECRET_MOST + 1]
-    if len(data) > SECRET_MOST:
-        raise ValueError(f"longer than {SECRET_MOST} bytes")
+    """Returns the secret in a file without the line's end.
+
+    Raises OSError or ValueError; neither message contains any part of the file.
+    """
+    data = path.read_bytes()[: MAX_SECRET_BYTES + 1]
+    if len(data) > MAX_SECRET_BYTES:
+        raise ValueError(f"longer than {MAX_SECRET_BYTES} bytes")
     text = data.decode("utf-8", errors="strict").rstrip("\r\n")
     if not text or "\n" in text:
         raise ValueError("empty, or more than one line")
@@ -72,7 +113,6 @@
 
 HostPort = Annotated[
     tuple[str, int],
-    BeforeValidator(read_address),
+    BeforeValidator(parse_address),
     WithJsonSchema({"type": "string", "examples": ["10.0.0.4:6379"]}),
 ]
-SPAN_SCHEMA = WithJsonSchema({"type": "string", "pattern": SPAN.pattern, "examples": ["250ms"]})
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -1,149 +1,173 @@
-"""The operator's section `sharing`: stores, how long they are waited for, and what is shared through them."""
+"""The section `sharing` of the operator's file: the stores, timeouts, and what is shared through them.
+
+Fields have the names of the file's keys. Durations are whole nanoseconds here and `250ms` in the file.
+"""
 
 from __future__ import annotations
 
 from pathlib import Path
 from typing import Annotated, Self
 
-from pydantic import BaseModel, ConfigDict, Field, model_validator
+from pydantic import Field, model_validator
 
-from olivepost.config import MILLISECOND, SECOND
-from olivepost.operator_config.units import SPAN_SCHEMA, HostPort, span_within, write_span
+from olivepost.operator_config.section import SettingsSection
+from olivepost.operator_config.units import DurationRange, HostPort, format_duration
 from olivepost.shared_store.messages import SharingTerms
+from olivepost.units import MILLISECOND, SECOND
 
-NAME = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
-
-
-class Section(BaseModel):
-    """No key but those that are described."""
-
-    model_config = ConfigDict(extra="forbid", frozen=True)
+NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
+MAX_STORES = 16
+MAX_USER_LENGTH = 128  # characters
+MAX_DATABASE = 15  # a server has 16 unless it is configured otherwise
+MAX_QUEUE_LENGTH = 65_536  # commands
 
 
-class Tls(Section):
-    """A connection that is encrypted, and whose certificate is always checked against the address's host."""
+class StoreTls(SettingsSection):
+    """An encrypted connection; the certificate is always verified, also against the address's host name."""
 
-    ca_file: Path = Field(description="the authorities that may have signed the store's certificate")
-    cert_file: Path | None = Field(default=None, description="this front's own certificate")
-    key_file: Path | None = Field(default=None, description="and its key")
+    ca_file: Path = Field(description="certificate authorities that may have signed the store's certificate")
+    cert_file: Path | None = Field(default=None, description="client certificate of this proxy")
+    key_file: Path | None = Field(default=None, description="private key of the client certificate")
 
     @model_validator(mode="after")
-    def _both(self) -> Self:
+    def _require_certificate_with_key(self) -> Self:
         if (self.cert_file is None) != (self.key_file is None):
             raise ValueError("cert_file and key_file go together")
         return self
 
 
-class StoreSettings(Section):
-    """One server of the Redis kind, 6.2 or later; not a cluster of them."""
+class StoreSettings(SettingsSection):
+    """One server of the Redis kind, 6.2 or later; a cluster is not supported."""
 
-    name: str = Field(pattern=NAME, description="in the log and on the command line; names spread by it")
+    name: str = Field(
+        pattern=NAME_PATTERN,
+        description="identifies the store in the log and on the command line; keys are spread by it",
+    )
     address: HostPort
-    database: int = Field(default=0, ge=0, le=15)
-    user: str | None = Field(default=None, max_length=128)
+    database: int = Field(default=0, ge=0, le=MAX_DATABASE)
+    user: str | None = Field(default=None, max_length=MAX_USER_LENGTH)
     password_file: Path | None = Field(
-        default=None, description="read at each connection, so that it may change in service"
+        default=None, description="read at each connection, so that the password may change in service"
     )
-    tls: Tls | None = None
+    tls: StoreTls | None = None
 
     @model_validator(mode="after")
-    def _named(self) -> Self:
+    def _require_password_with_user(self) -> Self:
         if self.user and not self.password_file:
             raise ValueError("a user needs a password_file")
         return self
 
 
-class Claims(Section):
+class FillLeaseSettings(SettingsSection):
+    """Leases on fills, so that one proxy of a branch fills an object and the others follow it."""
+
     enabled: bool = True
-    most: Annotated[int, span_within("100ms", "60s"), SPAN_SCHEMA] = Field(
-        default=10 * SECOND, description="the longest that a claim runs; its request's time, if that is less"
+    most: Annotated[int, DurationRange("100ms", "60s")] = Field(
+        default=10 * SECOND, description="longest lease; its request's remaining time, if that is less"
     )
 
 
-class Holders(Section):
+class CacheLocationSettings(SettingsSection):
+    """Published locations: which cache has an object."""
+
     enabled: bool = True
-    keep: Annotated[int, span_within("1s", "24h"), SPAN_SCHEMA] = Field(
-        default=60 * SECOND, description="how long a store remembers who keeps a name"
+    keep: Annotated[int, DurationRange("1s", "24h")] = Field(
+        default=60 * SECOND, description="how long a store keeps a published location"
     )
 
 
-class Purges(Section):
+class InvalidationSettings(SettingsSection):
+    """Invalidations (purges) that are published, and followed from other proxies."""
+
     enabled: bool = True
 
 
-class Budgets(Section):
+class QuotaTransferSettings(SettingsSection):
+    """Transfers of quota between the proxies of a branch."""
+
     enabled: bool = True
-    loan: Annotated[int, span_within("100ms", "1950ms"), SPAN_SCHEMA] = Field(
-        default=1_900 * MILLISECOND,
-        description="how long a borrowed piece counts, from when it was asked for",
+    loan: Annotated[int, DurationRange("100ms", "1950ms")] = Field(
+        default=1_900 * MILLISECOND, description="how long received quota counts, from when it was requested"
     )
 
 
-class Suspicions(Section):
+class OutlierReportSettings(SettingsSection):
+    """Outlier reports that are published, and read from other proxies."""
+
     enabled: bool = True
 
 
-class Trials(Section):
-    """When a store that was left alone is tried again: pauses double from first to most, with jitter."""
+class TrialSettings(SettingsSection):
+    """Delays before a half-open trial of a store whose circuit breaker is open: exponential, with jitter."""
 
-    first: Annotated[int, span_within("10ms", "10s"), SPAN_SCHEMA] = 100 * MILLISECOND
-    most: Annotated[int, span_within("100ms", "60s"), SPAN_SCHEMA] = 1 * SECOND
+    first: Annotated[int, DurationRange("10ms", "10s")] = 100 * MILLISECOND
+    most: Annotated[int, DurationRange("100ms", "60s")] = 1 * SECOND
 
     @model_validator(mode="after")
-    def _ordered(self) -> Self:
+    def _require_ordered_delays(self) -> Self:
         if self.most < self.first:
-            raise ValueError(f"most must not be under first ({write_span(self.first)})")
+            raise ValueError(f"most must not be under first ({format_duration(self.first)})")
         return self
 
 
-class Queues(Section):
-    """What may wait for a store's connection; beyond it advice is dropped, never a request."""
+class QueueLimits(SettingsSection):
+    """Commands that may wait for a store's connection; further ones are dropped, requests never are."""
 
-    urgent: int = Field(default=256, ge=1, le=65_536)
-    upkeep: int = Field(default=1_024, ge=16, le=65_536)
+    urgent: int = Field(default=256, ge=1, le=MAX_QUEUE_LENGTH)
+    upkeep: int = Field(default=1_024, ge=16, le=MAX_QUEUE_LENGTH)
 
 
-class SharedStoreSettings(Section):
-    """What fronts of one branch share."""
+class SharedStoreSettings(SettingsSection):
+    """What the proxies of one branch share, and through which stores."""
 
-    branch: str = Field(pattern=NAME, description="fronts of one branch, and no others, have the same")
-    stores: list[StoreSettings] = Field(min_length=1, max_length=16)
-    wait: Annotated[int, span_within("1ms", "100ms"), SPAN_SCHEMA] = Field(
+    branch: str = Field(
+        pattern=NAME_PATTERN, description="the same for all proxies of one branch, and for no others"
+    )
+    stores: list[StoreSettings] = Field(min_length=1, max_length=MAX_STORES)
+    wait: Annotated[int, DurationRange("1ms", "100ms")] = Field(
         default=10 * MILLISECOND,
-        description="of one request for all its questions; 2 % of its time, if that is less",
+        description="longest wait of one request for all its lookups; 2 % of its time, if that is less",
+    )
+    give_up: Annotated[int, DurationRange("20ms", "5s")] = Field(
+        default=250 * MILLISECOND, description="a connection without a reply for so long is closed"
     )
-    give_up: Annotated[int, span_within("20ms", "5s"), SPAN_SCHEMA] = Field(
-        default=250 * MILLISECOND, description="after which a connection that has not answered is closed"
+    connect: Annotated[int, DurationRange("10ms", "5s")] = Field(
+        default=500 * MILLISECOND, description="timeout of a new connection"
     )
-    connect: Annotated[int, span_within("10ms", "5s"), SPAN_SCHEMA] = 500 * MILLISECOND
-    sync: Annotated[int, span_within("10ms", "1s"), SPAN_SCHEMA] = Field(
-        default=50 * MILLISECOND, description="between two exchanges of purges, needs and suspicions"
+    sync: Annotated[int, DurationRange("10ms", "1s")] = Field(
+        default=50 * MILLISECOND,
+        description="interval at which invalidations, quota requests and outlier reports are exchanged",
     )
-    trials: Trials = Trials()
-    queues: Queues = Queues()
-    claims: Claims = Claims()
-    holders: Holders = Holders()
-    purges: Purges = Purges()
-    budgets: Budgets = Budgets()
-    suspicions: Suspicions = Suspicions()
+    trials: TrialSettings = TrialSettings()
+    queues: QueueLimits = QueueLimits()
+    claims: FillLeaseSettings = FillLeaseSettings()
+    holders: CacheLocationSettings = CacheLocationSettings()
+    purges: InvalidationSettings = InvalidationSettings()
+    budgets: QuotaTransferSettings = QuotaTransferSettings()
+    suspicions: OutlierReportSettings = OutlierReportSettings()
 
     @model_validator(mode="after")
-    def _whole(self) -> Self:
+    def _require_consistency(self) -> Self:
         names = [store.name for store in self.stores]
         if len(set(names)) < len(names):
             raise ValueError(f"stores have the same name: {', '.join(sorted(names))}")
         if self.give_up < self.wait:
-            raise ValueError(f"give_up must not be under wait ({write_span(self.wait)})")
+            raise ValueError(f"give_up must not be under wait ({format_duration(self.wait)})")
         return self
 
-    def terms(self, front: str, incarnation: str) -> SharingTerms:
-        """What the deciding part needs of all this."""
+    @property
+    def key_prefix(self) -> str:
+        """The prefix of all of the branch's keys in its stores."""
+        return f"olivepost:{self.branch}"
+
+    def terms(self, proxy_name: str, incarnation: str) -> SharingTerms:
+        """Returns what the coordinator needs of these settings, for one process of a proxy."""
         return SharingTerms(
-            front,
-            incarnation,
-            tuple(store.name for store in self.stores),
-            self.wait,
-            self.sync,
+            proxy=proxy_name,
+            incarnation=incarnation,
+            stores=tuple(store.name for store in self.stores),
+            reply_timeout=self.wait,
+            sync_interval=self.sync,
             leases_enabled=self.claims.enabled,
             max_lease_duration=self.claims.most,
             locations_enabled=self.holders.enabled,
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -3,20 +3,25 @@
 from __future__ import annotations
 
 import json
+import re
 import subprocess
 import sys
+from collections.abc import Iterator
 from pathlib import Path
+from typing import Any, cast
 
 import pytest
+import yaml
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from examples.toy_server import CONFIG
 from olivepost.cli import main
-from olivepost.operator_config.loader import OperatorConfigError, load
-from olivepost.operator_config.units import read_secret, read_span, write_span
+from olivepost.operator_config.loader import OperatorConfigError, load, schema
+from olivepost.operator_config.units import format_duration, parse_duration, read_secret
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "examples" / "sharing.yaml"
+KeyPath = tuple[Any, ...]
 STORE = "  stores: [{name: s, address: '127.0.0.1:1'}]\n"
 
 
@@ -124,11 +129,69 @@
     assert "sharing" in json.loads(capsys.readouterr().out)["properties"]
 
 
+def definition_of(field: dict[str, Any]) -> dict[str, Any]:
+    """Returns the schema that a field, or one branch of it, refers to; an empty one where there is none."""
+    for branch in (field, field.get("items", {}), *field.get("anyOf", ())):
+        if "$ref" in branch:
+            return DEFINITIONS[branch["$ref"].rpartition("/")[2]]
+    return {}
+
+
+def defaults_of(section: dict[str, Any], path: KeyPath) -> Iterator[tuple[KeyPath, dict[str, Any]]]:
+    """Yields each key below a section that has a default, with the key's own schema."""
+    for key, field in section.get("properties", {}).items():
+        if "default" in field:
+            yield (*path, key), field
+        below = (*path, key, 0) if "items" in field else (*path, key)
+        yield from defaults_of(definition_of(field), below)
+
+
+DEFINITIONS = cast("dict[str, dict[str, Any]]", schema()["$defs"])
+DEFAULTS = list(defaults_of(schema(), ()))
+
+
+def test_the_schema_has_a_default_for_every_optional_key() -> None:
+    assert len(DEFAULTS) == 30, [".".join(map(str, path)) for path, _ in DEFAULTS]
+
+
+@pytest.mark.parametrize(("path", "field"), DEFAULTS, ids=[".".join(map(str, path)) for path, _ in DEFAULTS])
+def test_a_default_of_the_schema_can_be_put_into_a_file(
+    tmp_path: Path, path: KeyPath, field: dict[str, Any]
+) -> None:
+    """Guards against defaults in a form that the file does not take, such as bare nanoseconds."""
+    store = {"name": "s", "address": "127.0.0.1:1", "tls": {"ca_file": "/ca.pem"}}
+    document: dict[str, Any] = {"sharing": {"branch": "w", "stores": [store]}}
+    section: Any = document
+    for key in path[:-1]:
+        section = section.setdefault(key, {}) if isinstance(section, dict) else section[key]
+    section[path[-1]] = field["default"]
+    file = tmp_path / "operator.yaml"
+    file.write_text(yaml.safe_dump(document))
+
+    settings: Any = load(str(file))
+    for key in path[:-1]:
+        settings = settings[key] if isinstance(key, int) else getattr(settings, key)
+    assert getattr(settings, path[-1]) == type(settings).model_fields[path[-1]].default
+
+
+@pytest.mark.parametrize("field", [field for _, field in DEFAULTS])
+def test_a_default_of_the_schema_has_the_form_that_the_schema_allows(field: dict[str, Any]) -> None:
+    default = field["default"]
+    if isinstance(default, dict):
+        keys = definition_of(field)["properties"]
+        assert default == {key: keys[key]["default"] for key in keys}
+    elif "pattern" in field:
+        assert re.search(field["pattern"], default)
+    else:
+        kinds = {branch.get("type") for branch in (field, *field.get("anyOf", ()))}
+        assert {type(None): "null", bool: "boolean", int: "integer"}[type(default)] in kinds
+
+
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
 @given(st.integers(1, 10**13))
 def test_a_span_is_read_as_it_is_written(span: int) -> None:
     span -= span % 1_000
-    assert read_span(write_span(span)) == span
+    assert parse_duration(format_duration(span)) == span
 
 
 def test_a_secret_is_never_told(tmp_path: Path) -> None:
@@ -136,7 +199,7 @@
     path.write_bytes(b"hush\n")
     assert read_secret(path) == "hush"
     path.write_bytes(b"hush\nhush\n")
-    with pytest.raises(ValueError) as raised:
+    with pytest.raises(ValueError, match="more than one line") as raised:
         read_secret(path)
     assert "hush" not in str(raised.value)
 
