--- a/tests/shared_store/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -55,6 +55,15 @@
     def stands(front: ProxyServer) -> bool:
         return front.event_loop._router.state.is_store_available
 
+    def has_synced(self) -> bool:
+        """Whether each proxy has had its first sync under the store's present generation confirmed.
+
+        That sync leaves the process's key in the store. A proxy counts the store as available before it: as
+        soon as its invalidations are confirmed."""
+        stores = [front.shared_store.core.stores["s"] for front in self.fronts if front.shared_store]
+        in_one_generation = len({store.generation for store in stores}) == 1
+        return in_one_generation and all(store.confirmed_serial > 0 for store in stores)
+
     @staticmethod
     def until(holds: Any, within: float = 10.0) -> bool:
         end = time.monotonic() + within
@@ -173,6 +182,7 @@
 def test_commands_look_into_a_store(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     with pair() as made:
         assert made.up()
+        assert made.until(made.has_synced)
         assert made.ask(0, FILLED, patience=6000) == 200
         assert made.until(lambda: made.count("claims_settled") == 1)
         path = tmp_path / "operator.yaml"
