--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -430,12 +430,12 @@
         """Runs a question's script in the store, and audits what it grants."""
         assert front.sharing is not None
         store = self.stores[command.store]
-        script = scripts.script_of(command.operation, "t", front.sharing.terms.incarnation)
+        script = scripts.encode_operation(command.operation, "t", front.sharing.terms.incarnation)
         words = [word if isinstance(word, bytes) else str(word).encode() for word in script.arguments]
         try:
             digest = scripts.DIGESTS[script.name].encode()
             if digest.decode() not in store.scripts:
-                store.call([b"SCRIPT", b"LOAD", scripts.NAMES[script.name].encode()])
+                store.call([b"SCRIPT", b"LOAD", scripts.SCRIPT_TEXTS[script.name].encode()])
             reply = scripts.read_reply(
                 command.ticket, store.call([b"EVALSHA", digest, b"1", script.key.encode(), *words])
             )
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -15,7 +15,7 @@
 from olivepost.config import SECOND
 from olivepost.operator_config.units import read_secret
 from olivepost.shared_store.messages import StoreOperation
-from olivepost.shared_store.scripts import DIGESTS, NAMES, script_of
+from olivepost.shared_store.scripts import DIGESTS, SCRIPT_TEXTS, encode_operation
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
 
@@ -74,11 +74,11 @@
     """Runs questions in one exchange; what each got: a reply, or the exception it raised.
 
     Raises redis.RedisError where the exchange as a whole failed: then none is known to have run or not."""
-    made = [script_of(op, prefix, process) for op in ops]
+    made = [encode_operation(op, prefix, process) for op in ops]
     replies = _exchange(client, made, transaction)
     lacking = [at for at, reply in enumerate(replies) if isinstance(reply, redis.exceptions.NoScriptError)]
     if lacking:  # the store has restarted: these have surely not run
-        for text in NAMES.values():
+        for text in SCRIPT_TEXTS.values():
             client.script_load(text)
         again = _exchange(client, [made[at] for at in lacking], transaction)
         for at, reply in zip(lacking, again, strict=True):
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -426,9 +426,9 @@
         made.now -= 200 * MS if len(claims) == 2 else 0
     for claim, word in ((claims[0], b"lost"), (claims[1], b"done"), (claims[1], b"lost")):
         settle = ev.PublishLocation(generation, "n", claim, b"holder", 5, 1_000)
-        script = scripts.script_of(settle, "t", "x")
+        script = scripts.encode_operation(settle, "t", "x")
         words = [w if isinstance(w, bytes) else str(w).encode() for w in script.arguments]
-        text = scripts.NAMES["settle"].encode()
+        text = scripts.SCRIPT_TEXTS[script.name].encode()
         assert made.stores["s0"].call([b"EVAL", text, b"1", script.key.encode(), *words])[2] == word
 
 
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -16,6 +16,7 @@
 from hypothesis import strategies as st
 
 from olivepost.shared_store.client import connect
+from olivepost.shared_store.scripts import DIGESTS
 from olivepost.shared_store.settings import SharedStoreSettings
 from standins.redis.faults import ScheduleError, read_schedule
 from standins.redis.server import Server
@@ -89,6 +90,19 @@
     assert made.get("a") == b"9"
 
 
+def test_script_texts_are_those_of_the_released_version() -> None:
+    """Guards against proxies of two versions that load different scripts into one store."""
+    assert {name.name: digest for name, digest in DIGESTS.items()} == {
+        "SYNC": "b9e6d594fecf6d8f4bfd0dd4327254c0ddd853e0",
+        "LOOK_UP": "212e283ec3b23ca3da5099ed4adf343472bcd0fc",
+        "RELEASE_LEASE": "b09f1f119df37e504ebf378c2284d5405adbd19d",
+        "REPORT_STALE": "c720f4472cc4de0ece23527e6bea4054a27d3ffc",
+        "INVALIDATE": "552fa0164e8a14c488be1a9f0f1a39e109bd0c2e",
+        "GRANT_QUOTA": "c4d57347f0dbf63038e84cb8da5950b872dc5e64",
+        "ADVANCE_GENERATION": "48f76344b8e93636cfa31a7b28dfc755e2a1c29e",
+    }
+
+
 def test_subscribers_hear(server: Server) -> None:
     made = client(server)
     heard = made.pubsub()
