--- /dev/null
+++ b/olivepost/shared_store/fault_log.py
@@ -0,0 +1,44 @@
+"""Logs why a store could not be used, at a bounded rate."""
+
+from __future__ import annotations
+
+import threading
+
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import EventLog
+from olivepost.units import SECOND
+
+LOG_INTERVAL = 10 * SECOND  # between two lines of one kind
+MAX_REASON_LENGTH = 160  # characters in the log
+KIND_LENGTH = 40  # characters of a reason that make its kind: what follows differs with each fault
+MAX_KINDS = 64  # that are remembered; beyond them all are forgotten, at the price of a line sooner
+
+
+class FaultLog:
+    """Counts every fault and logs one line of each kind per interval.
+
+    Any thread may call it; `_lock` guards `_logged_at`.
+    """
+
+    def __init__(self, clock: Clock, log: EventLog) -> None:
+        self._clock = clock
+        self._log = log
+        self._lock = threading.Lock()
+        self._logged_at: dict[str, int] = {}  # by kind
+
+    def record(self, fault: Exception) -> None:
+        """Counts a fault, and logs it unless its kind has been logged lately."""
+        self._log.increment("store_faults")
+        reason = f"{type(fault).__name__}: {fault}"[:MAX_REASON_LENGTH]
+        if self._is_due(reason[:KIND_LENGTH]):
+            self._log.event("store_fault", why=reason)
+
+    def _is_due(self, kind: str) -> bool:
+        now = self._clock.now()
+        with self._lock:
+            if now - self._logged_at.get(kind, 0) < LOG_INTERVAL:
+                return False
+            if len(self._logged_at) > MAX_KINDS:
+                self._logged_at.clear()
+            self._logged_at[kind] = now
+            return True
--- a/tests/shared_store/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -60,7 +60,7 @@
 
         That sync leaves the process's key in the store. A proxy counts the store as available before it: as
         soon as its invalidations are confirmed."""
-        stores = [front.shared_store.core.stores["s"] for front in self.fronts if front.shared_store]
+        stores = [front.shared_store.coordinator.stores["s"] for front in self.fronts if front.shared_store]
         in_one_generation = len({store.generation for store in stores}) == 1
         return in_one_generation and all(store.confirmed_serial > 0 for store in stores)
 
@@ -72,7 +72,9 @@
         return bool(held)
 
     def count(self, name: str) -> int:
-        return sum(front.shared_store.core.counts.get(name, 0) for front in self.fronts if front.shared_store)
+        return sum(
+            front.shared_store.coordinator.counts.get(name, 0) for front in self.fronts if front.shared_store
+        )
 
     def ask(self, front: int, name: str, **more: Any) -> int:
         with Client(self.addresses[front]) as client:
@@ -154,12 +156,12 @@
 def test_a_store_that_loses_everything_gets_a_new_generation() -> None:
     with pair() as made:
         assert made.up()
-        before = made.fronts[0].shared_store.core.stores["s"].generation  # type: ignore[union-attr]
+        before = made.fronts[0].shared_store.coordinator.stores["s"].generation  # type: ignore[union-attr]
         made.server.call(lambda: made.server.change({"lose": True}))
         assert made.until(
             lambda: (
                 {
-                    f.shared_store.core.stores["s"].generation > before  # type: ignore[union-attr]
+                    f.shared_store.coordinator.stores["s"].generation > before  # type: ignore[union-attr]
                     for f in made.fronts
                 }
                 == {True}
