--- a/olivepost/__main__.py
+++ b/olivepost/__main__.py
@@ -6,7 +6,7 @@
 from olivepost.cli import main
 
 if __name__ == "__main__":
-    code = main()
+    exit_code = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(code)  # no wait for threads that wait for peers
+    os._exit(exit_code)  # at once: worker threads may still wait for silent peers
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -10,12 +10,12 @@
   olivepost -h | --help
 
 Commands:
-  serve    Runs one front in the foreground until SIGTERM.
-  check    Reads the configuration, and the operator's file if one is named; says whether they can be used.
+  serve    Runs a proxy in the foreground until SIGTERM.
+  check    Reads the configuration, and the operator's file if one is named; reports whether they can be used.
   schema   Prints the JSON Schema of the operator's file.
-  sharing  Looks into the shared stores: whether they answer and how they stand (ping), claims and holders
-           (claims), purges (purges); has them forget names, or without a name everything, for all fronts
-           (forget). What is forgotten is advice: requests go on without it.
+  sharing  Inspects the shared stores: reachability and state (ping), fill leases and cache locations
+           (claims), invalidations (purges); deletes what they hold of names, or without a name everything,
+           for all proxies (forget). Stores hold only hints: requests go on without them.
   version  Prints the version.
 
 Options:
@@ -30,92 +30,177 @@
   olivepost check --config examples/config.json --operator deploy/examples/sharing.yaml
   olivepost sharing claims --operator deploy/examples/sharing.yaml --json
 
-Exit codes: 0 done, 1 it can't be done (port in use, store not reached), 2 a faulty file or command line.
+Exit codes: 0 done, 1 failed (port in use, store not reached), 2 a faulty file or command line.
 """
 
+# The docstring above is also the grammar that docopt parses. What an operator's file switches on is imported
+# only where such a file is named: a proxy without one must not pay for it in memory and start-up time.
+
 from __future__ import annotations
 
 import os
 import sys
+from dataclasses import dataclass
+from enum import IntEnum
 from typing import TYPE_CHECKING
 
 import orjson
 from docopt import DocoptExit, docopt
 
 from olivepost import __version__
-from olivepost.config import ConfigError, load
+from olivepost.config import ConfigError, ProxyConfig, load
 
 if TYPE_CHECKING:
     from olivepost.operator_config.model import OperatorSettings
 
+COMMANDS = ("serve", "check", "schema", "sharing", "version")
+SHARING_VERBS = ("ping", "claims", "purges", "forget")
+CONFIG_VARIABLE = "BALANCER_CONFIG"
+OPERATOR_VARIABLE = "OLIVEPOST_OPERATOR"
 
-class Unusable(Exception):
-    """A file or command line that can't be used; the message names the fault."""
 
+class ExitCode(IntEnum):
+    """The process's exit codes; scripts rely on them."""
 
-def main(arguments: list[str] | None = None) -> int:
-    """Runs a sub-command; returns the exit code."""
-    assert __doc__
-    try:
-        given = docopt(__doc__, arguments)
-    except DocoptExit as fault:
-        print(fault, file=sys.stderr)
-        return 2
-    if given["version"]:
-        print(f"olivepost {__version__}")
-        return 0
-    try:
-        if given["schema"]:
-            return _schema()
-        operator = _operator(given["--operator"])
-        if given["sharing"]:
-            return _sharing(operator, given)
-        if given["check"] and operator and not (given["--config"] or os.environ.get("BALANCER_CONFIG")):
-            print("olivepost: the operator's file can be used")
-            return 0
-        config = load(os.environ, given["--config"])
-    except (ConfigError, Unusable) as fault:
-        print(f"olivepost: {fault}", file=sys.stderr)
-        return 2
-    if given["check"]:
-        host, port = config.listen
-        print(f"olivepost: the configuration can be used; {config.name} listens on {host}:{port}")
-        return 0
-    from olivepost.proxy.server import serve
+    DONE = 0
+    FAILED = 1
+    UNUSABLE = 2
 
-    return serve(
-        config, lambda: load(os.environ, given["--config"]), operator, lambda: _operator(given["--operator"])
-    )
 
+class CommandError(Exception):
+    """A command can't be run as it was given; the message says what is missing or allowed."""
+
+
+class MissingPackageError(CommandError):
+    """A package that only the operator's file needs isn't installed."""
+
+    def __init__(self, package: str | None) -> None:
+        super().__init__(f"an operator's file needs the package '{package}': pip install .[all]")
+        self.package = package
+
+
+class MissingSectionError(CommandError):
+    """The operator's file has no section `sharing`, or none is named."""
+
+    def __init__(self) -> None:
+        super().__init__("no section 'sharing': name an operator's file that has one by --operator")
 
-def _operator(path: str | None) -> OperatorSettings | None:
-    """The operator's file, if one is named; without one nothing of it is imported."""
-    path = path or os.environ.get("OLIVEPOST_OPERATOR")
-    if not path:
-        return None
-    try:
-        from olivepost.operator_config.loader import load as load_operator
-    except ModuleNotFoundError as fault:
-        raise Unusable(f"an operator's file needs the package '{fault.name}': pip install .[all]") from fault
-    return load_operator(path)
 
+class UnknownStoreError(CommandError):
+    """`--store` names a store that the operator's file doesn't have."""
 
-def _schema() -> int:
+    def __init__(self, name: str, known: list[str]) -> None:
+        super().__init__(f"no store '{name}'; there are {', '.join(known)}")
+        self.name = name
+        self.known = known
+
+
+@dataclass(frozen=True, slots=True)
+class CommandLine:
+    """A parsed command line."""
+
+    command: str
+    sharing_verb: str | None
+    names: list[str]
+    config_path: str | None
+    operator_path: str | None
+    store_name: str | None
+    as_json: bool
+
+    @classmethod
+    def parse(cls, arguments: list[str] | None) -> CommandLine:
+        """Parses arguments, None: the process's own; raises DocoptExit with the usage."""
+        assert __doc__
+        given = docopt(__doc__, arguments)
+        return cls(
+            command=next(command for command in COMMANDS if given[command]),
+            sharing_verb=next((verb for verb in SHARING_VERBS if given[verb]), None),
+            names=given["NAME"],
+            config_path=given["--config"],
+            operator_path=given["--operator"],
+            store_name=given["--store"],
+            as_json=given["--json"],
+        )
+
+    def load_config(self) -> ProxyConfig:
+        """Reads the configuration anew; raises ConfigError."""
+        return load(os.environ, self.config_path)
+
+    def load_operator(self) -> OperatorSettings | None:
+        """Reads the operator's file anew, if one is named; raises ConfigError or MissingPackageError."""
+        path = self.operator_path or os.environ.get(OPERATOR_VARIABLE)
+        if not path:
+            return None
+        try:
+            from olivepost.operator_config.loader import load as load_operator_file
+        except ModuleNotFoundError as error:
+            raise MissingPackageError(error.name) from error
+        return load_operator_file(path)
+
+
+def main(arguments: list[str] | None = None) -> int:
+    """Runs a command; returns the process's exit code."""
+    try:
+        line = CommandLine.parse(arguments)
+    except DocoptExit as error:
+        print(error, file=sys.stderr)
+        return ExitCode.UNUSABLE
+    try:
+        return _run(line)
+    except (ConfigError, CommandError) as error:
+        print(f"olivepost: {error}", file=sys.stderr)
+        return ExitCode.UNUSABLE
+
+
+def _run(line: CommandLine) -> int:
+    match line.command:
+        case "version":
+            print(f"olivepost {__version__}")
+            return ExitCode.DONE
+        case "schema":
+            return _print_schema()
+        case "sharing":
+            return _run_sharing(line)
+        case "check":
+            return _check(line)
+    return _serve(line)
+
+
+def _print_schema() -> int:
     from olivepost.operator_config.loader import schema
 
     print(orjson.dumps(schema(), option=orjson.OPT_INDENT_2).decode())
-    return 0
+    return ExitCode.DONE
 
 
-def _sharing(operator: OperatorSettings | None, given: dict[str, object]) -> int:
+def _run_sharing(line: CommandLine) -> int:
+    operator = line.load_operator()
     if operator is None or operator.sharing is None:
-        raise Unusable("no section 'sharing': name an operator's file that has one by --operator")
-    from olivepost.shared_store.inspect import run
-
-    verb = next(verb for verb in ("ping", "claims", "purges", "forget") if given[verb])
-    names, store = given["NAME"], given["--store"]
-    assert isinstance(names, list)
-    stores = [known.name for known in operator.sharing.stores]
-    if store and store not in stores:
-        raise Unusable(f"no store '{store}'; there are {', '.join(stores)}")
-    return run(operator.sharing, verb, names, str(store or ""), bool(given["--json"]))
+        raise MissingSectionError
+    from olivepost.shared_store import inspect
+
+    known = [store.name for store in operator.sharing.stores]
+    if line.store_name and line.store_name not in known:
+        raise UnknownStoreError(line.store_name, known)
+    report = inspect.run(operator.sharing, inspect.Verb(line.sharing_verb), line.names, line.store_name)
+    inspect.print_report(report, line.as_json)
+    return ExitCode.FAILED if report.faults else ExitCode.DONE
+
+
+def _check(line: CommandLine) -> int:
+    operator = line.load_operator()
+    if operator and not (line.config_path or os.environ.get(CONFIG_VARIABLE)):
+        print("olivepost: the operator's file can be used")
+        return ExitCode.DONE
+    config = line.load_config()
+    host, port = config.listen
+    print(f"olivepost: the configuration can be used; {config.name} listens on {host}:{port}")
+    return ExitCode.DONE
+
+
+def _serve(line: CommandLine) -> int:
+    operator = line.load_operator()
+    config = line.load_config()
+    from olivepost.proxy.server import serve
+
+    return serve(config, line.load_config, operator, line.load_operator)
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -1,11 +1,17 @@
-"""What `olivepost sharing` shows and does: looks into stores by their keys, or has them forget."""
+"""The commands `olivepost sharing ...`: read stores by their keys, or delete what they hold.
+
+For operators at a terminal, apart from any running proxy. The rows' keys are what `--json` prints.
+"""
 
 from __future__ import annotations
 
 import sys
 import time
 from collections.abc import Iterator
-from typing import Any, cast
+from dataclasses import dataclass, field
+from enum import Enum
+from itertools import islice
+from typing import Any
 
 import msgspec
 import orjson
@@ -15,7 +21,7 @@
 
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import client
-from olivepost.shared_store import messages as ev
+from olivepost.shared_store.messages import AdvanceGeneration
 from olivepost.shared_store.records import (
     CacheLocation,
     FillLease,
@@ -25,133 +31,178 @@
 )
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
-MOST_KEYS = 100_000  # read by one call
-ROWS = list[dict[str, object]]
+MAX_KEYS = 100_000  # read by one command
+SCAN_COUNT = 1_000  # keys that the server looks at in one step of a scan
+OPERATOR_PROCESS = "operator"  # what the scripts get as the calling process
+ENVELOPE_FIELDS = ("type", "v")  # of every stored record: its tag and its version
+
+Row = dict[str, object]
+
+
+class Verb(Enum):
+    """What a command does."""
+
+    PING = "ping"
+    CLAIMS = "claims"
+    PURGES = "purges"
+    FORGET = "forget"
+
+
+class StoreContentError(Exception):
+    """A store holds what no proxy would have put there; `key` is where."""
+
+    def __init__(self, key: str, value: bytes) -> None:
+        super().__init__(f"{key} must be a whole number, not {value[:40]!r}")
+        self.key = key
+        self.value = value
+
+
+@dataclass(slots=True)
+class Report:
+    """What a command found: rows, and a row for each store that could not be used."""
 
+    verb: Verb
+    rows: list[Row] = field(default_factory=list)
+    faults: list[Row] = field(default_factory=list)
 
-def run(settings: SharedStoreSettings, verb: str, names: list[str], only: str, as_json: bool) -> int:
-    """Does one verb on all stores, or on one; 1 where a store could not be used."""
-    rows: ROWS = []
-    faults: ROWS = []
+
+def run(settings: SharedStoreSettings, verb: Verb, names: list[str], store_name: str | None) -> Report:
+    """Runs a command on one store, or on all; `names` are what `forget` deletes, none: everything."""
+    report = Report(verb)
     for store in settings.stores:
-        if only and store.name != only:
+        if store_name and store.name != store_name:
             continue
-        prefix = f"olivepost:{settings.branch}"
         try:
-            with client.connect(settings, store) as made:
-                found = _do(settings, made, store, prefix, verb, names)
-                rows += [{"store": store.name, **row} for row in found]
-        except (redis.RedisError, OSError) as fault:
-            faults.append({"store": store.name, "fault": f"{type(fault).__name__}: {fault}"})
+            with client.connect(settings, store) as connection:
+                rows = StoreInspector(settings, store, connection).run(verb, names)
+        except (redis.RedisError, OSError, StoreContentError) as error:
+            report.faults.append({"store": store.name, "fault": f"{type(error).__name__}: {error}"})
+        else:
+            report.rows.extend({"store": store.name, **row} for row in rows)
+    return report
+
+
+def print_report(report: Report, as_json: bool) -> None:
+    """Prints a report as one JSON object, or as a table with the faults on standard error."""
     if as_json:
-        print(orjson.dumps({"verb": verb, "rows": rows, "faults": faults}).decode())
-    else:
-        _show(rows)
-        for row in faults:
-            print(f"olivepost: store {row['store']}: {row['fault']}", file=sys.stderr)
-    return 1 if faults else 0
-
-
-def _do(
-    settings: SharedStoreSettings,
-    made: redis.Redis,
-    store: StoreSettings,
-    prefix: str,
-    verb: str,
-    names: list[str],
-) -> ROWS:
-    generation = cast("bytes | None", made.get(f"{prefix}:generation")) or b"0"
-    if not generation.isdigit():
-        raise redis.RedisError(f"the generation is no number: {generation[:40]!r}")
-    under = f"{prefix}:{generation.decode()}:"
-    match verb:
-        case "ping":
-            return [_ping(made, generation, under)]
-        case "claims":
-            return [*_names(made, under)]
-        case "purges":
-            return [*_purges(made, under)]
-    return _forget(settings, made, store, prefix, int(generation), under, names)
-
-
-def _ping(made: redis.Redis, generation: bytes, under: str) -> dict[str, object]:
-    began = time.perf_counter()
-    made.ping()
-    took = time.perf_counter() - began
-    fronts = sum(1 for _ in _keys(made, f"{under}seen:*"))
-    return {
-        "answers_ms": round(took * 1000, 3),
-        "generation": int(generation),
-        "processes": fronts,
-        "keys": made.dbsize(),
-    }
-
-
-def _keys(made: redis.Redis, pattern: str) -> Iterator[bytes]:
-    for count, key in enumerate(made.scan_iter(pattern, 1_000)):
-        if count >= MOST_KEYS:
-            return
-        yield key
-
-
-def _names(made: Any, under: str) -> Iterator[dict[str, object]]:
-    """Claims that run and holders that are known; what can't be read is shown as such."""
-    for key in sorted(_keys(made, f"{under}[ch]:*")):
-        kind, _, name = key[len(under) :].decode(errors="replace").partition(":")
-        row: dict[str, object] = {"name": name, "kind": {"c": "claim", "h": "holder"}[kind]}
+        fields = {"verb": report.verb.value, "rows": report.rows, "faults": report.faults}
+        print(orjson.dumps(fields).decode())
+        return
+    _print_table(report.rows)
+    for row in report.faults:
+        print(f"olivepost: store {row['store']}: {row['fault']}", file=sys.stderr)
+
+
+class StoreInspector:
+    """Runs commands in one store, under the generation that it has at the start."""
+
+    def __init__(self, settings: SharedStoreSettings, store: StoreSettings, connection: Any) -> None:
+        self._settings = settings
+        self._store = store
+        self._connection = connection  # a redis.Redis, whose replies are typed as sync or async
+        self._generation = self._read_generation()
+        self._prefix = f"{settings.key_prefix}:{self._generation}:"
+
+    def run(self, verb: Verb, names: list[str]) -> list[Row]:
+        """Returns the rows of a command."""
+        match verb:
+            case Verb.PING:
+                return [self._ping()]
+            case Verb.CLAIMS:
+                return [self._describe_name(key) for key in sorted(self._scan("[ch]:*"))]
+            case Verb.PURGES:
+                return list(self._invalidations())
+            case Verb.FORGET if names:
+                return self._forget_names(names)
+            case Verb.FORGET:
+                return [self._advance_generation()]
+
+    def _read_generation(self) -> int:
+        key = f"{self._settings.key_prefix}:generation"
+        value = self._connection.get(key) or b"0"
+        if not value.isdigit():
+            raise StoreContentError(key, value)
+        return int(value)
+
+    def _scan(self, pattern: str) -> Iterator[bytes]:
+        keys = self._connection.scan_iter(self._prefix + pattern, SCAN_COUNT)
+        return islice(keys, MAX_KEYS)
+
+    def _ping(self) -> Row:
+        began = time.perf_counter()
+        self._connection.ping()
+        round_trip_s = time.perf_counter() - began
+        return {
+            "answers_ms": round(round_trip_s * 1000, 3),
+            "generation": self._generation,
+            "processes": sum(1 for _ in self._scan("seen:*")),
+            "keys": self._connection.dbsize(),
+        }
+
+    def _describe_name(self, key: bytes) -> Row:
+        """Returns a fill lease or a cache location; what can't be read is shown with the reason."""
+        kind, _, name = key[len(self._prefix) :].decode(errors="replace").partition(":")
+        row: Row = {"name": name, "kind": "claim" if kind == "c" else "holder"}
         try:
-            row["ends_ms"] = made.pttl(key)
-            if kind == "c":
-                number, _, record = (made.get(key) or b"").partition(b" ")
-                row |= {"number": number.decode(errors="replace")} | _plain(decode_record(FillLease, record))
-            else:
-                row |= _plain(decode_record(CacheLocation, made.hget(key, "rec")))
-        except (RecordError, redis.ResponseError) as fault:
-            row["odd"] = str(fault)
-        yield row
+            row["ends_ms"] = self._connection.pttl(key)
+            row |= self._lease_fields(key) if kind == "c" else self._location_fields(key)
+        except (RecordError, redis.ResponseError) as error:
+            row["odd"] = str(error)
+        return row
+
+    def _lease_fields(self, key: bytes) -> Row:
+        number, _, record = (self._connection.get(key) or b"").partition(b" ")
+        return {"number": number.decode(errors="replace"), **_stored_fields(decode_record(FillLease, record))}
+
+    def _location_fields(self, key: bytes) -> Row:
+        return _stored_fields(decode_record(CacheLocation, self._connection.hget(key, "rec")))
+
+    def _invalidations(self) -> Iterator[Row]:
+        """Yields invalidations, the oldest first."""
+        times = self._connection.hgetall(f"{self._prefix}purges")
+        for key, at_ms in sorted(times.items(), key=lambda item: item[1]):
+            try:
+                what = InvalidationKey.read(key)
+                yield {"object": what.object, "group": what.group, "at_ms": int(at_ms)}
+            except (RecordError, ValueError) as error:
+                yield {"odd": str(error)}
+
+    def _forget_names(self, names: list[str]) -> list[Row]:
+        """Deletes the leases and locations of the names that belong to this store."""
+        stores = tuple(store.name for store in self._settings.stores)
+        return [
+            {"name": name, "forgotten": self._delete_name(name)}
+            for name in names
+            if rendezvous_order(name, stores)[0] == self._store.name
+        ]
 
+    def _delete_name(self, name: str) -> object:
+        return self._connection.delete(f"{self._prefix}c:{name}", f"{self._prefix}h:{name}")
 
-def _plain(record: msgspec.Struct) -> dict[str, object]:
-    return {key: value for key, value in msgspec.structs.asdict(record).items() if key != "v"}
+    def _advance_generation(self) -> Row:
+        """Makes everything in the store unreachable."""
+        operation = AdvanceGeneration(self._generation, self._generation)
+        prefix = self._settings.key_prefix
+        (reply,) = client.run(self._connection, [operation], prefix, OPERATOR_PROCESS, transaction=False)
+        if isinstance(reply, Exception):
+            raise reply
+        values: Any = reply
+        return {"generation": int(values[0]), "before": self._generation}
 
 
-def _purges(made: Any, under: str) -> Iterator[dict[str, object]]:
-    for key, at in sorted(made.hgetall(f"{under}purges").items(), key=lambda pair: pair[1]):
-        try:
-            what = InvalidationKey.read(key)
-            yield {"object": what.object, "group": what.group, "at_ms": int(at)}
-        except (RecordError, ValueError) as fault:
-            yield {"odd": str(fault)}
-
-
-def _forget(
-    settings: SharedStoreSettings,
-    made: Any,
-    store: StoreSettings,
-    prefix: str,
-    generation: int,
-    under: str,
-    names: list[str],
-) -> ROWS:
-    """Names by deleting what is known of them, everything by a new generation."""
-    if names:
-        stores = tuple(other.name for other in settings.stores)
-        here = [name for name in names if rendezvous_order(name, stores)[0] == store.name]
-        return [
-            {"name": name, "forgotten": made.delete(f"{under}c:{name}", f"{under}h:{name}")} for name in here
-        ]
-    (reply,) = client.run(made, [ev.AdvanceGeneration(generation, generation)], prefix, "operator", False)
-    if isinstance(reply, Exception):
-        raise reply
-    return [{"generation": int(cast("list[bytes]", reply)[0]), "before": generation}]
+def _stored_fields(record: msgspec.Struct) -> Row:
+    """Returns a record's own fields by their stored names."""
+    fields: Row = msgspec.to_builtins(record)
+    return {name: value for name, value in fields.items() if name not in ENVELOPE_FIELDS}
 
 
-def _show(rows: ROWS) -> None:
+def _print_table(rows: list[Row]) -> None:
     if not rows:
         print("nothing there")
         return
     columns = list(dict.fromkeys(key for row in rows for key in row))
     table = Table(*columns)
     for row in rows:
-        table.add_row(*("" if row.get(key) is None else str(row[key]) for key in columns))
+        cells = (row.get(column) for column in columns)
+        table.add_row(*("" if cell is None else str(cell) for cell in cells))
     Console().print(table)
