--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -35,7 +35,8 @@
 
 def test_the_example_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
     sharing = load(str(EXAMPLE)).sharing
-    assert sharing is not None and sharing.wait == 10_000_000
+    assert sharing is not None
+    assert sharing.wait == 10_000_000
     assert sharing.stores[0].address == ("127.0.0.1", 7379)
     assert main(["check", "--config", str(CONFIG), "--operator", str(EXAMPLE)]) == 0
     assert main(["check", "--operator", str(EXAMPLE)]) == 0
@@ -79,7 +80,8 @@
     ],
 )
 def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, told: str) -> None:
-    assert told in faults(tmp_path, text) and "operator.yaml" in faults(tmp_path, text)
+    assert told in faults(tmp_path, text)
+    assert "operator.yaml" in faults(tmp_path, text)
 
 
 @pytest.mark.parametrize("section", ["claims", "holders", "purges", "budgets", "suspicions"])
--- a/tests/shared_store/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -167,7 +167,8 @@
                 == {True}
             )
         )
-        assert made.up() and made.ask(0, FILLED, patience=6000) == 200
+        assert made.up()
+        assert made.ask(0, FILLED, patience=6000) == 200
 
 
 def test_a_password_that_changes_in_service(tmp_path: Path) -> None:
@@ -200,10 +201,14 @@
 
         assert run("ping")[0]["processes"] == 2
         (holder,) = run("claims")
-        assert holder["kind"] == "holder" and holder["name"] == f"{FILLED}.3" and holder["by"] == "n1"
-        assert run("forget", f"{FILLED}.3")[0]["forgotten"] == 1 and not run("claims")
+        assert holder["kind"] == "holder"
+        assert holder["name"] == f"{FILLED}.3"
+        assert holder["by"] == "n1"
+        assert run("forget", f"{FILLED}.3")[0]["forgotten"] == 1
+        assert not run("claims")
         before = run("forget")[0]
-        assert before["generation"] > before["before"] and not run("purges")
+        assert before["generation"] > before["before"]
+        assert not run("purges")
         assert main(["sharing", "ping", "--operator", str(path)]) == 0
         assert "generation" in capsys.readouterr().out
         assert main(["sharing", "ping", "--store", "x", "--operator", str(path)]) == 2
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -1,4 +1,4 @@
-"""The stand-in's wire as the client library judges it, in both protocols, and its faults on demand."""
+"""The stand-in server as the client library sees it, in both protocols, and its faults on demand."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import ssl
 import time
 from collections.abc import Iterator
+from contextlib import closing
 from pathlib import Path
 from typing import Any
 
@@ -24,12 +25,19 @@
 
 @pytest.fixture
 def server() -> Iterator[Server]:
-    made = Server()
-    yield made
-    made.close()
+    server = Server()
+    yield server
+    server.close()
 
 
-def client(server: Server, protocol: int = 3, **more: Any) -> Any:
+@pytest.fixture(scope="module")
+def fuzzed_server() -> Iterator[Server]:
+    server = Server()
+    yield server
+    server.close()
+
+
+def client_of(server: Server, protocol: int = 3, **options: Any) -> Any:
     host, port = server.address
     return redis.Redis(
         host=host,
@@ -37,57 +45,76 @@
         protocol=protocol,
         socket_timeout=0.3,
         retry=redis.retry.Retry(redis.backoff.NoBackoff(), 0),
-        **more,
+        **options,
     )
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_commands_as_the_library_knows_them(server: Server, protocol: int) -> None:
-    made = client(server, protocol)
-    assert made.set("a", "1", nx=True, px=5000) and made.set("a", "2", nx=True) is None
-    assert made.set("a", "3", get=True) == b"1" and made.get("a") == b"3" and made.get("none") is None
-    assert made.incr("n") == 1 and made.incrby("n", 41) == 42
-    assert made.hset("h", mapping={"x": "1", "y": "2"}) == 2 and made.hgetall("h") == {b"x": b"1", b"y": b"2"}
-    assert made.hmget("h", "x", "z") == [b"1", None] and made.hincrby("h", "x", 4) == 5
-    assert made.pexpire("h", 10_000) and 0 < made.pttl("h") <= 10_000 and made.ttl("a") == -1
-    assert made.persist("h") and made.pttl("gone") == -2
-    assert made.zadd("z", {"p": 2, "q": 1}) == 2 and made.zrangebyscore("z", 1, 5) == [b"q", b"p"]
-    assert made.rpush("l", "u", "v") == 2 and made.lrange("l", 0, -1) == [b"u", b"v"]
-    assert sorted(made.scan_iter("?", 2)) == [b"a", b"h", b"l", b"n", b"z"] and made.type("z") == b"zset"
+def test_commands_reply_as_the_library_expects(server: Server, protocol: int) -> None:
+    client = client_of(server, protocol)
+    assert client.set("a", "1", nx=True, px=5000)
+    assert client.set("a", "2", nx=True) is None
+    assert client.set("a", "3", get=True) == b"1"
+    assert client.get("a") == b"3"
+    assert client.get("none") is None
+    assert client.incr("n") == 1
+    assert client.incrby("n", 41) == 42
+    assert client.hset("h", mapping={"x": "1", "y": "2"}) == 2
+    assert client.hgetall("h") == {b"x": b"1", b"y": b"2"}
+    assert client.hmget("h", "x", "z") == [b"1", None]
+    assert client.hincrby("h", "x", 4) == 5
+    assert client.pexpire("h", 10_000)
+    assert 0 < client.pttl("h") <= 10_000
+    assert client.ttl("a") == -1
+    assert client.persist("h")
+    assert client.pttl("gone") == -2
+    assert client.zadd("z", {"p": 2, "q": 1}) == 2
+    assert client.zrangebyscore("z", 1, 5) == [b"q", b"p"]
+    assert client.rpush("l", "u", "v") == 2
+    assert client.lrange("l", 0, -1) == [b"u", b"v"]
+    assert sorted(client.scan_iter("?", 2)) == [b"a", b"h", b"l", b"n", b"z"]
+    assert client.type("z") == b"zset"
     with pytest.raises(redis.ResponseError, match="WRONGTYPE"):
-        made.get("h")
+        client.get("h")
+    assert client.incr("z2") == 1
+    assert client.set("t", "x")
     with pytest.raises(redis.ResponseError, match="not an integer"):
-        made.incr("z2") and made.set("t", "x") and made.incr("t")
-    assert made.exists("a", "h", "gone") == 2 and made.delete("a", "gone") == 1 and made.dbsize() >= 4
+        client.incr("t")
+    assert client.exists("a", "h", "gone") == 2
+    assert client.delete("a", "gone") == 1
+    assert client.dbsize() >= 4
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_scripts_and_their_conversions(server: Server, protocol: int) -> None:
-    made = client(server, protocol)
-    assert made.eval("return {1, 'a', nil, 'lost'}", 0) == [1, b"a"] and made.eval("return 3.9", 0) == 3
-    assert made.eval("return redis.call('SET', KEYS[1], ARGV[1])", 1, "k", "v")
-    assert made.eval("return redis.call('GET', KEYS[1])", 1, "k") == b"v"
-    digest = made.script_load("return ARGV[1]")
-    assert made.evalsha(digest, 0, "x") == b"x" and made.script_exists(digest) == [True]
-    made.script_flush()
+def test_scripts_run_and_their_values_are_converted(server: Server, protocol: int) -> None:
+    client = client_of(server, protocol)
+    assert client.eval("return {1, 'a', nil, 'lost'}", 0) == [1, b"a"]
+    assert client.eval("return 3.9", 0) == 3
+    assert client.eval("return redis.call('SET', KEYS[1], ARGV[1])", 1, "k", "v")
+    assert client.eval("return redis.call('GET', KEYS[1])", 1, "k") == b"v"
+    digest = client.script_load("return ARGV[1]")
+    assert client.evalsha(digest, 0, "x") == b"x"
+    assert client.script_exists(digest) == [True]
+    client.script_flush()
     with pytest.raises(redis.exceptions.NoScriptError):
-        made.evalsha(digest, 0, "x")
+        client.evalsha(digest, 0, "x")
     with pytest.raises(redis.ResponseError):
-        made.eval("return os.time()", 0)
+        client.eval("return os.time()", 0)
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_transactions(server: Server, protocol: int) -> None:
-    made, other = client(server, protocol), client(server, protocol)
-    assert made.pipeline(transaction=True).set("a", 1).incr("a").execute() == [True, 2]
-    with made.pipeline() as pipe:
+def test_a_transaction_fails_when_a_watched_key_changes(server: Server, protocol: int) -> None:
+    client = client_of(server, protocol)
+    other = client_of(server, protocol)
+    assert client.pipeline(transaction=True).set("a", 1).incr("a").execute() == [True, 2]
+    with client.pipeline() as pipe:
         pipe.watch("a")
         other.set("a", 9)
         pipe.multi()
         pipe.incr("a")
         with pytest.raises(redis.WatchError):
             pipe.execute()
-    assert made.get("a") == b"9"
+    assert client.get("a") == b"9"
 
 
 def test_script_texts_are_those_of_the_released_version() -> None:
@@ -103,63 +130,82 @@
     }
 
 
-def test_subscribers_hear(server: Server) -> None:
-    made = client(server)
-    heard = made.pubsub()
-    heard.subscribe("news")
-    assert heard.get_message(timeout=1)["type"] == "subscribe"
-    assert client(server).publish("news", "x") == 1
-    assert heard.get_message(timeout=1)["data"] == b"x"
+def test_a_subscriber_gets_published_messages(server: Server) -> None:
+    client = client_of(server)
+    subscriber = client.pubsub()
+    subscriber.subscribe("news")
+    assert subscriber.get_message(timeout=1)["type"] == "subscribe"
+    assert client_of(server).publish("news", "x") == 1
+    assert subscriber.get_message(timeout=1)["data"] == b"x"
 
 
-def test_passwords_and_their_change(server: Server) -> None:
+def test_only_the_present_password_is_accepted(server: Server) -> None:
     server.users = {"default": "old"}
-    assert client(server, password="old").ping()
+    assert client_of(server, password="old").ping()
     with pytest.raises(redis.AuthenticationError):
-        client(server, password="new").ping()
+        client_of(server, password="new").ping()
     with pytest.raises(redis.AuthenticationError):
-        client(server).ping()
+        client_of(server).ping()
     server.call(lambda: server.change({"password": "new", "cut_all": True}))
-    assert client(server, password="new").ping()
+    assert client_of(server, password="new").ping()
 
 
-def test_faults_as_the_library_sees_them(server: Server) -> None:
-    made = client(server)
-    made.set("a", "1")
+def test_a_silent_server_times_out_and_is_connected_to_again(server: Server) -> None:
+    client = client_of(server)
+    client.set("a", "1")
     server.faults.silent = True
     with pytest.raises(redis.TimeoutError):
-        made.set("a", "2")
+        client.set("a", "2")
     server.faults.silent = False
-    assert made.ping()  # connected again
+    assert client.ping()
+
+
+def test_a_paused_server_runs_what_it_got(server: Server) -> None:
+    client = client_of(server)
+    assert client.ping()  # connected before the fault
     server.faults.pause = True
     with pytest.raises(redis.TimeoutError):
-        made.set("a", "3")  # and it has run
+        client.set("a", "3")
     server.faults.pause = False
-    assert made.get("a") == b"3"
+    assert client.get("a") == b"3"
+
+
+def test_a_full_or_read_only_server_rejects_writes(server: Server) -> None:
+    client = client_of(server)
+    assert client.ping()  # connected before the fault
     server.faults.full = True
     with pytest.raises(redis.exceptions.OutOfMemoryError):
-        made.set("b", "1")
-    server.faults.full, server.faults.read_only = False, True
+        client.set("b", "1")
+    server.faults.full = False
+    server.faults.read_only = True
     with pytest.raises(redis.exceptions.ReadOnlyError):
-        made.set("b", "1")
-    server.faults.read_only, server.faults.cut = False, 1.0
+        client.set("b", "1")
+
+
+def test_a_command_whose_reply_was_cut_has_run(server: Server) -> None:
+    client = client_of(server)
+    assert client.ping()  # connected before the fault
+    server.faults.cut = 1.0
     with pytest.raises(redis.ConnectionError):
-        made.set("a", "4")
+        client.set("a", "4")
     server.faults.cut = 0.0
-    assert client(server).get("a") == b"4"  # cut after it had run
+    assert client_of(server).get("a") == b"4"
+
+
+def test_a_server_that_refuses_connections_can_not_be_connected_to(server: Server) -> None:
     server.call(lambda: server.change({"refuse": True}))
     with pytest.raises(redis.ConnectionError):
-        client(server).ping()
+        client_of(server).ping()
 
 
-def test_a_snapshot_brings_the_past_back(server: Server) -> None:
-    made = client(server)
-    made.set("a", "old")
+def test_a_restored_snapshot_has_the_older_values(server: Server) -> None:
+    client = client_of(server)
+    client.set("a", "old")
     server.call(server.keyspace.snapshot)
     time.sleep(0.02)
-    made.set("a", "new")
+    client.set("a", "new")
     server.call(lambda: server.change({"back_s": 0.01}))
-    assert client(server).get("a") == b"old"
+    assert client_of(server).get("a") == b"old"
 
 
 @pytest.mark.parametrize(
@@ -172,56 +218,59 @@
         ('[{"at_s": 1, "silent": "x"}]', "silent"),
     ],
 )
-def test_a_faulty_schedule_names_its_entry(text: str, named: str) -> None:
+def test_a_faulty_schedule_is_rejected_with_its_entry(text: str, named: str) -> None:
     with pytest.raises(ScheduleError, match=named):
         read_schedule(text)
 
 
 @settings(max_examples=60, derandomize=True, deadline=None, database=None)
-@given(st.binary(max_size=60))
-def test_no_bytes_end_the_server(data: bytes) -> None:
-    with socket.create_connection(FUZZED.address, 5) as sock:
+@given(data=st.binary(max_size=60))
+def test_arbitrary_bytes_do_not_end_the_server(fuzzed_server: Server, data: bytes) -> None:
+    with socket.create_connection(fuzzed_server.address, 5) as sock:
         sock.sendall(data + b"\r\n")
         sock.shutdown(socket.SHUT_WR)
         while sock.recv(4096):
             pass
-    assert client(FUZZED).ping()
+    assert client_of(fuzzed_server).ping()
+
+
+def store_settings(server: Server, password_file: Path, ca_file: Path) -> SharedStoreSettings:
+    store = {
+        "name": "s",
+        "address": "{}:{}".format(*server.address),
+        "user": "olive",
+        "password_file": password_file,
+        "tls": {"ca_file": ca_file},
+    }
+    return SharedStoreSettings.model_validate({"branch": "b", "stores": [store]})
+
 
+def ping(settings: SharedStoreSettings) -> bool:
+    with connect(settings, settings.stores[0]) as client:
+        return bool(client.ping())
 
-FUZZED = Server()
 
+def test_a_certificate_of_another_authority_or_host_is_rejected(tmp_path: Path) -> None:
+    authority = trustme.CA()
+    other_authority = trustme.CA()
+    tls = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    authority.issue_cert("127.0.0.1").configure_cert(tls)
+    tls_of_other_host = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    authority.issue_cert("elsewhere.example").configure_cert(tls_of_other_host)
+    password_file = tmp_path / "secret"
+    password_file.write_text("secret\n")
+    ca_file = tmp_path / "ca.pem"
+    authority.cert_pem.write_to_path(ca_file)
+    other_ca_file = tmp_path / "other.pem"
+    other_authority.cert_pem.write_to_path(other_ca_file)
 
-def test_tls_is_checked(tmp_path: Path) -> None:
-    """A store whose certificate another authority signed, or for another name, is not talked to."""
-    authority, stranger = trustme.CA(), trustme.CA()
-    context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    authority.issue_cert("127.0.0.1").configure_cert(context)
-    other = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    authority.issue_cert("elsewhere.example").configure_cert(other)
     users = {"olive": "secret"}
-    server, misnamed = Server(users=users, tls=context), Server(users=users, tls=other)
-    secret, ours, theirs = tmp_path / "secret", tmp_path / "ca.pem", tmp_path / "other.pem"
-    secret.write_text("secret\n")
-    authority.cert_pem.write_to_path(ours)
-    stranger.cert_pem.write_to_path(theirs)
-
-    def ping(at: Server, ca_file: Path) -> bool:
-        store = {
-            "name": "s",
-            "address": "{}:{}".format(*at.address),
-            "user": "olive",
-            "password_file": secret,
-            "tls": {"ca_file": ca_file},
-        }
-        made = SharedStoreSettings.model_validate({"branch": "b", "stores": [store]})
-        with connect(made, made.stores[0]) as found:
-            return bool(found.ping())
-
-    try:
-        assert ping(server, ours)
-        for at, authorities in ((server, theirs), (misnamed, ours)):
-            with pytest.raises(redis.ConnectionError):
-                ping(at, authorities)
-    finally:
-        server.close()
-        misnamed.close()
+    with (
+        closing(Server(users=users, tls=tls)) as server,
+        closing(Server(users=users, tls=tls_of_other_host)) as misnamed_server,
+    ):
+        assert ping(store_settings(server, password_file, ca_file))
+        with pytest.raises(redis.ConnectionError):
+            ping(store_settings(server, password_file, other_ca_file))
+        with pytest.raises(redis.ConnectionError):
+            ping(store_settings(misnamed_server, password_file, ca_file))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,7 +21,8 @@
     assert capsys.readouterr().out == f"olivepost {__version__}\n"
     with pytest.raises(SystemExit) as ended:
         main(["--help"])
-    assert not ended.value.code and "Examples:" in capsys.readouterr().out
+    assert not ended.value.code
+    assert "Examples:" in capsys.readouterr().out
 
 
 def test_check(capsys: pytest.CaptureFixture[str]) -> None:
@@ -40,7 +41,8 @@
     path.write_text(json.dumps(toy_config(listen="nowhere")))
     assert main([command, "--config", str(path)]) == 2
     error = capsys.readouterr().err
-    assert "'listen'" in error and error.count("\n") == 1
+    assert "'listen'" in error
+    assert error.count("\n") == 1
 
 
 def test_a_port_in_use(tmp_path: Path) -> None:
@@ -54,7 +56,8 @@
             timeout=60,
         )
     assert done.returncode == 1
-    assert done.stderr.startswith("olivepost: can't listen on") and done.stderr.count("\n") == 1
+    assert done.stderr.startswith("olivepost: can't listen on")
+    assert done.stderr.count("\n") == 1
 
 
 @pytest.mark.parametrize("build", [[], ["-O"]])
@@ -84,15 +87,19 @@
             path.write_text("{")
             front.send_signal(signal.SIGHUP)
             failed = json.loads(front.stdout.readline())
-            assert failed["event"] == "reload_failed" and "not JSON" in failed["why"]
+            assert failed["event"] == "reload_failed"
+            assert "not JSON" in failed["why"]
             path.write_text(json.dumps({**config, "coordinator": "x"}))
             front.send_signal(signal.SIGHUP)
             assert "'coordinator'" in json.loads(front.stdout.readline())["why"]
             path.write_text(json.dumps({**config, "limits": {"memory_mb": 96}, "coordinator": other.address}))
             front.send_signal(signal.SIGHUP)
             done, fixed = (json.loads(front.stdout.readline()) for _ in range(2))
-            assert done["event"] == "reloaded" and done["moved"] and done["coordinator"] == other.address
-            assert fixed["event"] == "reload_needs_restart" and fixed["keys"] == ["limits"]
+            assert done["event"] == "reloaded"
+            assert done["moved"]
+            assert done["coordinator"] == other.address
+            assert fixed["event"] == "reload_needs_restart"
+            assert fixed["keys"] == ["limits"]
             assert other.wait_for_poll(1)
             assert client.ask()[2] == body_of(NAME, "3")
         front.send_signal(signal.SIGTERM)
@@ -101,7 +108,8 @@
         assert front.wait(WITHIN) == 0
         events = [line["event"] for line in rest if not line["event"].startswith("reload")]
         assert events == ["draining", "figures", "ended"]  # one line of figures: it did not sleep on
-        assert rest[-2]["broken"] == {} and rest[-1]["open"] == 0
+        assert rest[-2]["broken"] == {}
+        assert rest[-1]["open"] == 0
     finally:
         front.kill()
         front.wait()
