--- /dev/null
+++ b/tests/shared_store/test_proxies.py
@@ -0,0 +1,227 @@
+"""Two proxies that share one stand-in store, on loopback: host, event loop and commands together."""
+
+from __future__ import annotations
+
+import json
+import os
+import time
+from collections.abc import Callable, Iterator
+from contextlib import closing, contextmanager
+from pathlib import Path
+from typing import Any
+
+import pytest
+
+from examples.toy_server import Coordinator, Member, entry
+from olivepost import interface as api
+from olivepost.cli import main
+from olivepost.config import read_config
+from olivepost.operator_config.model import OperatorSettings
+from olivepost.proxy.event_loop import StopEventLoop
+from olivepost.proxy.server import ProxyServer
+from olivepost.shared_store.host import StoreHost
+from olivepost.shared_store.store_health import StoreHealth
+from standins.redis.server import Server
+from tests.rig import Client, toy_config
+
+FILLED = "0a3a9c21e0b4d655"  # no toy cache has it
+STORE = "s"
+
+
+class ProxyPair:
+    """Two proxies of one branch with the same endpoints and the same store; `sharing` are its settings."""
+
+    def __init__(self, server: Server, **sharing: Any) -> None:
+        self.server = server
+        self.coordinator = Coordinator()
+        self.caches = [Member("a"), Member("b")]
+        self.others = [Member("p"), Member("o")]
+        entries = [entry(cache) for cache in self.caches]
+        entries += [entry(self.others[0], "parent", "hub"), entry(self.others[1], "origin", "hub")]
+        self.coordinator.add(endpoints={"version": 1, "full": True, "servers": entries})
+        store = {"name": STORE, "address": "{}:{}".format(*server.address), **sharing.pop("store", {})}
+        section = {"branch": "west", "stores": [store], **sharing}
+        operator = OperatorSettings.model_validate({"sharing": section})
+        self._devnull = os.open(os.devnull, os.O_WRONLY)
+        self.proxies: list[ProxyServer] = []
+        self.addresses: list[tuple[str, int]] = []
+        for name in ("n1", "n2"):
+            config = toy_config(
+                name=name, coordinator=self.coordinator.address, known=self.coordinator.listed()
+            )
+            proxy = ProxyServer(read_config(config, {}), self._devnull, operator=operator)
+            self.proxies.append(proxy)
+            self.addresses.append(proxy.start())
+
+    @property
+    def hosts(self) -> list[StoreHost]:
+        hosts = [proxy.shared_store for proxy in self.proxies if proxy.shared_store]
+        assert len(hosts) == len(self.proxies)
+        return hosts
+
+    @property
+    def stores(self) -> list[StoreHealth]:
+        """The store as each of the proxies knows it."""
+        return [host.coordinator.stores[STORE] for host in self.hosts]
+
+    def wait_for_availability(self, is_available: bool = True, timeout_s: float = 10.0) -> bool:
+        """Waits until both proxies say that the store is available, or is not."""
+        return self.wait_until(
+            lambda: all(self.has_available_store(proxy) == is_available for proxy in self.proxies), timeout_s
+        )
+
+    @staticmethod
+    def has_available_store(proxy: ProxyServer) -> bool:
+        return proxy.event_loop._router.state.is_store_available
+
+    def have_synced(self) -> bool:
+        """Whether each proxy has had its first sync under the store's present generation confirmed.
+
+        That sync leaves the process's key in the store. A proxy counts the store as available before it: as
+        soon as its invalidations are confirmed."""
+        in_one_generation = len({store.generation for store in self.stores}) == 1
+        return in_one_generation and all(store.confirmed_serial > 0 for store in self.stores)
+
+    @staticmethod
+    def wait_until(condition: Callable[[], bool], timeout_s: float = 10.0) -> bool:
+        deadline = time.monotonic() + timeout_s
+        while not (holds := condition()) and time.monotonic() < deadline:
+            time.sleep(0.005)
+        return holds
+
+    def count(self, name: str) -> int:
+        """The sum of both proxies' metric."""
+        return sum(host.coordinator.counts.get(name, 0) for host in self.hosts)
+
+    def ask(self, proxy: int, name: str, **fields: Any) -> int:
+        """Sends a request to one of the proxies; returns the status."""
+        with Client(self.addresses[proxy]) as client:
+            return client.ask(name, **fields)[0]
+
+    def close(self) -> None:
+        for proxy in self.proxies:
+            proxy.discovery.stop()
+            proxy.downstream.stop_accepting()
+            if proxy.shared_store:
+                proxy.shared_store.close()
+            proxy.downstream.stop_watching()
+            proxy.upstream.close()
+            proxy.event_loop.post(StopEventLoop())
+            proxy.log.close(5.0)
+        for server in (*self.caches, *self.others, self.coordinator):
+            server.close()
+        os.close(self._devnull)
+
+
+@contextmanager
+def proxy_pair(**sharing: Any) -> Iterator[ProxyPair]:
+    with closing(Server(users=sharing.pop("users", None))) as server:
+        pair = ProxyPair(server, **{"wait": "100ms", **sharing})
+        try:
+            yield pair
+        finally:
+            pair.close()
+
+
+def test_a_leased_fill_is_published_and_found_by_the_other_proxy() -> None:
+    with proxy_pair() as pair:
+        assert pair.wait_for_availability()
+        assert pair.ask(0, FILLED, patience=6000) == 200
+        assert pair.wait_until(lambda: pair.count("claims_settled") == 1)
+        assert pair.ask(1, FILLED, patience=6000) == 200
+        assert pair.wait_until(lambda: pair.count("hints_given") >= 1), pair.proxies[1].log.counters()
+
+
+def test_an_invalidation_reaches_the_other_proxy_through_the_store() -> None:
+    with proxy_pair() as pair:
+        assert pair.wait_for_availability()
+        pair.hosts[0].invalidate(api.Invalidation("x", None, 0), time.time_ns())
+        assert pair.wait_until(lambda: pair.count("purges_heard") == 1)
+        router = pair.proxies[1].event_loop._router
+        assert pair.wait_until(
+            lambda: router.state.invalidations.latest(api.Request("i", "image", "x", 1, group=1)) > 0
+        )
+
+
+@pytest.mark.parametrize(
+    "fault",
+    [
+        {"silent": True},
+        {"pause": True},
+        {"refuse": True},
+        {"cut": 1.0},
+        {"garble": 1.0},
+        {"full": True},
+        {"read_only": True},
+        {"slow_ms": 400.0},
+    ],
+)
+def test_requests_are_answered_through_any_fault_of_the_store_and_it_is_used_again_after(
+    fault: dict[str, Any],
+) -> None:
+    with proxy_pair(wait="20ms", give_up="100ms") as pair:
+        assert pair.wait_for_availability()
+        pair.server.call(lambda: pair.server.change(fault))
+        for number in range(12):
+            began = time.monotonic()
+            assert pair.ask(number % 2, f"0{number:015x}", patience=2000) == 200
+            assert time.monotonic() - began < 1.5
+        assert pair.wait_for_availability(is_available=False)
+        pair.server.call(lambda: pair.server.change({key: type(value)(0) for key, value in fault.items()}))
+        assert pair.wait_for_availability()
+
+
+def test_a_store_that_loses_everything_gets_a_new_generation() -> None:
+    with proxy_pair() as pair:
+        assert pair.wait_for_availability()
+        before = pair.stores[0].generation
+        pair.server.call(lambda: pair.server.change({"lose": True}))
+        assert pair.wait_until(lambda: all(store.generation > before for store in pair.stores))
+        assert pair.wait_for_availability()
+        assert pair.ask(0, FILLED, patience=6000) == 200
+
+
+def test_a_password_may_change_in_service(tmp_path: Path) -> None:
+    secret = tmp_path / "secret"
+    secret.write_text("old\n")
+    with proxy_pair(users={"default": "old"}, store={"password_file": str(secret)}) as pair:
+        assert pair.wait_for_availability()
+        pair.server.call(lambda: pair.server.change({"password": "new", "cut_all": True}))
+        assert pair.wait_for_availability(is_available=False)
+        secret.write_text("new\n")
+        assert pair.wait_for_availability()
+
+
+def test_commands_show_and_forget_what_a_store_holds(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    with proxy_pair() as pair:
+        assert pair.wait_for_availability()
+        assert pair.wait_until(pair.have_synced)
+        assert pair.ask(0, FILLED, patience=6000) == 200
+        assert pair.wait_until(lambda: pair.count("claims_settled") == 1)
+        path = tmp_path / "operator.yaml"
+        path.write_text(
+            "sharing:\n  branch: west\n  stores: [{{name: s, address: '{}:{}'}}]\n".format(
+                *pair.server.address
+            )
+        )
+
+        def run(*arguments: str) -> Any:
+            assert main(["sharing", *arguments, "--operator", str(path), "--json"]) == 0
+            return json.loads(capsys.readouterr().out)["rows"]
+
+        assert run("ping")[0]["processes"] == 2
+        (location,) = run("claims")
+        assert location["kind"] == "holder"
+        assert location["name"] == f"{FILLED}.3"
+        assert location["by"] == "n1"
+        assert run("forget", f"{FILLED}.3")[0]["forgotten"] == 1
+        assert not run("claims")
+        advanced = run("forget")[0]
+        assert advanced["generation"] > advanced["before"]
+        assert not run("purges")
+        assert main(["sharing", "ping", "--operator", str(path)]) == 0
+        assert "generation" in capsys.readouterr().out
+        assert main(["sharing", "ping", "--store", "x", "--operator", str(path)]) == 2
+    assert main(["sharing", "ping", "--operator", str(path)]) == 1
