--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: what it may hold, and how its faults are told."""
+"""The operator's file: what it accepts, how its faults are reported, and its JSON Schema."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from examples.toy_server import CONFIG
 from olivepost.cli import main
 from olivepost.operator_config.loader import OperatorConfigError, load, schema
-from olivepost.operator_config.units import format_duration, parse_duration, read_secret
+from olivepost.operator_config.units import format_duration, parse_address, parse_duration, read_secret
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "examples" / "sharing.yaml"
 KeyPath = tuple[Any, ...]
 STORE = "  stores: [{name: s, address: '127.0.0.1:1'}]\n"
 
 
-def faults(tmp_path: Path, text: str) -> str:
+def load_faults(tmp_path: Path, text: str) -> str:
     path = tmp_path / "operator.yaml"
     path.write_text(text)
     with pytest.raises(OperatorConfigError) as raised:
@@ -33,7 +33,7 @@
     return str(raised.value)
 
 
-def test_the_example_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_example_file_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
     sharing = load(str(EXAMPLE)).sharing
     assert sharing is not None
     assert sharing.wait == 10_000_000
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         (
             "sharing:\n  branch: w\n" + STORE + "  wait: 3\n",
@@ -79,9 +79,9 @@
         ("sharing:\n  ? [a]\n  : w\n", ":2: sharing.a sequence: a key must be a string"),
     ],
 )
-def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, told: str) -> None:
-    assert told in faults(tmp_path, text)
-    assert "operator.yaml" in faults(tmp_path, text)
+def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, message: str) -> None:
+    assert message in load_faults(tmp_path, text)
+    assert "operator.yaml" in load_faults(tmp_path, text)
 
 
 @pytest.mark.parametrize("section", ["claims", "holders", "purges", "budgets", "suspicions"])
@@ -99,7 +99,7 @@
 
 
 def test_all_faulty_keys_are_reported_at_once(tmp_path: Path) -> None:
-    text = faults(tmp_path, "sharing:\n  on: 1\n  no: 2\n  branch: w\n  branch: x\n")
+    text = load_faults(tmp_path, "sharing:\n  on: 1\n  no: 2\n  branch: w\n  branch: x\n")
     assert [line.split(": ")[1] for line in text.splitlines()] == [
         "sharing.on",
         "sharing.no",
@@ -117,7 +117,9 @@
     assert capsys.readouterr().err == f"olivepost: {path}:1: the file: has no section; there are: sharing\n"
 
 
-def test_a_faulty_file_ends_with_code_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_faulty_file_ends_the_command_with_code_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text("sharing: {}\n")
     assert main(["check", "--operator", str(path)]) == 2
@@ -126,7 +128,7 @@
     assert "can't be read" in capsys.readouterr().err
 
 
-def test_the_schema_names_every_section(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_schema_has_every_section(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["schema"]) == 0
     assert "sharing" in json.loads(capsys.readouterr().out)["properties"]
 
@@ -191,12 +193,44 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
 @given(st.integers(1, 10**13))
-def test_a_span_is_read_as_it_is_written(span: int) -> None:
-    span -= span % 1_000
-    assert parse_duration(format_duration(span)) == span
+def test_a_formatted_duration_is_parsed_to_the_same_value(duration_ns: int) -> None:
+    duration_ns -= duration_ns % 1_000
+    assert parse_duration(format_duration(duration_ns)) == duration_ns
+
+
+@pytest.mark.parametrize(
+    ("value", "duration_ns"),
+    [("250ms", 250_000_000), ("1.5s", 1_500_000_000), ("2m", 120_000_000_000), ("3us", 3_000), (7, 7)],
+)
+def test_a_duration_is_parsed_to_nanoseconds(value: object, duration_ns: int) -> None:
+    assert parse_duration(value) == duration_ns
+
+
+@pytest.mark.parametrize("value", ["", "5", "5 s", "-5s", "1.s", "5d", True, 1.5, None])
+def test_what_is_no_duration_is_rejected(value: object) -> None:
+    with pytest.raises(ValueError, match=r"must be a duration like 250ms, 1\.5s or 2m"):
+        parse_duration(value)
+
+
+@pytest.mark.parametrize(
+    ("value", "address"),
+    [
+        ("10.0.0.4:6379", ("10.0.0.4", 6379)),
+        ("store.example:1", ("store.example", 1)),
+        ("[::1]:65535", ("::1", 65_535)),
+    ],
+)
+def test_an_address_is_parsed_to_host_and_port(value: str, address: tuple[str, int]) -> None:
+    assert parse_address(value) == address
+
+
+@pytest.mark.parametrize("value", ["", ":1", "h", "h:", "h:0", "h:65536", "h:x", "-h:1", "::1:1", "[h]:1", 5])
+def test_what_is_no_address_is_rejected(value: object) -> None:
+    with pytest.raises(ValueError, match="must be an address like"):
+        parse_address(value)
 
 
-def test_a_secret_is_never_told(tmp_path: Path) -> None:
+def test_a_faulty_secret_is_not_in_the_message(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     path.write_bytes(b"hush\n")
     assert read_secret(path) == "hush"
@@ -206,7 +240,7 @@
     assert "hush" not in str(raised.value)
 
 
-def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
+def test_without_an_operators_file_its_packages_are_not_imported() -> None:
     """Guards the platform's front against the memory and start of what is off."""
     code = (
         "import sys, olivepost.cli, olivepost.proxy.server\n"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 from tests.rig import NAME, WITHIN, Client, toy_config
 
 
-def test_version_and_help(capsys: pytest.CaptureFixture[str]) -> None:
+def test_version_and_help_are_printed(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["version"]) == 0
     assert capsys.readouterr().out == f"olivepost {__version__}\n"
     with pytest.raises(SystemExit) as ended:
@@ -25,18 +25,43 @@
     assert "Examples:" in capsys.readouterr().out
 
 
-def test_check(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_usable_configuration_passes_check(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["check", "--config", str(CONFIG)]) == 0
     assert "can be used" in capsys.readouterr().out
 
 
-def test_a_wrong_command_line(capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_sharing_command_without_a_section_or_with_an_unknown_store_ends_with_code_2(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    monkeypatch.delenv("OLIVEPOST_OPERATOR", raising=False)
+    assert main(["sharing", "ping"]) == 2
+    assert "no section 'sharing'" in capsys.readouterr().err
+    path = tmp_path / "operator.yaml"
+    path.write_text("sharing:\n  branch: w\n  stores: [{name: s, address: '127.0.0.1:1'}]\n")
+    assert main(["sharing", "ping", "--operator", str(path), "--store", "x"]) == 2
+    assert capsys.readouterr().err == "olivepost: no store 'x'; there are s\n"
+
+
+def test_a_missing_package_of_the_operators_file_is_named(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+) -> None:
+    monkeypatch.delitem(sys.modules, "olivepost.operator_config.loader", raising=False)
+    monkeypatch.setitem(sys.modules, "yaml", None)
+    assert main(["check", "--operator", "any.yaml"]) == 2
+    assert capsys.readouterr().err == (
+        "olivepost: an operator's file needs the package 'yaml': pip install .[all]\n"
+    )
+
+
+def test_a_wrong_command_line_ends_with_code_2_and_the_usage(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["riddle"]) == 2
     assert "Usage:" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("command", ["check", "serve"])
-def test_a_faulty_configuration(command: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_faulty_configuration_ends_with_code_2_and_its_key(
+    command: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(toy_config(listen="nowhere")))
     assert main([command, "--config", str(path)]) == 2
@@ -45,7 +70,7 @@
     assert error.count("\n") == 1
 
 
-def test_a_port_in_use(tmp_path: Path) -> None:
+def test_a_port_in_use_ends_with_code_1(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(toy_config(listen=f"127.0.0.1:{taken.getsockname()[1]}")))
@@ -61,7 +86,7 @@
 
 
 @pytest.mark.parametrize("build", [[], ["-O"]])
-def test_the_example_serves(build: list[str], tmp_path: Path) -> None:
+def test_the_example_serves_reloads_and_shuts_down(build: list[str], tmp_path: Path) -> None:
     config = toy_config()
     listed = config["known"]["updates"][0]["endpoints"]["servers"]
     members = [Member(item["id"]) for item in listed]
@@ -73,11 +98,11 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config))
     command = [sys.executable, *build, "-m", "olivepost", "serve"]
-    told = {**os.environ, "BALANCER_CONFIG": str(path)}
-    front = subprocess.Popen(command, stdout=subprocess.PIPE, env=told)
+    environment = {**os.environ, "BALANCER_CONFIG": str(path)}
+    proxy = subprocess.Popen(command, stdout=subprocess.PIPE, env=environment)
     try:
-        assert front.stdout is not None
-        started = json.loads(front.stdout.readline())
+        assert proxy.stdout is not None
+        started = json.loads(proxy.stdout.readline())
         assert started["event"] == "started"
         host, _, port = started["listen"].rpartition(":")
         with Client((host, int(port))) as client:
@@ -85,16 +110,16 @@
             assert client.ask(If_None_Match=f'"{tag_of(NAME, "3")}"')[0] == 304
             assert client.ask("f" * 16)[0] == 503
             path.write_text("{")
-            front.send_signal(signal.SIGHUP)
-            failed = json.loads(front.stdout.readline())
+            proxy.send_signal(signal.SIGHUP)
+            failed = json.loads(proxy.stdout.readline())
             assert failed["event"] == "reload_failed"
             assert "not JSON" in failed["why"]
             path.write_text(json.dumps({**config, "coordinator": "x"}))
-            front.send_signal(signal.SIGHUP)
-            assert "'coordinator'" in json.loads(front.stdout.readline())["why"]
+            proxy.send_signal(signal.SIGHUP)
+            assert "'coordinator'" in json.loads(proxy.stdout.readline())["why"]
             path.write_text(json.dumps({**config, "limits": {"memory_mb": 96}, "coordinator": other.address}))
-            front.send_signal(signal.SIGHUP)
-            done, fixed = (json.loads(front.stdout.readline()) for _ in range(2))
+            proxy.send_signal(signal.SIGHUP)
+            done, fixed = (json.loads(proxy.stdout.readline()) for _ in range(2))
             assert done["event"] == "reloaded"
             assert done["moved"]
             assert done["coordinator"] == other.address
@@ -102,16 +127,16 @@
             assert fixed["keys"] == ["limits"]
             assert other.wait_for_poll(1)
             assert client.ask()[2] == body_of(NAME, "3")
-        front.send_signal(signal.SIGTERM)
-        front.send_signal(signal.SIGHUP)  # also then it ends nothing
-        rest = [json.loads(line) for line in front.stdout]
-        assert front.wait(WITHIN) == 0
+        proxy.send_signal(signal.SIGTERM)
+        proxy.send_signal(signal.SIGHUP)  # also then it ends nothing
+        rest = [json.loads(line) for line in proxy.stdout]
+        assert proxy.wait(WITHIN) == 0
         events = [line["event"] for line in rest if not line["event"].startswith("reload")]
         assert events == ["draining", "figures", "ended"]  # one line of figures: it did not sleep on
         assert rest[-2]["broken"] == {}
         assert rest[-1]["open"] == 0
     finally:
-        front.kill()
-        front.wait()
+        proxy.kill()
+        proxy.wait()
         for server in (*members, coordinator, other):
             server.close()
