--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -104,7 +104,7 @@
         self._queue_event(messages.InvalidationReceived(invalidation, invalidated_at // MILLISECOND))
 
     def metrics(self) -> dict[str, object]:
-        """Returns counts since the start, and the state of each store."""
+        """Returns counters since the start, and the state of each store."""
         stores = {
             name: {
                 "circuit_breaker": store.breaker.value,
@@ -113,7 +113,7 @@
             }
             for name, store in self.coordinator.stores.items()
         }
-        return {"counts": dict(self.coordinator.counts), "stores": stores}
+        return {"counters": dict(self.coordinator.counts), "stores": stores}
 
     def _queue_event(self, event: messages.Event) -> None:
         """Queues an event for the coordinator, from any thread."""
@@ -144,7 +144,7 @@
             actions = self.coordinator.handle(self._clock.now(), event)
         except Exception:  # the thread's top: one event's fault must not end the others
             log = self._log
-            log.exception("store_coordinator_fault", kind=type(event).__name__)
+            log.exception("store_coordinator_error", kind=type(event).__name__)
             if isinstance(event, messages.LookupRequested):  # its request waits for a hint
                 self._post(api.CacheHint(event.lookup.request_id))
             return
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -124,7 +124,7 @@
             return
         except Exception as error:  # the thread's top: every command must get its event
             log = context.log
-            log.exception("store_fault")
+            log.exception("store_worker_error")
             self._fail(commands, error)
             return
         for command, reply in zip(commands, replies, strict=True):
