--- a/olivepost/operator_config/__init__.py
+++ b/olivepost/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's YAML file: one section for each subsystem, which is off without it and is not imported then."""
+"""The operator's YAML file: one section for each subsystem, which is off and not imported without it."""
--- /dev/null
+++ b/tests/shared_store/test_store_worker.py
@@ -0,0 +1,150 @@
+"""The worker of a store, and the rate limit of its fault lines."""
+
+from __future__ import annotations
+
+import json
+import os
+import queue
+from collections.abc import Iterator
+from contextlib import closing
+from typing import Any
+
+import pytest
+
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import EventLog
+from olivepost.shared_store import client, messages
+from olivepost.shared_store.fault_log import LOG_INTERVAL, FaultLog
+from olivepost.shared_store.settings import SharedStoreSettings
+from olivepost.shared_store.store_worker import Lane, ReplyEvent, StoreWorker, WorkerContext
+from olivepost.units import MILLISECOND
+from standins.redis.server import Server
+
+TIMEOUT_S = 5.0
+
+
+class FakeClock(Clock):
+    """A clock that a test sets."""
+
+    def __init__(self) -> None:
+        super().__init__()
+        self.time = 10 * LOG_INTERVAL
+
+    def now(self) -> int:
+        return self.time
+
+
+class Bench:
+    """A worker of one lane before a stand-in store; `replies` are the events that it posts."""
+
+    def __init__(self, server: Server, **sharing: Any) -> None:
+        store = {"name": "s", "address": "{}:{}".format(*server.address)}
+        settings = SharedStoreSettings.model_validate({"branch": "b", "stores": [store], **sharing})
+        self._read_end, write_end = os.pipe()
+        self._write_end = write_end
+        self.clock = FakeClock()
+        self.log = EventLog(self.clock, "n1", descriptor=write_end)
+        self.replies: queue.SimpleQueue[ReplyEvent] = queue.SimpleQueue()
+        self.faults = FaultLog(self.clock, self.log)
+        context = WorkerContext(settings, "p1", self.clock, self.log, self.faults, self.replies.put)
+        self.worker = StoreWorker(context, settings.stores[0], Lane.URGENT)
+
+    def submit(self, ticket: int) -> None:
+        self.worker.submit(messages.StoreCommand(ticket, "s", messages.AdvanceGeneration(0, 0)))
+
+    def next_reply(self) -> ReplyEvent:
+        return self.replies.get(timeout=TIMEOUT_S)
+
+    def close(self) -> None:
+        self.worker.close()
+        self.log.close(TIMEOUT_S)
+        os.close(self._write_end)
+        os.close(self._read_end)
+
+    def logged(self) -> list[dict[str, Any]]:
+        """Closes the log; returns its lines."""
+        self.log.close(TIMEOUT_S)
+        return [json.loads(line) for line in os.read(self._read_end, 65_536).splitlines()]
+
+
+@pytest.fixture
+def server() -> Iterator[Server]:
+    with closing(Server()) as server:
+        yield server
+
+
+def test_a_command_gets_the_reply_of_its_store(server: Server) -> None:
+    with closing(Bench(server)) as bench:
+        bench.worker.start()
+        bench.submit(1)
+        reply = bench.next_reply()
+        assert isinstance(reply, messages.StoreReply)
+        assert reply.ticket == 1
+        assert reply.generation > 0
+
+
+def test_a_command_that_does_not_fit_into_the_queue_is_lost_at_once(server: Server) -> None:
+    with closing(Bench(server, queues={"urgent": 1})) as bench:
+        bench.submit(1)
+        bench.submit(2)
+        assert bench.next_reply() == messages.ReplyLost(2, "the queue is full")
+        assert bench.log.counters()["store_queue_full"] == 1
+
+
+def test_a_command_that_waited_too_long_is_not_sent(server: Server) -> None:
+    with closing(Bench(server, wait="10ms")) as bench:
+        bench.submit(1)
+        bench.clock.time += 10 * MILLISECOND
+        bench.submit(2)
+        bench.clock.time += 1
+        bench.worker.start()
+        assert bench.next_reply() == messages.ReplyLost(1, "waited too long")
+        assert isinstance(bench.next_reply(), messages.StoreReply)
+        assert bench.log.counters()["store_commands_expired"] == 1
+
+
+def test_commands_are_lost_where_the_store_can_not_be_reached(server: Server) -> None:
+    with closing(Bench(server)) as bench:
+        server.call(lambda: server.change({"refuse": True}))
+        bench.submit(1)
+        bench.submit(2)
+        bench.worker.start()
+        assert [bench.next_reply() for _ in range(2)] == [
+            messages.ReplyLost(1, "ConnectionError"),
+            messages.ReplyLost(2, "ConnectionError"),
+        ]
+        assert bench.log.counters()["store_faults"] == 1
+
+
+def test_an_unforeseen_exception_loses_only_its_batch(
+    server: Server, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    run = client.run
+
+    def fail_once(*_arguments: Any) -> list[object]:
+        monkeypatch.setattr(client, "run", run)
+        raise RuntimeError("unforeseen")
+
+    monkeypatch.setattr(client, "run", fail_once)
+    with closing(Bench(server)) as bench:
+        bench.worker.start()
+        bench.submit(1)
+        assert bench.next_reply() == messages.ReplyLost(1, "RuntimeError")
+        bench.submit(2)
+        assert isinstance(bench.next_reply(), messages.StoreReply)
+        assert [line["event"] for line in bench.logged()] == ["store_worker_error", "store_fault"]
+
+
+def test_faults_of_one_kind_are_logged_once_per_interval(server: Server) -> None:
+    with closing(Bench(server)) as bench:
+        for _ in range(3):
+            bench.faults.record(ConnectionError("gone"))
+        bench.faults.record(TimeoutError("slow"))
+        bench.clock.time += LOG_INTERVAL
+        bench.faults.record(ConnectionError("gone"))
+        assert bench.log.counters()["store_faults"] == 5
+        assert [line["why"] for line in bench.logged()] == [
+            "ConnectionError: gone",
+            "TimeoutError: slow",
+            "ConnectionError: gone",
+        ]
