--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -241,7 +241,7 @@
 
 
 def test_without_an_operators_file_its_packages_are_not_imported() -> None:
-    """Guards the platform's front against the memory and start of what is off."""
+    """Guards the platform's proxy against the memory and start-up time of what is off."""
     code = (
         "import sys, olivepost.cli, olivepost.proxy.server\n"
         "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
