--- a/olivepost/operator_config/__init__.py
+++ b/olivepost/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's YAML file: one section a subsystem, off without it; nothing here is imported then."""
+"""The operator's YAML file: one section for each subsystem, which is off and not imported without it."""
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -1,36 +1,42 @@
-"""The operator's file: what it may hold, and how its faults are told."""
+"""The operator's file: what it accepts, how its faults are reported, and its JSON Schema."""
 
 from __future__ import annotations
 
 import json
+import re
 import subprocess
 import sys
+from collections.abc import Iterator
 from pathlib import Path
+from typing import Any, cast
 
 import pytest
+import yaml
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from examples.toy_server import CONFIG
 from olivepost.cli import main
-from olivepost.operator_config.loader import OperatorError, load
-from olivepost.operator_config.units import read_secret, read_span, write_span
+from olivepost.operator_config.loader import OperatorConfigError, load, schema
+from olivepost.operator_config.units import format_duration, parse_address, parse_duration, read_secret
 
 EXAMPLE = Path(__file__).parents[2] / "deploy" / "examples" / "sharing.yaml"
+KeyPath = tuple[Any, ...]
 STORE = "  stores: [{name: s, address: '127.0.0.1:1'}]\n"
 
 
-def faults(tmp_path: Path, text: str) -> str:
+def load_faults(tmp_path: Path, text: str) -> str:
     path = tmp_path / "operator.yaml"
     path.write_text(text)
-    with pytest.raises(OperatorError) as raised:
+    with pytest.raises(OperatorConfigError) as raised:
         load(str(path))
     return str(raised.value)
 
 
-def test_the_example_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_example_file_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
     sharing = load(str(EXAMPLE)).sharing
-    assert sharing is not None and sharing.wait == 10_000_000
+    assert sharing is not None
+    assert sharing.wait == 10_000_000
     assert sharing.stores[0].address == ("127.0.0.1", 7379)
     assert main(["check", "--config", str(CONFIG), "--operator", str(EXAMPLE)]) == 0
     assert main(["check", "--operator", str(EXAMPLE)]) == 0
@@ -38,7 +44,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         (
             "sharing:\n  branch: w\n" + STORE + "  wait: 3\n",
@@ -65,13 +71,55 @@
         ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1'}, {name: s, address: 'h:2'}]\n", "same"),
         ("sharing:\n  branch: w\n  stores: [{name: s, address: 'h:1', user: u}]\n", "needs a password_file"),
         ("sharing:\n  branch: w\n" + STORE + "  trials: {first: 2s, most: 1s}\n", ":4: sharing.trials: most"),
+        (
+            "sharing:\n  branch: w\n" + STORE + "  claims:\n    on: false\n",
+            ":5: sharing.claims.on: a key must be a string, and YAML reads this one as bool",
+        ),
+        ("sharing:\n  7: w\n", ":2: sharing.7: a key must be a string, and YAML reads this one as int"),
+        ("sharing:\n  ? [a]\n  : w\n", ":2: sharing.a sequence: a key must be a string"),
     ],
 )
-def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, told: str) -> None:
-    assert told in faults(tmp_path, text) and "operator.yaml" in faults(tmp_path, text)
+def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, message: str) -> None:
+    assert message in load_faults(tmp_path, text)
+    assert "operator.yaml" in load_faults(tmp_path, text)
 
 
-def test_a_faulty_file_ends_with_code_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+@pytest.mark.parametrize("section", ["claims", "holders", "purges", "budgets", "suspicions"])
+@pytest.mark.parametrize(
+    ("text", "is_enabled"), [("false", False), ("off", False), ("true", True), ("on", True)]
+)
+def test_each_kind_of_sharing_can_be_switched_on_and_off(
+    tmp_path: Path, section: str, text: str, is_enabled: bool
+) -> None:
+    path = tmp_path / "operator.yaml"
+    path.write_text(f"sharing:\n  branch: w\n{STORE}  {section}:\n    enabled: {text}\n")
+    sharing = load(str(path)).sharing
+    assert sharing is not None
+    assert getattr(sharing, section).enabled is is_enabled
+
+
+def test_all_faulty_keys_are_reported_at_once(tmp_path: Path) -> None:
+    text = load_faults(tmp_path, "sharing:\n  on: 1\n  no: 2\n  branch: w\n  branch: x\n")
+    assert [line.split(": ")[1] for line in text.splitlines()] == [
+        "sharing.on",
+        "sharing.no",
+        "sharing.branch",
+    ]
+
+
+@pytest.mark.parametrize("text", ["", "\n", "# sharing:\n#   branch: west\n", "---\n...\n", "null\n", "{}\n"])
+def test_a_file_without_a_section_is_rejected(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str
+) -> None:
+    path = tmp_path / "operator.yaml"
+    path.write_text(text)
+    assert main(["check", "--operator", str(path)]) == 2
+    assert capsys.readouterr().err == f"olivepost: {path}:1: the file: has no section; there are: sharing\n"
+
+
+def test_a_faulty_file_ends_the_command_with_code_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text("sharing: {}\n")
     assert main(["check", "--operator", str(path)]) == 2
@@ -80,30 +128,120 @@
     assert "can't be read" in capsys.readouterr().err
 
 
-def test_the_schema_names_every_section(capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_schema_has_every_section(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["schema"]) == 0
     assert "sharing" in json.loads(capsys.readouterr().out)["properties"]
 
 
+def definition_of(field: dict[str, Any]) -> dict[str, Any]:
+    """Returns the schema that a field, or one branch of it, refers to; an empty one where there is none."""
+    for branch in (field, field.get("items", {}), *field.get("anyOf", ())):
+        if "$ref" in branch:
+            return DEFINITIONS[branch["$ref"].rpartition("/")[2]]
+    return {}
+
+
+def defaults_of(section: dict[str, Any], path: KeyPath) -> Iterator[tuple[KeyPath, dict[str, Any]]]:
+    """Yields each key below a section that has a default, with the key's own schema."""
+    for key, field in section.get("properties", {}).items():
+        if "default" in field:
+            yield (*path, key), field
+        below = (*path, key, 0) if "items" in field else (*path, key)
+        yield from defaults_of(definition_of(field), below)
+
+
+DEFINITIONS = cast("dict[str, dict[str, Any]]", schema()["$defs"])
+DEFAULTS = list(defaults_of(schema(), ()))
+
+
+def test_the_schema_has_a_default_for_every_optional_key() -> None:
+    assert len(DEFAULTS) == 30, [".".join(map(str, path)) for path, _ in DEFAULTS]
+
+
+@pytest.mark.parametrize(("path", "field"), DEFAULTS, ids=[".".join(map(str, path)) for path, _ in DEFAULTS])
+def test_a_default_of_the_schema_can_be_put_into_a_file(
+    tmp_path: Path, path: KeyPath, field: dict[str, Any]
+) -> None:
+    """Guards against defaults in a form that the file does not take, such as bare nanoseconds."""
+    store = {"name": "s", "address": "127.0.0.1:1", "tls": {"ca_file": "/ca.pem"}}
+    document: dict[str, Any] = {"sharing": {"branch": "w", "stores": [store]}}
+    section: Any = document
+    for key in path[:-1]:
+        section = section.setdefault(key, {}) if isinstance(section, dict) else section[key]
+    section[path[-1]] = field["default"]
+    file = tmp_path / "operator.yaml"
+    file.write_text(yaml.safe_dump(document))
+
+    settings: Any = load(str(file))
+    for key in path[:-1]:
+        settings = settings[key] if isinstance(key, int) else getattr(settings, key)
+    assert getattr(settings, path[-1]) == type(settings).model_fields[path[-1]].default
+
+
+@pytest.mark.parametrize("field", [field for _, field in DEFAULTS])
+def test_a_default_of_the_schema_has_the_form_that_the_schema_allows(field: dict[str, Any]) -> None:
+    default = field["default"]
+    if isinstance(default, dict):
+        keys = definition_of(field)["properties"]
+        assert default == {key: keys[key]["default"] for key in keys}
+    elif "pattern" in field:
+        assert re.search(field["pattern"], default)
+    else:
+        kinds = {branch.get("type") for branch in (field, *field.get("anyOf", ()))}
+        assert {type(None): "null", bool: "boolean", int: "integer"}[type(default)] in kinds
+
+
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
 @given(st.integers(1, 10**13))
-def test_a_span_is_read_as_it_is_written(span: int) -> None:
-    span -= span % 1_000
-    assert read_span(write_span(span)) == span
+def test_a_formatted_duration_is_parsed_to_the_same_value(duration_ns: int) -> None:
+    duration_ns -= duration_ns % 1_000
+    assert parse_duration(format_duration(duration_ns)) == duration_ns
+
+
+@pytest.mark.parametrize(
+    ("value", "duration_ns"),
+    [("250ms", 250_000_000), ("1.5s", 1_500_000_000), ("2m", 120_000_000_000), ("3us", 3_000), (7, 7)],
+)
+def test_a_duration_is_parsed_to_nanoseconds(value: object, duration_ns: int) -> None:
+    assert parse_duration(value) == duration_ns
+
+
+@pytest.mark.parametrize("value", ["", "5", "5 s", "-5s", "1.s", "5d", True, 1.5, None])
+def test_what_is_no_duration_is_rejected(value: object) -> None:
+    with pytest.raises(ValueError, match=r"must be a duration like 250ms, 1\.5s or 2m"):
+        parse_duration(value)
+
+
+@pytest.mark.parametrize(
+    ("value", "address"),
+    [
+        ("10.0.0.4:6379", ("10.0.0.4", 6379)),
+        ("store.example:1", ("store.example", 1)),
+        ("[::1]:65535", ("::1", 65_535)),
+    ],
+)
+def test_an_address_is_parsed_to_host_and_port(value: str, address: tuple[str, int]) -> None:
+    assert parse_address(value) == address
+
+
+@pytest.mark.parametrize("value", ["", ":1", "h", "h:", "h:0", "h:65536", "h:x", "-h:1", "::1:1", "[h]:1", 5])
+def test_what_is_no_address_is_rejected(value: object) -> None:
+    with pytest.raises(ValueError, match="must be an address like"):
+        parse_address(value)
 
 
-def test_a_secret_is_never_told(tmp_path: Path) -> None:
+def test_a_faulty_secret_is_not_in_the_message(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     path.write_bytes(b"hush\n")
     assert read_secret(path) == "hush"
     path.write_bytes(b"hush\nhush\n")
-    with pytest.raises(ValueError) as raised:
+    with pytest.raises(ValueError, match="more than one line") as raised:
         read_secret(path)
     assert "hush" not in str(raised.value)
 
 
-def test_without_an_operators_file_nothing_of_it_is_imported() -> None:
-    """Guards the platform's front against the memory and start of what is off."""
+def test_without_an_operators_file_its_packages_are_not_imported() -> None:
+    """Guards the platform's proxy against the memory and start-up time of what is off."""
     code = (
         "import sys, olivepost.cli, olivepost.proxy.server\n"
         "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
