--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -373,11 +373,11 @@
         if claims:
             record = encode_record(
                 FillLease(
-                    owner=self.terms.proxy,
-                    process=self.terms.incarnation,
+                    proxy=self.terms.proxy,
+                    incarnation=self.terms.incarnation,
                     cache=ask.cache,
                     source=ask.source,
-                    started=self._started(ask.cache),
+                    cache_started_at=self._started(ask.cache),
                 )
             )
             span = max(1, min(ask.lease_duration, self.terms.max_lease_duration) // MILLISECOND)
@@ -424,7 +424,7 @@
             claim = decode_record(
                 FillLease, values[1].partition(b" ")[2] if isinstance(values[1], bytes) else b""
             )
-            if self._usable(claim.cache, claim.started):
+            if self._usable(claim.cache, claim.cache_started_at):
                 self.counts["claims_followed"] += 1
                 left = (
                     max(0, min(parse_integer(values[2]), self.terms.max_lease_duration // MILLISECOND))
@@ -436,7 +436,7 @@
             holder = decode_record(CacheLocation, record)
             if self._stale(holder, waiting):
                 self._drop(now, asked.store, ask.name, record, 2)
-            elif self._usable(holder.cache, holder.started):
+            elif self._usable(holder.cache, holder.cache_started_at):
                 self.counts["hints_given"] += 1
                 while len(self._hints) >= MOST_ASKED:  # most are right, and no word of them comes back
                     del self._hints[next(iter(self._hints))]
@@ -453,8 +453,8 @@
     def _stale(self, holder: CacheLocation, waiting: PendingLookup) -> bool:
         """Older than a purge, or of a cache that has restarted or is gone: of no use to anybody."""
         listed = self._members.get(holder.cache)
-        purged = holder.at_ms <= self.purges.last_ms(waiting.object, waiting.group)
-        return purged or listed is None or listed.started_at > holder.started
+        purged = holder.generated_at_ms <= self.purges.last_ms(waiting.object, waiting.group)
+        return purged or listed is None or listed.started_at > holder.cache_started_at
 
     def _started(self, cache: str) -> int:
         return self._members[cache].started_at if cache in self._members else 0
@@ -502,10 +502,10 @@
             record = encode_record(
                 CacheLocation(
                     cache=settled.cache,
-                    started=self._started(settled.cache),
+                    cache_started_at=self._started(settled.cache),
                     rank=settled.rank,
-                    at_ms=at_ms,
-                    by=self.terms.proxy,
+                    generated_at_ms=at_ms,
+                    proxy=self.terms.proxy,
                 )
             )
         op = ev.PublishLocation(
@@ -545,7 +545,7 @@
                 parse_integer(row[1]),
                 decode_record(QuotaRequest, row[2]),
             )
-            if field_name != f"{need.process}|{need.key}":
+            if field_name != f"{need.incarnation}|{need.key}":
                 raise RecordError("a need under another's name")
             oldest[need.key] = min(
                 (at, field_name, need),
@@ -573,7 +573,7 @@
         self.counts["pieces_lent"] += 1
         need = offer.need
         op = ev.GrantQuota(
-            store.generation, offer.field, need.nonce, need.process, piece.amount, encode_record(piece)
+            store.generation, offer.field, need.nonce, need.incarnation, piece.amount, encode_record(piece)
         )
         if store.trust is not TrustLevel.TRUSTED or store.breaker is BreakerState.OPEN:
             return
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -7,7 +7,6 @@
 from collections.abc import Iterator
 from typing import Any, cast
 
-import msgspec
 import orjson
 import redis
 from rich.console import Console
@@ -22,6 +21,7 @@
     InvalidationKey,
     RecordError,
     decode_record,
+    stored_fields,
 )
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
@@ -103,18 +103,16 @@
             row["ends_ms"] = made.pttl(key)
             if kind == "c":
                 number, _, record = (made.get(key) or b"").partition(b" ")
-                row |= {"number": number.decode(errors="replace")} | _plain(decode_record(FillLease, record))
+                row |= {"number": number.decode(errors="replace")} | stored_fields(
+                    decode_record(FillLease, record)
+                )
             else:
-                row |= _plain(decode_record(CacheLocation, made.hget(key, "rec")))
+                row |= stored_fields(decode_record(CacheLocation, made.hget(key, "rec")))
         except (RecordError, redis.ResponseError) as fault:
             row["odd"] = str(fault)
         yield row
 
 
-def _plain(record: msgspec.Struct) -> dict[str, object]:
-    return {key: value for key, value in msgspec.structs.asdict(record).items() if key != "v"}
-
-
 def _purges(made: Any, under: str) -> Iterator[dict[str, object]]:
     for key, at in sorted(made.hgetall(f"{under}purges").items(), key=lambda pair: pair[1]):
         try:
--- a/olivepost/shared_store/quota_transfers.py
+++ b/olivepost/shared_store/quota_transfers.py
@@ -100,11 +100,11 @@
             if wanted.got < wanted.amount:
                 found[key] = encode_record(
                     QuotaRequest(
-                        process=self._process,
+                        incarnation=self._process,
                         key=key,
                         nonce=nonce,
                         amount=wanted.amount,
-                        span=self._span,
+                        duration=self._span,
                     )
                 )
         self._current = {key: nonce for key, nonce in self._current.items() if nonce in self._wanted}
@@ -116,13 +116,13 @@
         What this front lacks itself it does not lend: where all are full, a loan only locks budgets up.
         Measured: all lending to the oldest need took a third of what an evenly loaded branch used before."""
         out = now < self._offered.get(need.nonce, 0) or need.key in self._lacking
-        if need.process == self._process or out or need.amount <= LEAST or need.span <= 0:
+        if need.incarnation == self._process or out or need.amount <= LEAST or need.duration <= 0:
             return None
         if len(self._offers) >= MOST_NEEDS:
             return None
         self._offered = {nonce: end for nonce, end in self._offered.items() if end > now}
         self._offered[need.nonce] = now + self._span
-        offer = self._offers[ticket] = Donation(need, field, now + int(need.span * (1 + DRIFT)))
+        offer = self._offers[ticket] = Donation(need, field, now + int(need.duration * (1 + DRIFT)))
         return offer
 
     def lent(self, ticket: int, amount: float, until: int) -> tuple[Donation, QuotaGrant] | None:
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -1,8 +1,9 @@
-"""What a shared store keeps, byte for byte: records of one version, each behind its check sum.
+"""The records that a shared store keeps, byte for byte: their fields, checksum and limits.
 
-A record is the CRC-32C of its JSON in eight hexadecimal digits, a blank, and the JSON. What does not fit
-(another version, a wrong type, more bytes than any record has, a flipped bit) raises `RecordError`: it is
-skipped by whoever reads it, never mended.
+A record is the CRC-32C of its JSON in eight hexadecimal digits, a space, and the JSON. Anything else (another
+version, a wrong type, too many bytes, a flipped bit) raises `RecordError`: the reader skips it, nobody
+repairs it. Field names and tags are stored names: an attribute with another name carries the stored one as
+`name`.
 """
 
 from __future__ import annotations
@@ -13,52 +14,69 @@
 import crc32c
 import msgspec
 
-VERSION = 1
-MAX_RECORD_BYTES = 1_024
+RECORD_VERSION = 1  # raised when a field changes its meaning; other versions are skipped
+MAX_RECORD_BYTES = 1_024  # several times the longest record of ordinary names
+MAX_INTEGER_DIGITS = 18  # the longest decimal that surely fits into 64 bits
+MAX_OBJECT_LENGTH = 256  # of an object's name in an invalidation, in characters
+MAX_GROUP_DIGITS = 9  # of a group's number in an invalidation
 
 
 class RecordError(Exception):
-    """A record that this program can't use; the message says why."""
+    """A stored record or a part of a store's reply that can't be used.
 
+    `problem` says what is wrong, `allowed` what would have been accepted (empty: the problem names it).
+    """
 
-class Record(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """What all records have."""
+    def __init__(self, problem: str, allowed: str = "") -> None:
+        super().__init__(f"{problem}; allowed: {allowed}" if allowed else problem)
+        self.problem = problem
+        self.allowed = allowed
 
-    v: int = VERSION
 
+class StoredRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
+    """Base of all records."""
 
-class FillLease(Record, frozen=True, tag="claim", kw_only=True):
-    """Who fills a name: owner and its process, cache, source, the cache's start."""
+    version: int = msgspec.field(default=RECORD_VERSION, name="v")
 
-    owner: str
-    process: str
+
+class FillLease(StoredRecord, frozen=True, tag="claim", kw_only=True):
+    """The lease to fill a name into a cache.
+
+    `proxy` and `incarnation` are its owner, `source` is the endpoint that the cache fills from.
+    """
+
+    proxy: str = msgspec.field(name="owner")
+    incarnation: str = msgspec.field(name="process")
     cache: str
     source: str
-    started: int
+    cache_started_at: int = msgspec.field(name="started")
 
 
-class CacheLocation(Record, frozen=True, tag="holder", kw_only=True):
-    """Which cache keeps a name, at which rank, from a copy of which Unix millisecond."""
+class CacheLocation(StoredRecord, frozen=True, tag="holder", kw_only=True):
+    """Which cache has a name, with which rank, and when its response was generated (Unix milliseconds)."""
 
     cache: str
-    started: int
+    cache_started_at: int = msgspec.field(name="started")
     rank: int
-    at_ms: int
-    by: str
+    generated_at_ms: int = msgspec.field(name="at_ms")
+    proxy: str = msgspec.field(name="by")
 
 
-class QuotaRequest(Record, frozen=True, tag="need", kw_only=True):
-    """A front lacks so much of a budget; a piece counts from when it asked, for `span` nanoseconds."""
+class QuotaRequest(StoredRecord, frozen=True, tag="need", kw_only=True):
+    """A proxy lacks an amount of one quota.
 
-    process: str
+    A grant that names the nonce counts from the moment of the request, for `duration` nanoseconds.
+    """
+
+    incarnation: str = msgspec.field(name="process")
     key: str
     nonce: str
     amount: float
-    span: int
+    duration: int = msgspec.field(name="span")
 
 
-class QuotaGrant(Record, frozen=True, tag="piece", kw_only=True):
-    """A lender's piece for one need."""
+class QuotaGrant(StoredRecord, frozen=True, tag="piece", kw_only=True):
+    """What one proxy donates for one quota request."""
 
     id: str
     key: str
@@ -66,60 +84,66 @@
     amount: float
 
 
-Kind = TypeVar("Kind", bound=Record)
+RecordType = TypeVar("RecordType", bound=StoredRecord)
 
 
-def encode_record(record: Record) -> bytes:
-    """The record as a store keeps it."""
+def encode_record(record: StoredRecord) -> bytes:
+    """Returns the record as a store keeps it."""
     body = msgspec.json.encode(record)
     return b"%08x " % crc32c.crc32c(body) + body
 
 
-def decode_record(kind: type[Kind], data: object) -> Kind:
-    """Reads a record of one kind, or raises RecordError."""
+def decode_record(record_type: type[RecordType], data: object) -> RecordType:
+    """Returns the record of one type in `data`; raises `RecordError` where there is none."""
     if not isinstance(data, bytes):
-        raise RecordError(f"not bytes but {type(data).__name__}")
+        raise RecordError(f"a record of type {type(data).__name__}", "bytes")
     if len(data) > MAX_RECORD_BYTES:
-        raise RecordError(f"{len(data)} bytes, more than {MAX_RECORD_BYTES}")
-    mark, _, body = data.partition(b" ")
-    if mark != b"%08x" % crc32c.crc32c(body):
-        raise RecordError("its check sum is wrong")
+        raise RecordError(f"a record of {len(data)} bytes", f"at most {MAX_RECORD_BYTES}")
+    checksum, _, body = data.partition(b" ")
+    if checksum != b"%08x" % crc32c.crc32c(body):
+        raise RecordError("a record whose checksum is wrong")
     try:
-        record = msgspec.json.decode(body, type=kind)
-    except (msgspec.DecodeError, UnicodeDecodeError) as fault:
-        raise RecordError(str(fault)) from fault
-    if record.v != VERSION:
-        raise RecordError(f"version {record.v}, not {VERSION}")
+        record = msgspec.json.decode(body, type=record_type)
+    except (msgspec.DecodeError, UnicodeDecodeError) as error:
+        raise RecordError(str(error)) from error
+    if record.version != RECORD_VERSION:
+        raise RecordError(f"a record of version {record.version}", f"version {RECORD_VERSION}")
     return record
 
 
+def stored_fields(record: StoredRecord) -> dict[str, object]:
+    """Returns a record's own fields under their stored names."""
+    fields: dict[str, object] = msgspec.to_builtins(record)
+    return {name: value for name, value in fields.items() if name not in ("type", "v")}
+
+
 def parse_integer(value: object) -> int:
-    """A whole number as stores word it, or RecordError."""
+    """Returns an integer of a store's reply; raises `RecordError` where the value is none."""
     if isinstance(value, int):
         return value
-    if not (isinstance(value, bytes) and value.isdigit() and len(value) <= 18):
-        raise RecordError(f"no number: {value!r:.40}")
+    if not (isinstance(value, bytes) and value.isdigit() and len(value) <= MAX_INTEGER_DIGITS):
+        raise RecordError(f"not an integer: {value!r:.40}")
     return int(value)
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidationKey:
-    """What a purge concerns: an object, or a group of them."""
+    """What an invalidation concerns: one object, or a group of objects."""
 
     object: str | None
     group: int | None
 
     def text(self) -> str:
-        """As the store has it."""
+        """Returns the key as a store keeps it."""
         return f"o:{self.object}" if self.object else f"g:{self.group}"
 
     @classmethod
     def read(cls, data: bytes) -> InvalidationKey:
-        """From the store's form, or RecordError."""
+        """Returns the key that a store keeps as `data`; raises `RecordError` where it is none."""
         text = data.decode(errors="replace")
         kind, _, rest = text.partition(":")
-        if kind == "o" and rest and len(rest) <= 256:
+        if kind == "o" and rest and len(rest) <= MAX_OBJECT_LENGTH:
             return cls(rest, None)
-        if kind == "g" and rest.isascii() and rest.isdigit() and len(rest) <= 9:
+        if kind == "g" and rest.isascii() and rest.isdigit() and len(rest) <= MAX_GROUP_DIGITS:
             return cls(None, int(rest))
-        raise RecordError(f"no purge: {text[:40]!r}")
+        raise RecordError(f"not an invalidation key: {text[:40]!r}", "o:OBJECT or g:GROUP")
--- a/tests/shared_store/test_parts.py
+++ b/tests/shared_store/test_parts.py
@@ -34,7 +34,7 @@
 from standins.redis.server import Server
 from tests.helpers import MS, SECOND
 
-HOLDER = CacheLocation(cache="c", started=0, rank=2, at_ms=5, by="n1")
+HOLDER = CacheLocation(cache="c", cache_started_at=0, rank=2, generated_at_ms=5, proxy="n1")
 
 
 def standing() -> StoreHealth:
@@ -165,10 +165,49 @@
         decode_record(CacheLocation, bytes(data))
 
 
+@pytest.mark.parametrize(
+    ("record", "stored"),
+    [
+        (
+            FillLease(proxy="n1", incarnation="00f3a1", cache="c:1", source="p:1", cache_started_at=7),
+            b'e5b50de7 {"type":"claim","v":1,"owner":"n1","process":"00f3a1","cache":"c:1",'
+            b'"source":"p:1","started":7}',
+        ),
+        (
+            CacheLocation(cache="c:1", cache_started_at=7, rank=2, generated_at_ms=1800000000123, proxy="n1"),
+            b'8ab483bd {"type":"holder","v":1,"cache":"c:1","started":7,"rank":2,"at_ms":1800000000123,'
+            b'"by":"n1"}',
+        ),
+        (
+            QuotaRequest(
+                incarnation="00f3a1",
+                key="cold:c:1@7",
+                nonce="00f3a1.4",
+                amount=0.5,
+                duration=1_900_000_000,
+            ),
+            b'a439e242 {"type":"need","v":1,"process":"00f3a1","key":"cold:c:1@7","nonce":"00f3a1.4",'
+            b'"amount":0.5,"span":1900000000}',
+        ),
+        (
+            QuotaGrant(id="99bb.3", key="cold:c:1@7", nonce="00f3a1.4", amount=0.25),
+            b'0526b85c {"type":"piece","v":1,"id":"99bb.3","key":"cold:c:1@7","nonce":"00f3a1.4",'
+            b'"amount":0.25}',
+        ),
+    ],
+)
+def test_records_have_the_bytes_that_version_1_has_always_had(
+    record: records.StoredRecord, stored: bytes
+) -> None:
+    """The literals were written before the attributes got names apart from the stored ones."""
+    assert encode_record(record) == stored
+    assert decode_record(type(record), stored) == record
+
+
 def test_records_of_other_kinds_versions_and_sizes_are_refused() -> None:
     assert decode_record(CacheLocation, encode_record(HOLDER)) == HOLDER
-    claim = FillLease(owner="n", process="p", cache="c", source="p", started=0)
-    later = CacheLocation(cache="c", started=0, rank=2, at_ms=5, by="n", v=2)
+    claim = FillLease(proxy="n", incarnation="p", cache="c", source="p", cache_started_at=0)
+    later = CacheLocation(cache="c", cache_started_at=0, rank=2, generated_at_ms=5, proxy="n", version=2)
     wrong: list[object] = [
         encode_record(claim),
         encode_record(later),
