--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -464,7 +464,7 @@
         if last is not None and last[2] == life and last[1] > self.now:
             # Ended early by its own owner, else it would still run: only then may another have it.
             gone = not any(
-                f.sharing and f.sharing.claims.running(f.clock(self.now), op.name, op.generation)
+                f.sharing and f.sharing.leases.find_active(f.clock(self.now), op.name, op.generation)
                 for f in self.fronts
                 if f is not front
             )
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -116,7 +116,7 @@
         at[span * 0.75] = partial(store.ask, json.dumps(OVER))
     tally: Tally = load(made, seed, rate, span, NAMES, at)
     counts = made.caches.ask("stats")
-    ups = [row["at_ms"] for row in made.events("sharing_up") if row["at_ms"] > back_ms - 50]
+    ups = [row["at_ms"] for row in made.events("store_available") if row["at_ms"] > back_ms - 50]
     return {
         "service": tally.service,
         "p99_ms": tally.quantile_ms(0.99),
--- a/olivepost/shared_store/__init__.py
+++ b/olivepost/shared_store/__init__.py
@@ -1,6 +1,10 @@
-"""What fronts of one branch tell each other through shared stores: claims, holders, purges, loans, doubts.
+"""What the proxies of one location exchange through shared stores; nothing there is more than a hint.
 
-The store is advice. `core` decides, with `standing`, `claims`, `purges`, `loans` and `suspicions`; none of
-them does I/O. `host` has the threads and the client library, `scripts` what a store runs, `records` what it
-keeps, `settings` the operator's keys.
+Exchanged are fill leases, cache locations, invalidations, quota transfers and outlier reports.
+
+The decision part does no I/O and has no clock: `coordinator` dispatches to `lookups`, `fill_leases`,
+`invalidations`, `generations`, `quota_exchange` (over `quota_transfers`), `outlier_reports` and `sync`.
+`store_health` decides whether a store is used and trusted, `commands` tracks what waits for a reply,
+`messages` has the types, `records` the stored form. `host` owns the threads and the client library, `scripts`
+what a store runs, `settings` the operator's keys, `inspect` the command-line tool.
 """
--- /dev/null
+++ b/olivepost/shared_store/context.py
@@ -0,0 +1,58 @@
+"""What all parts of the store coordinator share: terms, stores, endpoints, counters, the event's actions."""
+
+from __future__ import annotations
+
+import random
+from collections import Counter
+from dataclasses import dataclass, field
+
+from olivepost import interface as api
+from olivepost.routing.selection import rendezvous_order
+from olivepost.shared_store.endpoints import EndpointDirectory
+from olivepost.shared_store.messages import Action, LogEvent, NotifyRouter, SharingTerms
+from olivepost.shared_store.store_health import StoreHealth
+
+
+@dataclass(slots=True)
+class CoordinatorContext:
+    """State that belongs to no single part. Used by the coordinator's thread only.
+
+    `counts` is since the start, by metric name. `actions` are those of the event that is being handled.
+    """
+
+    terms: SharingTerms
+    stores: dict[str, StoreHealth]
+    counts: Counter[str] = field(default_factory=Counter)
+    endpoints: EndpointDirectory = field(default_factory=EndpointDirectory)
+    actions: list[Action] = field(default_factory=list)
+    _last_ticket: int = 0
+
+    @classmethod
+    def create(cls, terms: SharingTerms, seed: int) -> CoordinatorContext:
+        """Returns a context whose stores are all untrusted; `seed` is of the backoffs' jitter."""
+        rng = random.Random(seed)
+        stores = {
+            name: StoreHealth(name, rng, terms.min_trial_delay, terms.max_trial_delay)
+            for name in terms.stores
+        }
+        return cls(terms, stores)
+
+    def store_of(self, name: str) -> StoreHealth:
+        """Returns the store of a name or a quota key.
+
+        By rendezvous hashing, so that the loss of one store costs only what belongs to it.
+        """
+        return self.stores[rendezvous_order(name, self.terms.stores)[0]]
+
+    def next_ticket(self) -> int:
+        """Returns a number that no command and no quota transfer has had."""
+        self._last_ticket += 1
+        return self._last_ticket
+
+    def notify_router(self, event: api.Event) -> None:
+        """Adds an event for the router to the actions."""
+        self.actions.append(NotifyRouter(event))
+
+    def log(self, name: str, fields: dict[str, object]) -> None:
+        """Adds an event for the log to the actions."""
+        self.actions.append(LogEvent(name, fields))
--- /dev/null
+++ b/olivepost/shared_store/endpoints.py
@@ -0,0 +1,45 @@
+"""The endpoint list as the store coordinator needs it: which caches a stored record may still name."""
+
+from __future__ import annotations
+
+from olivepost import interface as api
+
+
+class EndpointDirectory:
+    """Endpoints by id. Used by the coordinator's thread only."""
+
+    def __init__(self) -> None:
+        self._by_id: dict[str, api.EndpointMetadata] = {}
+
+    def __contains__(self, endpoint_id: str) -> bool:
+        return endpoint_id in self._by_id
+
+    def ids(self) -> set[str]:
+        """Returns the ids of all listed endpoints."""
+        return set(self._by_id)
+
+    def update(self, update: api.EndpointUpdate) -> None:
+        """Applies a whole endpoint list or a change of it."""
+        if update.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.RESTORED):
+            self._by_id = {}
+        for endpoint in update.endpoints:
+            self._by_id.pop(endpoint.id, None)
+            if endpoint.state is not api.EndpointState.REMOVED:
+                self._by_id[endpoint.id] = endpoint
+
+    def started_at(self, endpoint_id: str) -> int:
+        """Returns when an endpoint started; 0 where that is unknown."""
+        endpoint = self._by_id.get(endpoint_id)
+        return endpoint.started_at if endpoint is not None else 0
+
+    def is_usable(self, endpoint_id: str, started_at: int) -> bool:
+        """Whether an endpoint is ready, and has not restarted since a record named it."""
+        endpoint = self._by_id.get(endpoint_id)
+        if endpoint is None:
+            return False
+        return endpoint.state is api.EndpointState.READY and endpoint.started_at == started_at
+
+    def is_gone(self, endpoint_id: str, started_at: int) -> bool:
+        """Whether an endpoint is no longer listed, or has restarted since a record named it."""
+        endpoint = self._by_id.get(endpoint_id)
+        return endpoint is None or endpoint.started_at > started_at
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -1,7 +1,7 @@
-"""This front's own claims: which fills it owns, by which number, until when by its own clock.
+"""This proxy's fill leases: which fills it owns, with which fencing number, until when by its own clock.
 
-The store hands out one claim a name, with a fencing number that only grows. What an owner finds out after its
-claim's end, by its own clock or by the store's word on the number, is never published. No clock, no I/O.
+The store grants one lease a name, with a fencing number that only grows. What the owner finds out after its
+lease has expired, by its own clock or by the store's current number, is never published. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -9,59 +9,129 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
-MOST = 8_192
+from olivepost.shared_store.commands import CommandTracker, ReplyValues
+from olivepost.shared_store.context import CoordinatorContext
+from olivepost.shared_store.messages import LeaseReleased, PublishLocation, ReplyWord
+from olivepost.shared_store.records import CacheLocation, encode_record
+from olivepost.shared_store.store_health import BreakerState
+from olivepost.units import MILLISECOND
+
+MAX_LEASES = 8_192  # held at once; twice the commands that may be pending
 
 
 @dataclass(slots=True)
-class OwnLease:
-    """One claim of this front's."""
+class HeldLease:
+    """One lease that this proxy holds."""
 
-    request: str
+    request_id: str
     name: str
     store: str
     generation: int
-    claim: bytes  # number and record, as the store has it
-    number: int
+    stored: bytes  # number and record, as the store has them
+    fencing_number: int
     cache: str
-    sent: int  # when it was asked for: the store counts from later
-    until: int
+    requested_at: int  # the store counts the duration from later
+    expires_at: int
 
 
 @dataclass(slots=True)
-class OwnLeases:
-    """Claims by request, and by name the one that runs."""
+class LeaseTable:
+    """Held leases by request, and by name the latest. Used by the coordinator's thread only."""
 
-    _by_request: dict[str, OwnLease] = field(default_factory=dict)
-    _by_name: dict[str, OwnLease] = field(default_factory=dict)
-    _ends: list[tuple[int, str]] = field(default_factory=list)
+    _by_request: dict[str, HeldLease] = field(default_factory=dict)
+    _by_name: dict[str, HeldLease] = field(default_factory=dict)
+    _expiries: list[tuple[int, str]] = field(default_factory=list)  # heap: when, and whose request
 
     def __len__(self) -> int:
         return len(self._by_request)
 
-    def add(self, own: OwnLease) -> bool:
-        """Takes a claim that was granted; False where the name's number did not grow, or there is no room."""
-        before = self._by_name.get(own.name)
-        if (before and own.number <= before.number) or len(self._by_request) >= MOST:
+    def add(self, lease: HeldLease) -> bool:
+        """Adds a lease; False where the name's fencing number did not grow, or the table is full."""
+        latest = self._by_name.get(lease.name)
+        if latest is not None and lease.fencing_number <= latest.fencing_number:
+            return False
+        if len(self._by_request) >= MAX_LEASES:
             return False
-        self._by_request[own.request] = self._by_name[own.name] = own
-        heappush(self._ends, (own.until, own.request))
+        self._by_request[lease.request_id] = lease
+        self._by_name[lease.name] = lease
+        heappush(self._expiries, (lease.expires_at, lease.request_id))
         return True
 
-    def running(self, now: int, name: str, generation: int) -> OwnLease | None:
-        """The claim of a name that this front still owns."""
-        own = self._by_name.get(name)
-        return own if own and now < own.until and own.generation == generation else None
+    def find_active(self, now: int, name: str, generation: int) -> HeldLease | None:
+        """Returns the lease of a name that this proxy still holds."""
+        lease = self._by_name.get(name)
+        if lease is None or now >= lease.expires_at or lease.generation != generation:
+            return None
+        return lease
 
-    def pop(self, request: str) -> OwnLease | None:
-        """The claim of a request that is over."""
-        own = self._by_request.pop(request, None)
-        if own is not None and self._by_name.get(own.name) is own:
-            del self._by_name[own.name]
-        return own
+    def pop(self, request_id: str) -> HeldLease | None:
+        """Takes out the lease of a request that is over."""
+        lease = self._by_request.pop(request_id, None)
+        if lease is not None and self._by_name.get(lease.name) is lease:
+            del self._by_name[lease.name]
+        return lease
 
-    def sweep(self, now: int) -> int:
-        """Drops claims that are past their end; how many there were."""
+    def drop_expired(self, now: int) -> int:
+        """Drops leases that have expired; returns their number."""
         dropped = 0
-        while self._ends and self._ends[0][0] <= now:
-            dropped += self.pop(heappop(self._ends)[1]) is not None
+        while self._expiries and self._expiries[0][0] <= now:
+            _, request_id = heappop(self._expiries)
+            if self.pop(request_id) is not None:
+                dropped += 1
         return dropped
+
+
+class LeasePublisher:
+    """Releases leases and publishes what came of their fills. Used by the coordinator's thread only."""
+
+    def __init__(self, context: CoordinatorContext, commands: CommandTracker, leases: LeaseTable) -> None:
+        self._context = context
+        self._commands = commands
+        self._leases = leases
+
+    def release(self, now: int, event: LeaseReleased) -> bool:
+        """Releases the lease of a request that is over; False where the request holds none.
+
+        Publishes the cache location that came of the fill, or just frees the name for others.
+        """
+        lease = self._leases.pop(event.release.request_id)
+        if lease is None:
+            return False
+        if now >= lease.expires_at:
+            self._context.counts["leases_expired"] += 1
+            return True
+        store = self._context.stores[lease.store]
+        if store.generation == lease.generation and store.breaker is not BreakerState.OPEN:
+            operation = self._publication(lease, event)
+            self._commands.send(now, store, operation, self._on_released)
+        return True
+
+    def _publication(self, lease: HeldLease, event: LeaseReleased) -> PublishLocation:
+        terms = self._context.terms
+        cache = event.release.cache
+        record = b""
+        generated_at_ms = 0
+        if cache and terms.locations_enabled:
+            generated_at_ms = event.generated_at_ms or lease.requested_at // MILLISECOND
+            location = CacheLocation(
+                cache=cache,
+                cache_started_at=self._context.endpoints.started_at(cache),
+                rank=event.release.rank,
+                generated_at_ms=generated_at_ms,
+                proxy=terms.proxy,
+            )
+            record = encode_record(location)
+        return PublishLocation(
+            lease.generation,
+            lease.name,
+            lease.stored,
+            record,
+            generated_at_ms,
+            terms.location_lifetime // MILLISECOND,
+        )
+
+    def _on_released(self, _now: int, values: ReplyValues | None) -> None:
+        if values and values[0] == ReplyWord.RELEASED:
+            self._context.counts["lease_releases_confirmed"] += 1
+        else:
+            self._context.counts["lease_releases_unconfirmed"] += 1
--- /dev/null
+++ b/olivepost/shared_store/generations.py
@@ -0,0 +1,78 @@
+"""Generations of the stores: adopts new ones, advances them where a store lost state, publishes again."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from olivepost.shared_store.commands import CommandTracker, ReplyValues
+from olivepost.shared_store.context import CoordinatorContext
+from olivepost.shared_store.invalidations import KnownInvalidations
+from olivepost.shared_store.messages import AdvanceGeneration, InvalidationChunk, PublishInvalidations
+from olivepost.shared_store.store_health import ReplyVerdict, StoreHealth, TrustLevel
+
+
+class GenerationManager:
+    """Keeps each store's generation, and its trust, up to date. Used by the coordinator's thread only."""
+
+    def __init__(
+        self, context: CoordinatorContext, commands: CommandTracker, invalidations: KnownInvalidations
+    ) -> None:
+        self._context = context
+        self._commands = commands
+        self._invalidations = invalidations
+
+    def handle_verdict(self, now: int, store: StoreHealth, verdict: ReplyVerdict, generation: int) -> None:
+        """Does what a reply that does not count asks for; `generation` is the one that it carries."""
+        self._context.counts[f"replies_{verdict.value}"] += 1
+        if verdict is ReplyVerdict.MOVED:
+            self._adopt(now, store, generation)
+        elif verdict in (ReplyVerdict.EMPTY, ReplyVerdict.ROLLED_BACK):
+            self._advance(now, store, generation)
+
+    def _advance(self, now: int, store: StoreHealth, found: int) -> None:
+        """Requests a new generation: what the store has, and what it lost, must count for no proxy."""
+        store.trust = TrustLevel.NONE
+        if store.is_advancing:
+            return
+        self._context.log(
+            "store_lost_state", {"store": store.name, "found": found, "known": store.generation}
+        )
+        operation = AdvanceGeneration(found, store.generation)
+        store.is_advancing = self._commands.send(now, store, operation, partial(self._on_advanced, store))
+
+    def _on_advanced(self, store: StoreHealth, now: int, values: ReplyValues | None) -> None:
+        store.is_advancing = False
+        generation = values[0] if values else 0
+        if isinstance(generation, int) and generation > store.generation:
+            self._adopt(now, store, generation)
+
+    def _adopt(self, now: int, store: StoreHealth, generation: int) -> None:
+        self._context.log(
+            "store_generation_changed",
+            {
+                "store": store.name,
+                "from": store.generation,
+                "to": generation,
+                "invalidations": len(self._invalidations),
+            },
+        )
+        chunks = self._invalidations.chunks() if self._context.terms.invalidations_enabled else []
+        store.adopt(generation, chunks)
+        self.publish_next_chunk(now, store)
+
+    def publish_next_chunk(self, now: int, store: StoreHealth) -> None:
+        """Publishes the next chunk of invalidations again.
+
+        An empty one where there are none, so that the store confirms its generation all the same.
+        """
+        chunk = store.unpublished[0] if store.unpublished else ()
+        operation = PublishInvalidations(store.generation, chunk)
+        self._commands.send(now, store, operation, partial(self._on_published, store, chunk))
+
+    def _on_published(
+        self, store: StoreHealth, chunk: InvalidationChunk, now: int, values: ReplyValues | None
+    ) -> None:
+        if values is None:
+            return  # the next sync tries again
+        if store.trust is TrustLevel.RESTORING and not store.confirm_published(chunk):
+            self.publish_next_chunk(now, store)
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -1,46 +1,112 @@
-"""The purges that this front knows, from the coordinator and from other fronts: the highest time of each key.
+"""Invalidations that this proxy knows, from the platform and other proxies, and their exchange by stores.
 
-Bounded: what falls out raises a floor, below which nothing is believed. No clock, no I/O.
+Of each key the latest time counts. Their number is bounded: what is dropped raises a floor, and no cache
+location from before the floor is used. No clock, no I/O.
 """
 
 from __future__ import annotations
 
-from olivepost.shared_store.records import InvalidationKey
+from functools import partial
 
-MOST, CHUNK = 4_096, 256
+from olivepost import interface as api
+from olivepost.shared_store.commands import CommandTracker, ReplyValues
+from olivepost.shared_store.context import CoordinatorContext
+from olivepost.shared_store.messages import InvalidationChunk, InvalidationReceived, PublishInvalidations
+from olivepost.shared_store.records import InvalidationKey, RecordError, parse_integer
+from olivepost.shared_store.store_health import StoreHealth, TrustLevel
+from olivepost.units import MILLISECOND
+
+MAX_INVALIDATIONS = 4_096  # that are remembered, half of what a store keeps
+CHUNK_SIZE = 256  # invalidations in one operation, so that none keeps a store busy for long
+MAX_CLOCK_LEAD_MS = 10_000  # by which another proxy's clock may be ahead of this one
+ROW_LENGTH = 3  # number, key, Unix millisecond
 
 
 class KnownInvalidations:
-    """Times in Unix milliseconds by key."""
+    """Times in Unix milliseconds by key. Used by the coordinator's thread only."""
 
     def __init__(self) -> None:
         self._times: dict[InvalidationKey, int] = {}
-        self.floor_ms = 0  # the latest of those forgotten for want of room
+        self.floor_ms = 0  # the latest time that was dropped since there were too many
 
     def __len__(self) -> int:
         return len(self._times)
 
-    def note(self, key: InvalidationKey, at_ms: int) -> bool:
-        """Takes a purge; whether it is news."""
+    def add(self, key: InvalidationKey, at_ms: int) -> bool:
+        """Adds an invalidation; returns whether it is later than what was known of its key."""
         known = self._times.get(key, -1)
         if at_ms <= known:
             return False
         self._times.pop(key, None)
         self._times[key] = at_ms
-        while len(self._times) > MOST:
-            self.floor_ms = max(self.floor_ms, self._times.pop(next(iter(self._times))))
+        while len(self._times) > MAX_INVALIDATIONS:
+            oldest = next(iter(self._times))
+            self.floor_ms = max(self.floor_ms, self._times.pop(oldest))
         return True
 
     def last_ms(self, object_: str, group: int | None) -> int:
-        """When an object or its group was last purged; where the group is not told, any group."""
+        """Returns when an object or its group was last invalidated.
+
+        Where the group is unknown, an invalidation of any group counts.
+        """
         times = [self.floor_ms, self._times.get(InvalidationKey(object_, None), 0)]
         if group is None:
-            times += [at for key, at in self._times.items() if key.object is None]
+            times.extend(at_ms for key, at_ms in self._times.items() if key.object is None)
         else:
             times.append(self._times.get(InvalidationKey(None, group), 0))
         return max(times)
 
-    def chunks(self) -> list[tuple[tuple[str, int], ...]]:
-        """All of them, to be put back into a store, the oldest first."""
-        rows = sorted(((key.text(), at) for key, at in self._times.items()), key=lambda row: row[1])
-        return [tuple(rows[start : start + CHUNK]) for start in range(0, len(rows), CHUNK)]
+    def chunks(self) -> list[InvalidationChunk]:
+        """Returns all invalidations, the earliest first, as they are published to a store."""
+        rows = sorted(((key.text(), at_ms) for key, at_ms in self._times.items()), key=lambda row: row[1])
+        return [tuple(rows[start : start + CHUNK_SIZE]) for start in range(0, len(rows), CHUNK_SIZE)]
+
+
+class InvalidationExchange:
+    """Publishes invalidations to stores and reads those of others. Used by the coordinator's thread only."""
+
+    def __init__(
+        self, context: CoordinatorContext, commands: CommandTracker, known: KnownInvalidations
+    ) -> None:
+        self._context = context
+        self._commands = commands
+        self._known = known
+
+    def publish(self, now: int, event: InvalidationReceived) -> None:
+        """Publishes an invalidation that the platform sent to every store that is in use."""
+        object_ = event.invalidation.object
+        key = InvalidationKey(object_, None if object_ else event.invalidation.group)
+        if not self._known.add(key, event.at_ms) or not self._context.terms.invalidations_enabled:
+            return
+        for store in self._context.stores.values():
+            chunk = ((key.text(), event.at_ms),)
+            if store.accepts_publications:
+                operation = PublishInvalidations(store.generation, chunk)
+                on_reply = partial(self._on_published, store, store.generation)
+                self._commands.send(now, store, operation, on_reply)
+            elif store.trust is TrustLevel.RESTORING:
+                store.unpublished.append(chunk)
+
+    def _on_published(
+        self, store: StoreHealth, generation: int, _now: int, values: ReplyValues | None
+    ) -> None:
+        """Publishes all again where one was not confirmed: no store may be trusted that lacks it."""
+        if values is None and store.trust is TrustLevel.TRUSTED and generation == store.generation:
+            self._context.counts["invalidations_unconfirmed"] += 1
+            store.trust = TrustLevel.RESTORING
+            store.unpublished.extend(self._known.chunks())
+
+    def receive(self, now: int, store: StoreHealth, row: object) -> None:
+        """Reads an invalidation of another proxy; raises `RecordError` where the row is malformed."""
+        if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[1], bytes):
+            raise RecordError("an invalidation of another form", "number, key and Unix millisecond")
+        number = parse_integer(row[0])
+        # One of the far future would make every hint on its key useless for good.
+        at_ms = min(parse_integer(row[2]), now // MILLISECOND + MAX_CLOCK_LEAD_MS)
+        store.cursor = max(store.cursor, number)
+        key = InvalidationKey.read(row[1])
+        if self._known.add(key, at_ms) and self._context.terms.invalidations_enabled:
+            self._context.counts["invalidations_received"] += 1
+            # Ahead of this clock counts as now: no response that is cached anywhere is younger.
+            age = max(0, now - at_ms * MILLISECOND)
+            self._context.notify_router(api.Invalidation(key.object, key.group, age))
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -1,24 +1,29 @@
-"""What goes into and comes out of the sharing core: events, actions, and what a store is asked.
+"""Messages of the shared store's decision part: store operations, events and actions. Types only.
 
-Times are whole nanoseconds on the front's own clock unless a name ends in `_ms`: those are Unix milliseconds,
-as the coordinator and the origin tell them, and may come from other clocks.
+Times are whole nanoseconds on the proxy's own clock. Names that end in `_ms` are Unix milliseconds or spans
+in milliseconds; the former come from other clocks (the platform's coordinator, the origin, other proxies).
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from enum import Enum
 
 from olivepost import interface as api
 
-# What a store is asked. Each names the generation that this front goes by; a store of another one does
-# nothing but tell its own.
+# Store operations. Each carries the generation that the proxy has adopted; a store of another generation
+# does nothing but return its own.
+
+InvalidationRow = tuple[str, int]  # the key's text, and the Unix millisecond of the invalidation
+InvalidationChunk = tuple[InvalidationRow, ...]  # rows that are published by one operation
 
 
 @dataclass(frozen=True, slots=True)
 class SyncOperation:
-    """The regular exchange: a sign of life, this front's needs and doubts, what is new of all others.
+    """The periodic exchange: a heartbeat, this proxy's requests and reports, what is new of all others.
 
-    `needs`: field and record; `suspects`: members; `after`: the last purge read, by its number.
+    `needs` are quota requests, each a field and its record; `suspects` are the ids of endpoints that this
+    proxy has ejected; `after` is the number of the last invalidation read.
     """
 
     generation: int
@@ -30,7 +35,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LookUp:
-    """Who keeps or fills a name; with `record` its fill is claimed if nobody does, for `span_ms`."""
+    """Which cache has or fills a name.
+
+    With `record`, the fill lease is acquired for `span_ms` where no other proxy holds it. `purges` are the
+    keys of invalidations that concern the name.
+    """
 
     generation: int
     name: str
@@ -41,7 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishLocation:
-    """Ends a claim, if it is still the one; with `record` the name's holder is published for `keep_ms`."""
+    """Releases the fill lease `claim` if it is the current one.
+
+    With `record`, the name's cache location is published too, and kept for `keep_ms`.
+    """
 
     generation: int
     name: str
@@ -53,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportStaleLocation:
-    """A holder's record was found wrong, `times` over; at two it goes, for all fronts."""
+    """Counts `times` reports that a cache location is stale; at two the store drops it."""
 
     generation: int
     name: str
@@ -63,15 +75,18 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishInvalidations:
-    """Purges, each with its Unix millisecond; the highest counts."""
+    """Publishes invalidations; of each key the latest counts."""
 
     generation: int
-    purges: tuple[tuple[str, int], ...]
+    purges: InvalidationChunk
 
 
 @dataclass(frozen=True, slots=True)
 class GrantQuota:
-    """A piece of a budget for one need of one front, all or none."""
+    """Hands a quota grant over to the proxy process `to`, whole or not at all.
+
+    `need` is the field of the request, `nonce` the one that it must still have.
+    """
 
     generation: int
     need: str
@@ -83,7 +98,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvanceGeneration:
-    """A new generation above `least`, if the store is still at `expected` (0: it has none)."""
+    """Sets a generation above `least`, if the store is still at `expected` (0: it has none)."""
 
     expected: int
     least: int
@@ -99,12 +114,24 @@
     | AdvanceGeneration
 )
 
-# Events.
+
+class ReplyWord(bytes, Enum):
+    """The first value of a reply, as the store's scripts return it."""
+
+    LEASE_GRANTED = b"mine"
+    LEASE_TAKEN = b"taken"
+    LOCATED = b"held"
+    UNKNOWN = b"none"
+    RELEASED = b"done"
+    NOT_REQUESTED = b"not wanted"
+
+
+# Events
 
 
 @dataclass(frozen=True, slots=True)
 class LookupRequested:
-    """The router consults the store about a request's name."""
+    """The router looks up the name of a request."""
 
     lookup: api.LookUpHint
     object: str
@@ -113,7 +140,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """A request that claimed a fill is over; `generated_at_ms` 0: the copy's time was not told."""
+    """A request that asked for a fill lease is over.
+
+    `generated_at_ms` is when its response was generated; 0: unknown.
+    """
 
     release: api.ReleaseLease
     generated_at_ms: int = 0
@@ -121,7 +151,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """A store's answer: its generation (0: none), this front's last serial there (0: none), and the rest."""
+    """A store's reply to the command of a ticket.
+
+    `generation` is the store's (0: it has none), `serial` the last heartbeat of this process that it had
+    before the command (0: none).
+    """
 
     ticket: int
     generation: int
@@ -131,7 +165,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyLost:
-    """No answer that can be used: whether the store did it is not known."""
+    """No usable reply will come; whether the store ran the command is unknown."""
 
     ticket: int
     reason: str
@@ -139,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidationReceived:
-    """The coordinator tells of a purge."""
+    """The platform's coordinator has sent an invalidation."""
 
     invalidation: api.Invalidation
     at_ms: int
@@ -147,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time goes on; comes every few milliseconds."""
+    """Time has passed; sent every few milliseconds."""
 
 
 Event = (
@@ -164,12 +198,15 @@
     | api.ReportOutlier
 )
 
-# Actions.
+# Actions
 
 
 @dataclass(frozen=True, slots=True)
 class StoreCommand:
-    """Ask a store; `is_urgent`: a request waits for it. A `StoreReply` or `ReplyLost` must come."""
+    """Send an operation to a store; exactly one `StoreReply` or `ReplyLost` with the ticket must follow.
+
+    `is_urgent`: a request waits for the reply.
+    """
 
     ticket: int
     store: str
@@ -179,14 +216,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyRouter:
-    """An event for the router."""
+    """Hand an event to the router."""
 
     event: api.Event
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Something for the log: an event with fields, or, without, a count."""
+    """Write an event with its fields to the log."""
 
     name: str
     fields: dict[str, object] = field(default_factory=dict)
@@ -197,12 +234,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SharingTerms:
-    """How a front shares; spans in nanoseconds."""
+    """What the operator and the platform set for this proxy's use of shared stores; spans in nanoseconds."""
 
-    proxy: str  # its name
-    incarnation: str  # of this process, told from every earlier one of the name
+    proxy: str
+    incarnation: str  # of this process, different from all earlier ones of the same proxy
     stores: tuple[str, ...]
-    reply_timeout: int  # an answer that took longer helps no request
+    reply_timeout: int  # a later reply is of no use to a request, and counts as a failure
     sync_interval: int
     leases_enabled: bool = True
     max_lease_duration: int = 10_000_000_000
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -1,54 +1,66 @@
-"""What several fronts think of a member: weak evidence once at least two others suspect it, never one's word.
+"""Outlier reports of several proxies: weak evidence once enough others report an endpoint, never one's word.
 
 No clock, no I/O.
 """
 
 from __future__ import annotations
 
-LASTS = 3_000_000_000  # a suspicion that is not renewed
-AGAIN = 1_000_000_000  # between two words to the router on one member
-LEAST_OTHERS = 2
-MOST = 1_024
+from olivepost.shared_store.records import RecordError
+from olivepost.units import SECOND
+
+REPORT_LIFETIME = 3 * SECOND  # of a report that is not renewed; as long as the store keeps it
+NOTIFY_INTERVAL = 1 * SECOND  # between two events for the router about one endpoint
+MIN_REPORTERS = 2  # other proxies that must agree
+MAX_REPORTS = 1_024  # own ones, and reporters of one endpoint
+
+
+def parse_outlier_report(row: object) -> tuple[str, str]:
+    """Returns the reporting process's incarnation and the endpoint's id; raises `RecordError`."""
+    text = row.decode(errors="replace") if isinstance(row, bytes) else ""
+    incarnation, _, endpoint_id = text.partition("|")
+    if not endpoint_id:
+        raise RecordError("an outlier report of another form", "INCARNATION|ENDPOINT")
+    return incarnation, endpoint_id
 
 
 class OutlierReports:
-    """This front's own, and those of others by member and process."""
+    """This proxy's reports, and those of others by endpoint. Used by the coordinator's thread only."""
 
     def __init__(self) -> None:
-        self._own: dict[str, int] = {}
-        self._others: dict[str, dict[str, int]] = {}
-        self._told: dict[str, int] = {}
+        self._own: dict[str, int] = {}  # endpoint -> when the report expires
+        self._others: dict[str, dict[str, int]] = {}  # endpoint -> incarnation -> when it expires
+        self._next_notification: dict[str, int] = {}  # by endpoint
 
-    def suspect(self, now: int, address: str) -> None:
-        """This front suspends a member."""
-        if len(self._own) < MOST or address in self._own:
-            self._own[address] = now + LASTS
+    def add_own(self, now: int, endpoint_id: str) -> None:
+        """Notes that this proxy has ejected an endpoint."""
+        if len(self._own) < MAX_REPORTS or endpoint_id in self._own:
+            self._own[endpoint_id] = now + REPORT_LIFETIME
 
     def own(self, now: int) -> tuple[str, ...]:
-        """What this front has to say."""
-        self._own = {address: end for address, end in self._own.items() if end > now}
+        """Returns the endpoints that this proxy reports."""
+        self._own = {endpoint_id: expiry for endpoint_id, expiry in self._own.items() if expiry > now}
         return tuple(sorted(self._own))
 
-    def hear(self, now: int, address: str, process: str, listed: bool) -> bool:
-        """Another process suspects a member; whether the router is to hear of it now.
+    def add(self, now: int, endpoint_id: str, incarnation: str) -> bool:
+        """Notes another process's report; returns whether the router is to be notified now.
 
-        A process counts once, however often it says so; a member that is not listed is not noted."""
-        if not listed:
-            return False
-        others = self._others.setdefault(address, {})
-        if len(others) < MOST:
-            others[process] = now + LASTS
-        for gone in [who for who, end in others.items() if end <= now]:
-            del others[gone]
-        if len(others) < LEAST_OTHERS or now < self._told.get(address, 0):
+        A process counts once, however often it reports.
+        """
+        reporters = self._others.setdefault(endpoint_id, {})
+        if len(reporters) < MAX_REPORTS:
+            reporters[incarnation] = now + REPORT_LIFETIME
+        expired = [reporter for reporter, expiry in reporters.items() if expiry <= now]
+        for reporter in expired:
+            del reporters[reporter]
+        if len(reporters) < MIN_REPORTERS or now < self._next_notification.get(endpoint_id, 0):
             return False
-        self._told[address] = now + AGAIN
+        self._next_notification[endpoint_id] = now + NOTIFY_INTERVAL
         return True
 
-    def forget(self, listed: set[str]) -> None:
-        """Only members of the list are kept."""
-        gone = (self._own.keys() | self._others.keys() | self._told.keys()) - listed
-        for address in gone:
-            self._own.pop(address, None)
-            self._others.pop(address, None)
-            self._told.pop(address, None)
+    def retain(self, listed: set[str]) -> None:
+        """Drops what is known of endpoints that are no longer listed."""
+        known = self._own.keys() | self._others.keys() | self._next_notification.keys()
+        for endpoint_id in known - listed:
+            self._own.pop(endpoint_id, None)
+            self._others.pop(endpoint_id, None)
+            self._next_notification.pop(endpoint_id, None)
--- /dev/null
+++ b/olivepost/shared_store/quota_exchange.py
@@ -0,0 +1,143 @@
+"""Quota transfers by way of the stores: reads requests and grants of others, and hands donations over."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from functools import partial
+from typing import NamedTuple
+
+from olivepost import interface as api
+from olivepost.shared_store.commands import CommandTracker, ReplyValues
+from olivepost.shared_store.context import CoordinatorContext
+from olivepost.shared_store.malformed_records import MalformedRecords
+from olivepost.shared_store.messages import GrantQuota, ReplyWord
+from olivepost.shared_store.quota_transfers import Donation, QuotaTransfers
+from olivepost.shared_store.records import (
+    QuotaGrant,
+    QuotaRequest,
+    RecordError,
+    decode_record,
+    encode_record,
+    parse_integer,
+)
+from olivepost.shared_store.store_health import StoreHealth
+
+ROW_LENGTH = 3  # field, Unix millisecond, record
+
+
+class StandingRequest(NamedTuple):
+    """A request of some proxy as the store has it; the one that stands there longest comes first."""
+
+    since_ms: int
+    field: str
+    request: QuotaRequest
+
+    def precedes(self, other: StandingRequest) -> bool:
+        """Whether this one is answered rather than the other."""
+        return (self.since_ms, self.field) <= (other.since_ms, other.field)
+
+
+def parse_standing_request(row: object) -> StandingRequest:
+    """Returns the request in a row of a sync's reply; raises `RecordError` where it is malformed."""
+    if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[0], bytes):
+        raise RecordError("a quota request of another form", "field, Unix millisecond and record")
+    field = row[0].decode(errors="replace")
+    since_ms = parse_integer(row[1])
+    request = decode_record(QuotaRequest, row[2])
+    if field != f"{request.incarnation}|{request.key}":
+        raise RecordError("a quota request in another proxy's field")
+    return StandingRequest(since_ms, field, request)
+
+
+class QuotaExchange:
+    """Moves quota between this proxy's router and the stores. Used by the coordinator's thread only."""
+
+    def __init__(
+        self, context: CoordinatorContext, commands: CommandTracker, malformed: MalformedRecords
+    ) -> None:
+        self._context = context
+        self._commands = commands
+        self._malformed = malformed
+        self._transfers = QuotaTransfers(context.terms.incarnation, context.terms.quota_duration)
+        self._donating: dict[int, StoreHealth] = {}  # the request's store, by transfer id
+
+    def record_shortage(self, now: int, event: api.RequestQuota) -> None:
+        """Notes that the router lacked an amount of a quota."""
+        if self._context.terms.quota_transfers_enabled:
+            self._transfers.record_shortage(now, event.key, event.amount)
+
+    def open_requests(self, now: int, store: StoreHealth) -> tuple[tuple[str, bytes], ...]:
+        """Returns this proxy's requests that belong to a store, each a field and its record."""
+        if not self._context.terms.quota_transfers_enabled:
+            return ()
+        requests = self._transfers.open_requests(now)
+        return tuple(
+            (self._transfers.field(key), record)
+            for key, record in requests.items()
+            if self._context.store_of(key) is store
+        )
+
+    def receive_requests(self, now: int, store: StoreHealth, rows: Sequence[object]) -> None:
+        """Answers, of each quota, the request that stands longest, so that all donate to the same proxy."""
+        oldest: dict[str, StandingRequest] = {}
+        for row in rows:
+            self._malformed.skip_errors(_keep_oldest, oldest, row)
+        for standing in oldest.values():
+            transfer_id = self._context.next_ticket()
+            request = standing.request
+            donation = self._transfers.offer(now, transfer_id, standing.field, request)
+            if donation is not None:
+                self._donating[transfer_id] = store
+                self._context.notify_router(
+                    api.QuotaRequested(transfer_id, request.key, request.amount, donation.expires_at)
+                )
+
+    def donate(self, now: int, event: api.DonateQuota) -> None:
+        """Hands an amount over that the router has given up.
+
+        From here on it is the other proxy's, whatever becomes of the command.
+        """
+        store = self._donating.pop(event.transfer_id, None)
+        donated = self._transfers.donate(event.transfer_id, event.amount, event.expires_at)
+        if donated is None or store is None:
+            return
+        self._context.counts["quota_grants_made"] += 1
+        if not store.accepts_publications:
+            return
+        donation, grant = donated
+        request = donation.request
+        operation = GrantQuota(
+            store.generation,
+            donation.field,
+            request.nonce,
+            request.incarnation,
+            grant.amount,
+            encode_record(grant),
+        )
+        self._commands.send(now, store, operation, partial(self._on_handed_over, donation))
+
+    def _on_handed_over(self, donation: Donation, now: int, values: ReplyValues | None) -> None:
+        """Takes back what the store has surely not handed over; the rest stays donated until it expires."""
+        if not values:
+            self._context.counts["quota_grants_unconfirmed"] += 1
+            return
+        request = donation.request
+        self._transfers.close(request.nonce)
+        if values[0] == ReplyWord.NOT_REQUESTED and now < donation.expires_at:
+            self._context.counts["quota_grants_returned"] += 1
+            self._context.notify_router(api.QuotaReceived(request.key, donation.amount, donation.expires_at))
+
+    def receive_grant(self, now: int, row: object) -> None:
+        """Passes a grant on to the router; raises `RecordError` where it counts for nothing."""
+        grant = decode_record(QuotaGrant, row)
+        amount, expires_at = self._transfers.receive(now, grant)
+        self._context.counts["quota_grants_received"] += 1
+        self._context.notify_router(api.QuotaReceived(grant.key, amount, expires_at))
+
+
+def _keep_oldest(oldest: dict[str, StandingRequest], row: object) -> None:
+    """Enters a row's request where no older one of its quota is known."""
+    standing = parse_standing_request(row)
+    known = oldest.get(standing.request.key)
+    if known is None or standing.precedes(known):
+        oldest[standing.request.key] = standing
--- a/olivepost/shared_store/quota_transfers.py
+++ b/olivepost/shared_store/quota_transfers.py
@@ -1,11 +1,12 @@
-"""Decides what this front asks others for of the pooled budgets, and which need it answers.
-
-Every front owns its n-th part of a budget by the router's own books, store or no store. A loan moves a piece
-of one front's part to one other front: the lender takes it off first, until the loan has surely ended, and
-only the process that asked may use it, once, from the moment when it asked. So whatever a store forgets,
-doubles, delays or brings back, running loans and parts never pass the whole: an answer to a lost, old or
-doubled word is worth nothing, and each front measures by its own clock, the borrower from before the lender.
-Clocks may be hours apart; only their rates must agree within `DRIFT`. No clock, no I/O.
+"""Decides which quota this proxy requests from others, which requests it answers, and which grants count.
+
+Every proxy owns its n-th part of a quota by its router's own books, with or without a store. A transfer moves
+an amount of one proxy's part to one other proxy: the donor gives it up first, until the transfer has surely
+expired, and only the process that asked may use it, once, from the moment when it asked. So whatever a store
+loses, repeats, delays or brings back, parts and transfers together never exceed the whole: a lost, old or
+repeated message is worth nothing, and each proxy measures by its own clock, the receiver from an earlier
+moment than the donor. Clocks may be hours apart; only their rates must agree within `MAX_CLOCK_DRIFT`. No
+clock, no I/O.
 """
 
 from __future__ import annotations
@@ -13,146 +14,197 @@
 from dataclasses import dataclass
 
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, encode_record
+from olivepost.units import MILLISECOND
 
-DRIFT = 0.01  # by which the fronts' clocks may run apart in rate; a lender waits for so much longer
-MOST_NEEDS, MOST_PIECES = 64, 1_024
-LEAST = 1e-6  # of a budget, under which it is not worth a word
-RENEW = 8  # a need is asked for anew when this part of its span has passed: pieces count from when it was
-MEMORY = 500_000_000  # of what was lacking lately
+MAX_CLOCK_DRIFT = 0.01  # between the rates of two proxies' clocks; a donor waits for so much longer
+MAX_REQUESTS = 64  # open at once, of this proxy's own, and answered ones
+MAX_GRANTS = 1_024  # remembered until they expire, so that none counts twice
+MIN_AMOUNT = 1e-6  # of a quota, under which a transfer is not worth a message
+RENEWALS_PER_DURATION = 8  # requests are renewed as often: grants count from the request's moment
+SHORTAGE_MEMORY = 500 * MILLISECOND  # in which a shortage decays to nothing
 
 
 @dataclass(slots=True)
 class Shortage:
-    """What the router lacked of one budget lately: a decaying sum, and the largest single attempt."""
+    """What the router lacked of one quota lately: a decaying sum, and the largest single amount."""
 
-    at: int
+    updated_at: int
     total: float = 0.0
-    most: float = 0.0
+    largest: float = 0.0
 
     def add(self, now: int, amount: float) -> None:
-        self.total = self.at_present(now) + amount
-        self.at, self.most = now, max(self.most, amount)
+        """Adds an amount that was lacking just now."""
+        self.total = self.remaining(now) + amount
+        self.updated_at = now
+        self.largest = max(self.largest, amount)
 
-    def at_present(self, now: int) -> float:
-        return self.total * max(0.0, 1 - (now - self.at) / MEMORY)
+    def remaining(self, now: int) -> float:
+        """Returns the sum after its decay."""
+        return self.total * max(0.0, 1 - (now - self.updated_at) / SHORTAGE_MEMORY)
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """One word of this front's need: pieces that name it count until `until`."""
+    """A request of this proxy; grants that carry its nonce count until it expires."""
 
+    nonce: str
     key: str
     amount: float
-    asked: int
-    until: int
-    got: float = 0.0
+    requested_at: int
+    expires_at: int
+    received: float = 0.0
 
 
 @dataclass(slots=True)
 class Donation:
-    """A loan on its way: asked of the router, then of the store."""
+    """A transfer to another proxy that is under way: asked of the router first, then of the store."""
 
-    need: QuotaRequest
-    field: str
-    until: int
+    request: QuotaRequest
+    field: str  # of the request in the store
+    expires_at: int
     amount: float = 0.0
 
 
 class QuotaTransfers:
-    """Needs, offers and pieces of one front."""
-
-    def __init__(self, process: str, span: int) -> None:
-        self._process, self._span, self._count = process, span, 0
-        self._lacking: dict[str, Shortage] = {}
-        self._wanted: dict[str, OpenRequest] = {}  # by nonce
-        self._current: dict[str, str] = {}  # the nonce of each budget's last need
-        self._pieces: dict[str, int] = {}  # taken, by id, until their nonce has ended
-        self._offers: dict[int, Donation] = {}  # by the ticket of the question to the router
-        self._offered: dict[str, int] = {}  # nonces with an offer that is out, until then
+    """This proxy's requests, donations and grants. Used by the coordinator's thread only."""
+
+    def __init__(self, incarnation: str, duration: int) -> None:
+        self._incarnation = incarnation
+        self._duration = duration
+        self._last_number = 0  # of this process's requests and grants
+        self._shortages: dict[str, Shortage] = {}  # by key
+        self._requests: dict[str, OpenRequest] = {}  # by nonce
+        self._latest_nonce: dict[str, str] = {}  # by key
+        self._grants: dict[str, int] = {}  # received, by id: when they expire
+        self._donations: dict[int, Donation] = {}  # by transfer id
+        self._answered: dict[str, int] = {}  # nonces that are being answered, and until when
 
     def field(self, key: str) -> str:
-        """Where this front's need of a budget stands in the store."""
-        return f"{self._process}|{key}"
-
-    def short(self, now: int, key: str, amount: float) -> None:
-        """The router lacked so much of a budget."""
-        if amount > 0 and (key in self._lacking or len(self._lacking) < MOST_NEEDS):
-            self._lacking.setdefault(key, Shortage(now)).add(now, amount)
-
-    def needs(self, now: int) -> dict[str, bytes]:
-        """This front's open needs by budget, as records.
-
-        What was lacking lately would have been used over again for the whole of a loan, so that is asked for,
-        less what has been lent already; one attempt's worth at least."""
-        self._wanted = {nonce: wanted for nonce, wanted in self._wanted.items() if wanted.until > now}
-        for key in [key for key, lacking in self._lacking.items() if lacking.at_present(now) <= LEAST]:
-            del self._lacking[key]
-        found: dict[str, bytes] = {}
-        for key, lacking in self._lacking.items():
-            had = sum(wanted.got for wanted in self._wanted.values() if wanted.key == key)
-            amount = max(lacking.most, lacking.at_present(now) * self._span / MEMORY - had)
-            nonce = self._current.get(key, "")
-            wanted = self._wanted.get(nonce)
-            if wanted is None or now >= wanted.asked + self._span // RENEW:
-                self._count += 1
-                nonce = self._current[key] = f"{self._process}.{self._count}"
-                wanted = self._wanted[nonce] = OpenRequest(key, amount, now, now + self._span)
-            if wanted.got < wanted.amount:
-                found[key] = encode_record(
-                    QuotaRequest(
-                        incarnation=self._process,
-                        key=key,
-                        nonce=nonce,
-                        amount=wanted.amount,
-                        duration=self._span,
-                    )
-                )
-        self._current = {key: nonce for key, nonce in self._current.items() if nonce in self._wanted}
-        return found
-
-    def answer(self, now: int, ticket: int, field: str, need: QuotaRequest) -> Donation | None:
-        """Takes up the oldest need of a budget; the offer to be put to the router, or None.
-
-        What this front lacks itself it does not lend: where all are full, a loan only locks budgets up.
-        Measured: all lending to the oldest need took a third of what an evenly loaded branch used before."""
-        out = now < self._offered.get(need.nonce, 0) or need.key in self._lacking
-        if need.incarnation == self._process or out or need.amount <= LEAST or need.duration <= 0:
+        """Returns the field of the store that has this proxy's request of a quota."""
+        return f"{self._incarnation}|{key}"
+
+    def record_shortage(self, now: int, key: str, amount: float) -> None:
+        """Notes that the router lacked an amount of a quota."""
+        if amount > 0 and (key in self._shortages or len(self._shortages) < MAX_REQUESTS):
+            self._shortages.setdefault(key, Shortage(now)).add(now, amount)
+
+    # Own requests
+
+    def open_requests(self, now: int) -> dict[str, bytes]:
+        """Returns the records of this proxy's open requests, by key."""
+        self._drop_expired(now)
+        records: dict[str, bytes] = {}
+        for key, shortage in self._shortages.items():
+            request = self._current_request(now, key, shortage)
+            if request.received < request.amount:
+                records[key] = self._encode(request)
+        self._latest_nonce = {
+            key: nonce for key, nonce in self._latest_nonce.items() if nonce in self._requests
+        }
+        return records
+
+    def _drop_expired(self, now: int) -> None:
+        self._requests = {
+            nonce: request for nonce, request in self._requests.items() if request.expires_at > now
+        }
+        self._shortages = {
+            key: shortage for key, shortage in self._shortages.items() if shortage.remaining(now) > MIN_AMOUNT
+        }
+
+    def _current_request(self, now: int, key: str, shortage: Shortage) -> OpenRequest:
+        """Returns the latest request of a key, or a new one where it is time to renew it."""
+        request = self._requests.get(self._latest_nonce.get(key, ""))
+        if request is not None and now < request.requested_at + self._duration // RENEWALS_PER_DURATION:
+            return request
+        nonce = self._next_id()
+        request = OpenRequest(nonce, key, self._wanted(now, key, shortage), now, now + self._duration)
+        self._requests[nonce] = request
+        self._latest_nonce[key] = nonce
+        return request
+
+    def _wanted(self, now: int, key: str, shortage: Shortage) -> float:
+        """Returns how much to request.
+
+        What was lacking lately would have been used over again for the whole of a transfer, so that is
+        wanted, less what has been received already; one attempt's worth at least.
+        """
+        received = sum(request.received for request in self._requests.values() if request.key == key)
+        lacking = shortage.remaining(now) * self._duration / SHORTAGE_MEMORY
+        return max(shortage.largest, lacking - received)
+
+    def _encode(self, request: OpenRequest) -> bytes:
+        return encode_record(
+            QuotaRequest(
+                incarnation=self._incarnation,
+                key=request.key,
+                nonce=request.nonce,
+                amount=request.amount,
+                duration=self._duration,
+            )
+        )
+
+    def _next_id(self) -> str:
+        self._last_number += 1
+        return f"{self._incarnation}.{self._last_number}"
+
+    # Donations to others
+
+    def offer(self, now: int, transfer_id: int, field: str, request: QuotaRequest) -> Donation | None:
+        """Returns the donation to ask the router for in answer to a request; None where there is none.
+
+        What this proxy lacks itself it does not donate: where all are full, transfers only lock quotas up.
+        Measured before this rule: an evenly loaded location could use a third less.
+        """
+        if not self._may_answer(now, request):
             return None
-        if len(self._offers) >= MOST_NEEDS:
+        self._answered = {nonce: expiry for nonce, expiry in self._answered.items() if expiry > now}
+        self._answered[request.nonce] = now + self._duration
+        expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
+        donation = Donation(request, field, expires_at)
+        self._donations[transfer_id] = donation
+        return donation
+
+    def _may_answer(self, now: int, request: QuotaRequest) -> bool:
+        if request.incarnation == self._incarnation or request.key in self._shortages:
+            return False
+        if request.amount <= MIN_AMOUNT or request.duration <= 0:
+            return False
+        return now >= self._answered.get(request.nonce, 0) and len(self._donations) < MAX_REQUESTS
+
+    def donate(self, transfer_id: int, amount: float, expires_at: int) -> tuple[Donation, QuotaGrant] | None:
+        """The router has given an amount up: returns what the store is to hand over; None where nothing."""
+        donation = self._donations.pop(transfer_id, None)
+        if donation is None:
             return None
-        self._offered = {nonce: end for nonce, end in self._offered.items() if end > now}
-        self._offered[need.nonce] = now + self._span
-        offer = self._offers[ticket] = Donation(need, field, now + int(need.duration * (1 + DRIFT)))
-        return offer
-
-    def lent(self, ticket: int, amount: float, until: int) -> tuple[Donation, QuotaGrant] | None:
-        """The router has taken a piece off its part; what the store is to hand on, None if nothing."""
-        offer = self._offers.pop(ticket, None)
-        if offer is None or amount <= LEAST:
-            if offer is not None:  # nothing to spare now; perhaps at the next sync
-                self._offered.pop(offer.need.nonce, None)
+        request = donation.request
+        if amount <= MIN_AMOUNT:  # nothing to spare now; perhaps at the next sync
+            self._answered.pop(request.nonce, None)
             return None
-        self._count += 1
-        offer.amount, offer.until, need = amount, until, offer.need
-        id_ = f"{self._process}.{self._count}"
-        return offer, QuotaGrant(id=id_, key=need.key, nonce=need.nonce, amount=amount)
-
-    def done(self, nonce: str) -> None:
-        """An offer's fate is known: the need may be answered again."""
-        self._offered.pop(nonce, None)
-
-    def take(self, now: int, piece: QuotaGrant) -> tuple[float, int]:
-        """A piece for this front: how much of it counts, and until when.
-
-        Raises RecordError where it counts for nothing: nobody here asked for it, taken before, too late."""
-        self._pieces = {id_: end for id_, end in self._pieces.items() if end > now}
-        wanted = self._wanted.get(piece.nonce)
-        if wanted is None or wanted.key != piece.key or now >= wanted.until:
-            raise RecordError("a piece that nobody here asked for, or whose time is over")
-        if piece.id in self._pieces:
-            raise RecordError("a piece that has come before")
-        if not 0 < piece.amount < float("inf") or len(self._pieces) >= MOST_PIECES:
-            raise RecordError("a piece of no amount, or more of them than can be remembered")
-        self._pieces[piece.id] = wanted.until
-        wanted.got += piece.amount
-        return piece.amount, wanted.until
+        donation.amount = amount
+        donation.expires_at = expires_at
+        return donation, QuotaGrant(id=self._next_id(), key=request.key, nonce=request.nonce, amount=amount)
+
+    def close(self, nonce: str) -> None:
+        """A donation's fate is known: its request may be answered again."""
+        self._answered.pop(nonce, None)
+
+    # Grants of others
+
+    def receive(self, now: int, grant: QuotaGrant) -> tuple[float, int]:
+        """Returns the amount of a grant for this proxy, and when it expires.
+
+        Raises `RecordError` where it counts for nothing: not requested here, received before, or too late.
+        """
+        self._grants = {id_: expiry for id_, expiry in self._grants.items() if expiry > now}
+        request = self._requests.get(grant.nonce)
+        if request is None or request.key != grant.key or now >= request.expires_at:
+            raise RecordError("a quota grant that was not requested here, or has expired")
+        if grant.id in self._grants:
+            raise RecordError("a quota grant that was received before")
+        if not 0 < grant.amount < float("inf") or len(self._grants) >= MAX_GRANTS:
+            raise RecordError(
+                "a quota grant of no amount, or one too many", f"above 0, and {MAX_GRANTS} at once"
+            )
+        self._grants[grant.id] = request.expires_at
+        request.received += grant.amount
+        return grant.amount, request.expires_at
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -1,118 +1,145 @@
-"""Decides whether what one shared store says counts: a breaker on its answers, and its generation.
-
-A store that came back empty, or from an old snapshot, must not be believed: its holders may be older than
-purges, its claims those of others. Each process leaves a serial of its own there with every sync. A store
-that does not know the last one confirmed has gone back, whatever its generation says, and whoever notices
-raises it. All other records stand under a generation, so that those of older ones are gone for all fronts at
-once. After each change of it this front's purges are put back and confirmed before anything read counts.
-No clock, no I/O.
+"""Decides whether one shared store is used: a circuit breaker on its replies, and trust in its generation.
+
+A store that came back empty, or from an old snapshot, must not be trusted: its cache locations may be older
+than invalidations, its leases may belong to others. Each proxy process therefore leaves a growing serial with
+every sync. A store that does not know the last confirmed serial has lost state, whatever its generation is,
+and the proxy that notices advances the generation. All other records are kept under a generation, so that
+those of older ones become unreachable for all proxies at once. After each change of the generation a proxy
+publishes its invalidations again, and trusts what it reads only once they are confirmed. No clock, no I/O.
 """
 
 from __future__ import annotations
 
 import random
 from collections import deque
+from collections.abc import Iterable
 from dataclasses import dataclass, field
 from enum import Enum
 
-from olivepost.shared_store.messages import StoreReply
+from olivepost.shared_store.messages import InvalidationChunk, StoreReply
 
-BAD_IN_A_ROW, LAST, BAD_SHARE, GOOD_TRIALS = 5, 20, 0.5, 2
+MAX_CONSECUTIVE_FAILURES = 5  # open the breaker
+RECENT_REPLIES = 20  # of which the failure rate is taken, once there are as many
+MAX_FAILURE_RATE = 0.5  # of the recent replies; above it the breaker opens
+SUCCESSES_TO_CLOSE = 2  # in a row, while the breaker is half-open
 
 
 class BreakerState(Enum):
-    """Whether a store is asked."""
+    """State of the circuit breaker: closed = used, open = left alone, half-open = on trial."""
 
-    CLOSED = "asked"
-    OPEN = "left alone"
-    HALF_OPEN = "tried"
+    CLOSED = "closed"
+    OPEN = "open"
+    HALF_OPEN = "half_open"
 
 
 class TrustLevel(Enum):
-    """How far a store's word counts."""
+    """How far a store's records count: not at all, while invalidations are published again, or fully."""
 
-    NONE = "not met yet"
-    RESTORING = "purges are put back"
-    TRUSTED = "counts"
+    NONE = "none"
+    RESTORING = "restoring"
+    TRUSTED = "trusted"
 
 
 class ReplyVerdict(Enum):
-    """What a reply says of its store."""
+    """What a reply says about its store."""
 
-    CURRENT = "counts"
-    STALE = "of no use now"
-    EMPTY = "has no generation"
-    ROLLED_BACK = "has forgotten"
-    MOVED = "another generation"
+    CURRENT = "current"  # the reply counts
+    STALE = "stale"  # it was sent for a generation that is no longer ours
+    EMPTY = "empty"  # the store has no generation
+    ROLLED_BACK = "rolled_back"  # the store has lost state
+    MOVED = "moved"  # the store has a later generation
 
 
 @dataclass(slots=True)
 class StoreHealth:
-    """One store as this front sees it."""
+    """One store as this proxy sees it. Used by the coordinator's thread only."""
 
     name: str
-    draw: random.Random
-    pause_first: int
-    pause_most: int
+    rng: random.Random  # shared by all stores of the proxy
+    min_backoff: int
+    max_backoff: int
     breaker: BreakerState = BreakerState.HALF_OPEN
     trust: TrustLevel = TrustLevel.NONE
     generation: int = 0
-    confirmed_serial: int = 0  # the last serial that it has said to have
+    confirmed_serial: int = 0  # the last serial that the store has confirmed in this generation
     serial: int = 0
-    cursor: int = 0  # the last purge read of it, by number
-    unpublished: deque[tuple[tuple[str, int], ...]] = field(
-        default_factory=deque
-    )  # chunks still to be put back
-    is_advancing: bool = False  # a new generation is asked for
-    backoff: int = 0
-    retry_at: int = 0  # left alone until then
-    good_in_a_row: int = 0  # in a row, while it is tried
-    _bad: int = 0  # in a row
-    _last: deque[bool] = field(default_factory=lambda: deque(maxlen=LAST))
+    cursor: int = 0  # number of the last invalidation read
+    unpublished: deque[InvalidationChunk] = field(default_factory=deque)  # still to be published again
+    is_advancing: bool = False  # a new generation has been requested
+    backoff: int = 0  # the last one; 0: the breaker has closed since
+    retry_at: int = 0  # when an open breaker becomes half-open
+    trial_successes: int = 0  # in a row, while the breaker is half-open
+    _consecutive_failures: int = 0
+    _recent_failures: deque[bool] = field(default_factory=lambda: deque(maxlen=RECENT_REPLIES))
 
     @property
     def is_available(self) -> bool:
-        """Whether a request may wait for it."""
+        """Whether a request may wait for the store."""
         return self.breaker is BreakerState.CLOSED and self.trust is TrustLevel.TRUSTED
 
+    @property
+    def accepts_publications(self) -> bool:
+        """Whether something may be published there that no request waits for."""
+        return self.trust is TrustLevel.TRUSTED and self.breaker is not BreakerState.OPEN
+
     def record_reply(self, now: int, in_time: bool) -> None:
-        """One answer, useful or late.
+        """Counts one reply as a success, or as a failure where it was late or lost.
 
-        Guards against stores that are slow, silent, full or refuse, at the price of a few requests' waits.
-        Hurts where one answer in two is late for long: the good half is not used either."""
-        self._last.append(not in_time)
-        self._bad = 0 if in_time else self._bad + 1
+        Guards against stores that are slow, silent, full or reject commands, at the cost of a few requests'
+        waits. Where every second reply is late for long, the replies in time are not used either.
+        """
+        self._recent_failures.append(not in_time)
+        self._consecutive_failures = 0 if in_time else self._consecutive_failures + 1
         if self.breaker is BreakerState.HALF_OPEN:
-            self.good_in_a_row = self.good_in_a_row + 1 if in_time else 0
-            if self.good_in_a_row >= GOOD_TRIALS:
-                self.breaker, self.backoff, self._bad = BreakerState.CLOSED, 0, 0
-                self._last.clear()
-            elif not in_time:
-                self._shut(now)
-        elif self.breaker is BreakerState.CLOSED:
-            half = len(self._last) == LAST and sum(self._last) > BAD_SHARE * LAST
-            if self._bad >= BAD_IN_A_ROW or half:
-                self._shut(now)
-
-    def _shut(self, now: int) -> None:
-        self.breaker, self.good_in_a_row = BreakerState.OPEN, 0
-        self.backoff = min(self.pause_most, 2 * self.backoff) if self.backoff else self.pause_first
-        # Jitter: fronts that lost a store together must not all try it in the same moment.
-        self.retry_at = now + int(self.backoff * (0.5 + self.draw.random() / 2))
+            self._record_trial(now, in_time)
+        elif self.breaker is BreakerState.CLOSED and self._fails_too_often():
+            self._open(now)
+
+    def _record_trial(self, now: int, in_time: bool) -> None:
+        if not in_time:
+            self._open(now)
+            return
+        self.trial_successes += 1
+        if self.trial_successes >= SUCCESSES_TO_CLOSE:
+            self._close()
+
+    def _fails_too_often(self) -> bool:
+        if self._consecutive_failures >= MAX_CONSECUTIVE_FAILURES:
+            return True
+        if len(self._recent_failures) < RECENT_REPLIES:
+            return False
+        return sum(self._recent_failures) > MAX_FAILURE_RATE * RECENT_REPLIES
+
+    def _close(self) -> None:
+        self.breaker = BreakerState.CLOSED
+        self.backoff = 0
+        self._consecutive_failures = 0
+        self._recent_failures.clear()
+
+    def _open(self, now: int) -> None:
+        self.breaker = BreakerState.OPEN
+        self.trial_successes = 0
+        self.backoff = min(self.max_backoff, 2 * self.backoff) if self.backoff else self.min_backoff
+        # Jitter: proxies that lost a store together must not all retry it in the same moment.
+        self.retry_at = now + int(self.backoff * (0.5 + self.rng.random() / 2))
 
     def allows_sync(self, now: int) -> bool:
-        """Whether it may be synced with now; one that was left alone long enough is on trial from here."""
+        """Whether a sync may be sent now; an open breaker whose backoff is over becomes half-open."""
         if self.breaker is BreakerState.OPEN and now >= self.retry_at:
-            self.breaker, self.good_in_a_row = BreakerState.HALF_OPEN, 0
+            self.breaker = BreakerState.HALF_OPEN
+            self.trial_successes = 0
         return self.breaker is not BreakerState.OPEN
 
     def next_serial(self) -> int:
-        """This process's next sign of life."""
+        """Returns this process's next heartbeat."""
         self.serial += 1
         return self.serial
 
-    def judge(self, reply: StoreReply, generation: int, confirmed: int) -> ReplyVerdict:
-        """What a reply means; `generation` and `confirmed_serial` are those of when it was asked."""
+    def judge(self, reply: StoreReply, generation: int, confirmed_serial: int) -> ReplyVerdict:
+        """Returns what a reply means.
+
+        `generation` and `confirmed_serial` are those of the moment when the command was sent.
+        """
         if not reply.generation:
             return ReplyVerdict.EMPTY
         if reply.generation < self.generation:
@@ -121,21 +148,25 @@
             return ReplyVerdict.MOVED
         if generation != self.generation:
             return ReplyVerdict.STALE
-        # Once it has forgotten, a serial that it was told since proves nothing: until a new generation.
-        forgot = reply.serial < confirmed or self.trust is TrustLevel.NONE
-        return ReplyVerdict.ROLLED_BACK if forgot else ReplyVerdict.CURRENT
-
-    def adopt(self, generation: int, purges: list[tuple[tuple[str, int], ...]]) -> None:
-        """Goes by another generation, once the purges are put back, in chunks, and confirmed."""
-        self.generation, self.confirmed_serial, self.cursor = generation, 0, 0
-        self.trust, self.unpublished = TrustLevel.RESTORING, deque(purges)
-
-    def confirm_published(self, chunk: tuple[tuple[str, int], ...]) -> bool:
-        """A chunk of purges is confirmed; true where that was the last."""
+        # Once a store has lost state, a serial that it got since proves nothing until a new generation.
+        has_lost_state = reply.serial < confirmed_serial or self.trust is TrustLevel.NONE
+        return ReplyVerdict.ROLLED_BACK if has_lost_state else ReplyVerdict.CURRENT
+
+    def adopt(self, generation: int, chunks: Iterable[InvalidationChunk]) -> None:
+        """Adopts another generation; the store is trusted once all chunks are published and confirmed."""
+        self.generation = generation
+        self.confirmed_serial = 0
+        self.cursor = 0
+        self.trust = TrustLevel.RESTORING
+        self.unpublished = deque(chunks)
+
+    def confirm_published(self, chunk: InvalidationChunk) -> bool:
+        """Notes that a chunk of invalidations is confirmed; returns whether it was the last."""
         if self.trust is not TrustLevel.RESTORING:
             return False
         if self.unpublished and self.unpublished[0] is chunk:
             self.unpublished.popleft()
-        if not self.unpublished:
-            self.trust = TrustLevel.TRUSTED
-        return self.trust is TrustLevel.TRUSTED
+        if self.unpublished:
+            return False
+        self.trust = TrustLevel.TRUSTED
+        return True
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -64,7 +64,7 @@
         made.run(30 * MS)
     made.run(3 * SECOND)
     assert made.counts.numbers and not made.counts.owned_twice
-    assert counted(made, "claims_followed") + counted(made, "hints_given")
+    assert counted(made, "leases_followed") + counted(made, "hints_given")
 
 
 def test_a_name_that_a_front_never_saw_goes_to_its_holder_first() -> None:
@@ -88,7 +88,7 @@
         made.request(front, NAME)
         made.run(30 * MS)
     made.run(2 * SECOND)
-    assert counted(made, "hints_wrong") >= 1 and made.counts.served == 3
+    assert counted(made, "hints_stale") >= 1 and made.counts.served == 3
 
 
 def test_a_claim_whose_owner_died_is_taken_over_after_its_end() -> None:
@@ -113,7 +113,7 @@
     made.run(50 * MS)
     made.fronts[0].paused_until = made.now + 6 * SECOND
     made.run(8 * SECOND)
-    assert counted(made, "claims_outlived") == 1 and not counted(made, "claims_settled")
+    assert counted(made, "leases_expired") == 1 and not counted(made, "lease_releases_confirmed")
 
 
 @pytest.mark.parametrize("way", [{"lost": 0.3}, {"cut": 0.3}, {"doubled": 0.5}, {"slow": 0.3}])
@@ -205,7 +205,7 @@
     front = made.fronts[0]
     front.do_sharing(_purged(made))
     made.run(200 * MS)
-    assert counted(made, "purges_heard") == 2
+    assert counted(made, "invalidations_received") == 2
     request = api.Request("x", "image", "o", SECOND, group=3)
     state, now = made.fronts[2].router.state, made.fronts[2].clock(made.now)
     assert invalidation.age_bound(state, now, request) is not None
@@ -283,7 +283,7 @@
     store.call([b"HSET", prefix + b"suspects", b"nobody", b"9999999999999"])
     made.request(made.fronts[0], NAME)
     made.run(SECOND)
-    assert made.counts.served == 1 and counted(made, "records_odd") >= 3
+    assert made.counts.served == 1 and counted(made, "records_malformed") >= 3
     assert all(front.sharing and front.sharing.stores["s0"].is_available for front in made.fronts)
 
 
@@ -329,7 +329,7 @@
     made.run(900 * MS)
     assert made.counts.served == 1  # it waited for its 10 ms and no longer
     made.run(4 * SECOND)
-    assert made.counts.numbers <= 1 and not counted(made, "claims_settled")
+    assert made.counts.numbers <= 1 and not counted(made, "lease_releases_confirmed")
 
 
 def test_a_store_that_forgets_while_claims_run_lets_no_old_owner_publish() -> None:
@@ -342,7 +342,7 @@
     made.request(made.fronts[1], NAME)  # the name can be claimed again at once
     made.run(3 * SECOND)
     assert made.counts.numbers == 2 and not made.counts.old_published and made.counts.served == 2
-    assert counted(made, "claims_settled") <= 1
+    assert counted(made, "lease_releases_confirmed") <= 1
 
 
 def test_a_piece_whose_handing_on_was_cut_off_stays_lent() -> None:
@@ -373,7 +373,7 @@
         key = b"t:%d:suspects" % sharing.stores["s0"].generation
         made.stores["s0"].call([b"HSET", key, b"nobody", b"9999999999999"])
         made.run(SECOND)
-    assert 1 <= made.notes["store_records_odd"] <= 2 and counted(made, "records_odd") >= 100
+    assert 1 <= made.notes["store_records_malformed"] <= 2 and counted(made, "records_malformed") >= 100
 
 
 def holders(made: Branch) -> list[bytes]:
@@ -438,10 +438,10 @@
     made.request(made.fronts[0], NAME)
     made.run(30 * MS)
     sharing, front = made.fronts[0].sharing, made.fronts[0]
-    assert sharing is not None and len(sharing.claims) == 1
+    assert sharing is not None and len(sharing.leases) == 1
     later = front.clock(made.now) + 20 * SECOND
     actions = sharing.handle(later, ev.LeaseReleased(api.ReleaseLease("r1", "c0", 1)))
     assert not [
         a for a in actions if isinstance(a, ev.StoreCommand) and isinstance(a.operation, ev.PublishLocation)
     ]
-    assert sharing.counts["claims_outlived"] == 1
+    assert sharing.counts["leases_expired"] == 1
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -86,10 +86,7 @@
                 way.lost = way.cut = way.slow = 0.0
             self.made.run(8 * SECOND)
             assert not any(front.router.pending for front in self.made.fronts)
-            assert all(
-                not front.sharing or not front.sharing._asked or len(front.sharing._asked) < 4
-                for front in self.made.fronts
-            )
+            assert all(not front.sharing or len(front.sharing.commands) < 4 for front in self.made.fronts)
 
 
 TestBudgets = Budgets.TestCase
--- a/tests/shared_store/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -99,7 +99,7 @@
     with pair() as made:
         assert made.up()
         assert made.ask(0, FILLED, patience=6000) == 200
-        assert made.until(lambda: made.count("claims_settled") == 1)
+        assert made.until(lambda: made.count("lease_releases_confirmed") == 1)
         assert made.ask(1, FILLED, patience=6000) == 200
         assert made.until(lambda: made.count("hints_given") >= 1), made.fronts[1].log.counters()
 
@@ -109,7 +109,7 @@
         assert made.up()
         assert made.fronts[0].shared_store is not None
         made.fronts[0].shared_store.invalidate(api.Invalidation("x", None, 0), time.time_ns())
-        assert made.until(lambda: made.count("purges_heard") == 1)
+        assert made.until(lambda: made.count("invalidations_received") == 1)
         router = made.fronts[1].event_loop._router
         assert made.until(
             lambda: router.state.invalidations.latest(api.Request("i", "image", "x", 1, group=1)) > 0
@@ -174,7 +174,7 @@
     with pair() as made:
         assert made.up()
         assert made.ask(0, FILLED, patience=6000) == 200
-        assert made.until(lambda: made.count("claims_settled") == 1)
+        assert made.until(lambda: made.count("lease_releases_confirmed") == 1)
         path = tmp_path / "operator.yaml"
         path.write_text(
             "sharing:\n  branch: west\n  stores: [{{name: s, address: '{}:{}'}}]\n".format(
--- a/tests/shared_store/test_parts.py
+++ b/tests/shared_store/test_parts.py
@@ -11,7 +11,7 @@
 
 from olivepost.shared_store import client, records
 from olivepost.shared_store import messages as ev
-from olivepost.shared_store.invalidations import MOST, KnownInvalidations
+from olivepost.shared_store.invalidations import MAX_INVALIDATIONS, KnownInvalidations
 from olivepost.shared_store.quota_transfers import QuotaTransfers
 from olivepost.shared_store.records import (
     CacheLocation,
@@ -25,7 +25,7 @@
 )
 from olivepost.shared_store.settings import SharedStoreSettings
 from olivepost.shared_store.store_health import (
-    BAD_IN_A_ROW,
+    MAX_CONSECUTIVE_FAILURES,
     BreakerState,
     ReplyVerdict,
     StoreHealth,
@@ -46,7 +46,7 @@
 
 def test_a_breaker_shuts_tries_with_growing_pauses_and_opens() -> None:
     made, now, pauses = standing(), 0, []
-    for _ in range(BAD_IN_A_ROW):
+    for _ in range(MAX_CONSECUTIVE_FAILURES):
         assert made.is_available
         made.record_reply(now, False)
     for _ in range(6):
@@ -99,17 +99,17 @@
 
 def borrower() -> tuple[QuotaTransfers, QuotaRequest]:
     made = QuotaTransfers("me", SECOND)
-    made.short(0, "cold:c@1", 0.5)
-    (data,) = made.needs(0).values()
+    made.record_shortage(0, "cold:c@1", 0.5)
+    (data,) = made.open_requests(0).values()
     return made, decode_record(QuotaRequest, data)
 
 
 def test_a_piece_counts_once_from_when_it_was_asked_for() -> None:
     made, need = borrower()
     piece = QuotaGrant(id="x.1", key=need.key, nonce=need.nonce, amount=0.5)
-    assert made.take(900 * MS, piece) == (0.5, SECOND)
-    with pytest.raises(RecordError, match="come before"):
-        made.take(901 * MS, piece)
+    assert made.receive(900 * MS, piece) == (0.5, SECOND)
+    with pytest.raises(RecordError, match="received before"):
+        made.receive(901 * MS, piece)
 
 
 @pytest.mark.parametrize(
@@ -128,30 +128,30 @@
     made, need = borrower()
     fields = {"id": "x.1", "key": need.key, "nonce": need.nonce, "amount": 0.5, **change}
     with pytest.raises(RecordError):
-        made.take(at, QuotaGrant(**fields))  # type: ignore[arg-type]
+        made.receive(at, QuotaGrant(**fields))  # type: ignore[arg-type]
 
 
 def test_a_lender_waits_longer_than_the_borrowers_clock_may_lag() -> None:
     lender, need = QuotaTransfers("you", SECOND), borrower()[1]
-    offer = lender.answer(0, 1, "f", need)
-    assert offer is not None and offer.until >= 1.01 * SECOND
-    assert lender.answer(0, 2, "f", need) is None  # one offer at a time
-    assert lender.lent(1, 0.0, 5) is None and lender.answer(0, 3, "f", need) is not None
+    offer = lender.offer(0, 1, "f", need)
+    assert offer is not None and offer.expires_at >= 1.01 * SECOND
+    assert lender.offer(0, 2, "f", need) is None  # one offer at a time
+    assert lender.donate(1, 0.0, 5) is None and lender.offer(0, 3, "f", need) is not None
 
 
 def test_what_a_front_lacks_itself_it_does_not_lend() -> None:
     lender, need = QuotaTransfers("you", SECOND), borrower()[1]
-    lender.short(0, need.key, 0.1)
-    assert lender.answer(0, 1, "f", need) is None
+    lender.record_shortage(0, need.key, 0.1)
+    assert lender.offer(0, 1, "f", need) is None
 
 
 def test_forgotten_purges_raise_a_floor() -> None:
     made = KnownInvalidations()
-    for number in range(MOST + 10):
-        assert made.note(InvalidationKey(f"o{number}", None), number + 1)
-    assert not made.note(InvalidationKey(f"o{MOST}", None), 1)
-    assert len(made) == MOST and made.last_ms("never purged", 3) == 10
-    assert sum(map(len, made.chunks())) == MOST
+    for number in range(MAX_INVALIDATIONS + 10):
+        assert made.add(InvalidationKey(f"o{number}", None), number + 1)
+    assert not made.add(InvalidationKey(f"o{MAX_INVALIDATIONS}", None), 1)
+    assert len(made) == MAX_INVALIDATIONS and made.last_ms("never purged", 3) == 10
+    assert sum(map(len, made.chunks())) == MAX_INVALIDATIONS
 
 
 @settings(max_examples=300, derandomize=True, deadline=None, database=None)
