--- a/tests/shared_store/model.py
+++ b/tests/shared_store/model.py
@@ -1,4 +1,4 @@
-"""The branch that the tests of the sharing core have in common."""
+"""The modelled location that the tests of the shared store's decision part have in common."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 from benchmarks.sharing import settings
 from tests.helpers import SECOND
 
+NAME = "000007"  # an object that no cache has at the start
 
-def branch(fronts: int = 3, seed: int = 1, **changes: Any) -> Branch:
-    """A branch whose store is up and whose fronts have begun to lend."""
-    made = Branch(settings(fronts), fronts, seed, **{"caches": 4, "names": 200, **changes})
-    made.run(5 * SECOND)
-    return made
 
+def make_branch(fronts: int = 3, seed: int = 1, **changes: Any) -> Branch:
+    """Returns a location whose store is available and whose proxies may donate quota."""
+    branch = Branch(settings(fronts), fronts, seed, **{"caches": 4, "names": 200, **changes})
+    branch.run(5 * SECOND)
+    return branch
 
-def counted(made: Branch, name: str) -> int:
-    """A figure of all fronts together."""
-    return sum(front.sharing.counts.get(name, 0) for front in made.fronts if front.sharing)
+
+def counted(branch: Branch, name: str) -> int:
+    """Returns a counter of all proxies together."""
+    return sum(front.sharing.counts.get(name, 0) for front in branch.fronts if front.sharing)
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets over hostile histories: parts and running loans never pass the whole, whatever happens."""
+"""Quotas over hostile histories: parts and running transfers never exceed the whole, whatever happens."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 
 from benchmarks.branch import Branch
 from tests.helpers import MS, SECOND
-from tests.shared_store.model import branch
+from tests.shared_store.model import make_branch
 
-FRONT = st.integers(0, 3)
+PROXY_NUMBER = st.integers(0, 3)
 
 
-class Budgets(RuleBasedStateMachine):
-    """Four fronts with clocks apart, a cold cache, and a store that is anything but reliable."""
+class QuotaHistories(RuleBasedStateMachine):
+    """Four proxies with clocks apart, a cold cache, and a store that is anything but reliable."""
 
     @initialize(seed=st.integers(0, 2**16))
     def begin(self, seed: int) -> None:
-        self.made: Branch = branch(4, seed, size=150.0)
-        self.made.restart_cache("c0")
+        self.branch: Branch = make_branch(4, seed, size=150.0)
+        self.branch.restart_cache("c0")
 
-    @rule(number=FRONT, count=st.integers(1, 12))
+    @rule(number=PROXY_NUMBER, count=st.integers(1, 12))
     def requests(self, number: int, count: int) -> None:
         for _ in range(count):
-            self.made.request(self.made.fronts[number])
+            self.branch.request(self.branch.fronts[number])
 
     @rule(span=st.sampled_from([5, 30, 60, 300, 1500, 2500]))
     def wait(self, span: int) -> None:
-        self.made.run(span * MS)
+        self.branch.run(span * MS)
 
-    @rule(number=FRONT)
+    @rule(number=PROXY_NUMBER)
     def crash(self, number: int) -> None:
-        self.made.fronts[number].begin()
+        self.branch.fronts[number].begin()
 
-    @rule(number=FRONT, span=st.integers(10, 3000))
+    @rule(number=PROXY_NUMBER, span=st.integers(10, 3000))
     def pause(self, number: int, span: int) -> None:
-        self.made.fronts[number].paused_until = self.made.now + span * MS
+        self.branch.fronts[number].paused_until = self.branch.now + span * MS
 
     @rule(
         lost=st.sampled_from([0.0, 0.5]),
@@ -45,52 +45,52 @@
         slow=st.sampled_from([0.0, 0.4]),
     )
     def way(self, lost: float, cut: float, doubled: float, slow: float) -> None:
-        way = self.made.ways["s0"]
+        way = self.branch.ways["s0"]
         way.lost, way.cut, way.doubled, way.slow = lost, cut, doubled, slow
 
     @rule()
     def snapshot(self) -> None:
-        self.made.stores["s0"].snapshot()
+        self.branch.stores["s0"].snapshot()
 
     @rule(age=st.integers(0, 3000))
     def go_back(self, age: int) -> None:
-        self.made.stores["s0"].go_back(age)
+        self.branch.stores["s0"].go_back(age)
 
     @rule()
     def lose(self) -> None:
-        self.made.stores["s0"].lose()
+        self.branch.stores["s0"].lose()
 
     @rule(span=st.integers(50, 2000))
     def silence(self, span: int) -> None:
-        self.made.ways["s0"].silent_until = self.made.now + span * MS
+        self.branch.ways["s0"].silent_until = self.branch.now + span * MS
 
     @rule(name=st.sampled_from(["c0", "c1"]))
     def cold(self, name: str) -> None:
-        self.made.restart_cache(name)
+        self.branch.restart_cache(name)
 
     @rule(group=st.integers(0, 15))
     def purge(self, group: int) -> None:
-        self.made.purge([group])
+        self.branch.purge([group])
 
     @invariant()
-    def the_whole_holds(self) -> None:
-        if hasattr(self, "made"):
-            self.made.look_at_budgets()
-            assert not self.made.counts.over_whole
-            assert not self.made.counts.owned_twice
-            assert not self.made.counts.older_than_purge
+    def the_whole_is_never_exceeded(self) -> None:
+        if hasattr(self, "branch"):
+            self.branch.look_at_budgets()
+            assert not self.branch.counts.over_whole
+            assert not self.branch.counts.owned_twice
+            assert not self.branch.counts.older_than_purge
 
     def teardown(self) -> None:
-        if hasattr(self, "made"):
-            for way in self.made.ways.values():
+        if hasattr(self, "branch"):
+            for way in self.branch.ways.values():
                 way.lost = way.cut = way.slow = 0.0
-            self.made.run(8 * SECOND)
-            assert not any(front.router.pending for front in self.made.fronts)
-            assert all(not front.sharing or len(front.sharing.commands) < 4 for front in self.made.fronts)
+            self.branch.run(8 * SECOND)
+            assert not any(front.router.pending for front in self.branch.fronts)
+            assert all(not front.sharing or len(front.sharing.commands) < 4 for front in self.branch.fronts)
 
 
-TestBudgets = Budgets.TestCase
-TestBudgets.settings = settings(
+TestQuotaHistories = QuotaHistories.TestCase
+TestQuotaHistories.settings = settings(
     max_examples=25,
     stateful_step_count=30,
     derandomize=True,
--- /dev/null
+++ b/tests/shared_store/test_invalidations.py
@@ -0,0 +1,77 @@
+"""Invalidations by way of the stores: bounded, published again, and heard by all proxies."""
+
+from __future__ import annotations
+
+from benchmarks.branch import Branch
+from olivepost import interface as api
+from olivepost.routing import invalidation
+from olivepost.shared_store.invalidations import MAX_INVALIDATIONS, KnownInvalidations
+from olivepost.shared_store.messages import InvalidationReceived
+from olivepost.shared_store.records import InvalidationKey
+from olivepost.shared_store.store_health import TrustLevel
+from tests.helpers import MS, SECOND
+from tests.shared_store.model import NAME, counted, make_branch
+
+
+def test_dropped_invalidations_raise_the_floor() -> None:
+    known = KnownInvalidations()
+    for number in range(MAX_INVALIDATIONS + 10):
+        assert known.add(InvalidationKey(f"o{number}", None), number + 1)
+    assert not known.add(InvalidationKey(f"o{MAX_INVALIDATIONS}", None), 1)
+    assert len(known) == MAX_INVALIDATIONS
+    assert known.last_ms("never invalidated", 3) == 10
+    assert sum(map(len, known.chunks())) == MAX_INVALIDATIONS
+
+
+def test_store_that_came_back_empty_gets_the_invalidations_again() -> None:
+    branch = make_branch()
+    branch.request(branch.fronts[0], NAME)
+    branch.run(SECOND)
+    branch.purge([int(NAME, 16) % branch.groups])
+    branch.run(SECOND)
+    first = {front.sharing.stores["s0"].generation for front in branch.fronts if front.sharing}
+    branch.stores["s0"].lose()
+    branch.run(SECOND)
+    later = {front.sharing.stores["s0"].generation for front in branch.fronts if front.sharing}
+    assert len(later) == 1
+    assert min(later) > max(first)
+    (generation,) = later
+    kept = branch.stores["s0"].data[b"t:%d:purges" % generation]
+    assert b"g:%d" % (int(NAME, 16) % branch.groups) in kept
+
+
+def test_store_is_trusted_only_once_all_invalidations_are_confirmed() -> None:
+    branch = make_branch()
+    for group in range(branch.groups):
+        branch.purge([group])
+    branch.run(SECOND)
+    branch.stores["s0"].lose()
+    front = branch.fronts[0]
+    assert front.sharing is not None
+    store = front.sharing.stores["s0"]
+    seen: set[TrustLevel] = set()
+    for _ in range(2_000):
+        branch.run(MS // 10)
+        seen.add(store.trust)
+        if store.trust is TrustLevel.TRUSTED and store.generation in {
+            int(key.split(b":")[1]) for key in branch.stores["s0"].data if key.endswith(b":purges")
+        }:
+            kept = branch.stores["s0"].data[b"t:%d:purges" % store.generation]
+            assert len(kept) == branch.groups
+    assert TrustLevel.RESTORING in seen
+    assert store.is_available
+
+
+def test_invalidations_reach_proxies_that_the_platform_did_not_notify() -> None:
+    branch = make_branch()
+    front = branch.fronts[0]
+    front.do_sharing(_invalidation(branch))
+    branch.run(200 * MS)
+    assert counted(branch, "invalidations_received") == 2
+    request = api.Request("x", "image", "o", SECOND, group=3)
+    state, now = branch.fronts[2].router.state, branch.fronts[2].clock(branch.now)
+    assert invalidation.age_bound(state, now, request) is not None
+
+
+def _invalidation(branch: Branch) -> InvalidationReceived:
+    return InvalidationReceived(api.Invalidation(None, 3, 0), branch.now // MS)
--- /dev/null
+++ b/tests/shared_store/test_quota_transfers.py
@@ -0,0 +1,125 @@
+"""Quota transfers: what counts, what is donated, and that parts and transfers never exceed the whole."""
+
+from __future__ import annotations
+
+import pytest
+
+from olivepost import interface as api
+from olivepost.routing import capacity
+from olivepost.shared_store.quota_transfers import QuotaTransfers
+from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, decode_record
+from tests.helpers import MS, SECOND
+from tests.shared_store.model import make_branch
+
+
+def requester() -> tuple[QuotaTransfers, QuotaRequest]:
+    transfers = QuotaTransfers("me", SECOND)
+    transfers.record_shortage(0, "cold:c@1", 0.5)
+    (data,) = transfers.open_requests(0).values()
+    return transfers, decode_record(QuotaRequest, data)
+
+
+def test_grant_counts_once_from_the_moment_of_its_request() -> None:
+    transfers, request = requester()
+    grant = QuotaGrant(id="x.1", key=request.key, nonce=request.nonce, amount=0.5)
+    assert transfers.receive(900 * MS, grant) == (0.5, SECOND)
+    with pytest.raises(RecordError, match="received before"):
+        transfers.receive(901 * MS, grant)
+
+
+@pytest.mark.parametrize(
+    ("change", "at"),
+    [
+        ({"nonce": "me.0"}, 0),
+        ({"nonce": "other.1"}, 0),
+        ({"key": "cold:d@1"}, 0),
+        ({"amount": -1.0}, 0),
+        ({"amount": float("inf")}, 0),
+        ({}, SECOND),
+    ],
+)
+def test_grant_that_is_old_foreign_late_or_malformed_counts_for_nothing(
+    change: dict[str, object], at: int
+) -> None:
+    """Each would exceed the whole quota, since its donor may have the amount back already."""
+    transfers, request = requester()
+    fields = {"id": "x.1", "key": request.key, "nonce": request.nonce, "amount": 0.5, **change}
+    with pytest.raises(RecordError):
+        transfers.receive(at, QuotaGrant(**fields))  # type: ignore[arg-type]
+
+
+def test_donor_waits_longer_than_the_receivers_clock_may_lag() -> None:
+    donor, request = QuotaTransfers("you", SECOND), requester()[1]
+    donation = donor.offer(0, 1, "f", request)
+    assert donation is not None
+    assert donation.expires_at >= 1.01 * SECOND
+    assert donor.offer(0, 2, "f", request) is None  # one donation at a time
+    assert donor.donate(1, 0.0, 5) is None
+    assert donor.offer(0, 3, "f", request) is not None
+
+
+def test_proxy_donates_nothing_of_a_quota_that_it_lacks() -> None:
+    donor, request = QuotaTransfers("you", SECOND), requester()[1]
+    donor.record_shortage(0, request.key, 0.1)
+    assert donor.offer(0, 1, "f", request) is None
+
+
+def test_restarted_proxy_does_not_use_what_its_earlier_process_donated() -> None:
+    """Rule 4 over restarts: the part is whole again only after the longest transfer and a window."""
+    branch = make_branch(3)
+    branch.restart_cache("c0")
+    branch.run(SECOND)
+    front = branch.fronts[0]
+    key = f"cold:c0@{branch.caches['c0'].started}"
+    front.do_router(api.QuotaRequested(1, key, 1e12, front.clock(branch.now) + SECOND))
+    donated = -capacity.transferred(front.router.state, front.clock(branch.now), key, 0.0)
+    assert donated > 0
+    front.begin()
+    endpoint, at = front.router.state.endpoints.by_id["c0"], front.clock(branch.now)
+    tier, window = branch.settings.caches, branch.settings.overload_window
+    part = (
+        tier.overload_multiple
+        * capacity.slow_start_share(front.router.state, at - window, endpoint)
+        * window
+        * capacity.certain_link(front.router.state, endpoint)
+    )
+    assert capacity.transferred(front.router.state, at, key, part) <= -donated
+    branch.run(5 * SECOND)
+    assert capacity.transferred(front.router.state, front.clock(branch.now), key, part) == 0
+
+
+def test_slow_start_quota_moves_to_the_busy_proxy_and_never_grows() -> None:
+    def served(sharing: bool) -> int:
+        branch = make_branch(6, sharing=sharing, size=200.0)
+        for name in list(branch.caches):
+            branch.restart_cache(name)
+        branch.load(60, 5 * SECOND, lambda: 0 if branch.draw.random() < 0.95 else 1)
+        for _ in range(120):
+            branch.run(50 * MS)
+            branch.look_at_budgets()
+        assert not branch.counts.over_whole
+        assert branch.counts.looks
+        return branch.counts.served
+
+    assert served(True) > 1.3 * served(False)
+
+
+def test_grant_whose_handover_was_cut_off_stays_donated() -> None:
+    """It may have been handed over: taking it back would count it twice."""
+    branch = make_branch(3)
+    branch.restart_cache("c0")
+    branch.run(SECOND)
+    key, donor = f"cold:c0@{branch.caches['c0'].started}", branch.fronts[0]
+    branch.ways["s0"].cut = 1.0
+    branch.fronts[1].do_sharing(api.RequestQuota(key, 1e6))
+    branch.run(60 * MS)
+    branch.ways["s0"].cut = 0.0
+    branch.fronts[1].do_sharing(api.RequestQuota(key, 1e9))
+    for _ in range(40):
+        branch.run(10 * MS)
+        branch.ways["s0"].cut = 1.0 if donor.router.state.quotas else 0.0
+        branch.look_at_budgets()
+    assert donor.router.state.quotas
+    assert not branch.counts.over_whole
+    branch.run(300 * MS)
+    assert capacity.transferred(donor.router.state, donor.clock(branch.now), key, 0.0) < 0
--- /dev/null
+++ b/tests/shared_store/test_records.py
@@ -0,0 +1,110 @@
+"""Stored records: their bytes, and what is rejected."""
+
+from __future__ import annotations
+
+import pytest
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from olivepost.shared_store.records import (
+    MAX_RECORD_BYTES,
+    CacheLocation,
+    FillLease,
+    InvalidationKey,
+    QuotaGrant,
+    QuotaRequest,
+    RecordError,
+    StoredRecord,
+    decode_record,
+    encode_record,
+    parse_integer,
+    stored_fields,
+)
+
+LOCATION = CacheLocation(cache="c", cache_started_at=0, rank=2, generated_at_ms=5, proxy="n1")
+
+
+@settings(max_examples=300, derandomize=True, deadline=None, database=None)
+@given(st.binary(max_size=200), st.integers(0, 199), st.integers(0, 7))
+def test_no_damaged_bytes_pass_for_a_record(noise: bytes, at: int, bit: int) -> None:
+    with pytest.raises(RecordError):
+        decode_record(CacheLocation, noise)
+    data = bytearray(encode_record(LOCATION))
+    data[at % len(data)] ^= 1 << bit
+    with pytest.raises(RecordError):
+        decode_record(CacheLocation, bytes(data))
+
+
+@pytest.mark.parametrize(
+    ("record", "stored"),
+    [
+        (
+            FillLease(proxy="n1", incarnation="00f3a1", cache="c:1", source="p:1", cache_started_at=7),
+            b'e5b50de7 {"type":"claim","v":1,"owner":"n1","process":"00f3a1","cache":"c:1",'
+            b'"source":"p:1","started":7}',
+        ),
+        (
+            CacheLocation(cache="c:1", cache_started_at=7, rank=2, generated_at_ms=1800000000123, proxy="n1"),
+            b'8ab483bd {"type":"holder","v":1,"cache":"c:1","started":7,"rank":2,"at_ms":1800000000123,'
+            b'"by":"n1"}',
+        ),
+        (
+            QuotaRequest(
+                incarnation="00f3a1",
+                key="cold:c:1@7",
+                nonce="00f3a1.4",
+                amount=0.5,
+                duration=1_900_000_000,
+            ),
+            b'a439e242 {"type":"need","v":1,"process":"00f3a1","key":"cold:c:1@7","nonce":"00f3a1.4",'
+            b'"amount":0.5,"span":1900000000}',
+        ),
+        (
+            QuotaGrant(id="99bb.3", key="cold:c:1@7", nonce="00f3a1.4", amount=0.25),
+            b'0526b85c {"type":"piece","v":1,"id":"99bb.3","key":"cold:c:1@7","nonce":"00f3a1.4",'
+            b'"amount":0.25}',
+        ),
+    ],
+)
+def test_records_have_the_bytes_that_version_1_has_always_had(record: StoredRecord, stored: bytes) -> None:
+    """The literals were written before the attributes got names apart from the stored ones."""
+    assert encode_record(record) == stored
+    assert decode_record(type(record), stored) == record
+
+
+def test_records_of_other_types_versions_and_sizes_are_rejected() -> None:
+    assert decode_record(CacheLocation, encode_record(LOCATION)) == LOCATION
+    lease = FillLease(proxy="n", incarnation="p", cache="c", source="p", cache_started_at=0)
+    later = CacheLocation(cache="c", cache_started_at=0, rank=2, generated_at_ms=5, proxy="n", version=2)
+    wrong: list[object] = [
+        encode_record(lease),
+        encode_record(later),
+        None,
+        5,
+        b"x" * (MAX_RECORD_BYTES + 1),
+    ]
+    for data in wrong:
+        with pytest.raises(RecordError):
+            decode_record(CacheLocation, data)
+    for key in (b"", b"o:", b"g:x", b"g:-1", b"x:1", b"g:" + b"1" * 30):
+        with pytest.raises(RecordError):
+            InvalidationKey.read(key)
+
+
+def test_fields_are_shown_under_their_stored_names() -> None:
+    assert stored_fields(LOCATION) == {"cache": "c", "started": 0, "rank": 2, "at_ms": 5, "by": "n1"}
+
+
+def test_error_says_what_was_found_and_what_is_allowed() -> None:
+    with pytest.raises(RecordError) as caught:
+        decode_record(CacheLocation, b"x" * (MAX_RECORD_BYTES + 1))
+    assert caught.value.problem == "a record of 1025 bytes"
+    assert caught.value.allowed == "at most 1024"
+    assert str(caught.value) == "a record of 1025 bytes; allowed: at most 1024"
+
+
+@pytest.mark.parametrize("value", [b"", b"-1", b"1.0", b"9" * 19, "7", None, 1.0])
+def test_what_is_no_integer_is_rejected(value: object) -> None:
+    assert parse_integer(b"0017") == parse_integer(17) == 17
+    with pytest.raises(RecordError):
+        parse_integer(value)
