--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -7,6 +7,7 @@
 from collections.abc import Iterator
 from typing import Any, cast
 
+import msgspec
 import orjson
 import redis
 from rich.console import Console
@@ -21,7 +22,6 @@
     InvalidationKey,
     RecordError,
     decode_record,
-    stored_fields,
 )
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
@@ -103,16 +103,22 @@
             row["ends_ms"] = made.pttl(key)
             if kind == "c":
                 number, _, record = (made.get(key) or b"").partition(b" ")
-                row |= {"number": number.decode(errors="replace")} | stored_fields(
+                row |= {"number": number.decode(errors="replace")} | _stored_fields(
                     decode_record(FillLease, record)
                 )
             else:
-                row |= stored_fields(decode_record(CacheLocation, made.hget(key, "rec")))
+                row |= _stored_fields(decode_record(CacheLocation, made.hget(key, "rec")))
         except (RecordError, redis.ResponseError) as fault:
             row["odd"] = str(fault)
         yield row
 
 
+def _stored_fields(record: msgspec.Struct) -> dict[str, object]:
+    """A record's own fields by their stored names."""
+    fields: dict[str, object] = msgspec.to_builtins(record)
+    return {name: value for name, value in fields.items() if name not in ("type", "v")}
+
+
 def _purges(made: Any, under: str) -> Iterator[dict[str, object]]:
     for key, at in sorted(made.hgetall(f"{under}purges").items(), key=lambda pair: pair[1]):
         try:
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -111,12 +111,6 @@
     return record
 
 
-def stored_fields(record: StoredRecord) -> dict[str, object]:
-    """Returns a record's own fields under their stored names."""
-    fields: dict[str, object] = msgspec.to_builtins(record)
-    return {name: value for name, value in fields.items() if name not in ("type", "v")}
-
-
 def parse_integer(value: object) -> int:
     """Returns an integer of a store's reply; raises `RecordError` where the value is none."""
     if isinstance(value, int):
