--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -81,8 +81,8 @@
     branch = make_branch()
     branch.request(branch.fronts[0], NAME)
     branch.run(2 * SECOND)
-    holder = next(cache for cache in branch.caches.values() if f"{NAME}.0" in cache.kept)
-    holder.kept.clear()  # evicted, of which no proxy is notified
+    cache_with_name = next(cache for cache in branch.caches.values() if f"{NAME}.0" in cache.kept)
+    cache_with_name.kept.clear()  # evicted, of which no proxy is notified
     for front in branch.fronts[1:]:
         branch.request(front, NAME)
         branch.run(30 * MS)
@@ -164,13 +164,13 @@
     branch.request(branch.fronts[0], NAME)
     branch.run(SECOND)
     (key,) = holders(branch)
-    holder = next(name for name, cache in branch.caches.items() if cache.kept)
+    cache_with_name = next(name for name, cache in branch.caches.items() if cache.kept)
     for count, front in enumerate(branch.fronts[1:3]):
         assert key in holders(branch)
-        lookup = api.LookUpHint(f"q{count}", f"{NAME}.0", holder, "", 10 * MS, SECOND)
+        lookup = api.LookUpHint(f"q{count}", f"{NAME}.0", cache_with_name, "", 10 * MS, SECOND)
         front.do_sharing(ev.LookupRequested(lookup, NAME, 7))
         branch.run(20 * MS)
-        front.do_sharing(api.ReportStaleHint(lookup.request_id, lookup.name, holder))
+        front.do_sharing(api.ReportStaleHint(lookup.request_id, lookup.name, cache_with_name))
         branch.run(20 * MS)
     assert key not in holders(branch)
 
@@ -180,9 +180,9 @@
     branch.request(branch.fronts[0], NAME)
     branch.run(SECOND)
     (key,) = holders(branch)
-    holder = next(name for name, cache in branch.caches.items() if cache.kept)
-    branch.restart_cache(holder)
-    branch.caches[holder].started = branch.now - 3600 * SECOND  # warm, so that a lookup comes first
+    cache_with_name = next(name for name, cache in branch.caches.items() if cache.kept)
+    branch.restart_cache(cache_with_name)
+    branch.caches[cache_with_name].started = branch.now - 3600 * SECOND  # warm, so that a lookup comes first
     branch.list_anew()
     front = branch.fronts[1]
     front.do_sharing(ev.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7))
--- a/tests/shared_store/test_parts.py
+++ b/tests/shared_store/test_parts.py
@@ -8,19 +8,19 @@
 import redis
 
 from olivepost.shared_store import client
-from olivepost.shared_store import messages as ev
+from olivepost.shared_store.messages import AdvanceGeneration
 from olivepost.shared_store.settings import SharedStoreSettings
 from standins.redis.server import Server
 
 
-def test_a_command_that_was_cut_off_is_not_sent_again() -> None:
-    """Guards against a piece handed on twice by a client library that tries again by itself."""
+def test_command_that_was_cut_off_is_not_sent_again() -> None:
+    """Guards against a quota grant handed over twice by a client library that retries by itself."""
     server = Server()
     try:
-        given = {"name": "s", "address": "{}:{}".format(*server.address)}
-        made = SharedStoreSettings.model_validate({"branch": "b", "stores": [given]})
-        store = client.connect(made, made.stores[0])
-        (reply,) = client.run(store, [ev.AdvanceGeneration(0, 0)], "b", "me", True)
+        section = {"name": "s", "address": "{}:{}".format(*server.address)}
+        settings = SharedStoreSettings.model_validate({"branch": "b", "stores": [section]})
+        store = client.connect(settings, settings.stores[0])
+        (reply,) = client.run(store, [AdvanceGeneration(0, 0)], "b", "me", True)
         assert isinstance(reply, list)
         whole, cuts = server.faults.spoil, [True]
 
@@ -30,7 +30,7 @@
         server.faults.spoil = spoil  # type: ignore[method-assign]
         before = int(server.keyspace.data[b"b:generation"])
         with pytest.raises(redis.ConnectionError):
-            client.run(store, [ev.AdvanceGeneration(before, before)], "b", "me", False)
+            client.run(store, [AdvanceGeneration(before, before)], "b", "me", False)
         assert int(server.keyspace.data[b"b:generation"]) > before  # it has run
         assert server.commands < 40
         store.close()
