--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -127,7 +127,7 @@
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
         assert pair.ask(0, FILLED, patience=6000) == 200
-        assert pair.wait_until(lambda: pair.count("claims_settled") == 1)
+        assert pair.wait_until(lambda: pair.count("lease_releases_confirmed") == 1)
         assert pair.ask(1, FILLED, patience=6000) == 200
         assert pair.wait_until(lambda: pair.count("hints_given") >= 1), pair.proxies[1].log.counters()
 
@@ -136,7 +136,7 @@
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
         pair.hosts[0].invalidate(api.Invalidation("x", None, 0), time.time_ns())
-        assert pair.wait_until(lambda: pair.count("purges_heard") == 1)
+        assert pair.wait_until(lambda: pair.count("invalidations_received") == 1)
         router = pair.proxies[1].event_loop._router
         assert pair.wait_until(
             lambda: router.state.invalidations.latest(api.Request("i", "image", "x", 1, group=1)) > 0
@@ -199,7 +199,7 @@
         assert pair.wait_for_availability()
         assert pair.wait_until(pair.have_synced)
         assert pair.ask(0, FILLED, patience=6000) == 200
-        assert pair.wait_until(lambda: pair.count("claims_settled") == 1)
+        assert pair.wait_until(lambda: pair.count("lease_releases_confirmed") == 1)
         path = tmp_path / "operator.yaml"
         path.write_text(
             "sharing:\n  branch: west\n  stores: [{{name: s, address: '{}:{}'}}]\n".format(
