--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -112,11 +112,8 @@
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
         """Take back the matching requests that are still waiting to be written."""
         with self._lock:
-            withdrawn = [
-                request
-                for request in self._open.values()
-                if request.stage is RequestStage.QUEUED and matches(request)
-            ]
+            queued = [request for request in self._open.values() if request.stage is RequestStage.QUEUED]
+            withdrawn = [request for request in queued if matches(request)]
             for request in withdrawn:
                 self._remove(request)
         return withdrawn
@@ -179,12 +176,13 @@
             return None
 
     def attach_body(self, request: UpstreamRequest, body: PooledBody | None) -> None:
-        """Give a request the buffers for its response's body; None: there were none."""
+        """Give a request the buffers for its response's body (None: there were none), unless it has ended."""
         with self._lock:
             request.lacks_buffers = body is None
-            if request is self._open.get(request.exchange.id):
-                request.body, body = body, None
-        if body is not None:
+            is_open = self._open.get(request.exchange.id) is request
+            if is_open:
+                request.body = body
+        if body is not None and not is_open:
             body.release()
 
     def append_body(self, request: UpstreamRequest, piece: memoryview) -> None:
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -57,10 +57,9 @@
         if endpoint is None:
             self._report(request, api.AttemptStatus.CONNECT_FAILED)
             return
-        endpoint.connections = [
-            connection for connection in endpoint.connections if not connection.is_closing
-        ]
-        candidates = [connection for connection in endpoint.connections if connection.can_accept(request)]
+        usable = [connection for connection in endpoint.connections if not connection.is_closing]
+        endpoint.connections = usable
+        candidates = [connection for connection in usable if connection.can_accept(request)]
         candidates.sort(key=lambda connection: (not connection.is_connected, connection.open_count))
         for connection in candidates:
             if connection.offer(request):
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -51,7 +51,7 @@
         except OSError as error:
             connection.record_loss(error.strerror or str(error))
         except Exception:  # a thread's top: its connection must end and be reported whatever went wrong
-            self._resources.log.exception("upstream_connection_fault", endpoint=connection.address.id)
+            self._resources.log.exception("upstream_connection_error", endpoint=connection.address.id)
         finally:
             connection.end()
             sockets.shutdown(sock)
