--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -52,9 +52,9 @@
                 sockets.set_send_buffer(self._sock, context.limits.max_response_body)
                 self._read(memoryview(buffers[0]))
         except OSError:
-            context.log.increment("client_reset")
+            context.log.increment("connections_reset")
         except Exception:  # the top of a thread: a fault ends this connection only
-            context.log.exception("connection_fault")
+            context.log.exception("downstream_connection_error")
         finally:
             self._close()
             if buffers:
@@ -126,7 +126,7 @@
 
     def _refuse_pipelining(self) -> None:
         """Bytes behind a request in flight are not taken up: the connection ends after its response."""
-        self._context.log.increment("sent_ahead")
+        self._context.log.increment("pipelining_rejected")
         self._keeps_alive = False
 
     def _route(self, message: Message[RequestLine], received_at: int) -> None:
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -120,7 +120,7 @@
 
     def abort(self) -> None:
         """Shuts down the socket at once; the client can tell that its response is incomplete."""
-        self._context.log.increment("answers_cut")
+        self._context.log.increment("responses_aborted")
         self._keeps_alive = False
         sockets.shutdown(self._sock)
 
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -125,7 +125,7 @@
         log = self.context.log
         log.increment("accept_failed")
         if error.errno not in (errno.ECONNABORTED, errno.EINTR):
-            log.event("accept_failed", why=error.strerror)
+            log.event("accept_failed", reason=error.strerror)
             time.sleep(ACCEPT_RETRY_PAUSE_S)
 
     def _wait_for_slot(self) -> bool:
@@ -135,10 +135,10 @@
         Hurts where more clients share a proxy than it has slots for.
         """
         log = self.context.log
-        log.increment("clients_full")
+        log.increment("connection_cap_reached")
         while not self._stopped.is_set():
             if any(connection.evict() for connection in self._eviction_candidates()):
-                log.increment("clients_evicted")
+                log.increment("connections_evicted")
             if self._slots.acquire(timeout=SLOT_RETRY_INTERVAL_S):
                 return True
         return False
@@ -190,8 +190,8 @@
             with self._lock:
                 expired = [connection for connection in self._connections if 0 < connection.deadline < now]
             for connection in expired:
-                log.increment("clients_past_limit")
+                log.increment("connection_deadlines_exceeded")
                 try:
                     connection.expire()
                 except Exception:  # a fault in one connection must not end the deadlines of all
-                    log.exception("connection_fault")
+                    log.exception("downstream_connection_error")
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -67,7 +67,7 @@
                 log.increment("threads_short")
                 job.connection.abandon_response(job.exchange, job.response)
             except Exception:  # a fault in one connection must not end the writer of all
-                log.exception("writer_fault")
+                log.exception("response_writer_error")
                 job.connection.abort()
 
     def _start_slow_writer(self, job: WriteJob, unsent: list[memoryview]) -> None:
@@ -79,4 +79,4 @@
         try:
             job.connection.finish_writing(job.exchange, job.response, unsent)
         except Exception:  # the top of a thread: a fault is logged with its trace
-            log.exception("writer_fault")
+            log.exception("response_writer_error")
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -161,8 +161,8 @@
         for connection in made.front.downstream._connections:
             connection.idle_since = now
         with made.client() as late:
-            assert made.until(lambda: made.counted("clients_full") == 1)
-            assert made.counted("clients_evicted") == 0
+            assert made.until(lambda: made.counted("connection_cap_reached") == 1)
+            assert made.counted("connections_evicted") == 0
             held[0].sock.close()
             assert late.ask()[0] == 200
         for client in held[1:]:
@@ -593,7 +593,7 @@
         assert made.until(lambda: made.front.event_loop.pending_count == len(busy))
         with made.client() as late:
             late.send(Client.request(patience=15_000))
-            assert made.until(lambda: made.counted("clients_full") == 1)
+            assert made.until(lambda: made.counted("connection_cap_reached") == 1)
             ending, began = end(made)
             assert made.until(lambda: made.front.clock.now() > began + 200 * MS)
             held.gate.set()
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -92,7 +92,7 @@
         client.send(b"".join(client.request(piece=piece) for piece in range(300)))
         status, headers, body = client.read()
         assert (status, headers["connection"], body) == (200, "close", body_of(NAME, "0"))
-        assert client.closed() and len(made.fetches()) == 1 and made.counted("sent_ahead") >= 1
+        assert client.closed() and len(made.fetches()) == 1 and made.counted("pipelining_rejected") >= 1
 
 
 def test_connection_close_is_honoured() -> None:
@@ -250,7 +250,7 @@
     with rig() as made, made.client() as bad, made.client() as good:
         bad.send(b"GET /fault HTTP/1.1\r\n\r\n")
         assert bad.closed()
-        assert good.ask()[0] == 200 and made.counted("connection_fault") == 1
+        assert good.ask()[0] == 200 and made.counted("downstream_connection_error") == 1
 
 
 def test_a_fault_in_the_engine_fails_only_that_request(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -289,7 +289,7 @@
             assert usual.ask()[0] == 200
             quiet = [made.client() for _ in range(2 * cap)]
             assert all(client.closed() for client in quiet[:cap])
-            assert usual.ask()[0] == 200 and made.counted("clients_evicted") >= cap
+            assert usual.ask()[0] == 200 and made.counted("connections_evicted") >= cap
             for client in quiet:
                 client.sock.close()
 
@@ -308,7 +308,7 @@
         assert made.until(lambda: made.front.event_loop.pending_count == len(clients))
         with made.client() as late:
             late.send(Client.request())
-            assert made.until(lambda: made.counted("clients_full") == 1)
+            assert made.until(lambda: made.counted("connection_cap_reached") == 1)
             gate.set()
             assert late.read()[0] == 200
             assert [client.read()[0] for client in clients] == [200] * len(clients)
@@ -321,7 +321,7 @@
 
 def test_a_client_that_says_nothing_is_closed_in_time() -> None:
     with rig(bounds=SHORT) as made, made.client() as client:
-        assert client.closed() and made.counted("clients_past_limit") >= 1
+        assert client.closed() and made.counted("connection_deadlines_exceeded") >= 1
     with rig(bounds=SHORT) as made, made.client() as client:
         assert client.ask()[0] == 200
         assert client.closed()  # asked once, and stayed
