--- /dev/null
+++ b/olivepost/proxy/action_executor.py
@@ -0,0 +1,159 @@
+"""Carries out the router's actions, in their order."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from olivepost import interface as api
+from olivepost.proxy import invariants
+from olivepost.proxy.discovery.client import DiscoveryEvent
+from olivepost.proxy.event_loop_resources import EventLoopResources, SharedStore
+from olivepost.proxy.exchange import Response, ResponseKind
+from olivepost.proxy.messages import LoopEvent
+from olivepost.proxy.pending_requests import PendingRequest, PendingRequests
+from olivepost.proxy.response_cache import response_from
+from olivepost.proxy.timers import TimerQueue
+from olivepost.proxy.upstream.pool import UpstreamRequest, command_fields
+
+
+class ActionExecutor:
+    """Executes actions on timers, upstream, clients and the shared store.
+
+    Only the event loop's thread calls this. No call waits, and none comes back to the router.
+    """
+
+    def __init__(
+        self,
+        resources: EventLoopResources,
+        pending: PendingRequests,
+        timers: TimerQueue,
+        post: Callable[[LoopEvent], None],
+    ) -> None:
+        self._clock = resources.clock
+        self._log = resources.log
+        self._upstream = resources.upstream
+        self._shared_store = resources.shared_store
+        self._allows_hedged_requests = resources.router.settings.allows_hedged_requests
+        self._pending = pending
+        self._timers = timers
+        self._post = post
+        # Requests that have ended by the event whose actions are carried out: their attempts are still to
+        # be cancelled and their leases to be released.
+        self._closed: dict[str, PendingRequest] = {}
+
+    def execute(self, actions: list[api.Action], closed: PendingRequest | None = None) -> None:
+        """Carries out actions in order; `closed` is the request that their event has ended before."""
+        if closed is not None:
+            self._closed[closed.exchange.id] = closed
+        try:
+            for action in actions:
+                self._execute(action)
+        finally:
+            self._closed.clear()
+
+    def _execute(self, action: api.Action) -> None:
+        match action:
+            case api.SetTimer():
+                self._timers.schedule(self._clock.now() + action.delay, action.timer_id)
+            case api.ForwardAttempt():
+                self._forward(action)
+            case api.CancelAttempt():
+                self._cancel(action)
+            case api.Reject():
+                self._respond(action.request_id, ResponseKind.REJECTED, action.retry_after)
+            case api.Fail():
+                self._respond(action.request_id, ResponseKind.FAILED)
+            case api.ServeCachedResponse():
+                self._serve_cached(action)
+            case api.StoreResponse():
+                pass  # carried out with the attempt's outcome, where the response is at hand
+            case api.Subscribe():
+                self._subscribe()
+            case _ if self._shared_store is not None:
+                self._execute_on_store(self._shared_store, action)
+
+    # Attempts
+
+    def _forward(self, action: api.ForwardAttempt) -> None:
+        pending = self._pending.get(action.request_id)
+        if not invariants.check(pending is not None, "attempt_has_pending_request") or pending is None:
+            return
+        attempt = self._new_attempt(pending, action)
+        timeout_at = self._clock.now() + action.timeout
+        self._timers.schedule(timeout_at, attempt.timer_id, is_attempt_timeout=True)
+        if pending.aborts_in_flight:
+            pending.deferred_attempt = attempt
+        else:
+            self._upstream.forward(attempt)
+
+    def _new_attempt(self, pending: PendingRequest, action: api.ForwardAttempt) -> UpstreamRequest:
+        number = pending.attempt_count
+        pending.attempt_count += 1
+        fields = command_fields(pending.exchange, action)
+        attempt = UpstreamRequest(
+            pending.exchange,
+            number,
+            action.cache,
+            action.source,
+            self._clock.now(),
+            fields,
+            action.start_before,
+        )
+        attempt.timer_id = self._timers.new_timer_id()
+        self._pending.add_attempt(pending, attempt)
+        return attempt
+
+    def _cancel(self, action: api.CancelAttempt) -> None:
+        """Cancels an attempt; where no other may be in flight with it, the next one waits for its abort."""
+        request_id = action.request_id
+        pending = self._pending.get(request_id) or self._closed.get(request_id)
+        if pending is None:
+            return
+        attempt = pending.attempts.pop(action.attempt, None)
+        if attempt is None:
+            return
+        self._pending.discard_timeout(attempt)
+        if attempt.connection is None:
+            return
+        must_wait = not self._allows_hedged_requests and request_id in self._pending
+        if attempt.connection.abort(attempt, must_wait):
+            pending.aborts_in_flight += 1
+
+    # Responses
+
+    def _respond(self, request_id: str, kind: ResponseKind, retry_after: int = 0) -> None:
+        pending = self._pending.get(request_id)
+        if not invariants.check(pending is not None, "response_has_pending_request") or pending is None:
+            return
+        self._closed[request_id] = pending
+        self._pending.close(pending, Response(kind, retry_after=retry_after))
+
+    def _serve_cached(self, action: api.ServeCachedResponse) -> None:
+        pending = self._pending.get(action.request_id)
+        if not invariants.check(pending is not None, "response_has_pending_request") or pending is None:
+            return
+        if pending.cache_entry is not None:
+            self._log.increment("cached_responses_served")
+            self._pending.close(pending, response_from(pending.exchange, pending.cache_entry))
+
+    # Service discovery and the shared store
+
+    def _subscribe(self) -> None:
+        """The long poll is always on: an update without changes says so."""
+        no_change = api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, ())
+        self._post(DiscoveryEvent(no_change, []))
+
+    def _execute_on_store(self, store: SharedStore, action: api.Action) -> None:
+        match action:
+            case api.LookUpHint():
+                pending = self._pending.get(action.request_id)
+                if (
+                    invariants.check(pending is not None, "lookup_has_pending_request")
+                    and pending is not None
+                ):
+                    store.look_up(action, pending.exchange.object, pending.exchange.group)
+            case api.ReleaseLease():
+                closed = self._closed.get(action.request_id)
+                store.release_lease(action, closed.generated_at if closed is not None else 0)
+            case api.ReportStaleHint() | api.RequestQuota() | api.DonateQuota() | api.ReportOutlier():
+                store.notify(action)
--- /dev/null
+++ b/olivepost/proxy/event_loop_resources.py
@@ -0,0 +1,50 @@
+"""What the event loop works with, and the shared store as it sees it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import Protocol
+
+from olivepost import interface as api
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.event_log import EventLog
+from olivepost.proxy.response_cache import ResponseCache
+from olivepost.proxy.upstream.pool import UpstreamPool
+from olivepost.router import Router
+
+
+class SharedStore(Protocol):
+    """The shared store as the event loop sees it: no call here waits for it."""
+
+    def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
+        """Asks for a hint; it comes back as a `StoreEvent`."""
+
+    def release_lease(self, release: api.ReleaseLease, generated_at: int, /) -> None:
+        """Releases a fill lease; `generated_at` is that of the response in Unix nanoseconds, 0: unknown."""
+
+    def notify(
+        self,
+        event: api.EndpointUpdate
+        | api.ReportStaleHint
+        | api.RequestQuota
+        | api.DonateQuota
+        | api.ReportOutlier,
+        /,
+    ) -> None:
+        """Passes on what concerns other proxies or the store's own records."""
+
+    def invalidate(self, invalidation: api.Invalidation, now: int, /) -> None:
+        """Passes on an invalidation that service discovery has just sent."""
+
+
+@dataclass(frozen=True, slots=True)
+class EventLoopResources:
+    """One proxy's parts that its event loop drives."""
+
+    router: Router
+    clock: Clock
+    log: EventLog
+    response_cache: ResponseCache
+    transfer_bytes_per_s: float  # of one transfer on the proxy's own network link; 0: no response cache
+    upstream: UpstreamPool
+    shared_store: SharedStore | None
--- /dev/null
+++ b/olivepost/proxy/pending_requests.py
@@ -0,0 +1,92 @@
+"""The record of requests that are owed a response, and of their attempts in flight."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from olivepost.proxy.exchange import Exchange, Response
+from olivepost.proxy.response_cache import CacheEntry
+from olivepost.proxy.upstream.pool import UpstreamRequest
+
+
+@dataclass(slots=True, eq=False)
+class PendingRequest:
+    """A request that is owed a response, and its attempts in flight."""
+
+    exchange: Exchange
+    cache_entry: CacheEntry | None = None  # of the proxy's response cache, when the request came
+    attempts: dict[int, UpstreamRequest] = field(default_factory=dict)  # in flight, by number
+    # Where only one attempt may be in flight: cancelled ones that an endpoint may still work at, and the
+    # attempt that waits until their aborts are written.
+    aborts_in_flight: int = 0
+    deferred_attempt: UpstreamRequest | None = None
+    attempt_count: int = 0
+    generated_at: int = 0  # of its response, in Unix nanoseconds; 0: unknown
+
+
+class PendingRequests:
+    """Pending requests by id, and their attempts by timeout timer.
+
+    Only the event loop's thread calls this; another may read its length.
+    """
+
+    def __init__(self) -> None:
+        self.by_id: dict[str, PendingRequest] = {}
+        self._attempts_by_timer: dict[int, UpstreamRequest] = {}
+
+    def __len__(self) -> int:
+        return len(self.by_id)
+
+    def __contains__(self, request_id: str) -> bool:
+        return request_id in self.by_id
+
+    def get(self, request_id: str) -> PendingRequest | None:
+        """The pending request of an id."""
+        return self.by_id.get(request_id)
+
+    def of_exchange(self, exchange: Exchange) -> PendingRequest | None:
+        """The pending request of this very exchange; an id may have been used again since."""
+        pending = self.by_id.get(exchange.id)
+        if pending is None or pending.exchange is not exchange:
+            return None
+        return pending
+
+    def of_attempt(self, attempt: UpstreamRequest) -> PendingRequest | None:
+        """The pending request that has this very attempt in flight."""
+        pending = self.by_id.get(attempt.exchange.id)
+        if pending is None or pending.attempts.get(attempt.number) is not attempt:
+            return None
+        return pending
+
+    def add(self, exchange: Exchange, cache_entry: CacheEntry | None) -> None:
+        """Records a request that has just come."""
+        self.by_id[exchange.id] = PendingRequest(exchange, cache_entry)
+
+    def close(self, pending: PendingRequest, response: Response | None) -> None:
+        """Ends a request; cancelling its attempts in flight is the router's decision."""
+        del self.by_id[pending.exchange.id]
+        pending.exchange.close(response)
+
+    def add_attempt(self, pending: PendingRequest, attempt: UpstreamRequest) -> None:
+        """Records an attempt in flight; its timer id is set."""
+        pending.attempts[attempt.number] = attempt
+        self._attempts_by_timer[attempt.timer_id] = attempt
+
+    def attempt_of_timer(self, timer_id: int) -> UpstreamRequest | None:
+        """The attempt whose timeout has fired; None where it has ended before."""
+        return self._attempts_by_timer.get(timer_id)
+
+    def discard_timeout(self, attempt: UpstreamRequest) -> None:
+        """An attempt has ended: its timer, when it fires, finds nothing."""
+        self._attempts_by_timer.pop(attempt.timer_id, None)
+
+    def withdraw_deferred(self, concerns: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
+        """Takes back deferred attempts, which no connection has seen yet."""
+        withdrawn = []
+        for pending in self.by_id.values():
+            attempt = pending.deferred_attempt
+            if attempt is not None and concerns(attempt):
+                pending.deferred_attempt = None
+                withdrawn.append(attempt)
+        return withdrawn
--- /dev/null
+++ b/olivepost/proxy/request_lifecycle.py
@@ -0,0 +1,193 @@
+"""A request on the event loop: from its arrival, by its attempts' outcomes, to its response.
+
+Each step gives the router one event and has its actions carried out; no decision is taken here.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from olivepost import interface as api
+from olivepost.proxy.action_executor import ActionExecutor
+from olivepost.proxy.event_loop_resources import EventLoopResources
+from olivepost.proxy.exchange import Exchange, Response, ResponseKind
+from olivepost.proxy.pending_requests import PendingRequest, PendingRequests
+from olivepost.proxy.response_cache import CacheEntry
+from olivepost.proxy.upstream.pool import UpstreamCompleted, UpstreamRequest
+from olivepost.units import SECOND
+
+# After service discovery was last heard: less than the time in which its events must take effect. Without
+# word of it an invalidation may have been missed, and no cached response is used.
+DISCOVERY_VALID_FOR = 2 * SECOND
+
+
+class RequestLifecycle:
+    """The requests of one proxy. Only the event loop's thread calls this."""
+
+    def __init__(
+        self, resources: EventLoopResources, pending: PendingRequests, executor: ActionExecutor
+    ) -> None:
+        self._router = resources.router
+        self._clock = resources.clock
+        self._log = resources.log
+        self._response_cache = resources.response_cache
+        self._transfer_bytes_per_s = resources.transfer_bytes_per_s
+        self._upstream = resources.upstream
+        self._pending = pending
+        self._executor = executor
+        self.discovery_heard_at = 0
+        self.shutdown_at = (
+            0  # when all that is pending gets its final response; 0: no shutdown, or it is past
+        )
+        self._is_shut_down = False  # what comes now gets its final response at once
+
+    # Arrival and shutdown
+
+    def receive(self, now: int, exchange: Exchange) -> None:
+        """A client's request has come."""
+        if exchange.id in self._pending:
+            self._log.increment("duplicate_request_ids")
+            exchange.close(Response(ResponseKind.FAILED))
+            return
+        entry = self._cache_entry(now, exchange)
+        self._pending.add(exchange, entry)
+        request = api.Request(
+            exchange.id,
+            exchange.class_name,
+            exchange.object,
+            self._timeout(now, exchange),
+            group=exchange.group,
+            part=exchange.part,
+            cached_response=None if entry is None else self._cached_response(now, entry),
+            is_write=exchange.is_write,
+        )
+        self._executor.execute(self._router.handle(now, request))
+
+    def _cache_entry(self, now: int, exchange: Exchange) -> CacheEntry | None:
+        """The proxy's cached response, where it has a cache and is up to date with service discovery."""
+        if not self._transfer_bytes_per_s or now - self.discovery_heard_at >= DISCOVERY_VALID_FOR:
+            return None
+        return self._response_cache.get(exchange)
+
+    def _cached_response(self, now: int, entry: CacheEntry) -> api.CachedResponse:
+        age = max(0, now - entry.generated_at)
+        transfer_time = int(entry.body.length / self._transfer_bytes_per_s * 1e9)
+        return api.CachedResponse(age, transfer_time)
+
+    def _timeout(self, now: int, exchange: Exchange) -> int:
+        """What is left of the client's timeout, and at shutdown of the proxy's own."""
+        if self._is_shut_down:
+            return 0
+        deadline = exchange.received_at + exchange.timeout
+        if self.shutdown_at:
+            deadline = min(deadline, self.shutdown_at)
+        return max(0, deadline - now)
+
+    def finish_all(self, now: int) -> None:
+        """The shutdown deadline has come: every pending request gets its final response."""
+        self.shutdown_at = 0
+        self._is_shut_down = True
+        self._executor.execute(self._router.handle(now, api.Shutdown()))
+
+    def abandon(self, now: int, exchange: Exchange, response: Response | None) -> None:
+        """Ends a request, if it is still pending, and has the router cancel its attempts.
+
+        None in place of the response: the client has disconnected.
+        """
+        pending = self._pending.of_exchange(exchange)
+        if pending is not None:
+            self._pending.close(pending, response)
+            self._executor.execute(self._router.handle(now, api.ClientDisconnected(exchange.id)), pending)
+
+    # Attempts
+
+    def reroute(self, attempt: UpstreamRequest) -> None:
+        """An attempt's connection broke before its first byte was written: another one takes it."""
+        if self._pending.of_attempt(attempt) is not None:
+            attempt.is_rerouted = True
+            self._upstream.forward(attempt)
+
+    def forward_deferred(self, exchange: Exchange) -> None:
+        """An abort has been written: once none is left, the attempt that waited for it goes out."""
+        pending = self._pending.of_exchange(exchange)
+        if pending is None:
+            return
+        pending.aborts_in_flight -= 1
+        if pending.aborts_in_flight:
+            return
+        attempt = pending.deferred_attempt
+        pending.deferred_attempt = None
+        if attempt is not None and pending.attempts.get(attempt.number) is attempt:
+            self._upstream.forward(attempt)
+
+    def time_out_attempt(self, now: int, timer_id: int) -> None:
+        """An attempt's timer has fired; one that has ended before left none."""
+        attempt = self._pending.attempt_of_timer(timer_id)
+        if attempt is None:
+            return
+        if attempt.connection is not None:
+            attempt.connection.abort(attempt)
+        self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.TIMED_OUT, now))
+
+    def withdraw(self, now: int, concerns: Callable[[UpstreamRequest], bool]) -> None:
+        """Takes back attempts that nobody has begun to write, for the router to decide anew.
+
+        An attempt may wait for its connection; rules 3 and 5 count its first byte, not its decision.
+        """
+        withdrawn = self._pending.withdraw_deferred(concerns)
+        withdrawn += self._upstream.withdraw(concerns)
+        for attempt in withdrawn:
+            self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.NOT_SENT, now))
+
+    def complete_attempt(self, now: int, event: UpstreamCompleted) -> None:
+        """An attempt's outcome; the first good response goes to the client at once."""
+        attempt = event.request
+        response = event.response
+        self._pending.discard_timeout(attempt)
+        pending = self._pending.of_attempt(attempt)
+        if pending is None:
+            if response is not None:
+                response.release()
+            return
+        del pending.attempts[attempt.number]
+        if event.status is not api.AttemptStatus.OK:
+            self._log.increment(f"attempts_{event.status.name.lower()}")
+        pending.generated_at = 0 if response is None else response.generated_at
+        actions = self._deliver(now, pending, event)
+        self._executor.execute(actions, pending)
+
+    def _deliver(self, now: int, pending: PendingRequest, event: UpstreamCompleted) -> list[api.Action]:
+        """Closes the request where there is a response, and returns what the router makes of the outcome.
+
+        The body is shared meanwhile: the client's side may have released it before the router says whether
+        the response is to be stored.
+        """
+        response = event.response
+        outcome = _outcome(event)
+        if response is None:
+            return self._router.handle(now, outcome)
+        body = response.body.share() if response.body is not None else None
+        self._pending.close(pending, response)
+        try:
+            actions = self._router.handle(now, outcome)
+            if api.StoreResponse(pending.exchange.id) in actions:
+                self._response_cache.store(pending.exchange, response)
+        finally:
+            if body is not None:
+                body.release()
+        return actions
+
+
+def _outcome(event: UpstreamCompleted) -> api.AttemptOutcome:
+    attempt = event.request
+    response = event.response
+    return api.AttemptOutcome(
+        attempt.exchange.id,
+        attempt.number,
+        event.status,
+        max(0, event.completed_at - attempt.forwarded_at),
+        response is not None,
+        event.cache_status,
+        event.is_repeated_loss,
+        response is not None and response.kind is ResponseKind.NOT_MODIFIED,
+    )
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -22,7 +22,10 @@
 from olivepost.proxy.discovery.client import DiscoveryClient
 from olivepost.proxy.downstream.listener import STOP_WITHIN, DownstreamServer
 from olivepost.proxy.event_log import EventLog
-from olivepost.proxy.event_loop import EventLoop, ShutdownDeadline, StopEventLoop, StoreEvent
+from olivepost.proxy.event_loop import EventLoop
+from olivepost.proxy.event_loop_resources import EventLoopResources
+from olivepost.proxy.event_queue import EventQueue
+from olivepost.proxy.messages import ShutdownDeadline, StopEventLoop, StoreEvent
 from olivepost.proxy.response_cache import ResponseCache
 from olivepost.proxy.upstream.pool import UpstreamPool, UpstreamResources
 from olivepost.router import Router
@@ -95,21 +98,14 @@
         sharing = operator.sharing if operator else None
         settings = replace(config.settings, shared_store_timeout=sharing.wait) if sharing else config.settings
         router = Router(settings, config.seed)
-        self.event_loop = EventLoop(
-            router, self.clock, self.log, self.response_cache, config.transfer_bytes_per_s
-        )
+        events = EventQueue(self.clock)
         self.upstream = UpstreamPool(
-            UpstreamResources(
-                bounds, self.body_buffers, self.read_buffers, self.clock, self.log, self.event_loop.post
-            )
+            UpstreamResources(bounds, self.body_buffers, self.read_buffers, self.clock, self.log, events.post)
         )
-        self.event_loop.attach_upstream(self.upstream)
         self.downstream = DownstreamServer(
-            bounds, config.settings.classes, self.read_buffers, self.clock, self.log, self.event_loop.post
-        )
-        self.discovery = DiscoveryClient(
-            config.coordinator, self.clock, self.log, self.event_loop.post, config.seed
+            bounds, config.settings.classes, self.read_buffers, self.clock, self.log, events.post
         )
+        self.discovery = DiscoveryClient(config.coordinator, self.clock, self.log, events.post, config.seed)
         self.shared_store: StoreHost | None = None
         if sharing:  # what is off is not even imported
             from olivepost.shared_store.host import StoreHost
@@ -119,9 +115,20 @@
                 config.name,
                 self.clock,
                 self.log,
-                lambda event: self.event_loop.post(StoreEvent(event)),
+                lambda event: events.post(StoreEvent(event)),
             )
-            self.event_loop.attach_shared_store(self.shared_store)
+        self.event_loop = EventLoop(
+            events,
+            EventLoopResources(
+                router,
+                self.clock,
+                self.log,
+                self.response_cache,
+                config.transfer_bytes_per_s,
+                self.upstream,
+                self.shared_store,
+            ),
+        )
 
     def start(self) -> tuple[str, int]:
         """Applies the list that is known, then opens the listener, so that no answer precedes the list."""
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -22,7 +22,8 @@
 from olivepost.proxy import server, sockets
 from olivepost.proxy.discovery import client as discovery
 from olivepost.proxy.downstream.listener import DownstreamConnection
-from olivepost.proxy.event_loop import EventLoop, StopEventLoop
+from olivepost.proxy.messages import StopEventLoop
+from olivepost.proxy.request_lifecycle import RequestLifecycle
 from olivepost.proxy.upstream import pool
 from olivepost.proxy.upstream.pool import UpstreamConnection
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig, toy_config
@@ -233,13 +234,13 @@
     """The word of its going waits behind other work: in the engine's queue, or with its own reader."""
     late = threading.Event()
     if who == "engine":
-        abandon = EventLoop._abandon
+        abandon = RequestLifecycle.abandon
 
-        def abandoned(self: EventLoop, now: int, exchange: Any, answer: Any) -> None:
+        def abandoned(self: RequestLifecycle, now: int, exchange: Any, answer: Any) -> None:
             if answer is not None or late.is_set():
                 abandon(self, now, exchange, answer)
 
-        monkeypatch.setattr(EventLoop, "_abandon", abandoned)
+        monkeypatch.setattr(RequestLifecycle, "abandon", abandoned)
     else:
         wait, asked = sockets.wait_readable, threading.Event()
 
@@ -414,8 +415,8 @@
     slow, aborting.resets = Slow(), resets
     with rig(slow, settings=one_at_a_time()) as made, made.client() as client:
         client.send(Client.request(patience=15_000))
-        held = made.front.event_loop._held
-        assert made.until(lambda: any(it.waiting is not None for it in list(held.values())))
+        pending = made.front.event_loop._pending.by_id
+        assert made.until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
         assert {member.id for member in made.caches if member.seen()} == {slow.first}
         aborting.gate.set()
         assert client.read()[0] == 200
@@ -425,8 +426,8 @@
     slow = Slow()
     with rig(slow, settings=one_at_a_time()) as made, made.client() as client:
         client.send(Client.request(patience=15_000))
-        held = made.front.event_loop._held
-        assert made.until(lambda: any(it.waiting is not None for it in list(held.values())))
+        pending = made.front.event_loop._pending.by_id
+        assert made.until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
         other = next(member for member in made.caches if member.id != slow.first)
         rows = [{**row, "state": "terminating"} for row in made.entries if row["id"] == other.id]
         made.coordinator.add(endpoints={"version": 2, "full": False, "servers": rows})
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -13,7 +13,7 @@
 from olivepost import interface as api
 from olivepost.config import read_address
 from olivepost.proxy.downstream.listener import DownstreamConnection, DownstreamServer
-from olivepost.proxy.event_loop import VOUCHED
+from olivepost.proxy.request_lifecycle import DISCOVERY_VALID_FOR
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig
 
 FILLED = "0a3a9c21e0b4d655"  # no toy cache keeps it
@@ -263,7 +263,7 @@
 
         monkeypatch.setattr(made.front.event_loop._router, "handle", odd)
         assert client.ask(piece=13)[0] == 502
-        assert client.ask()[0] == 200 and made.counted("engine_fault") == 1
+        assert client.ask()[0] == 200 and made.counted("event_loop_error") == 1
 
 
 def test_at_the_cap_the_one_idle_longest_makes_room() -> None:
@@ -804,10 +804,10 @@
 
 def ask_until_own(made: Rig, client: Client) -> None:
     """The first answer is for a new name, the second is kept, the third is the front's own."""
-    assert made.until(lambda: made.front.event_loop._heard)
+    assert made.until(lambda: made.front.event_loop._lifecycle.discovery_heard_at)
     for _ in range(3):
         assert client.ask()[2] == body_of(NAME, "3")
-    assert made.counted("own_copies") == 1 and len(made.fetches(2)) == 2
+    assert made.counted("cached_responses_served") == 1 and len(made.fetches(2)) == 2
 
 
 def test_a_name_that_comes_again_is_served_from_the_fronts_own_copy() -> None:
@@ -815,7 +815,7 @@
         ask_until_own(made, client)
         tag = tag_of(NAME, "3")
         assert client.ask(If_None_Match=f'"{tag}"') == (304, {"etag": f'"{tag}"'}, b"")
-        assert made.counted("own_copies") == 2 and len(made.fetches(2)) == 2
+        assert made.counted("cached_responses_served") == 2 and len(made.fetches(2)) == 2
 
 
 def test_a_purge_ends_own_copies() -> None:
@@ -831,8 +831,8 @@
         ask_until_own(made, client)
         made.coordinator.close()
         assert made.until(lambda: made.counted("polls_failed") >= 2)
-        made.front.event_loop._heard -= VOUCHED
-        assert client.ask()[0] == 200 and made.counted("own_copies") == 1
+        made.front.event_loop._lifecycle.discovery_heard_at -= DISCOVERY_VALID_FOR
+        assert client.ask()[0] == 200 and made.counted("cached_responses_served") == 1
 
 
 # The end
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -54,11 +54,11 @@
 def test_a_write_is_answered_from_no_copy_of_the_fronts_own() -> None:
     own: dict[str, Any] = {"flow_bytes_per_s": 100_000_000, "link_bytes_per_s": 400_000_000}
     with rig(stored, settings=settings(), **own) as made, made.client() as client:
-        assert made.until(lambda: made.front.event_loop._heard)
+        assert made.until(lambda: made.front.event_loop._lifecycle.discovery_heard_at)
         for count in range(1, 5):
             client.send(put())
             assert client.read()[0] == 200 and len(made.fetches(count)) == count
-        assert made.counted("own_copies") == 0
+        assert made.counted("cached_responses_served") == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -16,7 +16,7 @@
 from examples.toy_server import CONFIG, Command, Coordinator, Member, Reply, entry, serve_all
 from olivepost import interface as api
 from olivepost.config import read_config
-from olivepost.proxy.event_loop import StopEventLoop
+from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.server import ProxyServer
 
 NAME = "7f3a9c21e0b4d655"
--- a/tests/shared_store/test_front.py
+++ b/tests/shared_store/test_front.py
@@ -17,7 +17,7 @@
 from olivepost.cli import main
 from olivepost.config import read_config
 from olivepost.operator_config.model import OperatorSettings
-from olivepost.proxy.event_loop import StopEventLoop
+from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.server import ProxyServer
 from standins.redis.server import Server
 from tests.rig import Client, toy_config
