--- /dev/null
+++ b/olivepost/proxy/metrics.py
@@ -0,0 +1,73 @@
+"""The metrics of one proxy, as its log's `metrics` event has them."""
+
+from __future__ import annotations
+
+import os
+from pathlib import Path
+from typing import TYPE_CHECKING
+
+from olivepost.proxy import invariants
+from olivepost.units import MILLISECOND
+
+if TYPE_CHECKING:
+    from olivepost.proxy.server import ProxyServer
+
+PROCESS_STATUS = Path("/proc/self/status")
+DESCRIPTORS = Path("/proc/self/fd")
+STATUS_FIELDS = {"VmRSS:": "memory_kb", "VmHWM:": "peak_memory_kb", "Threads:": "threads"}
+
+
+def collect_metrics(proxy: ProxyServer) -> dict[str, object]:
+    """The metrics since the last call (queue delays) or since the start (all others)."""
+    delays = proxy.event_loop.take_queue_delays()
+    user_cpu_s, system_cpu_s, *_ = os.times()
+    metrics: dict[str, object] = {
+        "pending_requests": proxy.event_loop.pending_count,
+        "connections": proxy.downstream.open_count,
+        "peak_connections": proxy.downstream.peak_count,
+        "events": len(delays),
+        "queue_delay_ms": delay_percentiles(delays),
+        "cpu_s": [round(user_cpu_s, 1), round(system_cpu_s, 1)],
+        "descriptors": count_descriptors(),
+        **read_process_status(),
+        "body_buffers": proxy.body_buffers.in_use,
+        "peak_body_buffers": proxy.body_buffers.peak,
+        "read_buffers": proxy.read_buffers.in_use,
+        "cached_responses": len(proxy.response_cache),
+        "invariant_violations": invariants.violations(),
+        "counters": proxy.log.counters(),
+    }
+    if proxy.shared_store is not None:
+        metrics["shared_store"] = proxy.shared_store.metrics()
+    return metrics
+
+
+def delay_percentiles(delays: list[int]) -> dict[str, float]:
+    """Percentiles of sorted delays in milliseconds; empty where there are none."""
+    count = len(delays)
+    if not count:
+        return {}
+    positions = {"p50": count // 2, "p95": count * 95 // 100, "p99": count * 99 // 100, "max": count - 1}
+    return {name: delays[position] / MILLISECOND for name, position in positions.items()}
+
+
+def count_descriptors() -> int:
+    """Open descriptors of this process; -1 where the system does not tell."""
+    try:
+        return sum(1 for _ in DESCRIPTORS.iterdir())
+    except OSError:
+        return -1
+
+
+def read_process_status() -> dict[str, int]:
+    """Threads, and the memory in use now and at its peak in KB; empty where the system does not tell."""
+    try:
+        lines = PROCESS_STATUS.read_text().splitlines()
+    except OSError:
+        return {}
+    status = {}
+    for line in lines:
+        words = line.split()
+        if words and words[0] in STATUS_FIELDS:
+            status[STATUS_FIELDS[words[0]]] = int(words[1])
+    return status
--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -19,11 +19,13 @@
 from examples.toy_server import Command, Coordinator, Member, body_of, serve_all
 from olivepost import interface as api
 from olivepost.config import SECOND, read_address, read_config
-from olivepost.proxy import server, sockets
+from olivepost.proxy import shutdown, sockets
 from olivepost.proxy.discovery import client as discovery
 from olivepost.proxy.downstream.listener import DownstreamConnection
 from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.request_lifecycle import RequestLifecycle
+from olivepost.proxy.server import ConfigurationSource, ProxyServer
+from olivepost.proxy.signals import SignalRequest, wait_without_signals
 from olivepost.proxy.upstream import pool
 from olivepost.proxy.upstream.pool import UpstreamConnection
 from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig, toy_config
@@ -522,15 +524,15 @@
 @pytest.fixture
 def short_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """The platform kills one and a half seconds after SIGTERM, however long the deadlines are."""
-    monkeypatch.setattr(server, "TERM_LONGEST", 1100 * MS)
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 400 * MS)
-    monkeypatch.setattr(server, "TERM_SPARE", 600 * MS)
-    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
+    monkeypatch.setattr(shutdown, "MAX_DEADLINE", 1100 * MS)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 400 * MS)
+    monkeypatch.setattr(shutdown, "RESPONSE_MARGIN", 600 * MS)
+    monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
 
 
 def end(made: Rig) -> tuple[threading.Thread, int]:
     """SIGTERM; its time."""
-    thread, at = threading.Thread(target=made.front.finish), made.front.clock.now()
+    thread, at = threading.Thread(target=made.front.shut_down), made.front.clock.now()
     thread.start()
     assert made.until(lambda: made.front.downstream.is_draining)
     return thread, at
@@ -585,7 +587,7 @@
 
 def test_one_that_waits_for_a_place_at_the_end_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The accept thread holds it while all places are busy; the listener's end must not lose it."""
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     held = Held()
     with rig(held, limits={"sockets": 64, "memory_mb": 64}) as made:
         busy = [made.client() for _ in range(made.front.config.limits.max_client_connections)]
@@ -619,8 +621,8 @@
 def test_an_answer_half_written_to_a_slow_reader_is_finished_before_the_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     with rig(large) as made:
         sock = ask_narrowly(made, patience=15_000)
         assert made.until(
@@ -639,8 +641,8 @@
 
 
 def test_a_request_half_read_at_the_end_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     with rig() as made, made.client() as client:
         request = Client.request(patience=15_000)
         client.send(request[:30])
@@ -658,12 +660,19 @@
 def test_a_second_sigterm_and_a_reload_during_the_drain_change_nothing() -> None:
     held = Held()
     with rig(held) as made, made.client() as client:
-        told = iter(["reload", "end", "reload", "end"])
-        made.front._signals = lambda span: next(told, "") or server._none(min(span, 10 * MS))
+        requests = iter([SignalRequest.RELOAD, SignalRequest.SHUT_DOWN] * 2)
+
+        def wait_for_signal(timeout_ns: int) -> SignalRequest | None:
+            request = next(requests, None)
+            if request is None:
+                wait_without_signals(min(timeout_ns, 10 * MS))
+            return request
+
+        made.front._wait_for_signal = wait_for_signal
         client.send(Client.request(patience=15_000))
         made.fetches()
         ending, _ = end(made)
-        assert made.until(lambda: next(told, "over") == "over")
+        assert made.until(lambda: next(requests, None) is None)
         held.gate.set()
         assert client.read()[0] == 200
         client.sock.close()
@@ -746,9 +755,8 @@
         other = Coordinator()
         other.events = list(made.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining(made, 1)})
-        made.front._read_again = lambda: dataclasses.replace(
-            made.front.config, coordinator=read_address(other.address)
-        )
+        moved = dataclasses.replace(made.front.config, coordinator=read_address(other.address))
+        made.front._source = ConfigurationSource(lambda: moved, lambda: None)
         made.front.reload()
         assert made.until(lambda: drained(made)) and other.follows[0] == 1
         other.close()
@@ -784,7 +792,7 @@
     with rig() as other:
         config = toy_config(coordinator=coordinator.address, known=other.coordinator.listed())
         nowhere = os.open(os.devnull, os.O_WRONLY)
-        made = server.ProxyServer(read_config(config, {}), nowhere)
+        made = ProxyServer(read_config(config, {}), nowhere)
         with Client(made.start()) as client:
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert client.read()[0] == 200
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -848,7 +848,7 @@
     with rig(reply) as made, made.client() as client, made.client() as idle:
         client.send(Client.request(patience=15_000))
         made.fetches()
-        ending = threading.Thread(target=made.front.finish)
+        ending = threading.Thread(target=made.front.shut_down)
         ending.start()
         assert made.until(lambda: made.front.downstream.is_draining)
         with made.client() as late:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -100,8 +100,8 @@
         rest = [json.loads(line) for line in front.stdout]
         assert front.wait(WITHIN) == 0
         events = [line["event"] for line in rest if not line["event"].startswith("reload")]
-        assert events == ["draining", "figures", "ended"]  # one line of figures: it did not sleep on
-        assert rest[-2]["broken"] == {} and rest[-1]["open"] == 0
+        assert events == ["draining", "metrics", "stopped"]  # one metrics line: it did not sleep on
+        assert rest[-2]["invariant_violations"] == {} and rest[-1]["pending_requests"] == 0
     finally:
         front.kill()
         front.wait()
