--- a/olivepost/proxy/__init__.py
+++ b/olivepost/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The real front: threads on blocking sockets round the decision module."""
+"""The proxy process: threads on blocking sockets around the router."""
--- a/olivepost/proxy/clock.py
+++ b/olivepost/proxy/clock.py
@@ -1,20 +1,24 @@
-"""The front's clock: Unix nanoseconds that never go back."""
+"""The proxy's clock: Unix nanoseconds that never go back."""
 
 from __future__ import annotations
 
 import time
 
+OFFSET_READINGS = 20  # of which one at least is not cut in two by another thread
+
 
 class Clock:
-    """Unix time read once, then carried on by the monotonic clock.
+    """Unix time read once, then carried on by the monotonic clock. Any thread may read it.
 
-    List, purges and router share it; a step of the system's clock while the front runs does not reach them.
+    Endpoint list, invalidations and router share it; a step of the system's clock while the proxy runs does
+    not reach them.
     """
 
     def __init__(self) -> None:
-        # A thread that waits between the two readings makes the offset too small: purges and copies would
-        # seem younger than they are. The largest of a few is the one that did not wait.
-        self._offset = max(time.time_ns() - time.monotonic_ns() for _ in range(20))
+        # A thread that waits between the two readings makes the offset too small: invalidations and cached
+        # responses would seem younger than they are. The largest of a few is the one that did not wait.
+        self._offset = max(time.time_ns() - time.monotonic_ns() for _ in range(OFFSET_READINGS))
 
     def now(self) -> int:
+        """The time in Unix nanoseconds."""
         return self._offset + time.monotonic_ns()
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""The exchange object: all that the client side and the server side know of each other."""
+"""The exchange: all that the downstream and the upstream side know of each other."""
 
 from __future__ import annotations
 
@@ -12,72 +12,79 @@
 
 
 class ResponseKind(Enum):
-    """What became of a request."""
+    """How a request ended; the client's status code follows from it."""
 
     SERVED = "served"
-    NOT_MODIFIED = "current"  # the client's own copy is the one
-    REJECTED = "refused"
-    FAILED = "failed"
+    NOT_MODIFIED = "not_modified"  # the client's own copy is current
+    REJECTED = "rejected"  # trying again is harmless
+    FAILED = "failed"  # with no promise about its effect
 
 
 @dataclass(slots=True)
 class Response:
-    """The final answer; whoever ends with it releases its body."""
+    """The final response; its last owner releases its body."""
 
     kind: ResponseKind
     etag: str = ""
     body: PooledBody | None = None
-    generated_at: int = 0  # when the origin gave out this copy, in Unix nanoseconds; 0: not told
-    retry_after: int = 0
+    generated_at: int = 0  # when the origin generated it, in Unix nanoseconds; 0: unknown
+    retry_after: int = 0  # nanoseconds; 0: no advice
 
     def release(self) -> None:
+        """Releases the body, if there is one."""
         if self.body is not None:
             self.body.release()
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request and its answer; closed exactly once, by the engine."""
+    """One request and its response.
+
+    The downstream connection makes it; the event loop closes it exactly once. `_lock` guards `is_closed`;
+    all other fields stay as they were made.
+    """
 
     id: str
     class_name: str
     object: str
     part: int
     group: int
-    etag: str  # the client's copy, bare; empty: none that can be passed on
+    etag: str  # of the client's own copy, without quotes; empty: none that upstream could be given
     body: bytes
-    timeout: int
+    timeout: int  # nanoseconds, from `received_at`
     received_at: int  # when the last byte was read
-    deliver: Callable[[Exchange, Response], None]
-    is_client_gone: Callable[
-        [], bool
-    ]  # whether the client has gone, by its connection: no attempt begins then
+    deliver: Callable[[Exchange, Response], None]  # hands the response to the client's connection
+    is_client_gone: Callable[[], bool]  # by its connection: no attempt begins then
     is_write: bool = False  # it changes the object, at the origin
     idempotency_key: str = ""  # by which caches know a repeat, as the client gave it
     is_closed: bool = False
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
-    def close(self, answer: Response | None) -> bool:
-        """Ends the exchange; None where the client has gone. Only the first call counts."""
+    def close(self, response: Response | None) -> bool:
+        """Ends the exchange; None where the client has disconnected. True for the first call only.
+
+        A response that comes second is released, not delivered.
+        """
         with self._lock:
-            first, self.is_closed = not self.is_closed, True
-        if not invariants.check(first, "answered_once"):
-            if answer is not None:
-                answer.release()
-        elif answer is not None:
-            self.deliver(self, answer)
-        return first
+            is_first = not self.is_closed
+            self.is_closed = True
+        if not invariants.check(is_first, "exchange_closed_once"):
+            if response is not None:
+                response.release()
+        elif response is not None:
+            self.deliver(self, response)
+        return is_first
 
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request has come whole."""
+    """A client's request has been read to its end."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """The client has gone before it had its answer."""
+    """The client has disconnected before its response."""
 
     exchange: Exchange
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -1,24 +1,24 @@
-"""What must hold: asserted in debug builds, counted in release builds (`python -O`)."""
+"""Invariants: asserted in debug builds, counted in release builds (`python -O`)."""
 
 from __future__ import annotations
 
 import threading
 from collections import Counter
 
-_broken: Counter[str] = Counter()
+_violations: Counter[str] = Counter()  # of this process, by invariant; `_lock` guards it
 _lock = threading.Lock()
 
 
 def check(holds: bool, name: str) -> bool:
-    """Notes whether an invariant holds; returns what it was given."""
+    """Records a violation where the invariant does not hold; returns whether it holds. Any thread."""
     if not holds:
         with _lock:
-            _broken[name] += 1
+            _violations[name] += 1
         assert holds, name
     return holds
 
 
 def violations() -> dict[str, int]:
-    """How often each invariant was found broken since the start."""
+    """How often each invariant was violated since the start."""
     with _lock:
-        return dict(_broken)
+        return dict(_violations)
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -1,79 +1,96 @@
-"""The front's own copies, in buffers of the pool. Which are kept and served, the router decides."""
+"""The proxy's own response cache, in buffers of the pool. The router decides what is stored and served."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from olivepost.proxy.buffers import PooledBody
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
 
-CacheKey = tuple[str, str, int]
+
+class CacheKey(NamedTuple):
+    """What names a cached response."""
+
+    class_name: str
+    object: str
+    part: int
 
 
 @dataclass(slots=True)
 class CacheEntry:
-    """One copy; `generated_at` is when the origin gave it out, in Unix nanoseconds."""
+    """One cached response, which holds its body."""
 
     group: int
     etag: str
-    generated_at: int
+    generated_at: int  # when the origin generated it, in Unix nanoseconds
     body: PooledBody
 
 
 def cache_key(exchange: Exchange) -> CacheKey:
-    """What names a copy."""
-    return exchange.class_name, exchange.object, exchange.part
+    """The key of the response that an exchange asks for."""
+    return CacheKey(exchange.class_name, exchange.object, exchange.part)
 
 
 class ResponseCache:
-    """Copies by name; the one that was used longest ago makes room. Only the engine's thread calls this."""
+    """Responses by key; the least recently used is evicted first.
 
-    def __init__(self, most: int) -> None:
-        self._most, self._buffers = most, 0
-        self._kept: OrderedDict[CacheKey, CacheEntry] = OrderedDict()
+    Only the event loop's thread calls this; another may read its length.
+    """
+
+    def __init__(self, max_buffers: int) -> None:
+        self._max_buffers = max_buffers
+        self._buffer_count = 0
+        self._entries: OrderedDict[CacheKey, CacheEntry] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._entries)
 
     def get(self, exchange: Exchange) -> CacheEntry | None:
-        """The copy of what is asked for."""
+        """The cached response to a request."""
         key = cache_key(exchange)
-        if key in self._kept:
-            self._kept.move_to_end(key)
-        return self._kept.get(key)
+        if key in self._entries:
+            self._entries.move_to_end(key)
+        return self._entries.get(key)
+
+    def store(self, exchange: Exchange, response: Response) -> None:
+        """Shares a response's body, in place of an older entry.
 
-    def store(self, exchange: Exchange, answer: Response) -> None:
-        """Takes a share of an answer's body, in place of an older copy."""
-        if answer.body is None or answer.generated_at <= 0 or answer.body.buffer_count > self._most:
+        A response of unknown age, or larger than the whole cache, is not stored.
+        """
+        body = response.body
+        if body is None or response.generated_at <= 0 or body.buffer_count > self._max_buffers:
             return
         key = cache_key(exchange)
-        self._drop(key)
-        self._kept[key] = CacheEntry(exchange.group, answer.etag, answer.generated_at, answer.body.share())
-        self._buffers += answer.body.buffer_count
-        while self._buffers > self._most:
-            self._drop(next(iter(self._kept)))
-
-    def invalidate(self, name: str | None, group: int | None, before: int) -> None:
-        """Drops what is older than a purge: a router forgets purges once no cache holds such copies."""
-        for key, kept in list(self._kept.items()):
-            named = key[1] == name if name else kept.group == group
-            if named and kept.generated_at <= before:
-                self._drop(key)
+        self._evict(key)
+        self._entries[key] = CacheEntry(exchange.group, response.etag, response.generated_at, body.share())
+        self._buffer_count += body.buffer_count
+        while self._buffer_count > self._max_buffers:
+            oldest = next(iter(self._entries))
+            self._evict(oldest)
+
+    def invalidate(self, object_name: str | None, group: int | None, generated_before: int) -> None:
+        """Evicts what an invalidation covers: a router forgets it once no cache holds such responses."""
+        for key, entry in list(self._entries.items()):
+            is_covered = key.object == object_name if object_name else entry.group == group
+            if is_covered and entry.generated_at <= generated_before:
+                self._evict(key)
 
     def clear(self) -> None:
-        for key in list(self._kept):
-            self._drop(key)
-
-    def _drop(self, key: CacheKey) -> None:
-        kept = self._kept.pop(key, None)
-        if kept is not None:
-            self._buffers -= kept.body.buffer_count
-            kept.body.release()
-
-
-def response_from(exchange: Exchange, kept: CacheEntry) -> Response:
-    """A copy as the answer: only word of it where the client has the same."""
-    if exchange.etag and exchange.etag == kept.etag:
-        return Response(ResponseKind.NOT_MODIFIED, kept.etag)
-    return Response(ResponseKind.SERVED, kept.etag, kept.body.share(), kept.generated_at)
+        """Evicts everything."""
+        for key in list(self._entries):
+            self._evict(key)
+
+    def _evict(self, key: CacheKey) -> None:
+        entry = self._entries.pop(key, None)
+        if entry is not None:
+            self._buffer_count -= entry.body.buffer_count
+            entry.body.release()
+
+
+def response_from(exchange: Exchange, entry: CacheEntry) -> Response:
+    """The response from a cache entry, without a body where the client has the same one."""
+    if exchange.etag and exchange.etag == entry.etag:
+        return Response(ResponseKind.NOT_MODIFIED, entry.etag)
+    return Response(ResponseKind.SERVED, entry.etag, entry.body.share(), entry.generated_at)
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -1,4 +1,8 @@
-"""What all blocking sockets of the front have in common."""
+"""Blocking sockets of the proxy: options, timeouts, and calls that several of its parts need.
+
+Timeouts are nanoseconds. Several threads may use one socket, as the kernel allows; none of these functions
+keeps state.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +11,11 @@
 import struct
 from collections.abc import Iterable
 
-from olivepost.config import SECOND, Address
+from olivepost.config import Address
+from olivepost.units import SECOND
+
+NANOSECONDS_PER_MICROSECOND = 1_000
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 def set_send_buffer(sock: socket.socket, size: int) -> None:
@@ -15,36 +23,38 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
 
 
-def configure(sock: socket.socket, receive: int, send: int) -> None:
-    """Sets both waits of a blocking socket, in nanoseconds, and sends small frames at once.
+def configure(sock: socket.socket, receive_timeout: int, send_timeout: int) -> None:
+    """Sets both timeouts of a blocking socket, 0: none, and has small writes sent at once.
 
-    The kernel's own limits, so that the two threads of one socket can wait for different spans.
+    The kernel's own timeouts, so that the two threads of one socket can wait for different times.
     """
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    for option, span in ((socket.SO_RCVTIMEO, receive), (socket.SO_SNDTIMEO, send)):
-        sock.setsockopt(socket.SOL_SOCKET, option, _span(span))
+    set_receive_timeout(sock, receive_timeout)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _timeval(send_timeout))
 
 
-def _span(span: int) -> bytes:
-    """A wait as the kernel has it; 0 means for ever."""
-    return struct.pack("ll", *divmod(-(-span // 1_000), 1_000_000))
+def set_receive_timeout(sock: socket.socket, timeout: int) -> None:
+    """Sets how long the next read waits at most; 0: for ever."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, _timeval(timeout))
 
 
-def set_receive_timeout(sock: socket.socket, span: int) -> None:
-    """Sets how long the next read waits at most."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, _span(span))
+def _timeval(timeout: int) -> bytes:
+    """A timeout as the kernel's `struct timeval`, rounded up, since 0 means for ever there."""
+    microseconds = -(-timeout // NANOSECONDS_PER_MICROSECOND)
+    seconds, remainder = divmod(microseconds, MICROSECONDS_PER_SECOND)
+    return struct.pack("ll", seconds, remainder)
 
 
 def has_nothing_unread(sock: socket.socket) -> bool:
-    """Whether nothing has come that is not read yet."""
+    """Whether no received bytes wait to be read."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-    except OSError:  # nothing there, or the connection has ended
+    except OSError:  # no bytes, or the connection has ended
         return True
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the peer has ended its side, or reset the connection, with nothing left to read before that."""
+    """Whether the peer has closed or reset the connection, with nothing left to read before that."""
     try:
         return not sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -54,18 +64,18 @@
 
 
 def wait_readable(sock: socket.socket) -> bool:
-    """Waits until there are bytes, and takes none; false at the peer's end."""
+    """Waits until there are bytes, and reads none; false where the peer has closed its side."""
     return bool(sock.recv(1, socket.MSG_PEEK))
 
 
-def connect(address: Address, within: int, receive: int, send: int) -> socket.socket:
-    """A connection made in time, or an OSError."""
+def connect(address: Address, timeout: int, receive_timeout: int, send_timeout: int) -> socket.socket:
+    """Connects within the timeout and configures the socket; raises `OSError`."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        sock.settimeout(within / SECOND)
+        sock.settimeout(timeout / SECOND)
         sock.connect(address)
         sock.settimeout(None)
-        configure(sock, receive, send)
+        configure(sock, receive_timeout, send_timeout)
     except BaseException:
         sock.close()
         raise
@@ -77,24 +87,28 @@
 ) -> list[memoryview]:
     """Writes all parts, in as few calls as the kernel allows.
 
-    With MSG_DONTWAIT, returns what was not taken at once; without it, nothing is left.
+    With MSG_DONTWAIT, returns what was not written at once; without it, nothing is left.
     """
-    left = [memoryview(part) for part in parts if part]
-    while left:
+    remaining = [memoryview(part) for part in parts if part]
+    while remaining:
         try:
-            sent = sock.sendmsg(left, [], flags)
+            sent = sock.sendmsg(remaining, [], flags)
         except BlockingIOError:
             if not flags:
                 raise
-            return left
-        while left and sent >= len(left[0]):
-            sent -= len(left.pop(0))
-        if left:
-            left[0] = left[0][sent:]
-    return left
+            return remaining
+        _remove_sent(remaining, sent)
+    return remaining
+
+
+def _remove_sent(remaining: list[memoryview], sent: int) -> None:
+    while remaining and sent >= len(remaining[0]):
+        sent -= len(remaining.pop(0))
+    if remaining:
+        remaining[0] = remaining[0][sent:]
 
 
 def shutdown(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
-    """Ends a connection, also for a thread that reads it; one that has ended is left alone."""
+    """Closes a connection, also for a thread that reads it; one that has ended already is left alone."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/tests/proxy/test_front.py
+++ b/tests/proxy/test_front.py
@@ -73,7 +73,7 @@
         status, headers, body = client.ask("f" * 16)
         assert status == 503 and body == b"" and 1 <= int(headers["x-come-back-ms"]) <= 1000
         assert client.ask()[0] == 200
-        assert made.counted("refused") == 1
+        assert made.counted("rejected") == 1
 
 
 def test_any_split_of_a_request() -> None:
--- a/tests/proxy/test_parts.py
+++ b/tests/proxy/test_parts.py
@@ -16,7 +16,7 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
 from olivepost.proxy.response_cache import ResponseCache, response_from
-from olivepost.proxy.sockets import _span
+from olivepost.proxy.sockets import _timeval
 
 
 def test_buffers_are_used_again() -> None:
@@ -105,7 +105,7 @@
 
 def test_a_wait_is_never_rounded_to_for_ever() -> None:
     for span, told in ((1, (0, 1)), (999_999_999, (1, 0)), (1_600_000_001, (1, 600_001)), (0, (0, 0))):
-        assert struct.unpack("ll", _span(span)) == told
+        assert struct.unpack("ll", _timeval(span)) == told
 
 
 def test_a_buffer_goes_back_once() -> None:
@@ -113,7 +113,7 @@
     taken = pool.acquire(1)
     assert taken is not None
     pool.release(taken)
-    with pytest.raises(AssertionError, match="buffer_back_once"):
+    with pytest.raises(AssertionError, match="buffer_released_once"):
         pool.release(taken)
     assert len(set(map(id, pool.acquire(2) or []))) == 2
 
@@ -122,7 +122,7 @@
     given: list[Response] = []
     exchange = Exchange("1", "a", "b", 0, 0, "", b"", 1, 1, lambda _, answer: given.append(answer), bool)
     assert exchange.close(Response(ResponseKind.REJECTED))
-    with pytest.raises(AssertionError, match="answered_once"):
+    with pytest.raises(AssertionError, match="exchange_closed_once"):
         exchange.close(Response(ResponseKind.FAILED))
     assert [answer.kind for answer in given] == [ResponseKind.REJECTED]
 
@@ -141,7 +141,7 @@
 
 def test_release_builds_count_instead() -> None:
     done = subprocess.run([sys.executable, "-O", "-c", RELEASE], capture_output=True, text=True, check=True)
-    assert done.stdout == "{'buffer_back_once': 1} 0 2\n"
+    assert done.stdout == "{'buffer_released_once': 1} 0 2\n"
 
 
 def test_debug_builds_count_and_assert() -> None:
@@ -164,13 +164,13 @@
     os.close(write)
     with os.fdopen(read, "rb") as lines:
         first, second = (orjson.loads(line) for line in lines)
-    assert first["event"] == "first" and first["front"] == "n1" and first["why"] == "a\nb"
+    assert first["event"] == "first" and first["proxy"] == "n1" and first["why"] == "a\nb"
     assert "ValueError: odd" in second["trace"] and log.counters() == {"second": 1}
 
 
 def test_a_log_that_nobody_reads_loses_lines_only() -> None:
     read, write = os.pipe()
-    log = EventLog(Clock(), "n1", most=3, descriptor=write)
+    log = EventLog(Clock(), "n1", max_lines=3, descriptor=write)
     for _ in range(2_000):
         log.event("long", text="x" * 1_000)
     assert log.counters()["log_lines_dropped"] > 0
