--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -5,7 +5,6 @@
 from collections.abc import Callable
 
 from olivepost import interface as api
-from olivepost.proxy import invariants
 from olivepost.proxy.discovery.client import DiscoveryEvent
 from olivepost.proxy.event_loop_resources import EventLoopResources, SharedStore
 from olivepost.proxy.exchange import Response, ResponseKind
@@ -75,8 +74,8 @@
     # Attempts
 
     def _forward(self, action: api.ForwardAttempt) -> None:
-        pending = self._pending.get(action.request_id)
-        if not invariants.check(pending is not None, "attempt_has_pending_request") or pending is None:
+        pending = self._pending.expect(action.request_id, "attempt_has_pending_request")
+        if pending is None:
             return
         attempt = self._new_attempt(pending, action)
         timeout_at = self._clock.now() + action.timeout
@@ -122,17 +121,15 @@
     # Responses
 
     def _respond(self, request_id: str, kind: ResponseKind, retry_after: int = 0) -> None:
-        pending = self._pending.get(request_id)
-        if not invariants.check(pending is not None, "response_has_pending_request") or pending is None:
+        pending = self._pending.expect(request_id, "response_has_pending_request")
+        if pending is None:
             return
         self._closed[request_id] = pending
         self._pending.close(pending, Response(kind, retry_after=retry_after))
 
     def _serve_cached(self, action: api.ServeCachedResponse) -> None:
-        pending = self._pending.get(action.request_id)
-        if not invariants.check(pending is not None, "response_has_pending_request") or pending is None:
-            return
-        if pending.cache_entry is not None:
+        pending = self._pending.expect(action.request_id, "response_has_pending_request")
+        if pending is not None and pending.cache_entry is not None:
             self._log.increment("cached_responses_served")
             self._pending.close(pending, response_from(pending.exchange, pending.cache_entry))
 
@@ -146,11 +143,8 @@
     def _execute_on_store(self, store: SharedStore, action: api.Action) -> None:
         match action:
             case api.LookUpHint():
-                pending = self._pending.get(action.request_id)
-                if (
-                    invariants.check(pending is not None, "lookup_has_pending_request")
-                    and pending is not None
-                ):
+                pending = self._pending.expect(action.request_id, "lookup_has_pending_request")
+                if pending is not None:
                     store.look_up(action, pending.exchange.object, pending.exchange.group)
             case api.ReleaseLease():
                 closed = self._closed.get(action.request_id)
--- a/olivepost/proxy/pending_requests.py
+++ b/olivepost/proxy/pending_requests.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
+from olivepost.proxy import invariants
 from olivepost.proxy.exchange import Exchange, Response
 from olivepost.proxy.response_cache import CacheEntry
 from olivepost.proxy.upstream.pool import UpstreamRequest
@@ -45,6 +46,12 @@
         """The pending request of an id."""
         return self.by_id.get(request_id)
 
+    def expect(self, request_id: str, invariant: str) -> PendingRequest | None:
+        """The pending request of an id that must be pending, by the named invariant."""
+        pending = self.by_id.get(request_id)
+        invariants.check(pending is not None, invariant)
+        return pending
+
     def of_exchange(self, exchange: Exchange) -> PendingRequest | None:
         """The pending request of this very exchange; an id may have been used again since."""
         pending = self.by_id.get(exchange.id)
--- /dev/null
+++ b/tests/proxy/test_buffers.py
@@ -0,0 +1,64 @@
+"""Buffer pool and pooled bodies."""
+
+from __future__ import annotations
+
+import threading
+
+import pytest
+
+from olivepost.proxy.buffers import BufferPool, PooledBody
+
+
+def test_released_buffers_are_used_again() -> None:
+    pool = BufferPool(4, 10)
+    body = PooledBody.reserve(pool, 25, 0)
+    assert body is not None
+    assert pool.in_use == 3
+    body.append(memoryview(b"0123456789abc"))
+    body.append(memoryview(b"defghijklmno"))
+    assert b"".join(body.parts()) == b"0123456789abcdefghijklmno"
+    last = pool.acquire(1)
+    assert last is not None
+    assert pool.acquire(1) is None
+    body.release()
+    with pytest.raises(AssertionError, match="body_released_once"):
+        body.release()
+    assert pool.in_use == 1
+    again = pool.acquire(3)
+    assert again is not None
+    assert pool.peak == 4
+    pool.release(again + last)
+    assert pool.in_use == 0
+
+
+def test_shared_body_is_released_by_its_last_holder() -> None:
+    pool = BufferPool(4, 10)
+    body = PooledBody.reserve(pool, 10, 0)
+    assert body is not None
+    shared = body.share()
+    body.release()
+    assert pool.in_use == 1
+    shared.release()
+    assert pool.in_use == 0
+
+
+def test_empty_pool_waits_for_buffers_that_are_released() -> None:
+    pool = BufferPool(1, 10)
+    buffers = pool.acquire(1)
+    assert buffers is not None
+    acquired: list[list[bytearray] | None] = []
+    waiter = threading.Thread(target=lambda: acquired.append(pool.acquire(1, 20.0)))
+    waiter.start()
+    pool.release(buffers)
+    waiter.join(20.0)
+    assert acquired == [buffers]
+
+
+def test_buffer_is_released_only_once() -> None:
+    pool = BufferPool(2, 10)
+    buffers = pool.acquire(1)
+    assert buffers is not None
+    pool.release(buffers)
+    with pytest.raises(AssertionError, match="buffer_released_once"):
+        pool.release(buffers)
+    assert len(set(map(id, pool.acquire(2) or []))) == 2
