--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As if bodies were larger than the machine takes at once."""
+    """As if bodies were larger than the kernel takes at once."""
     monkeypatch.setattr(
         sockets,
         "set_send_buffer",
--- a/tests/rig.py
+++ b/tests/rig.py
@@ -1,4 +1,4 @@
-"""A front in this process before toy members, and a plain client."""
+"""A proxy in this process before toy endpoints and a toy coordinator, and a plain HTTP client."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import os
 import socket
 import threading
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import replace
 from types import TracebackType
@@ -18,9 +18,11 @@
 from olivepost.config import read_config
 from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.server import ProxyServer
+from olivepost.router import Router
 
 NAME = "7f3a9c21e0b4d655"
 WITHIN = 20.0  # seconds that a test waits for what must come
+CHECK_INTERVAL_S = 0.005  # between two checks whether it has
 
 
 def toy_config(**changes: Any) -> dict[str, Any]:
@@ -30,7 +32,7 @@
 
 
 class Client:
-    """One connection to a front."""
+    """One connection to a proxy."""
 
     _ids = itertools.count(1)
 
@@ -42,7 +44,10 @@
         return self
 
     def __exit__(
-        self, kind: type[BaseException] | None, fault: BaseException | None, at: TracebackType | None
+        self,
+        error_type: type[BaseException] | None,
+        error: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
         self.sock.close()
 
@@ -67,33 +72,35 @@
         return f"GET /api/v2/{class_name}/{name}/slice-{piece} HTTP/1.1\r\n{text}\r\n".encode()
 
     def send(self, data: bytes) -> None:
+        """Sends bytes as they are."""
         self.sock.sendall(data)
 
     def read(self) -> tuple[int, dict[str, str], bytes]:
-        """The next answer, whole."""
+        """The next response: status, headers with lower-case names, body."""
         while b"\r\n\r\n" not in self._data:
-            self._more()
+            self._receive()
         head, _, self._data = self._data.partition(b"\r\n\r\n")
         first, *rest = head.decode().split("\r\n")
         headers = {key.lower(): value for key, value in (line.split(": ", 1) for line in rest)}
         length = int(headers.get("content-length", 0))
         while len(self._data) < length:
-            self._more()
+            self._receive()
         body, self._data = self._data[:length], self._data[length:]
         return int(first.split()[1]), headers, body
 
-    def _more(self) -> None:
+    def _receive(self) -> None:
         data = self.sock.recv(65_536)
         if not data:
-            raise ConnectionError("closed by the front")
+            raise ConnectionError("closed by the proxy")
         self._data += data
 
     def ask(self, *args: Any, **kwargs: Any) -> tuple[int, dict[str, str], bytes]:
+        """Sends one request and reads its response."""
         self.send(self.request(*args, **kwargs))
         return self.read()
 
     def closed(self) -> bool:
-        """Waits for the front's end of the connection; true where nothing came before it."""
+        """Waits until the proxy closes the connection; true where nothing came before that."""
         try:
             return not self._data and not self.sock.recv(1)
         except ConnectionResetError:
@@ -101,13 +108,16 @@
 
 
 def large(member: Member, command: Command) -> None:
-    """A member whose objects are as large as they may be."""
+    """Replies with objects as large as they may be."""
     if command.verb == "fetch":
         command.answer("HIT", b"x" * 240_000, why="warm", entity="x", issued="1")
 
 
 class Rig:
-    """A front with a coordinator, caches `a` and `b`, a parent and an origin."""
+    """A proxy with a coordinator, caches `a` and `b`, a parent and an origin.
+
+    `bounds` changes resource limits, `changes` keys of the configuration.
+    """
 
     def __init__(
         self, reply: Reply = serve_all, bounds: dict[str, int] | None = None, **changes: Any
@@ -120,51 +130,60 @@
         self.entries += [entry(self.parent, "parent", "hub"), entry(self.origin, "origin", "hub")]
         self.coordinator.add(endpoints={"version": 1, "full": True, "servers": self.entries})
         config = toy_config(coordinator=self.coordinator.address, known=self.coordinator.listed(), **changes)
-        self._nowhere = os.open(os.devnull, os.O_WRONLY)
+        self._devnull = os.open(os.devnull, os.O_WRONLY)
         read = read_config(config, {})
-        self.front = ProxyServer(replace(read, limits=replace(read.limits, **(bounds or {}))), self._nowhere)
-        self.told: list[api.AttemptOutcome] = []
-        router = self.front.event_loop._router
+        limits = replace(read.limits, **(bounds or {}))
+        self.front = ProxyServer(replace(read, limits=limits), self._devnull)
+        self.attempt_outcomes: list[api.AttemptOutcome] = []
+        self._record_outcomes(self.front.event_loop._router)
+        self.address = self.front.start()
+
+    def _record_outcomes(self, router: Router) -> None:
         handle = router.handle
 
-        def noted(now: int, event: api.Event) -> list[api.Action]:
-            self.told += [event] if isinstance(event, api.AttemptOutcome) else []
+        def record_and_handle(now: int, event: api.Event) -> list[api.Action]:
+            if isinstance(event, api.AttemptOutcome):
+                self.attempt_outcomes.append(event)
             return handle(now, event)
 
-        router.handle = noted  # type: ignore[method-assign]
-        self.address = self.front.start()
+        router.handle = record_and_handle  # type: ignore[method-assign]
 
     def client(self) -> Client:
+        """A new connection."""
         return Client(self.address)
 
     def fetches(self, count: int = 1) -> list[Any]:
-        """What all caches were asked, once there are so many in all."""
-        until = threading.Event()
-        for _ in range(int(WITHIN * 200)):
-            seen = [command for cache in self.caches for command in cache.seen()]
-            if len(seen) >= count:
-                return seen
-            until.wait(0.005)
-        raise AssertionError(f"fewer than {count} fetches came")
-
-    def until(self, holds: Any) -> bool:
-        """Waits until something holds."""
+        """All fetch commands that the caches have received, once there are so many in all."""
+        if not self.until(lambda: len(self._received_fetches()) >= count):
+            raise AssertionError(f"fewer than {count} fetches came")
+        return self._received_fetches()
+
+    def _received_fetches(self) -> list[Any]:
+        return [command for cache in self.caches for command in cache.seen()]
+
+    def until(self, holds: Callable[[], object]) -> bool:
+        """Waits until something holds; false where it does not within `WITHIN`."""
         pause = threading.Event()
-        for _ in range(int(WITHIN * 200)):
+        for _ in range(int(WITHIN / CHECK_INTERVAL_S)):
             if holds():
                 return True
-            pause.wait(0.005)
+            pause.wait(CHECK_INTERVAL_S)
         return False
 
     def outcomes(self, status: str, count: int) -> list[api.AttemptOutcome]:
-        """The outcomes of a kind that the router was told of, once there are so many."""
-        assert self.until(lambda: len([it for it in self.told if it.status.name == status]) >= count)
-        return [it for it in self.told if it.status.name == status]
+        """The outcomes of a status that the router has handled, once there are so many."""
+        assert self.until(lambda: len(self._outcomes_of(status)) >= count)
+        return self._outcomes_of(status)
+
+    def _outcomes_of(self, status: str) -> list[api.AttemptOutcome]:
+        return [outcome for outcome in self.attempt_outcomes if outcome.status.name == status]
 
     def counted(self, name: str) -> int:
+        """A counter of the proxy's event log."""
         return self.front.log.counters().get(name, 0)
 
     def close(self) -> None:
+        """Closes everything at once, without a graceful shutdown."""
         self.front.discovery.stop()
         self.front.downstream.stop_accepting()
         self.front.downstream.stop_watching()
@@ -173,11 +192,11 @@
         for server in (*self.members, self.coordinator):
             server.close()
         self.front.log.close(WITHIN)
-        os.close(self._nowhere)
+        os.close(self._devnull)
 
 
 def ask_narrowly(made: Rig, **more: Any) -> socket.socket:
-    """A client that takes little at once has asked."""
+    """Sends a request on a socket that receives little at once."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
     sock.connect(made.address)
@@ -187,12 +206,12 @@
 
 @contextmanager
 def rig(reply: Reply = serve_all, bounds: dict[str, int] | None = None, **changes: Any) -> Iterator[Rig]:
-    """A front under test, with the buffers and requests all accounted for at its end."""
+    """A proxy under test; at the end no request may be pending and no buffer in use."""
     made = Rig(reply, bounds, **changes)
     try:
         yield made
-        assert made.until(lambda: made.front.event_loop.pending_count == 0), "a request is left open"
+        assert made.until(lambda: made.front.event_loop.pending_count == 0), "a request is still pending"
     finally:
         made.close()
-    assert made.until(lambda: made.front.body_buffers.in_use == 0), "a buffer is left out"
-    assert made.until(lambda: made.front.read_buffers.in_use == 0), "a reader's buffer is left out"
+    assert made.until(lambda: made.front.body_buffers.in_use == 0), "a body buffer is still in use"
+    assert made.until(lambda: made.front.read_buffers.in_use == 0), "a read buffer is still in use"
