--- a/tests/proxy/test_endings.py
+++ b/tests/proxy/test_endings.py
@@ -19,10 +19,13 @@
 from examples.toy_server import Command, Coordinator, Member, body_of, serve_all
 from olivepost import interface as api
 from olivepost.config import read_address, read_config
-from olivepost.proxy import server, sockets
+from olivepost.proxy import shutdown, sockets
 from olivepost.proxy.discovery import long_poll
 from olivepost.proxy.downstream.connection import DownstreamConnection
-from olivepost.proxy.event_loop import EventLoop, StopEventLoop
+from olivepost.proxy.messages import StopEventLoop
+from olivepost.proxy.request_lifecycle import RequestLifecycle
+from olivepost.proxy.server import ConfigurationSource, ProxyServer
+from olivepost.proxy.signals import SignalRequest, wait_without_signals
 from olivepost.proxy.upstream.reader import ConnectionReader
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.proxy.upstream.writer import ConnectionWriter
@@ -235,13 +238,13 @@
     """The word of its going waits behind other work: in the engine's queue, or with its own reader."""
     late = threading.Event()
     if who == "engine":
-        abandon = EventLoop._abandon
+        abandon = RequestLifecycle.abandon
 
-        def abandoned(self: EventLoop, now: int, exchange: Any, answer: Any) -> None:
+        def abandoned(self: RequestLifecycle, now: int, exchange: Any, answer: Any) -> None:
             if answer is not None or late.is_set():
                 abandon(self, now, exchange, answer)
 
-        monkeypatch.setattr(EventLoop, "_abandon", abandoned)
+        monkeypatch.setattr(RequestLifecycle, "abandon", abandoned)
     else:
         wait, asked = sockets.wait_readable, threading.Event()
 
@@ -421,8 +424,8 @@
     slow, aborting.resets = Slow(), resets
     with rig(slow, settings=one_at_a_time()) as made, made.client() as client:
         client.send(Client.request(patience=15_000))
-        held = made.front.event_loop._held
-        assert made.until(lambda: any(it.waiting is not None for it in list(held.values())))
+        pending = made.front.event_loop._pending.by_id
+        assert made.until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
         assert {member.id for member in made.caches if member.seen()} == {slow.first}
         aborting.gate.set()
         assert client.read()[0] == 200
@@ -432,8 +435,8 @@
     slow = Slow()
     with rig(slow, settings=one_at_a_time()) as made, made.client() as client:
         client.send(Client.request(patience=15_000))
-        held = made.front.event_loop._held
-        assert made.until(lambda: any(it.waiting is not None for it in list(held.values())))
+        pending = made.front.event_loop._pending.by_id
+        assert made.until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
         other = next(member for member in made.caches if member.id != slow.first)
         rows = [{**row, "state": "terminating"} for row in made.entries if row["id"] == other.id]
         made.coordinator.add(endpoints={"version": 2, "full": False, "servers": rows})
@@ -525,15 +528,15 @@
 @pytest.fixture
 def short_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """The platform kills one and a half seconds after SIGTERM, however long the deadlines are."""
-    monkeypatch.setattr(server, "TERM_LONGEST", 1100 * MS)
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 400 * MS)
-    monkeypatch.setattr(server, "TERM_SPARE", 600 * MS)
-    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
+    monkeypatch.setattr(shutdown, "MAX_DEADLINE", 1100 * MS)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 400 * MS)
+    monkeypatch.setattr(shutdown, "RESPONSE_MARGIN", 600 * MS)
+    monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
 
 
 def end(made: Rig) -> tuple[threading.Thread, int]:
     """SIGTERM; its time."""
-    thread, at = threading.Thread(target=made.front.finish), made.front.clock.now()
+    thread, at = threading.Thread(target=made.front.shut_down), made.front.clock.now()
     thread.start()
     assert made.until(lambda: made.front.downstream.is_draining)
     return thread, at
@@ -588,7 +591,7 @@
 
 def test_one_that_waits_for_a_place_at_the_end_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """The accept thread holds it while all places are busy; the listener's end must not lose it."""
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     held = Held()
     with rig(held, limits={"sockets": 64, "memory_mb": 64}) as made:
         busy = [made.client() for _ in range(made.front.config.limits.max_client_connections)]
@@ -622,8 +625,8 @@
 def test_an_answer_half_written_to_a_slow_reader_is_finished_before_the_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     with rig(large) as made:
         sock = ask_narrowly(made, patience=15_000)
         assert made.until(
@@ -642,8 +645,8 @@
 
 
 def test_a_request_half_read_at_the_end_is_answered(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server, "TERM_LINGERS", 0.05)
-    monkeypatch.setattr(server, "TERM_ACCEPTS", 100 * MS)
+    monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
+    monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     with rig() as made, made.client() as client:
         request = Client.request(patience=15_000)
         client.send(request[:30])
@@ -661,12 +664,19 @@
 def test_a_second_sigterm_and_a_reload_during_the_drain_change_nothing() -> None:
     held = Held()
     with rig(held) as made, made.client() as client:
-        told = iter(["reload", "end", "reload", "end"])
-        made.front._signals = lambda span: next(told, "") or server._none(min(span, 10 * MS))
+        requests = iter([SignalRequest.RELOAD, SignalRequest.SHUT_DOWN] * 2)
+
+        def wait_for_signal(timeout_ns: int) -> SignalRequest | None:
+            request = next(requests, None)
+            if request is None:
+                wait_without_signals(min(timeout_ns, 10 * MS))
+            return request
+
+        made.front._wait_for_signal = wait_for_signal
         client.send(Client.request(patience=15_000))
         made.fetches()
         ending, _ = end(made)
-        assert made.until(lambda: next(told, "over") == "over")
+        assert made.until(lambda: next(requests, None) is None)
         held.gate.set()
         assert client.read()[0] == 200
         client.sock.close()
@@ -749,9 +759,8 @@
         other = Coordinator()
         other.events = list(made.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining(made, 1)})
-        made.front._read_again = lambda: dataclasses.replace(
-            made.front.config, coordinator=read_address(other.address)
-        )
+        moved = dataclasses.replace(made.front.config, coordinator=read_address(other.address))
+        made.front._source = ConfigurationSource(lambda: moved, lambda: None)
         made.front.reload()
         assert made.until(lambda: drained(made)) and other.follows[0] == 1
         other.close()
@@ -787,7 +796,7 @@
     with rig() as other:
         config = toy_config(coordinator=coordinator.address, known=other.coordinator.listed())
         nowhere = os.open(os.devnull, os.O_WRONLY)
-        made = server.ProxyServer(read_config(config, {}), nowhere)
+        made = ProxyServer(read_config(config, {}), nowhere)
         with Client(made.start()) as client:
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert client.read()[0] == 200
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -57,12 +57,12 @@
 def test_write_is_not_answered_from_the_response_cache() -> None:
     rates: dict[str, Any] = {"flow_bytes_per_s": 100_000_000, "link_bytes_per_s": 400_000_000}
     with rig(serve_writes, settings=write_settings(), **rates) as made, made.client() as client:
-        assert made.until(lambda: made.front.event_loop._heard)
+        assert made.until(lambda: made.front.event_loop._lifecycle.discovery_heard_at)
         for count in range(1, 5):
             client.send(put_request())
             assert client.read()[0] == 200
             assert len(made.fetches(count)) == count
-        assert made.counted("own_copies") == 0
+        assert made.counted("cached_responses_served") == 0
 
 
 @pytest.mark.parametrize(
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -17,7 +17,7 @@
 from olivepost.cli import main
 from olivepost.config import read_config
 from olivepost.operator_config.model import OperatorSettings
-from olivepost.proxy.event_loop import StopEventLoop
+from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.server import ProxyServer
 from olivepost.shared_store.host import StoreHost
 from olivepost.shared_store.store_health import StoreHealth
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -132,9 +132,10 @@
         rest = [json.loads(line) for line in proxy.stdout]
         assert proxy.wait(WITHIN) == 0
         events = [line["event"] for line in rest if not line["event"].startswith("reload")]
-        assert events == ["draining", "figures", "ended"]  # one line of figures: it did not sleep on
-        assert rest[-2]["broken"] == {}
-        assert rest[-1]["open"] == 0
+        # One metrics line: it did not sleep on.
+        assert events == ["draining", "metrics", "stopped"]
+        assert rest[-2]["invariant_violations"] == {}
+        assert rest[-1]["pending_requests"] == 0
     finally:
         proxy.kill()
         proxy.wait()
