--- a/olivepost/proxy/upstream/command.py
+++ b/olivepost/proxy/upstream/command.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND
 from olivepost.proxy.exchange import Exchange
+from olivepost.units import MILLISECOND
 
 MIN_DURATION_MS = 1  # 0 stands for the class's freshness lifetime in `within` and for no wait in `ttl`
 
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.exchange import Response, ResponseKind
 from olivepost.proxy.upstream.line_protocol import ResponseLine
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamEvent, UpstreamRequest, UpstreamUnsent
+from olivepost.units import MILLISECOND
 
 CACHE_STATUSES = {
     "warm": api.CacheStatus.HIT,
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -4,8 +4,9 @@
 
 from dataclasses import dataclass
 
-from olivepost.config import MILLISECOND, ResourceLimits
+from olivepost.config import ResourceLimits
 from olivepost.proxy.upstream.errors import EndpointUnresponsiveError
+from olivepost.units import MILLISECOND
 
 # A connection without a byte for so long and with nothing open may have been closed by its endpoint.
 IDLE_CHECK_AFTER = 50 * MILLISECOND
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -6,12 +6,12 @@
 import socket
 import threading
 
-from olivepost.config import SECOND
 from olivepost.proxy import sockets
 from olivepost.proxy.upstream.connection import UpstreamConnection, WriterSignal
 from olivepost.proxy.upstream.line_protocol import encode_command
 from olivepost.proxy.upstream.reader import ConnectionReader
 from olivepost.proxy.upstream.request import UpstreamAborted, UpstreamRequest
+from olivepost.units import SECOND
 
 LIVENESS_COMMAND = encode_command("alive", "link")
 IDLE_MARGIN = 1 * SECOND  # nanoseconds that the proxy closes an idle connection before its endpoint does
--- a/tests/proxy/test_upstream_rules.py
+++ b/tests/proxy/test_upstream_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND, ResourceLimits
+from olivepost.config import ResourceLimits
 from olivepost.proxy.buffers import BufferPool, PooledBody
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.event_log import EventLog
@@ -18,6 +18,7 @@
 from olivepost.proxy.upstream.line_protocol import ResponseLine
 from olivepost.proxy.upstream.liveness import IDLE_CHECK_AFTER, LivenessMonitor
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest, UpstreamUnsent
+from olivepost.units import MILLISECOND, SECOND
 
 START = 1_764_576_000 * SECOND
 LIMITS = ResourceLimits(
