--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -27,10 +27,11 @@
 
     `_lock` guards every field below and orders bytes and endings: bytes are received with it, and whoever
     ends the connection sets `_is_ending` with it first. So a request that was received before the ending
-    gets its response, and one that comes after it is not forwarded. Without the lock the
-    accept thread and the deadline thread read the public fields and properties to select connections, and
-    check again with it before they act. `_is_closed` is set once by the reader thread without it, and
-    `abort` may be called without it.
+    gets its response, and one that comes after it is not forwarded.
+
+    Three accesses go without the lock: the accept thread and the deadline thread read the public fields and
+    properties to select connections, and check again with the lock before they act; the reader thread sets
+    `_is_closed`, once; and `abort` is called while a writer holds the lock and waits for the client.
     """
 
     def __init__(self, context: DownstreamContext, sock: socket.socket) -> None:
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -25,7 +25,7 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-VERSIONS = (b"HTTP/1.1", b"HTTP/1.0")
+VERSIONS = {b"HTTP/1.1": "HTTP/1.1", b"HTTP/1.0": "HTTP/1.0"}
 STATUSES_WITHOUT_BODY = ("204", "304")  # RFC 9110, section 6.4.1
 END_OF_LINE = b"\r\n"
 END_OF_HEAD = b"\r\n\r\n"
@@ -218,10 +218,11 @@
         words = line.split(b" ")
         if len(words) != 3 or not _TOKEN.fullmatch(words[0]) or not _REQUEST_TARGET.fullmatch(words[1]):
             raise HttpError(400, "bad request line")
-        method, target, version = words
-        if version not in VERSIONS:
-            raise HttpError(505 if version.startswith(b"HTTP/") else 400, "bad version")
-        return RequestLine(method.decode("ascii"), target.decode("ascii"), version.decode("ascii"))
+        method, target, version_word = words
+        version = VERSIONS.get(version_word)
+        if version is None:
+            raise HttpError(505 if version_word.startswith(b"HTTP/") else 400, "bad version")
+        return RequestLine(method.decode("ascii"), target.decode("ascii"), version)
 
 
 class ResponseParser(Parser[StatusLine]):
@@ -231,9 +232,10 @@
 
     def _parse_start_line(self, line: bytes) -> StatusLine:
         words = line.split(b" ", 2)
-        if len(words) < 2 or words[0] not in VERSIONS or not _STATUS_CODE.fullmatch(words[1]):
+        version = VERSIONS.get(words[0])
+        if version is None or len(words) < 2 or not _STATUS_CODE.fullmatch(words[1]):
             raise HttpError(400, "bad status line")
-        return StatusLine(words[1].decode("ascii"), words[0].decode("ascii"))
+        return StatusLine(words[1].decode("ascii"), version)
 
     def _check_has_no_body(self, head: Message[StatusLine]) -> None:
         if head.start_line.status not in STATUSES_WITHOUT_BODY:
