--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -6,12 +6,12 @@
 import threading
 from collections.abc import Mapping
 
-from olivepost.config import MILLISECOND, SECOND
 from olivepost.proxy import sockets
 from olivepost.proxy.downstream.body_budget import LargeBodyReservation
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.exchange import Exchange
 from olivepost.proxy.http1 import RequestParser, response_head
+from olivepost.units import MILLISECOND, SECOND
 
 # How long the client has, after our half-close, to close its side, so that no reset overtakes the response
 # (RFC 9112, section 9.6).
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -8,11 +8,12 @@
 import threading
 import time
 
-from olivepost.config import MILLISECOND, Address
+from olivepost.config import Address
 from olivepost.proxy import sockets
 from olivepost.proxy.downstream.connection import DownstreamConnection
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.downstream.response_writer import ResponseWriters
+from olivepost.units import MILLISECOND
 
 STOP_WITHIN = 1.0  # seconds that the accept thread has to take what the kernel has accepted
 DEADLINE_CHECK_INTERVAL_S = 0.1  # by which a connection may outlive its deadline
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -6,10 +6,10 @@
 import threading
 from typing import TYPE_CHECKING, NamedTuple
 
-from olivepost.config import MILLISECOND
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
 from olivepost.proxy.http1 import response_head
+from olivepost.units import MILLISECOND
 
 if TYPE_CHECKING:
     from olivepost.proxy.downstream.connection import DownstreamConnection
--- a/olivepost/proxy/downstream/routes.py
+++ b/olivepost/proxy/downstream/routes.py
@@ -5,10 +5,10 @@
 import re
 from collections.abc import Callable, Mapping
 
-from olivepost.config import MILLISECOND
 from olivepost.interface import ClassSettings
 from olivepost.proxy.exchange import Exchange, Response
 from olivepost.proxy.http1 import HttpError, Message, RequestLine
+from olivepost.units import MILLISECOND
 
 HEALTH_TARGET = "/-/healthy"
 METHODS = ("GET", "PUT")
