--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -76,9 +76,7 @@
                 return
             try:
                 self._handle(now, event)
-            except (
-                Exception
-            ):  # a fault in one event must not end the others; its request still gets a response
+            except Exception:  # one event's fault must not end the loop; its request still gets a response
                 self._logger.exception("event_loop_error", kind=type(event).__name__)
                 self._fail_request_of(event)
             self._fire_due()
