--- a/benchmarks/branch.py
+++ b/benchmarks/branch.py
@@ -21,7 +21,8 @@
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store import scripts
 from olivepost.shared_store.coordinator import StoreCoordinator
-from standins.redis.keyspace import Keyspace, Wrong
+from standins.redis.errors import CommandError
+from standins.redis.keyspace import Keyspace
 
 START = 1_800_000_000 * SECOND
 RATE_MOST = 0.004  # by which a front's clock runs fast or slow
@@ -439,7 +440,7 @@
             reply = scripts.read_reply(
                 command.ticket, store.call([b"EVALSHA", digest, b"1", script.key.encode(), *words])
             )
-        except Wrong as fault:
+        except CommandError as fault:
             return ev.ReplyLost(command.ticket, str(fault))
         word = reply.values[0] if isinstance(reply, ev.StoreReply) and reply.values else b""
         if word == b"mine" and isinstance(command.operation, ev.LookUp) and isinstance(reply, ev.StoreReply):
@@ -460,7 +461,7 @@
         if last is not None and number <= last[0]:
             self.counts.numbers_shrunk += 1
             self.counts.owned_twice += 1
-        life = self.stores[store].lives  # a store that forgot can't keep owners apart: their numbers do
+        life = self.stores[store].incarnation  # a store that forgot can't keep owners apart: their numbers do
         if last is not None and last[2] == life and last[1] > self.now:
             # Ended early by its own owner, else it would still run: only then may another have it.
             gone = not any(
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -4,9 +4,17 @@
 from importlib import import_module
 
 NAMES = ("redis",)
+EXIT_USAGE = 2
 
-if __name__ == "__main__":
+
+def main() -> int:
+    """Runs the stand-in that the command line names; returns its exit code."""
     if len(sys.argv) < 2 or sys.argv[1] not in NAMES:
         print(f"usage: python -m standins NAME ..., NAME one of: {', '.join(NAMES)}", file=sys.stderr)
-        sys.exit(2)
-    sys.exit(import_module(f"standins.{sys.argv[1]}.__main__").main(sys.argv[2:]))
+        return EXIT_USAGE
+    module = import_module(f"standins.{sys.argv[1]}.__main__")
+    return int(module.main(sys.argv[2:]))
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/standins/redis/__main__.py
+++ b/standins/redis/__main__.py
@@ -1,6 +1,6 @@
 """A stand-in store of the Redis kind on loopback: `python -m standins redis`.
 
-Entries of a schedule without 'at_s', a JSON line each on standard input, are put in force at once.
+Entries of a schedule without 'at_s', a JSON line each on standard input, take effect at once.
 
 Usage:
   standins redis [--listen ADDRESS] [--seed N] [--password TEXT] [--faults FILE]
@@ -19,34 +19,52 @@
 import threading
 from functools import partial
 from pathlib import Path
+from typing import Any
 
 from docopt import DocoptExit, docopt
 
-from standins.redis.faults import ScheduleError, read_schedule
+from standins.redis.errors import ScheduleError
+from standins.redis.faults import read_schedule
 from standins.redis.server import Server
 
+EXIT_USAGE = 2
+
 
 def main(arguments: list[str]) -> int:
-    """Runs until it is ended."""
+    """Runs until it is ended; returns an exit code for a faulty command line or schedule."""
     assert __doc__
     try:
-        given = docopt(__doc__, ["redis", *arguments])
-        host, _, port = given["--listen"].rpartition(":")
-        if not host.startswith("127."):
-            raise ScheduleError("a stand-in listens on loopback only")
-        schedule = read_schedule(Path(given["--faults"]).read_text()) if given["--faults"] else []
-        users = {"default": given["--password"]} if given["--password"] else None
-        server = Server(host, int(port), int(given["--seed"]), users, schedule=schedule)
-    except (DocoptExit, ScheduleError, ValueError, OSError) as fault:
-        print(fault, file=sys.stderr)
-        return 2
+        options = docopt(__doc__, ["redis", *arguments])
+        server = make_server(options)
+    except (DocoptExit, ScheduleError, ValueError, OSError) as error:
+        print(error, file=sys.stderr)
+        return EXIT_USAGE
     print(json.dumps({"standin": "redis", "address": "{}:{}".format(*server.address)}), flush=True)
     for line in sys.stdin:
-        try:
-            (step,) = read_schedule(json.dumps([{"at_s": 0, **json.loads(line)}]))
-            server.call(partial(server.change, step.change))
-            print(json.dumps(step.change), flush=True)
-        except (ScheduleError, ValueError, TypeError) as fault:
-            print(json.dumps({"fault": str(fault)}), flush=True)
+        print(json.dumps(apply_line(server, line)), flush=True)
     threading.Event().wait()
     return 0
+
+
+def make_server(options: dict[str, Any]) -> Server:
+    """The store that the command line describes, on loopback only."""
+    host, _, port = options["--listen"].rpartition(":")
+    if not host.startswith("127."):
+        raise ScheduleError("a stand-in listens on loopback only")
+    schedule = []
+    if options["--faults"]:
+        schedule = read_schedule(Path(options["--faults"]).read_text())
+    users = None
+    if options["--password"]:
+        users = {"default": options["--password"]}
+    return Server((host, int(port)), seed=int(options["--seed"]), users=users, schedule=schedule)
+
+
+def apply_line(server: Server, line: str) -> dict[str, Any]:
+    """Puts an entry of standard input in force; the entry, or what is wrong with it."""
+    try:
+        (step,) = read_schedule(json.dumps([{"at_s": 0, **json.loads(line)}]))
+        server.call(partial(server.change, step.change))
+    except (ScheduleError, ValueError, TypeError) as error:
+        return {"fault": str(error)}
+    return step.change
--- /dev/null
+++ b/standins/redis/commands/__init__.py
@@ -0,0 +1,1 @@
+"""The commands on data, a module for each family."""
--- /dev/null
+++ b/standins/redis/commands/lists.py
@@ -0,0 +1,34 @@
+"""Commands on lists."""
+
+from __future__ import annotations
+
+from standins.redis.commands.table import CommandTable, Database, Effect, Reply, parse_integer
+
+COMMANDS = CommandTable()
+
+
+@COMMANDS.register("RPUSH", Effect.GROW)
+def list_append(database: Database, key: bytes, *values: bytes) -> Reply:
+    """The length of a list after values were appended."""
+    stored = database.writable_collection(key, list)
+    stored.extend(values)
+    return len(stored)
+
+
+@COMMANDS.register("LRANGE")
+def list_range(database: Database, key: bytes, first: bytes, last: bytes) -> Reply:
+    """The values from one index to another, both included; below 0 they count from the end."""
+    stored = database.collection(key, list)
+    start = parse_integer(first)
+    end = parse_integer(last)
+    if start < 0:
+        start = max(0, start + len(stored))
+    if end < 0:
+        end += len(stored)
+    return stored[start : end + 1]
+
+
+@COMMANDS.register("LLEN")
+def list_length(database: Database, key: bytes) -> Reply:
+    """The number of values."""
+    return len(database.collection(key, list))
--- /dev/null
+++ b/standins/redis/commands/table.py
@@ -0,0 +1,93 @@
+"""Commands by name, with their argument counts and what they do to data."""
+
+from __future__ import annotations
+
+import inspect
+import math
+from collections.abc import Callable, Iterator
+from dataclasses import dataclass
+from enum import Enum
+from typing import TypeVar
+
+from standins.redis.database import Database
+from standins.redis.errors import ArgumentCountError, NotIntegerError
+from standins.redis.resp import Reply
+
+INTEGER_RANGE = range(-(2**63), 2**63)
+
+Handler = Callable[..., Reply]
+HandlerType = TypeVar("HandlerType", bound=Handler)
+
+
+class Effect(Enum):
+    """What a command may do, by which a full or read-only store rejects it."""
+
+    READ = "read"
+    SHRINK = "shrink"  # writes, and needs no memory
+    GROW = "grow"  # writes, and may need memory
+
+
+@dataclass(frozen=True, slots=True)
+class Command:
+    """One command: its handler and the bounds of its argument count."""
+
+    name: str
+    handler: Handler
+    effect: Effect
+    min_arguments: int
+    max_arguments: float
+
+    def check_count(self, count: int) -> None:
+        """Raises ArgumentCountError where the handler can't take so many arguments."""
+        if not self.min_arguments <= count <= self.max_arguments:
+            raise ArgumentCountError(self.name)
+
+
+def argument_bounds(handler: Handler, leading: int) -> tuple[int, float]:
+    """The least and the greatest count of arguments after the leading ones, by the handler's signature."""
+    parameters = list(inspect.signature(handler).parameters.values())[leading:]
+    required = [item for item in parameters if item.kind is not item.VAR_POSITIONAL]
+    has_rest = len(required) < len(parameters)
+    minimum = sum(item.default is item.empty for item in required)
+    return minimum, math.inf if has_rest else len(required)
+
+
+class CommandTable:
+    """The commands of a family, registered by decorator: handlers take the database, then the arguments."""
+
+    def __init__(self) -> None:
+        self._commands: dict[str, Command] = {}
+
+    def __iter__(self) -> Iterator[Command]:
+        return iter(self._commands.values())
+
+    def register(self, name: str, effect: Effect = Effect.READ) -> Callable[[HandlerType], HandlerType]:
+        """Registers a handler under a command's name."""
+
+        def add(handler: HandlerType) -> HandlerType:
+            minimum, maximum = argument_bounds(handler, leading=1)
+            self._commands[name] = Command(name, handler, effect, minimum, maximum)
+            return handler
+
+        return add
+
+
+def parse_integer(text: bytes) -> int:
+    """A number as the command reference has it, within 64 bits; raises NotIntegerError."""
+    try:
+        value = int(text)
+    except ValueError:
+        raise NotIntegerError from None
+    if value not in INTEGER_RANGE:
+        raise NotIntegerError
+    return value
+
+
+def format_number(value: float) -> bytes:
+    """A number as the store writes it: without a fraction where it has none."""
+    if value == int(value):
+        return b"%d" % value
+    return repr(value).encode()
+
+
+__all__ = ["Command", "CommandTable", "Database", "Effect", "Reply", "format_number", "parse_integer"]
--- /dev/null
+++ b/standins/redis/database.py
@@ -0,0 +1,144 @@
+"""One database: keys, their values, versions and expiry times, and its snapshots. No commands, no sockets.
+
+The clock is handed in.
+"""
+
+from __future__ import annotations
+
+import copy
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from typing import Any, NamedTuple
+
+from standins.redis.errors import WrongTypeError
+
+SNAPSHOT_RETENTION_MS = 60_000
+
+
+class SortedSet(dict[bytes, float]):
+    """A sorted set: scores by member."""
+
+
+class Snapshot(NamedTuple):
+    """The state of a database at a time."""
+
+    taken_at_ms: int
+    data: dict[bytes, Any]
+    expiries: dict[bytes, int]
+
+
+@dataclass
+class Database:
+    """Values by key. Not thread-safe: the server's thread owns it."""
+
+    now_ms: Callable[[], int]
+    data: dict[bytes, Any] = field(default_factory=dict)  # bytes, dict, list or SortedSet
+    expiries: dict[bytes, int] = field(default_factory=dict)  # Unix ms
+    versions: dict[bytes, int] = field(default_factory=dict)  # what WATCH compares
+    incarnation: int = 1  # how often it has started, empty or from a snapshot
+    _last_version: int = 0
+    _snapshots: list[Snapshot] = field(default_factory=list)
+
+    # Restarts
+
+    def snapshot(self) -> None:
+        """Records the state, for `go_back`; the last minute of snapshots is kept."""
+        now = self.now_ms()
+        recent = [kept for kept in self._snapshots if kept.taken_at_ms > now - SNAPSHOT_RETENTION_MS]
+        self._snapshots = [*recent, Snapshot(now, copy.deepcopy(self.data), dict(self.expiries))]
+
+    def go_back(self, age_ms: int) -> None:
+        """Comes back as a process that loads its last snapshot of at least this age, or empty."""
+        latest = self.now_ms() - age_ms
+        older = [kept for kept in self._snapshots if kept.taken_at_ms <= latest]
+        self.lose()
+        if older:
+            self.data = copy.deepcopy(older[-1].data)
+            self.expiries = dict(older[-1].expiries)
+        self._snapshots = older
+
+    def lose(self) -> None:
+        """Comes back empty."""
+        self.incarnation += 1
+        for key in self.data:
+            self.touch(key)
+        self.data = {}
+        self.expiries = {}
+
+    # Keys
+
+    def touch(self, key: bytes) -> None:
+        """Gives a key that changes a new version."""
+        self._last_version += 1
+        self.versions[key] = self._last_version
+
+    def live_value(self, key: bytes) -> Any:
+        """The value of a key that has not expired, or None."""
+        if key in self.expiries and self.expiries[key] <= self.now_ms():
+            self.drop(key)
+        return self.data.get(key)
+
+    def live_keys(self) -> list[bytes]:
+        """All keys that have not expired, in the order in which they were made."""
+        return [key for key in list(self.data) if self.live_value(key) is not None]
+
+    def store(self, key: bytes, value: Any) -> None:
+        """Sets a key's value; its expiry stays."""
+        self.data[key] = value
+        self.touch(key)
+
+    def drop(self, key: bytes) -> bool:
+        """Removes a key; whether it was there."""
+        self.expiries.pop(key, None)
+        self.touch(key)
+        return self.data.pop(key, None) is not None
+
+    def expire_at(self, key: bytes, at_ms: int) -> bool:
+        """Sets when a key expires; whether it is there."""
+        if self.live_value(key) is None:
+            return False
+        self.expiries[key] = at_ms
+        self.touch(key)
+        self.live_value(key)
+        return True
+
+    def version(self, key: bytes) -> int:
+        """Changes whenever the key does; its expiry counts."""
+        self.live_value(key)
+        return self.versions.get(key, 0)
+
+    def string(self, key: bytes) -> bytes | None:
+        """The string at a key, or None; raises WrongTypeError for a collection."""
+        value = self.live_value(key)
+        if value is not None and not isinstance(value, bytes):
+            raise WrongTypeError
+        return value
+
+    def collection(self, key: bytes, kind: type) -> Any:
+        """The collection at a key to read from, an empty one where there is none; raises WrongTypeError."""
+        value = self.live_value(key)
+        if value is None:
+            return kind()
+        if not isinstance(value, kind):
+            raise WrongTypeError
+        return value
+
+    def writable_collection(self, key: bytes, kind: type) -> Any:
+        """The collection at a key to write to, made where there is none; raises WrongTypeError."""
+        value = self.collection(key, kind)
+        self.data[key] = value
+        self.touch(key)
+        return value
+
+    def remove_members(self, key: bytes, kind: type, members: tuple[bytes, ...]) -> int:
+        """How many of the members of a hash or sorted set were removed; one that is empty is no key."""
+        if key not in self.data:
+            return 0
+        collection = self.writable_collection(key, kind)
+        removed = 0
+        for member in members:
+            if collection.pop(member, None) is not None:
+                removed += 1
+        if not collection:
+            self.drop(key)
+        return removed
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -98,7 +98,7 @@
     made.fronts[0].paused_until = made.now + 3600 * SECOND
     made.run(4 * SECOND)  # longer than the class's deadline, which the claim had
     store = made.stores["s0"]
-    assert not [key for key in [*store.data] if b":c:" in key and store._live(key)]
+    assert not [key for key in [*store.data] if b":c:" in key and store.live_value(key)]
     for cache in made.caches.values():
         cache.kept.clear()
     made.request(made.fronts[1], NAME)
@@ -378,7 +378,7 @@
 
 def holders(made: Branch) -> list[bytes]:
     """Keys of holders that the store has."""
-    return [key for key in [*made.stores["s0"].data] if b":h:" in key and made.stores["s0"]._live(key)]
+    return [key for key in [*made.stores["s0"].data] if b":h:" in key and made.stores["s0"].live_value(key)]
 
 
 def test_two_wrong_words_take_a_holder_out_of_the_store() -> None:
