--- /dev/null
+++ b/benchmarks/branch/budget_audit.py
@@ -0,0 +1,80 @@
+"""Whether proxies' parts of a cold cache's quota, with transfers, stay within the whole; how much is used."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import NamedTuple
+
+from benchmarks.branch.cache import Cache
+from benchmarks.branch.proxy import Front
+from olivepost import interface as api
+from olivepost.routing import capacity
+
+RELATIVE_TOLERANCE = 1e-9  # of sums of floating point numbers
+ABSOLUTE_TOLERANCE = 1e-6
+STEPS_PER_WINDOW = 4  # in which the use of a budget is looked at
+
+
+class QuotaSums(NamedTuple):
+    """What proxies may use of an endpoint's quota by parts and transfers, and the parts alone."""
+
+    usable: float = 0.0
+    whole: float = 0.0
+
+    def add(self, part: float, transferred: float) -> QuotaSums:
+        """The sums with one more proxy's part."""
+        return QuotaSums(self.usable + max(0.0, part + transferred), self.whole + part)
+
+    def is_exceeded(self) -> bool:
+        """Whether more may be used than there is."""
+        return self.usable > self.whole * (1 + RELATIVE_TOLERANCE) + ABSOLUTE_TOLERANCE
+
+
+def count_exceeded_quotas(now: int, fronts: Sequence[Front], name: str, cache: Cache) -> int:
+    """How many of a cold cache's two quotas, slow start budget and concurrency, are exceeded now."""
+    budget = QuotaSums()
+    concurrency = QuotaSums()
+    process = f"{name}@{cache.started}"
+    for front in fronts:
+        state = front.router.state
+        local_now = front.clock(now)
+        endpoint = state.endpoints.by_id.get(name)
+        if endpoint is None or endpoint.metadata.started_at != cache.started:
+            continue
+        window = state.settings.overload_window
+        share = capacity.slow_start_share(state, local_now - window, endpoint)
+        budget_per_link = state.settings.caches.overload_multiple * share * window
+        part = budget_per_link * capacity.certain_link(state, endpoint)
+        budget = budget.add(part, capacity.transferred(state, local_now, f"cold:{process}", part))
+        part = capacity.concurrency_part(state, local_now, endpoint)
+        concurrency = concurrency.add(part, capacity.transferred(state, local_now, f"open:{process}", part))
+    return int(budget.is_exceeded()) + int(concurrency.is_exceeded())
+
+
+class BudgetUse(NamedTuple):
+    """Work that a cold cache was sent in the windows since its start, and its whole budget for them."""
+
+    used: float
+    whole: float
+
+
+def slow_start_use(now: int, settings: api.Settings, cache: Cache) -> BudgetUse:
+    """How much of a cold cache's budget was used so far."""
+    window = settings.overload_window
+    used = 0.0
+    whole = 0.0
+    start = cache.started
+    end = min(now, cache.started + settings.caches.slow_start_duration)
+    while start + window <= end:
+        used += sum(work for sent_at, work in cache.work if start <= sent_at < start + window)
+        whole += _whole_budget(settings, cache, start - cache.started)
+        start += window // STEPS_PER_WINDOW
+    return BudgetUse(used, whole)
+
+
+def _whole_budget(settings: api.Settings, cache: Cache, age: int) -> float:
+    """The budget of all proxies together for a window, at an age of the cache."""
+    tier = settings.caches
+    initial_share = tier.slow_start_initial_share
+    share = initial_share + (1 - initial_share) * age / tier.slow_start_duration
+    return tier.overload_multiple * share * settings.overload_window * cache.link
--- /dev/null
+++ b/benchmarks/branch/lease_audit.py
@@ -0,0 +1,99 @@
+"""Whether fill leases exclude each other: their numbers grow, no two overlap, no old one is published."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from typing import NamedTuple, Protocol, cast
+
+from benchmarks.branch.counts import Counts
+from benchmarks.branch.simulation import Simulation
+from olivepost.shared_store import messages
+from olivepost.shared_store.coordinator import StoreCoordinator
+from olivepost.units import MILLISECOND
+from standins.redis.keyspace import Keyspace
+
+GRANTED = b"mine"  # first word of the scripts' replies
+PUBLISHED = b"done"
+
+
+class LeaseHolder(Protocol):
+    """A proxy that may hold leases."""
+
+    sharing: StoreCoordinator | None
+
+
+class ClockedHolder(LeaseHolder, Protocol):
+    """A holder on a clock of its own."""
+
+    def clock(self, at: int) -> int:
+        """What its clock shows at a time of the simulation."""
+
+
+class Grant(NamedTuple):
+    """The last lease of a name."""
+
+    number: int
+    expires_at: int
+    store_incarnation: int
+
+
+class LeaseAudit:
+    """The last grant of each name in each store, and counts of what must not be."""
+
+    def __init__(
+        self,
+        simulation: Simulation,
+        counts: Counts,
+        stores: dict[str, Keyspace],
+        holders: Callable[[], Sequence[ClockedHolder]],
+    ) -> None:
+        self._simulation = simulation
+        self._counts = counts
+        self._stores = stores
+        self._holders = holders
+        self._grants: dict[tuple[str, str], Grant] = {}
+
+    def record(self, holder: LeaseHolder, command: messages.StoreCommand, reply: messages.StoreReply) -> None:
+        """Takes a script's reply."""
+        word = reply.values[0] if reply.values else b""
+        operation = command.operation
+        if word == GRANTED and isinstance(operation, messages.LookUp):
+            self._record_grant(holder, command.store, operation, int(cast("bytes", reply.values[1])))
+        elif word == PUBLISHED and isinstance(operation, messages.PublishLocation):
+            self._record_publication(command.store, operation)
+
+    def _record_publication(self, store: str, publication: messages.PublishLocation) -> None:
+        number, _, _ = publication.claim.partition(b" ")
+        last = self._grants.get((store, publication.name))
+        if last is None or last.number != int(number):
+            self._counts.old_published += 1
+            self._counts.owned_twice += 1
+
+    def _record_grant(self, holder: LeaseHolder, store: str, lookup: messages.LookUp, number: int) -> None:
+        """A lease's number grows, and no two of one generation overlap by the holders' own clocks."""
+        key = (store, lookup.name)
+        last = self._grants.get(key)
+        # A store that lost its data can't keep holders apart: their numbers do.
+        incarnation = self._stores[store].incarnation
+        self._counts.numbers += 1
+        if last is not None and number <= last.number:
+            self._counts.numbers_shrunk += 1
+            self._counts.owned_twice += 1
+        if last is not None and last.store_incarnation == incarnation:
+            is_running = last.expires_at > self._simulation.now
+            if is_running and self._is_held_by_another(holder, lookup):
+                self._counts.overlaps += 1
+                self._counts.owned_twice += 1
+        expires_at = self._simulation.now + lookup.span_ms * MILLISECOND
+        self._grants[key] = Grant(number, expires_at, incarnation)
+
+    def _is_held_by_another(self, holder: LeaseHolder, lookup: messages.LookUp) -> bool:
+        """Whether a holder other than this one has not released the lease."""
+        return any(
+            other.sharing is not None
+            and other.sharing.claims.running(
+                other.clock(self._simulation.now), lookup.name, lookup.generation
+            )
+            for other in self._holders()
+            if other is not holder
+        )
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -146,7 +146,7 @@
     for _ in range(200):
         made.run(50 * MILLISECOND)
         made.look_at_budgets()
-    used = [made.cold_use(name) for name, cache in made.caches.items() if cache.started]
+    used = [made.slow_start_use(name) for name, cache in made.caches.items() if cache.started]
     return (
         sum(sent for sent, _ in used) / sum(whole for _, whole in used),
         made.counts.over_whole,
