--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -21,25 +21,29 @@
 from docopt import DocoptExit, docopt
 
 NAMES = ("sharing",)
+EXIT_USAGE = 2
 
 
 def main() -> int:
+    """Runs the benchmark that the command line names; returns an exit code."""
     assert __doc__
     try:
-        given = docopt(__doc__)
-    except DocoptExit as fault:
-        print(fault, file=sys.stderr)
-        return 2
-    if given["NAME"] not in NAMES or not given["--seed"].isdigit():
+        options = docopt(__doc__)
+    except DocoptExit as error:
+        print(error, file=sys.stderr)
+        return EXIT_USAGE
+    name = options["NAME"]
+    seed = options["--seed"]
+    if name not in NAMES or not seed.isdigit():
         print(
-            f"no benchmark '{given['NAME']}', or a seed that is no number; there are: {', '.join(NAMES)}",
+            f"no benchmark '{name}', or a seed that is no number; there are: {', '.join(NAMES)}",
             file=sys.stderr,
         )
-        return 2
-    figures = import_module(f"benchmarks.{given['NAME']}").run(given["--quick"], int(given["--seed"]))
+        return EXIT_USAGE
+    figures = import_module(f"benchmarks.{name}").run(options["--quick"], int(seed))
     line = json.dumps(figures)
-    if given["--out"]:
-        Path(given["--out"]).write_text(line + "\n")
+    if options["--out"]:
+        Path(options["--out"]).write_text(line + "\n")
     print(line)
     return 0
 
--- a/benchmarks/branch/proxy.py
+++ b/benchmarks/branch/proxy.py
@@ -33,6 +33,11 @@
         self._clock_rate = 1 + branch.draw.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
         self.begin()
 
+    @property
+    def pending_count(self) -> int:
+        """Requests that this proxy owes a response."""
+        return len(self.router.pending)
+
     def clock(self, at: int) -> int:
         """What this proxy's clock shows at a time of the simulation."""
         return START + self._clock_offset + int((at - START) * self._clock_rate)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,55 +1,55 @@
-"""Real fronts, stand-in caches and a stand-in store as processes of their own, and clients that measure."""
+"""Real proxies, stand-in caches and a stand-in store as processes of their own."""
 
 from __future__ import annotations
 
-import itertools
 import json
 import os
-import queue
-import random
 import socket
 import subprocess
 import sys
 import tempfile
-import threading
 import time
-from collections.abc import Callable, Iterator
+from collections.abc import Iterator
 from contextlib import contextmanager
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
-from benchmarks.caches import GROUPS, group_of
 from examples.toy_server import CONFIG
 
 ROOT = Path(__file__).parent.parent
-AIM_S = 1.0  # an answer that took longer is of no service here
-WORKERS = 48
+START_TIMEOUT_S = 20.0  # for a proxy to accept connections
+CONNECT_TIMEOUT_S = 1.0
+START_POLL_S = 0.05
+FIRST_SEED = 7  # of the proxies' configurations
+CACHE_WEIGHT = 4  # transfers that a cache carries at once
 
 
-@dataclass
-class Tally:
-    """What clients saw: seconds of each answer, None for a request that got none of use."""
+class Address(NamedTuple):
+    """Where a process listens."""
 
-    spans: list[float] = field(default_factory=list)
-    asked: int = 0
+    host: str
+    port: int
 
-    @property
-    def service(self) -> float:
-        """The share of requests answered in time."""
-        return sum(span <= AIM_S for span in self.spans) / max(1, self.asked)
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
 
-    def quantile_ms(self, share: float) -> float:
-        spans = sorted(self.spans)
-        return 1000 * spans[min(len(spans) - 1, int(share * len(spans)))] if spans else float("nan")
+    @classmethod
+    def parse(cls, text: str) -> Address:
+        """An address as HOST:PORT."""
+        host, _, port = text.rpartition(":")
+        return cls(host, int(port))
 
 
 class Process:
-    """A process that says one JSON line when it is ready, and more when asked."""
+    """A process that writes one JSON line when it is ready, and one for each line it is sent.
+
+    It is a context manager, which kills it.
+    """
 
     def __init__(self, *words: str, log: Path | None = None) -> None:
         self._log = log.open("wb") if log else subprocess.PIPE
-        self.made = subprocess.Popen(
+        self._process = subprocess.Popen(
             [sys.executable, "-O", "-m", *words],
             stdin=subprocess.PIPE,
             cwd=ROOT,
@@ -57,74 +57,78 @@
             stderr=subprocess.DEVNULL,
         )
 
-    def line(self) -> Any:
-        assert self.made.stdout is not None
-        return json.loads(self.made.stdout.readline())
+    def __enter__(self) -> Process:
+        return self
+
+    def __exit__(self, *_: object) -> None:
+        self.end()
+
+    def read_line(self) -> Any:
+        """The next line of its output."""
+        assert self._process.stdout is not None
+        return json.loads(self._process.stdout.readline())
 
     def ask(self, text: str) -> Any:
-        assert self.made.stdin is not None
-        self.made.stdin.write(f"{text}\n".encode())
-        self.made.stdin.flush()
-        return self.line()
+        """Sends a line; the line that answers it."""
+        assert self._process.stdin is not None
+        self._process.stdin.write(f"{text}\n".encode())
+        self._process.stdin.flush()
+        return self.read_line()
 
     def cpu_s(self) -> float:
         """CPU time so far, the system's for it included."""
-        words = Path(f"/proc/{self.made.pid}/stat").read_text().rpartition(")")[2].split()
-        return (int(words[11]) + int(words[12])) / os.sysconf("SC_CLK_TCK")
+        text = Path(f"/proc/{self._process.pid}/stat").read_text()
+        # After the name in parentheses: state, ppid ..., utime (12th), stime (13th); proc(5).
+        words = text.rpartition(")")[2].split()
+        ticks = int(words[11]) + int(words[12])
+        return ticks / os.sysconf("SC_CLK_TCK")
 
     def end(self) -> None:
-        self.made.kill()
-        self.made.wait()
+        """Kills the process and waits for its end."""
+        self._process.kill()
+        self._process.wait()
+
+
+@dataclass(frozen=True, slots=True)
+class FleetOptions:
+    """How many proxies and caches, and how many names a cache stores."""
+
+    proxies: int
+    caches: int
+    cache_capacity: int
 
 
 class Fleet:
-    """So many fronts of one branch; with a store, its address goes into their operator's file."""
-
-    def __init__(
-        self, folder: Path, fronts: int, caches: int, room: int, store: tuple[str, int] | None
-    ) -> None:
-        self.caches = Process("benchmarks.caches", str(caches), str(room), "4")
-        told = self.caches.line()
-        self.fronts, self.logs, self.addresses = list[Process](), list[Path](), list[tuple[str, int]]()
-        for number in range(fronts):
-            with socket.socket() as found:
-                found.bind(("127.0.0.1", 0))
-                address = found.getsockname()
-            config = json.loads(CONFIG.read_text())
-            config |= {"name": f"n{number}", "listen": f"127.0.0.1:{address[1]}", **told}
-            config["seed"] = f"{number + 7:x}"
-            config["settings"] |= {"siblings": fronts}
-            config["settings"]["family-info"] |= {"zone-balancers": [0, fronts]}
-            path = folder / f"n{number}.json"
-            path.write_text(json.dumps(config))
-            words = ["olivepost", "serve", "--config", str(path)]
-            if store is not None:
-                operator = folder / "operator.yaml"
-                named = "{{name: s, address: '{}:{}'}}".format(*store)
-                operator.write_text(f"sharing:\n  branch: bench\n  stores: [{named}]\n")
-                words += ["--operator", str(operator)]
-            log = folder / f"n{number}.log"
-            self.fronts.append(Process(*words, log=log))
-            self.logs.append(log)
-            self.addresses.append(address)
+    """The proxies of one branch and their caches; with a store, its address is in their operator's file."""
+
+    def __init__(self, folder: Path, options: FleetOptions, store: Address | None) -> None:
+        self.caches = Process(
+            "benchmarks.caches", str(options.caches), str(options.cache_capacity), str(CACHE_WEIGHT)
+        )
+        self.proxies: list[Process] = []
+        self.addresses: list[Address] = []
+        self._logs: list[Path] = []
+        upstream = self.caches.read_line()
+        arguments = write_operator_file(folder, store) if store is not None else []
+        for number in range(options.proxies):
+            self._start_proxy(folder, number, proxy_config(number, options.proxies, upstream), arguments)
         for address in self.addresses:
-            self._wait(address)
-
-    @staticmethod
-    def _wait(address: tuple[str, int]) -> None:
-        end = time.monotonic() + 20
-        while time.monotonic() < end:
-            try:
-                socket.create_connection(address, 1).close()
-                return
-            except OSError:
-                time.sleep(0.05)
-        raise TimeoutError(f"no front at {address}")
+            wait_until_listening(address)
+
+    def _start_proxy(self, folder: Path, number: int, config: dict[str, Any], arguments: list[str]) -> None:
+        address = find_free_address()
+        path = folder / f"n{number}.json"
+        path.write_text(json.dumps(config | {"listen": str(address)}))
+        log = folder / f"n{number}.log"
+        proxy = Process("olivepost", "serve", "--config", str(path), *arguments, log=log)
+        self.proxies.append(proxy)
+        self.addresses.append(address)
+        self._logs.append(log)
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Lines of all fronts' logs of one event, each with its front's number."""
+        """Lines of all proxies' logs of one event, each with its proxy's number."""
         rows = []
-        for number, log in enumerate(self.logs):
+        for number, log in enumerate(self._logs):
             for line in log.read_bytes().splitlines():
                 row = json.loads(line) if line.endswith(b"}") else {}
                 if row.get("event") == name:
@@ -132,97 +136,57 @@
         return rows
 
     def cpu_s(self) -> float:
-        return sum(front.cpu_s() for front in self.fronts)
+        """CPU time of all proxies so far."""
+        return sum(proxy.cpu_s() for proxy in self.proxies)
 
     def end(self) -> None:
-        for process in (*self.fronts, self.caches):
+        """Kills all processes."""
+        for process in (*self.proxies, self.caches):
             process.end()
 
 
-@contextmanager
-def fleet(fronts: int, caches: int, room: int, store: tuple[str, int] | None = None) -> Iterator[Fleet]:
-    with tempfile.TemporaryDirectory() as folder:
-        made = Fleet(Path(folder), fronts, caches, room, store)
-        try:
-            yield made
-        finally:
-            made.end()
-
-
-def load(
-    made: Fleet, seed: int, rate: float, span: float, names: int, at: dict[float, Callable[[], object]]
-) -> Tally:
-    """Requests of Zipf names at a rate for a span, the same for a seed; `at` does things on the way."""
-    draw, tally, todo = random.Random(seed), Tally(), queue.SimpleQueue[tuple[float, int, str] | None]()
-    weights = list(itertools.accumulate(1 / (i + 1) ** 0.8 for i in range(names)))
-    ids, lock = itertools.count(seed << 32), threading.Lock()
-
-    def work() -> None:
-        socks: dict[int, socket.socket] = {}
-        while (item := todo.get()) is not None:
-            due, number, name = item
-            took = ask(made.addresses[number], socks, number, name, next(ids))
-            with lock:
-                tally.spans += [time.monotonic() - due] if took else []
-        for sock in socks.values():
-            sock.close()
-
-    workers = [threading.Thread(target=work, daemon=True) for _ in range(WORKERS)]
-    for worker in workers:
-        worker.start()
-    start = now = time.monotonic()
-    steps = sorted(at.items())
-    while now < start + span:
-        while steps and now >= start + steps[0][0]:
-            steps.pop(0)[1]()
-        name = f"{draw.choices(range(names), cum_weights=weights)[0] * 2654435761 % 2**64:016x}"
-        todo.put((now, draw.randrange(len(made.addresses)), name))
-        tally.asked += 1
-        now += draw.expovariate(rate)
-        time.sleep(max(0.0, now - time.monotonic()))
-    for _ in workers:
-        todo.put(None)
-    for worker in workers:
-        worker.join(10.0)
-    return tally
-
-
-def ask(address: tuple[str, int], socks: dict[int, socket.socket], number: int, name: str, id_: int) -> bool:
-    """One request, on a connection that is kept; whether it was served."""
-    text = (
-        f"GET /api/v2/segment/{name}/slice-0 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id_:016x}\r\n"
-        f"X-Patience-Ms: 3000\r\nX-Set: {group_of(name) % GROUPS}\r\n\r\n"
-    ).encode()
-    for _ in range(2):
-        sock = socks.get(number)
+def proxy_config(number: int, proxies: int, upstream: dict[str, Any]) -> dict[str, Any]:
+    """The configuration of one of so many proxies before these caches."""
+    config: dict[str, Any] = json.loads(CONFIG.read_text())
+    config |= {"name": f"n{number}", "seed": f"{number + FIRST_SEED:x}", **upstream}
+    config["settings"] |= {"siblings": proxies}
+    config["settings"]["family-info"] |= {"zone-balancers": [0, proxies]}
+    return config
+
+
+def write_operator_file(folder: Path, store: Address) -> list[str]:
+    """Writes an operator's file that names the store; the arguments that name the file."""
+    path = folder / "operator.yaml"
+    path.write_text(f"sharing:\n  branch: bench\n  stores: [{{name: s, address: '{store}'}}]\n")
+    return ["--operator", str(path)]
+
+
+def find_free_address() -> Address:
+    """An address on loopback that nothing listens at."""
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return Address(*sock.getsockname())
+
+
+def wait_until_listening(address: Address) -> None:
+    """Returns once a process accepts connections; raises TimeoutError."""
+    end = time.monotonic() + START_TIMEOUT_S
+    while time.monotonic() < end:
         try:
-            if sock is None:
-                sock = socks[number] = socket.create_connection(address, 4)
-            sock.sendall(text)
-            data = b""
-            while b"\r\n\r\n" not in data:
-                data += _more(sock)
-            head, _, body = data.partition(b"\r\n\r\n")
-            length = next(
-                (
-                    int(line.split(b":")[1])
-                    for line in head.lower().split(b"\r\n")
-                    if line.startswith(b"content-length")
-                ),
-                0,
-            )
-            while len(body) < length:
-                body += _more(sock)
-            return head.startswith(b"HTTP/1.1 200")
+            socket.create_connection(address, CONNECT_TIMEOUT_S).close()
         except OSError:
-            if sock is not None:
-                sock.close()
-                del socks[number]
-    return False
+            time.sleep(START_POLL_S)
+        else:
+            return
+    raise TimeoutError(f"no proxy at {address} within {START_TIMEOUT_S} s")
 
 
-def _more(sock: socket.socket) -> bytes:
-    data = sock.recv(65_536)
-    if not data:
-        raise ConnectionError("closed")
-    return data
+@contextmanager
+def running_fleet(options: FleetOptions, store: Address | None = None) -> Iterator[Fleet]:
+    """A fleet whose processes end with the context."""
+    with tempfile.TemporaryDirectory() as folder:
+        fleet = Fleet(Path(folder), options, store)
+        try:
+            yield fleet
+        finally:
+            fleet.end()
--- /dev/null
+++ b/benchmarks/modelled_branch.py
@@ -0,0 +1,200 @@
+"""Runs of the emulated branch: use of slow start budgets, double fills, long histories with every fault."""
+
+from __future__ import annotations
+
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from functools import partial
+from typing import NamedTuple
+
+from benchmarks.branch import Branch, Way, settings
+from olivepost.units import MILLISECOND, SECOND
+
+PROXIES = 12
+BUSY_WEIGHT = 100  # of one proxy's requests, where each other has 1
+BUDGET_CHECKS = 200
+BUDGET_CHECK_INTERVAL = 50 * MILLISECOND
+
+HOSTILE_PROXIES = 4
+HOSTILE_CACHES = 4
+MAX_PAUSE = 3 * SECOND
+MAX_SILENCE = SECOND
+MAX_SNAPSHOT_AGE_MS = 3_000
+MAX_GAP = 20 * MILLISECOND  # between two moves
+RARE_FAULT_CHANCE = 0.3
+LINK_FAULT_CHANCES = (0.0, 0.0, 0.3)  # one of them each time
+MOVE_KINDS = 40  # nine are faults, the rest requests
+QUIET_END = 8 * SECOND
+
+
+class BudgetJob(NamedTuple):
+    """One run for `measure_budget_use`."""
+
+    has_store: bool
+    are_all_cold: bool  # else one cache is
+    seed: int
+    rate: int  # requests a second
+
+
+class BudgetRun(NamedTuple):
+    """How much of the cold caches' budgets was used, and what was served."""
+
+    used_share: float
+    exceeded: int
+    served: int
+    requests: int
+
+    @property
+    def served_share(self) -> float:
+        """The share of requests that were served."""
+        return self.served / self.requests
+
+
+def measure_budget_use(job: BudgetJob) -> BudgetRun:
+    """A branch of 12, one proxy busy, one cache or all of them cold."""
+    branch = Branch(
+        settings(PROXIES), PROXIES, job.seed, sharing=job.has_store, names=4_000, size=100.0, link=4.0
+    )
+    branch.run(7 * SECOND)
+    weights = [BUSY_WEIGHT] + [1] * (PROXIES - 1)
+
+    def select_proxy() -> int:
+        (number,) = branch.draw.choices(range(PROXIES), weights)
+        return number
+
+    branch.load(job.rate, 10 * SECOND, select_proxy)
+    branch.run(0 if job.are_all_cold else 2 * SECOND)
+    for name in list(branch.caches) if job.are_all_cold else ["c1"]:
+        branch.restart_cache(name)
+    for _ in range(BUDGET_CHECKS):
+        branch.run(BUDGET_CHECK_INTERVAL)
+        branch.look_at_budgets()
+    uses = [branch.slow_start_use(name) for name, cache in branch.caches.items() if cache.started]
+    used_share = sum(use.used for use in uses) / sum(use.whole for use in uses)
+    counts = branch.counts
+    return BudgetRun(used_share, counts.over_whole, counts.served, counts.requests)
+
+
+class DoubleFillJob(NamedTuple):
+    """One run for `measure_double_fills`."""
+
+    has_store: bool
+    seed: int
+    rate: int  # requests a second
+
+
+def measure_double_fills(job: DoubleFillJob) -> float:
+    """The double fills' share in a branch of 12, one cache restarted, half of the groups invalidated."""
+    branch = Branch(settings(PROXIES), PROXIES, job.seed, sharing=job.has_store)
+    branch.run(4 * SECOND)
+    branch.load(job.rate, 16 * SECOND)
+    branch.run(4 * SECOND)
+    branch.restart_cache("c1")
+    branch.run(4 * SECOND)
+    branch.purge(list(range(0, branch.groups, 2)))
+    branch.run(6 * SECOND)
+    return branch.counts.double_fills / max(1, branch.counts.fills)
+
+
+class HistoryJob(NamedTuple):
+    """One run for `play_hostile_history`."""
+
+    seed: int
+    moves: int
+
+
+@dataclass(frozen=True, slots=True)
+class HistoryRun:
+    """What must not be, in one history, and how much was played."""
+
+    steps: int
+    leases: int
+    lease_conflicts: int
+    budgets_exceeded: int
+    served_invalidated: int
+    pending_at_end: int
+
+
+class HostileHistory:
+    """A branch of four under every fault at once."""
+
+    def __init__(self, seed: int) -> None:
+        self.branch = Branch(
+            settings(HOSTILE_PROXIES), HOSTILE_PROXIES, seed, caches=HOSTILE_CACHES, names=300, size=150.0
+        )
+        self._draw: random.Random = self.branch.draw
+        self._link: Way = self.branch.ways["s0"]
+        self._store = self.branch.stores["s0"]
+        self._moves: dict[int, Callable[[], None]] = {
+            0: self._restart_proxy,
+            1: self._pause_proxy,
+            2: self._change_link,
+            3: partial(self._rarely, self._restore_snapshot),
+            4: partial(self._rarely, self._store.lose),
+            5: self._silence_store,
+            6: partial(self._rarely, self._restart_cache),
+            7: self._invalidate_group,
+            8: self._store.snapshot,
+        }
+
+    def move(self) -> None:
+        """One fault or request, and some time."""
+        act = self._moves.get(self._draw.randrange(MOVE_KINDS), self._request)
+        act()
+        self.branch.run(self._draw.randrange(MAX_GAP))
+        self.branch.look_at_budgets()
+
+    def _rarely(self, act: Callable[[], None]) -> None:
+        is_due = self._draw.random() < RARE_FAULT_CHANCE
+        if is_due:
+            act()
+        else:
+            self._request()
+
+    def _request(self) -> None:
+        self.branch.request(self.branch.fronts[self._draw.randrange(HOSTILE_PROXIES)])
+
+    def _restart_proxy(self) -> None:
+        self.branch.fronts[self._draw.randrange(HOSTILE_PROXIES)].begin()
+
+    def _pause_proxy(self) -> None:
+        paused_until = self.branch.now + self._draw.randrange(MAX_PAUSE)
+        proxy = self.branch.fronts[self._draw.randrange(HOSTILE_PROXIES)]
+        proxy.paused_until = paused_until
+
+    def _change_link(self) -> None:
+        self._link.lost = self._draw.choice(LINK_FAULT_CHANCES)
+        self._link.cut = self._draw.choice(LINK_FAULT_CHANCES)
+        self._link.doubled = self._draw.choice(LINK_FAULT_CHANCES)
+        self._link.slow = self._draw.choice(LINK_FAULT_CHANCES)
+
+    def _restore_snapshot(self) -> None:
+        self._store.go_back(self._draw.randrange(MAX_SNAPSHOT_AGE_MS))
+
+    def _silence_store(self) -> None:
+        self._link.silent_until = self.branch.now + self._draw.randrange(MAX_SILENCE)
+
+    def _restart_cache(self) -> None:
+        self.branch.restart_cache(f"c{self._draw.randrange(HOSTILE_CACHES)}")
+
+    def _invalidate_group(self) -> None:
+        self.branch.purge([self._draw.randrange(self.branch.groups)])
+
+
+def play_hostile_history(job: HistoryJob) -> HistoryRun:
+    """So many moves, then a quiet end in which every request must get its response."""
+    history = HostileHistory(job.seed)
+    branch = history.branch
+    branch.restart_cache("c0")
+    for _ in range(job.moves):
+        history.move()
+    branch.run(QUIET_END)
+    return HistoryRun(
+        steps=branch.counts.steps,
+        leases=branch.counts.numbers,
+        lease_conflicts=branch.counts.owned_twice,
+        budgets_exceeded=branch.counts.over_whole,
+        served_invalidated=branch.counts.older_than_purge,
+        pending_at_end=sum(front.pending_count for front in branch.fronts),
+    )
--- /dev/null
+++ b/benchmarks/real_fleet.py
@@ -0,0 +1,119 @@
+"""Real proxies before stand-in caches, without a store or with one that has a fault for half of the run."""
+
+from __future__ import annotations
+
+import json
+import time
+from contextlib import ExitStack
+from dataclasses import dataclass
+from functools import partial
+from typing import Any
+
+from benchmarks.caches import GROUPS
+from benchmarks.fleet import Address, Fleet, FleetOptions, Process, running_fleet
+from benchmarks.load import LoadOptions, Step, run_load
+
+PROXIES = 4
+FLEET_OPTIONS = FleetOptions(PROXIES, caches=6, cache_capacity=150)
+NAMES = 1_200
+STORE_START_S = 0.5  # for proxies to connect to the store
+
+# When things happen, as shares of a run.
+FAULT_START = 0.25
+CACHE_RESTART = 0.4
+INVALIDATION = 0.6
+FAULT_END = 0.75
+RECOVERY_MARGIN_MS = 50  # by which a log's clock may be ahead of the fault's end
+
+Change = dict[str, Any]  # an entry of a stand-in store's fault schedule
+
+NO_STORE = "off"
+FAULTS: dict[str, list[Change]] = {
+    "healthy": [],
+    "silent": [{"silent": True}],
+    "dead": [{"refuse": True}],
+    "slow": [{"slow_ms": 15.0, "slow_spread": 0.8}],
+    "flapping": [{"silent": True}, {"silent": False}] * 4,
+}
+FAULT_OVER: Change = {"silent": False, "refuse": False, "slow_ms": 0.0}
+
+
+@dataclass(frozen=True, slots=True)
+class FleetRun:
+    """What one run gave; CPU times in microseconds a request."""
+
+    service_share: float
+    p99_ms: float
+    p50_ms: float
+    request_count: int
+    double_fill_share: float
+    served_older_than_purge: int
+    proxy_cpu_us: float
+    store_cpu_us: float  # 0: no store
+    recovery_ms: float  # from the fault's end until the last proxy used the store again; 0: no fault
+
+
+def run_fleet(scenario: str, load: LoadOptions) -> FleetRun:
+    """One run: without a store, or with one that has a fault from a quarter to three quarters of it."""
+    with ExitStack() as stack:
+        if scenario == NO_STORE:
+            fleet = stack.enter_context(running_fleet(FLEET_OPTIONS))
+            return measure(fleet, None, [], load)
+        store = stack.enter_context(Process("standins", "redis", "--seed", str(load.seed)))
+        address = Address.parse(store.read_line()["address"])
+        fleet = stack.enter_context(running_fleet(FLEET_OPTIONS, address))
+        time.sleep(STORE_START_S)
+        return measure(fleet, store, FAULTS[scenario], load)
+
+
+def measure(fleet: Fleet, store: Process | None, changes: list[Change], load: LoadOptions) -> FleetRun:
+    """Puts the load on a fleet, with a restarted cache, invalidations and the store's fault on the way."""
+    proxy_cpu_before_s = fleet.cpu_s()
+    store_cpu_before_s = store.cpu_s() if store else 0.0
+    fault_end_ms = (time.time() + load.duration_s * FAULT_END) * 1000
+    steps = fleet_steps(fleet, load.duration_s)
+    if store is not None:
+        steps += fault_steps(store, changes, load.duration_s)
+    result = run_load(fleet.addresses, load, steps)
+    counts = fleet.caches.ask("stats")
+    requests = max(1, result.request_count)
+    store_cpu_s = store.cpu_s() - store_cpu_before_s if store else 0.0
+    return FleetRun(
+        service_share=result.service_share,
+        p99_ms=result.quantile_ms(0.99),
+        p50_ms=result.quantile_ms(0.5),
+        request_count=result.request_count,
+        double_fill_share=counts["double_fills"] / max(1, counts["fills"]),
+        served_older_than_purge=counts["older_than_purge"],
+        proxy_cpu_us=(fleet.cpu_s() - proxy_cpu_before_s) / requests * 1e6,
+        store_cpu_us=store_cpu_s / requests * 1e6,
+        recovery_ms=recovery_ms(fleet, fault_end_ms) if changes else 0.0,
+    )
+
+
+def fleet_steps(fleet: Fleet, duration_s: float) -> list[Step]:
+    """One cache is restarted, and half of the groups are invalidated."""
+    groups = " ".join(str(group) for group in range(0, GROUPS, 2))
+    return [
+        Step(duration_s * CACHE_RESTART, partial(fleet.caches.ask, "restart c1")),
+        Step(duration_s * INVALIDATION, partial(fleet.caches.ask, f"purge {groups}")),
+    ]
+
+
+def fault_steps(store: Process, changes: list[Change], duration_s: float) -> list[Step]:
+    """The changes of a fault, evenly over its time, and its end."""
+    if not changes:
+        return []
+    interval = (FAULT_END - FAULT_START) / len(changes)
+    steps = [
+        Step(duration_s * (FAULT_START + number * interval), partial(store.ask, json.dumps(change)))
+        for number, change in enumerate(changes)
+    ]
+    return [*steps, Step(duration_s * FAULT_END, partial(store.ask, json.dumps(FAULT_OVER)))]
+
+
+def recovery_ms(fleet: Fleet, fault_end_ms: float) -> float:
+    """The time from the fault's end until the last proxy used the store again."""
+    times = [row["at_ms"] for row in fleet.events("sharing_up")]
+    delays = [at_ms - fault_end_ms for at_ms in times if at_ms > fault_end_ms - RECOVERY_MARGIN_MS]
+    return max(delays, default=0.0)
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -1,298 +1,235 @@
-"""Sharing off and on: double fills, service and answers under faults of the store, budgets, claims, recovery.
+"""The shared store off and on: double fills, service and latency under its faults, budgets, leases, recovery.
 
-Real fronts before stand-in caches for what clients see; a modelled branch of 12 fronts by the decision part
-alone for budgets, and a long seeded run of it with every fault for what must never happen.
+Real proxies before stand-in caches for what clients see (`real_fleet`); an emulated branch of 12 proxies for
+budgets, and long seeded runs of one of four with every fault for what must never happen (`modelled_branch`).
 """
 
 from __future__ import annotations
 
-import json
 import statistics
 import sys
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor
-from functools import partial
+from dataclasses import dataclass
 from typing import Any
 
-from benchmarks.branch import Branch
-from benchmarks.fleet import Fleet, Process, Tally, fleet, load
-from olivepost import interface as api
-from olivepost.config import MILLISECOND, SECOND
+from benchmarks.branch import settings
+from benchmarks.load import LoadOptions
+from benchmarks.modelled_branch import (
+    BudgetJob,
+    BudgetRun,
+    DoubleFillJob,
+    HistoryJob,
+    HistoryRun,
+    measure_budget_use,
+    measure_double_fills,
+    play_hostile_history,
+)
+from benchmarks.real_fleet import FAULTS, NAMES, NO_STORE, PROXIES, FleetRun, run_fleet
 
-FRONTS, CACHES, ROOM, NAMES = 4, 6, 150, 1_200
-FAULTS: dict[str, list[dict[str, Any]]] = {
-    "healthy": [],
-    "silent": [{"silent": True}],
-    "dead": [{"refuse": True}],
-    "slow": [{"slow_ms": 15.0, "slow_spread": 0.8}],
-    "flapping": [{"silent": True}, {"silent": False}] * 4,
-}
-OVER = {"silent": False, "refuse": False, "slow_ms": 0.0}
+__all__ = ["run", "settings"]
 
+WORKER_PROCESSES = 8
+HISTORY_SEEDS_PER_SEED = 1_000  # histories of different seeds of the benchmark differ
 
-def say(text: str) -> None:
-    print(text, file=sys.stderr, flush=True)
 
+@dataclass(frozen=True, slots=True)
+class Plan:
+    """How much is measured."""
+
+    pairs: int
+    duration_s: float
+    rate: float
+    jobs: int  # runs of the modelled branch for each figure
+    busy_rate: int
+    usual_rate: int
+    histories: int
+    moves: int
+    has_all_cold: bool  # whether budgets are also measured with all caches cold
+
+
+FULL_PLAN = Plan(
+    5, 8.0, 150.0, 5, busy_rate=600, usual_rate=300, histories=96, moves=6_000, has_all_cold=True
+)
+QUICK_PLAN = Plan(1, 3.0, 120.0, 1, busy_rate=150, usual_rate=100, histories=8, moves=150, has_all_cold=False)
+
+
+@dataclass(frozen=True, slots=True)
+class ModelRuns:
+    """All runs of the modelled branch."""
+
+    budgets: dict[tuple[bool, bool], list[BudgetRun]]  # by whether there is a store, whether all are cold
+    double_fill_shares: dict[bool, list[float]]  # by whether there is a store
+    histories: list[HistoryRun]
 
-def settings(fronts: int, wait: int = 10 * MILLISECOND) -> api.Settings:
-    """A branch of so many fronts, its links told."""
-    spec = api.ClassSettings(
-        name="image",
-        latency_objective=300 * MILLISECOND,
-        latency_objective_stretch=2.0,
-        deadline=3 * SECOND,
-        idempotency=api.Idempotency.IDEMPOTENT,
-        deduplication_scope=api.DeduplicationScope.ALL,
-        idempotency_window=0,
-        is_streaming=False,
-        priority_weight=1.0,
-        late_priority_weight=0.2,
-        freshness_lifetime=0,
-        stale_grace=0,
-        stale_priority_weight=0.5,
-        is_uncacheable=False,
-    )
-    return api.Settings(
-        classes={spec.name: spec},
-        zone="west",
-        caches=api.TierSettings(fronts, 0.2, 10 * SECOND, 3.0),
-        parents=api.TierSettings(fronts, 0.1, 20 * SECOND, 2.0),
-        parent_kind="parent",
-        origin_kind="origin",
-        has_endpoint_weights=True,
-        transfer_rate_kb_per_s=1000.0,
-        can_collapse_fills=True,
-        allows_direct_forwarding=False,
-        sibling_sources="off",
-        reports_hits=True,
-        reports_failure_causes=False,
-        invalidation_lifetime=6 * SECOND,
-        overload_window=2 * SECOND,
-        subscribes_to_endpoints=False,
-        subscription_timeout=10 * SECOND,
-        max_attempts=6,
-        can_cancel_attempts=True,
-        allows_hedged_requests=False,
-        supports_retry_after=True,
-        max_retry_after=SECOND,
-        deadline_margin=2 * MILLISECOND,
-        shared_store_timeout=wait,
-    )
-
-
-# Real fronts
-
-
-def arm(fault: str | None, seed: int, span: float, rate: float) -> dict[str, Any]:
-    """One run: no store, or one with a fault from a quarter to three quarters of it."""
-    if fault is None:
-        with fleet(FRONTS, CACHES, ROOM) as made:
-            return measured(made, None, None, seed, span, rate)
-    store = Process("standins", "redis", "--seed", str(seed))
-    try:
-        host, _, port = store.line()["address"].rpartition(":")
-        with fleet(FRONTS, CACHES, ROOM, (host, int(port))) as made:
-            time.sleep(0.5)  # the fronts meet the store
-            return measured(made, store, fault, seed, span, rate)
-    finally:
-        store.end()
-
-
-def measured(
-    made: Fleet, store: Process | None, fault: str | None, seed: int, span: float, rate: float
-) -> dict[str, Any]:
-    before = made.cpu_s(), store.cpu_s() if store else 0.0
-    back_ms = (time.time() + span * 0.75) * 1000
-    at: dict[float, Callable[[], object]] = {
-        span * 0.4: lambda: made.caches.ask("restart c1"),
-        span * 0.6: lambda: made.caches.ask("purge " + " ".join(map(str, range(0, 16, 2)))),
-    }
-    changes = FAULTS[fault] if fault else []
-    for number, change in enumerate(changes):
-        if store:
-            at[span * (0.25 + 0.5 * number / len(changes))] = partial(store.ask, json.dumps(change))
-    if changes and store:
-        at[span * 0.75] = partial(store.ask, json.dumps(OVER))
-    tally: Tally = load(made, seed, rate, span, NAMES, at)
-    counts = made.caches.ask("stats")
-    ups = [row["at_ms"] for row in made.events("sharing_up") if row["at_ms"] > back_ms - 50]
-    return {
-        "service": tally.service,
-        "p99_ms": tally.quantile_ms(0.99),
-        "p50_ms": tally.quantile_ms(0.5),
-        "asked": tally.asked,
-        "double": counts["double_fills"] / max(1, counts["fills"]),
-        **counts,
-        "front_cpu_us": (made.cpu_s() - before[0]) / max(1, tally.asked) * 1e6,
-        "store_cpu_us": (store.cpu_s() - before[1]) / max(1, tally.asked) * 1e6 if store else 0.0,
-        "recovery_ms": max((up - back_ms for up in ups), default=0.0) if changes else 0.0,
-    }
 
+class FleetRuns:
+    """Runs of the real fleet by scenario, in pairs."""
 
-# The modelled branch
-
-
-def budget(job: tuple[bool, bool, int, int]) -> tuple[float, int, int, int]:
-    """A branch of 12, one front busy, one cache or all of them cold: the budgets' use; served of asked."""
-    on, whole, seed, rate = job
-    made = Branch(settings(12), 12, seed, sharing=on, names=4_000, size=100.0, link=4.0)
-    made.run(7 * SECOND)
-    weights = [100] + [1] * 11
-    made.load(rate, 10 * SECOND, lambda: made.draw.choices(range(12), weights)[0])
-    made.run(0 if whole else 2 * SECOND)
-    for name in list(made.caches) if whole else ["c1"]:
-        made.restart_cache(name)
-    for _ in range(200):
-        made.run(50 * MILLISECOND)
-        made.look_at_budgets()
-    used = [made.slow_start_use(name) for name, cache in made.caches.items() if cache.started]
-    return (
-        sum(sent for sent, _ in used) / sum(whole for _, whole in used),
-        made.counts.over_whole,
-        made.counts.served,
-        made.counts.requests,
-    )
-
-
-def doubles(job: tuple[bool, int, int]) -> float:
-    """The double fills' share of a branch of 12, one cache restarted, half of the groups purged."""
-    on, seed, rate = job
-    made = Branch(settings(12), 12, seed, sharing=on)
-    made.run(4 * SECOND)
-    made.load(rate, 16 * SECOND)
-    made.run(4 * SECOND)
-    made.restart_cache("c1")
-    made.run(4 * SECOND)
-    made.purge(list(range(0, 16, 2)))
-    made.run(6 * SECOND)
-    return made.counts.double_fills / max(1, made.counts.fills)
-
-
-def history(job: tuple[int, int]) -> dict[str, int]:
-    """A branch of four under every fault at once, so many moves long, by a seed."""
-    seed, moves = job
-    made = Branch(settings(4), 4, seed, caches=4, names=300, size=150.0)
-    draw, way = made.draw, made.ways["s0"]
-    made.restart_cache("c0")
-    for _ in range(moves):
-        match draw.randrange(40):
-            case 0:
-                made.fronts[draw.randrange(4)].begin()
-            case 1:
-                made.fronts[draw.randrange(4)].paused_until = made.now + draw.randrange(3 * SECOND)
-            case 2:
-                way.lost, way.cut, way.doubled, way.slow = (draw.choice((0.0, 0.0, 0.3)) for _ in range(4))
-            case 3 if draw.random() < 0.3:
-                made.stores["s0"].go_back(draw.randrange(3_000))
-            case 4 if draw.random() < 0.3:
-                made.stores["s0"].lose()
-            case 5:
-                way.silent_until = made.now + draw.randrange(SECOND)
-            case 6 if draw.random() < 0.3:
-                made.restart_cache(f"c{draw.randrange(4)}")
-            case 7:
-                made.purge([draw.randrange(16)])
-            case 8:
-                made.stores["s0"].snapshot()
-            case _:
-                made.request(made.fronts[draw.randrange(4)])
-        made.run(draw.randrange(20 * MILLISECOND))
-        made.look_at_budgets()
-    made.run(8 * SECOND)
-    counts = made.counts
+    def __init__(self, by_scenario: dict[str, list[FleetRun]]) -> None:
+        self.by_scenario = by_scenario
+
+    def median(self, scenario: str, figure: Callable[[FleetRun], float]) -> float:
+        """The median of a figure over a scenario's runs."""
+        return statistics.median(figure(run) for run in self.by_scenario[scenario])
+
+    def added_p99_ms(self, scenario: str) -> list[float]:
+        """What a scenario adds to the 99th percentile of latency, for each pair."""
+        pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
+        return [with_store.p99_ms - without.p99_ms for without, with_store in pairs]
+
+    def service_ratio(self, scenario: str) -> float:
+        """Service of a scenario over that without a store, median of the pairs."""
+        pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
+        return statistics.median(
+            with_store.service_share / max(1e-9, without.service_share) for without, with_store in pairs
+        )
+
+
+def run(is_quick: bool, seed: int) -> dict[str, Any]:
+    """All of it; medians of pairs, and the worst of what must not be."""
+    plan = QUICK_PLAN if is_quick else FULL_PLAN
+    fleet_runs = run_fleets(plan, seed)
+    report_progress("the modelled branch")
+    start = time.monotonic()
+    model_runs = run_models(plan, seed)
+    report_progress(f"which took {time.monotonic() - start:.0f} s")
     return {
-        "steps": counts.steps,
-        "claims": counts.numbers,
-        "owned_twice": counts.owned_twice,
-        "over_whole": counts.over_whole,
-        "older": counts.older_than_purge,
-        "left_open": sum(len(front.router.pending) for front in made.fronts),
+        **fleet_figures(plan, fleet_runs, model_runs),
+        **model_figures(fleet_runs, model_runs),
+        **cost_figures(fleet_runs),
     }
 
 
-def run(quick: bool, seed: int) -> dict[str, Any]:
-    """All of it; medians of pairs, and the worst of what must not be."""
-    pairs, span, rate = (1, 3.0, 120.0) if quick else (5, 8.0, 150.0)
-    runs: dict[str, list[dict[str, Any]]] = {name: [] for name in ("off", *FAULTS)}
-    for pair in range(pairs):
-        for name in runs:
-            say(f"pair {pair + 1} of {pairs}: {name}")
-            runs[name].append(arm(None if name == "off" else name, seed + pair, span, rate))
-    say("the modelled branch")
-    began = time.monotonic()
-    jobs = 1 if quick else 5
-    seeds = 8 if quick else 96
-    moves = 150 if quick else 6_000
-    with ProcessPoolExecutor(8) as pool:
-        heavy, usual = (150, 100) if quick else (600, 300)
+def report_progress(text: str) -> None:
+    """Writes a line to standard error."""
+    print(text, file=sys.stderr, flush=True)
+
+
+def run_fleets(plan: Plan, seed: int) -> FleetRuns:
+    """All scenarios one after another, as often as there are pairs."""
+    by_scenario: dict[str, list[FleetRun]] = {name: [] for name in (NO_STORE, *FAULTS)}
+    for pair in range(plan.pairs):
+        load = LoadOptions(seed + pair, plan.rate, plan.duration_s, NAMES)
+        for scenario, runs in by_scenario.items():
+            report_progress(f"pair {pair + 1} of {plan.pairs}: {scenario}")
+            runs.append(run_fleet(scenario, load))
+    return FleetRuns(by_scenario)
+
+
+def run_models(plan: Plan, seed: int) -> ModelRuns:
+    """All runs of the modelled branch, in processes of their own."""
+    seeds = [seed + number for number in range(plan.jobs)]
+    first_history = seed * HISTORY_SEEDS_PER_SEED
+    history_jobs = [HistoryJob(first_history + number, plan.moves) for number in range(plan.histories)]
+    cases = [(has_store, False) for has_store in (False, True)]
+    if plan.has_all_cold:
+        cases += [(has_store, True) for has_store in (False, True)]
+    with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
         budgets = {
-            (on, whole): pool.map(budget, [(on, whole, seed + k, heavy) for k in range(jobs)])
-            for on in (False, True)
-            for whole in ((False,) if quick else (False, True))
+            case: pool.map(measure_budget_use, [BudgetJob(*case, each, plan.busy_rate) for each in seeds])
+            for case in cases
+        }
+        double_fills = {
+            has_store: pool.map(
+                measure_double_fills, [DoubleFillJob(has_store, each, plan.usual_rate) for each in seeds]
+            )
+            for has_store in (False, True)
         }
-        twelve = {on: pool.map(doubles, [(on, seed + k, usual) for k in range(jobs)]) for on in (False, True)}
-        histories = list(pool.map(history, [(seed * 1_000 + k, moves) for k in range(seeds)]))
-        used = {key: list(rows) for key, rows in budgets.items()}
-        double = {on: statistics.median(rows) for on, rows in twelve.items()}
-    say(f"which took {time.monotonic() - began:.0f} s")
-
-    def middle(name: str, key: str) -> float:
-        return statistics.median(float(row[key]) for row in runs[name])
-
-    def added(name: str) -> list[float]:
-        return [on["p99_ms"] - off["p99_ms"] for off, on in zip(runs["off"], runs[name], strict=True)]
-
-    def share(rows: list[tuple[float, int, int, int]] | None, at: int) -> float | None:
-        if rows is None:  # not in the quick form
-            return None
-        return round(statistics.median(row[at] / row[3] if at else row[0] for row in rows), 4)
-
-    ratios = {
-        name: statistics.median(
-            on["service"] / max(1e-9, off["service"]) for off, on in zip(runs["off"], runs[name], strict=True)
+        histories = pool.map(play_hostile_history, history_jobs)
+        return ModelRuns(
+            budgets={case: list(runs) for case, runs in budgets.items()},
+            double_fill_shares={has_store: list(shares) for has_store, shares in double_fills.items()},
+            histories=list(histories),
         )
-        for name in ("dead", "silent", "slow", "flapping")
-    }
+
+
+def fleet_figures(plan: Plan, fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
+    """Double fills, service and latency, without a store and with one."""
+    ratios = {name: fleet_runs.service_ratio(name) for name in ("dead", "silent", "slow", "flapping")}
     worst = max(ratios, key=lambda name: abs(ratios[name] - 1))
+    double_fills = {
+        has_store: statistics.median(shares) for has_store, shares in model_runs.double_fill_shares.items()
+    }
+    added_healthy_ms = fleet_runs.added_p99_ms("healthy")
+    added_silent_ms = fleet_runs.added_p99_ms("silent")
+    p50_off_ms = fleet_runs.median(NO_STORE, lambda run: run.p50_ms)
+    p50_healthy_ms = fleet_runs.median("healthy", lambda run: run.p50_ms)
+    double_fills_off = fleet_runs.median(NO_STORE, lambda run: run.double_fill_share)
+    double_fills_on = fleet_runs.median("healthy", lambda run: run.double_fill_share)
     return {
-        "fronts": FRONTS,
-        "pairs": pairs,
-        "requests_per_run": runs["off"][0]["asked"],
-        "double_fill_share_off": round(middle("off", "double"), 4),
-        "double_fill_share_on": round(middle("healthy", "double"), 4),
-        "double_fill_share_off_12_fronts": round(double[False], 4),
-        "double_fill_share_on_12_fronts": round(double[True], 4),
+        "fronts": PROXIES,
+        "pairs": plan.pairs,
+        "requests_per_run": fleet_runs.by_scenario[NO_STORE][0].request_count,
+        "double_fill_share_off": round(double_fills_off, 4),
+        "double_fill_share_on": round(double_fills_on, 4),
+        "double_fill_share_off_12_fronts": round(double_fills[False], 4),
+        "double_fill_share_on_12_fronts": round(double_fills[True], 4),
         "service_ratio_dead_over_off": round(ratios[worst], 4),
         "service_ratio_worst_fault": worst,
         "service_ratios": {name: round(ratio, 4) for name, ratio in ratios.items()},
-        "service_off": round(middle("off", "service"), 4),
-        "answer_p99_ms_off": round(middle("off", "p99_ms"), 2),
-        "answer_p99_added_ms_healthy": round(statistics.median(added("healthy")), 2),
-        "answer_p99_added_ms_silent": round(statistics.median(added("silent")), 2),
-        "answer_p99_added_ms_silent_spread": [round(min(added("silent")), 2), round(max(added("silent")), 2)],
-        "answer_p50_added_ms_healthy": round(middle("healthy", "p50_ms") - middle("off", "p50_ms"), 2),
-        "claims_tried": sum(row["claims"] for row in histories),
-        "claims_owned_twice": sum(row["owned_twice"] for row in histories),
-        "model_seeds": seeds,
-        "model_steps": sum(row["steps"] for row in histories),
-        "model_left_open": sum(row["left_open"] for row in histories),
-        "served_older_than_purge_off": sum(row["older_than_purge"] for row in runs["off"]),
-        "served_older_than_purge": sum(row["older_than_purge"] for rows in runs.values() for row in rows)
-        + sum(row["older"] for row in histories),
-        "budget_sum_over_whole": sum(row["over_whole"] for row in histories)
-        + sum(row[1] for rows in used.values() for row in rows),
-        "cold_budget_used_share_off": share(used[False, False], 0),
-        "cold_budget_used_share_on": share(used[True, False], 0),
-        "one_cold_served_share_off": share(used[False, False], 2),
-        "one_cold_served_share_on": share(used[True, False], 2),
-        "all_cold_budget_used_share_off": share(used.get((False, True)), 0),
-        "all_cold_budget_used_share_on": share(used.get((True, True)), 0),
-        "all_cold_served_share_off": share(used.get((False, True)), 2),
-        "all_cold_served_share_on": share(used.get((True, True)), 2),
-        "recovery_after_return_ms": round(max(middle(name, "recovery_ms") for name in ("silent", "dead"))),
-        "store_cpu_us_per_request": round(middle("healthy", "store_cpu_us")),
-        "front_cpu_added_us_per_request": round(
-            middle("healthy", "front_cpu_us") - middle("off", "front_cpu_us")
-        ),
+        "service_off": round(fleet_runs.median(NO_STORE, lambda run: run.service_share), 4),
+        "answer_p99_ms_off": round(fleet_runs.median(NO_STORE, lambda run: run.p99_ms), 2),
+        "answer_p99_added_ms_healthy": round(statistics.median(added_healthy_ms), 2),
+        "answer_p99_added_ms_silent": round(statistics.median(added_silent_ms), 2),
+        "answer_p99_added_ms_silent_spread": [
+            round(min(added_silent_ms), 2),
+            round(max(added_silent_ms), 2),
+        ],
+        "answer_p50_added_ms_healthy": round(p50_healthy_ms - p50_off_ms, 2),
+    }
+
+
+def model_figures(fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
+    """What must never happen, and the use of slow start budgets."""
+    histories = model_runs.histories
+    budget_runs = [run for runs in model_runs.budgets.values() for run in runs]
+    off_runs = fleet_runs.by_scenario[NO_STORE]
+    all_runs = [run for runs in fleet_runs.by_scenario.values() for run in runs]
+    served_invalidated = sum(run.served_older_than_purge for run in all_runs)
+    served_invalidated += sum(history.served_invalidated for history in histories)
+    exceeded = sum(history.budgets_exceeded for history in histories)
+    exceeded += sum(run.exceeded for run in budget_runs)
+    return {
+        "claims_tried": sum(history.leases for history in histories),
+        "claims_owned_twice": sum(history.lease_conflicts for history in histories),
+        "model_seeds": len(histories),
+        "model_steps": sum(history.steps for history in histories),
+        "model_left_open": sum(history.pending_at_end for history in histories),
+        "served_older_than_purge_off": sum(run.served_older_than_purge for run in off_runs),
+        "served_older_than_purge": served_invalidated,
+        "budget_sum_over_whole": exceeded,
+        **budget_figures(model_runs),
+    }
+
+
+def budget_figures(model_runs: ModelRuns) -> dict[str, float | None]:
+    """Shares of budgets used and of requests served; None for what this plan leaves out."""
+    figures: dict[str, float | None] = {}
+    for are_all_cold, prefixes in ((False, ("", "one_cold_")), (True, ("all_", "all_cold_"))):
+        used_prefix, served_prefix = prefixes
+        off = model_runs.budgets.get((False, are_all_cold), [])
+        on = model_runs.budgets.get((True, are_all_cold), [])
+        figures[f"{used_prefix}cold_budget_used_share_off"] = median_or_none([run.used_share for run in off])
+        figures[f"{used_prefix}cold_budget_used_share_on"] = median_or_none([run.used_share for run in on])
+        figures[f"{served_prefix}served_share_off"] = median_or_none([run.served_share for run in off])
+        figures[f"{served_prefix}served_share_on"] = median_or_none([run.served_share for run in on])
+    return figures
+
+
+def median_or_none(values: Sequence[float]) -> float | None:
+    """The median to four places; None where nothing was measured."""
+    return round(statistics.median(values), 4) if values else None
+
+
+def cost_figures(fleet_runs: FleetRuns) -> dict[str, Any]:
+    """Recovery after the store's faults, and CPU time a request."""
+    recoveries_ms = [fleet_runs.median(name, lambda run: run.recovery_ms) for name in ("silent", "dead")]
+    cpu_off_us = fleet_runs.median(NO_STORE, lambda run: run.proxy_cpu_us)
+    cpu_healthy_us = fleet_runs.median("healthy", lambda run: run.proxy_cpu_us)
+    return {
+        "recovery_after_return_ms": round(max(recoveries_ms)),
+        "store_cpu_us_per_request": round(fleet_runs.median("healthy", lambda run: run.store_cpu_us)),
+        "front_cpu_added_us_per_request": round(cpu_healthy_us - cpu_off_us),
     }
