--- a/tests/proxy/test_pending_requests.py
+++ b/tests/proxy/test_pending_requests.py
@@ -6,7 +6,7 @@
 
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
 from olivepost.proxy.pending_requests import PendingRequest, PendingRequests
-from olivepost.proxy.upstream.pool import UpstreamRequest
+from olivepost.proxy.upstream.request import UpstreamRequest
 
 
 def make_exchange(delivered: list[Response]) -> Exchange:
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -98,7 +98,7 @@
     branch.fronts[0].paused_until = branch.now + 3600 * SECOND
     branch.run(4 * SECOND)  # longer than the class's deadline, which bounds the lease
     store = branch.stores["s0"]
-    assert not [key for key in [*store.data] if b":c:" in key and store._live(key)]
+    assert not [key for key in [*store.data] if b":c:" in key and store.live_value(key)]
     for cache in branch.caches.values():
         cache.kept.clear()
     branch.request(branch.fronts[1], NAME)
@@ -156,7 +156,7 @@
 
 def holders(made: Branch) -> list[bytes]:
     """Keys of holders that the store has."""
-    return [key for key in [*made.stores["s0"].data] if b":h:" in key and made.stores["s0"]._live(key)]
+    return [key for key in [*made.stores["s0"].data] if b":h:" in key and made.stores["s0"].live_value(key)]
 
 
 def test_two_stale_reports_drop_a_location_from_the_store() -> None:
