--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -15,7 +15,7 @@
 from olivepost.proxy.downstream.response_writer import ResponseWriters
 from olivepost.units import MILLISECOND
 
-STOP_WITHIN = 1.0  # seconds that the accept thread has to take what the kernel has accepted
+ACCEPT_STOP_TIMEOUT_S = 1.0  # seconds that the accept thread has to take what the kernel has accepted
 DEADLINE_CHECK_INTERVAL_S = 0.1  # by which a connection may outlive its deadline
 ACCEPT_TIMEOUT_NS = 50 * MILLISECOND  # between two checks for the end of the listener
 ACCEPT_RETRY_PAUSE_S = 0.05  # without descriptors: what is open must end first
@@ -93,11 +93,11 @@
         for connection in connections:
             connection.close_if_idle()
 
-    def stop_accepting(self, within: float = STOP_WITHIN) -> None:
-        """Closes the listener once all that the kernel has accepted is taken; waits `within` seconds."""
+    def stop_accepting(self, timeout_s: float = ACCEPT_STOP_TIMEOUT_S) -> None:
+        """Closes the listener once all that the kernel has accepted is taken; waits `timeout_s` seconds."""
         self._is_stopping = True
         if self._acceptor is not None:
-            self._acceptor.join(within)
+            self._acceptor.join(timeout_s)
 
     def stop_watching(self) -> None:
         """Ends the deadline thread, last of all."""
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -21,7 +21,7 @@
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.discovery.client import DiscoveryClient
 from olivepost.proxy.downstream.context import DownstreamContext
-from olivepost.proxy.downstream.listener import STOP_WITHIN, DownstreamServer
+from olivepost.proxy.downstream.listener import ACCEPT_STOP_TIMEOUT_S, DownstreamServer
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.event_loop import EventLoop, ShutdownDeadline, StopEventLoop, StoreEvent
 from olivepost.proxy.response_cache import ResponseCache
@@ -182,7 +182,7 @@
             self._hear(began + TERM_ACCEPTS)
         self.downstream.close_idle()
         until, lingers = killed - TERM_EXIT, TERM_LINGERS
-        self.downstream.stop_accepting(min(STOP_WITHIN, max(0, until - self.clock.now()) / SECOND))
+        self.downstream.stop_accepting(min(ACCEPT_STOP_TIMEOUT_S, max(0, until - self.clock.now()) / SECOND))
         while self.clock.now() < until and self.downstream.open_count and lingers > 0:
             lingers = TERM_LINGERS if self.downstream.has_pending_responses else lingers - 0.01
             self._hear(self.clock.now() + 10 * MILLISECOND)
