--- a/olivepost/proxy/shutdown.py
+++ b/olivepost/proxy/shutdown.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from olivepost.proxy.downstream.listener import STOP_WITHIN
+from olivepost.proxy.downstream.listener import ACCEPT_STOP_TIMEOUT_S
 from olivepost.proxy.messages import ShutdownDeadline, StopEventLoop
 from olivepost.units import MILLISECOND, SECOND
 
@@ -90,7 +90,7 @@
         downstream = self._proxy.downstream
         downstream.close_idle()
         remaining_s = max(0, self._schedule.exit_by - self._proxy.clock.now()) / SECOND
-        downstream.stop_accepting(min(STOP_WITHIN, remaining_s))
+        downstream.stop_accepting(min(ACCEPT_STOP_TIMEOUT_S, remaining_s))
 
     def _wait_for_clients(self) -> None:
         """Waits for pending responses, and then a little for the clients to close."""
