--- a/standins/redis/__init__.py
+++ b/standins/redis/__init__.py
@@ -1,4 +1,4 @@
-"""A stand-in for a store of the Redis kind: as much as the client library and the fronts use.
+"""A stand-in for a store of the Redis kind: as much as the client library and the proxies use.
 
 From the public documentation: the RESP2 and RESP3 protocol specification ("RESP data types", "Client
 handshake", "Inline commands"), the command reference of each command here, "Transactions", "Redis Pub/Sub",
--- a/standins/redis/commands/generic.py
+++ b/standins/redis/commands/generic.py
@@ -59,9 +59,9 @@
 def scan(database: Database, cursor: bytes, *options: bytes) -> Reply:
     """The next cursor, and some keys."""
     names = [option.upper() for option in options[::2]]
-    given = dict(zip(names, options[1::2], strict=True))
-    pattern = given.get(b"MATCH", b"*").decode(errors="replace")
-    count = parse_integer(given.get(b"COUNT", DEFAULT_SCAN_COUNT))
+    settings = dict(zip(names, options[1::2], strict=True))
+    pattern = settings.get(b"MATCH", b"*").decode(errors="replace")
+    count = parse_integer(settings.get(b"COUNT", DEFAULT_SCAN_COUNT))
     keys = sorted(database.live_keys())
     start = parse_integer(cursor)
     end = start + count
--- a/standins/redis/commands/table.py
+++ b/standins/redis/commands/table.py
@@ -35,7 +35,18 @@
     handler: Handler
     effect: Effect
     min_arguments: int
-    max_arguments: float
+    max_arguments: float  # infinite: any number
+
+    @classmethod
+    def from_handler(
+        cls, name: str, handler: Handler, effect: Effect = Effect.READ, *, leading_parameters: int = 0
+    ) -> Command:
+        """A command whose argument count follows from its handler's signature, past leading parameters."""
+        parameters = list(inspect.signature(handler).parameters.values())[leading_parameters:]
+        positional = [item for item in parameters if item.kind is not item.VAR_POSITIONAL]
+        minimum = sum(item.default is item.empty for item in positional)
+        maximum = len(positional) if len(positional) == len(parameters) else math.inf
+        return cls(name, handler, effect, minimum, maximum)
 
     def check_count(self, count: int) -> None:
         """Raises ArgumentCountError where the handler can't take so many arguments."""
@@ -43,15 +54,6 @@
             raise ArgumentCountError(self.name)
 
 
-def argument_bounds(handler: Handler, leading: int) -> tuple[int, float]:
-    """The least and the greatest count of arguments after the leading ones, by the handler's signature."""
-    parameters = list(inspect.signature(handler).parameters.values())[leading:]
-    required = [item for item in parameters if item.kind is not item.VAR_POSITIONAL]
-    has_rest = len(required) < len(parameters)
-    minimum = sum(item.default is item.empty for item in required)
-    return minimum, math.inf if has_rest else len(required)
-
-
 class CommandTable:
     """The commands of a family, registered by decorator: handlers take the database, then the arguments."""
 
@@ -65,8 +67,7 @@
         """Registers a handler under a command's name."""
 
         def add(handler: HandlerType) -> HandlerType:
-            minimum, maximum = argument_bounds(handler, leading=1)
-            self._commands[name] = Command(name, handler, effect, minimum, maximum)
+            self._commands[name] = Command.from_handler(name, handler, effect, leading_parameters=1)
             return handler
 
         return add
--- a/standins/redis/database.py
+++ b/standins/redis/database.py
@@ -44,13 +44,15 @@
     def snapshot(self) -> None:
         """Records the state, for `go_back`; the last minute of snapshots is kept."""
         now = self.now_ms()
-        recent = [kept for kept in self._snapshots if kept.taken_at_ms > now - SNAPSHOT_RETENTION_MS]
+        recent = [
+            snapshot for snapshot in self._snapshots if snapshot.taken_at_ms > now - SNAPSHOT_RETENTION_MS
+        ]
         self._snapshots = [*recent, Snapshot(now, copy.deepcopy(self.data), dict(self.expiries))]
 
     def go_back(self, age_ms: int) -> None:
         """Comes back as a process that loads its last snapshot of at least this age, or empty."""
         latest = self.now_ms() - age_ms
-        older = [kept for kept in self._snapshots if kept.taken_at_ms <= latest]
+        older = [snapshot for snapshot in self._snapshots if snapshot.taken_at_ms <= latest]
         self.lose()
         if older:
             self.data = copy.deepcopy(older[-1].data)
--- a/standins/redis/keyspace.py
+++ b/standins/redis/keyspace.py
@@ -5,10 +5,9 @@
 from collections.abc import Callable
 
 from standins.redis.commands import expiry, generic, hashes, lists, sorted_sets, strings
-from standins.redis.commands.table import Command, Effect, argument_bounds, parse_integer
+from standins.redis.commands.table import Command, Effect, parse_integer
 from standins.redis.database import Database
 from standins.redis.errors import (
-    ArgumentCountError,
     GenericError,
     NoScriptError,
     OutOfMemoryError,
@@ -32,11 +31,14 @@
         self.full = False
         self.read_only = False
         self.scripts = ScriptEngine(self.call)
-        self._script_commands: dict[str, Callable[..., Reply]] = {
+        script_handlers: dict[str, Callable[..., Reply]] = {
             "SCRIPT": self._script,
             "EVAL": self._eval,
             "EVALSHA": self._eval_digest,
         }
+        self._script_commands = {
+            name: Command.from_handler(name, handler) for name, handler in script_handlers.items()
+        }
 
     def lose(self) -> None:
         """Comes back empty: data and scripts are lost."""
@@ -58,10 +60,8 @@
         script_command = self._script_commands.get(name)
         if script_command is None:
             raise UnknownCommandError(name)
-        minimum, _ = argument_bounds(script_command, leading=0)
-        if len(words) - 1 < minimum:
-            raise ArgumentCountError(name)
-        return script_command(*words[1:])
+        script_command.check_count(len(words) - 1)
+        return script_command.handler(*words[1:])
 
     def _check_writable(self, effect: Effect) -> None:
         if self.read_only and effect is not Effect.READ:
--- a/standins/redis/session.py
+++ b/standins/redis/session.py
@@ -5,9 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from standins.redis.commands.table import argument_bounds
+from standins.redis.commands.table import Command
 from standins.redis.errors import (
-    ArgumentCountError,
     CommandError,
     GenericError,
     NotAuthenticatedError,
@@ -52,7 +51,7 @@
         self._queued: list[list[bytes]] | None = None  # commands of an open transaction
         self._has_queue_error = False
         self._watched: dict[bytes, int] = {}  # versions of keys
-        self._commands: dict[str, Callable[..., Reply]] = {
+        handlers: dict[str, Callable[..., Reply]] = {
             "AUTH": self._authenticate,
             "HELLO": self._hello,
             "CLIENT": self._client,
@@ -66,6 +65,7 @@
             "UNSUBSCRIBE": self._unsubscribe,
             "PUBLISH": self._publish,
         }
+        self._commands = {name: Command.from_handler(name, handler) for name, handler in handlers.items()}
 
     def encode(self, reply: Reply) -> bytes:
         """A reply in the version of the protocol that the client chose."""
@@ -91,10 +91,8 @@
         command = self._commands.get(name)
         if command is None:
             return self._host.keyspace.call(words)
-        minimum, maximum = argument_bounds(command, leading=0)
-        if not minimum <= len(words) - 1 <= maximum:
-            raise ArgumentCountError(name)
-        return command(*words[1:])
+        command.check_count(len(words) - 1)
+        return command.handler(*words[1:])
 
     # Handshake
 
