--- a/benchmarks/branch/lease_audit.py
+++ b/benchmarks/branch/lease_audit.py
@@ -63,7 +63,7 @@
             self._record_publication(command.store, operation)
 
     def _record_publication(self, store: str, publication: messages.PublishLocation) -> None:
-        number, _, _ = publication.claim.partition(b" ")
+        number, _, _ = publication.lease.partition(b" ")
         last = self._grants.get((store, publication.name))
         if last is None or last.number != int(number):
             self._counts.old_published += 1
@@ -84,7 +84,7 @@
             if is_running and self._is_held_by_another(holder, lookup):
                 self._counts.overlaps += 1
                 self._counts.owned_twice += 1
-        expires_at = self._simulation.now + lookup.span_ms * MILLISECOND
+        expires_at = self._simulation.now + lookup.lease_duration_ms * MILLISECOND
         self._grants[key] = Grant(number, expires_at, incarnation)
 
     def _is_held_by_another(self, holder: LeaseHolder, lookup: messages.LookUp) -> bool:
--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -81,7 +81,7 @@
                     if self._dropped_bytes > MAX_LINGER_BYTES:
                         return
                 elif self._exchange is not None:
-                    self._refuse_pipelining()
+                    self._reject_pipelining()
                 else:
                     self._receive(view[:count], received_at)
 
@@ -118,13 +118,13 @@
                 self._keeps_alive = message.keeps_alive
                 self._route(message, received_at)
                 if self._exchange is not None and self._parser.buffered_size:
-                    self._refuse_pipelining()
+                    self._reject_pipelining()
             except HttpError as error:
                 self._context.log.increment(f"bad_request_{error.status}")
                 self._keeps_alive = False
                 self._send_head(error.status, ALLOW_HEADER if error.status == 405 else {})
 
-    def _refuse_pipelining(self) -> None:
+    def _reject_pipelining(self) -> None:
         """Bytes behind a request in flight are not taken up: the connection ends after its response."""
         self._context.log.increment("pipelining_rejected")
         self._keeps_alive = False
--- a/olivepost/proxy/downstream/routes.py
+++ b/olivepost/proxy/downstream/routes.py
@@ -32,7 +32,7 @@
     classes: Mapping[str, ClassSettings],
     received_at: int,
     deliver: Callable[[Exchange, Response], None],
-    is_client_gone: Callable[[], bool],
+    is_client_disconnected: Callable[[], bool],
 ) -> Exchange:
     """Makes the exchange of a request that was read completely at `received_at` (Unix nanoseconds).
 
@@ -59,7 +59,7 @@
         timeout=int(_required_field(message, "x-patience-ms", _TIMEOUT_MS)) * MILLISECOND,
         received_at=received_at,
         deliver=deliver,
-        is_client_gone=is_client_gone,
+        is_client_disconnected=is_client_disconnected,
         is_write=is_write,
         idempotency_key=_idempotency_key(message),
     )
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -54,7 +54,7 @@
     timeout: int  # nanoseconds, from `received_at`
     received_at: int  # when the last byte was read
     deliver: Callable[[Exchange, Response], None]  # hands the response to the client's connection
-    is_client_gone: Callable[[], bool]  # by its connection: no attempt begins then
+    is_client_disconnected: Callable[[], bool]  # by its connection: no attempt begins then
     is_write: bool = False  # it changes the object, at the origin
     idempotency_key: str = ""  # by which caches know a repeat, as the client gave it
     is_closed: bool = False
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -143,8 +143,8 @@
             start_before=retries.latest_start(self._state, pending),
         )
         self._state.endpoints.open_attempt(now, (cache, source), self._state.mean_work(request_class))
-        patience = outcomes.patience(self._state, pending)
-        attempt = Attempt(pending.attempt_count, cache, source, now, patience)
+        silence_timeout = outcomes.silence_timeout(self._state, pending)
+        attempt = Attempt(pending.attempt_count, cache, source, now, silence_timeout)
         pending.in_flight[attempt.number] = attempt
         pending.attempt_count += 1
         self._state.actions.append(action)
@@ -152,7 +152,7 @@
 
     def _check_later(self, pending: PendingRequest, attempt: Attempt) -> None:
         check = partial(self._check_silence, pending=pending, attempt=attempt)
-        self._set_timer(attempt.patience, check, pending)
+        self._set_timer(attempt.silence_timeout, check, pending)
 
     def _check_silence(self, now: int, pending: PendingRequest, attempt: Attempt) -> None:
         """An attempt has been in flight for long: it is left for a retry once its endpoint is ejected."""
@@ -232,7 +232,7 @@
         if pending.has_looked_up_fill:
             release = api.ReleaseLease(request_id, pending.storing_cache, pending.rank)
             self._state.actions.append(release)
-        outcomes.settle_suspicion(self._state, now, pending)
+        outcomes.confirm_fault(self._state, now, pending)
         self._timers.discard(pending.timer_ids)
         for attempt in list(pending.in_flight.values()):
             if self._settings.can_cancel_attempts:
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -14,7 +14,7 @@
 HIT_TARGET = 0.8  # h*, above what caches reach, so that θ stays long enough to tell repeats
 SIZE_TARGET = 5 * SECOND  # s*
 INITIAL_LEVEL = 0.5
-INITIAL_SHALLOW_LEVEL = 0.0
+INITIAL_FIRST_SEEN_LEVEL = 0.0
 UNRANKED, RANK_LOW, RANK_MIDDLE, RANK_TOP = range(4)  # unranked: caches keep nothing
 TOP_RANK_SHARE = 0.1  # of the live names' bytes, which span more time than caches do
 MAX_NAMES = 40_000
@@ -25,20 +25,20 @@
     return MAX_LIFETIME * levels.level
 
 
-def shallow_lifetime(levels: ClassLevels) -> float:
+def first_seen_lifetime(levels: ClassLevels) -> float:
     """θs = L·ϑ·Γ, that of a name seen once (paper, equation 5)."""
     above = max(0.0, levels.level - 1 + 1.5 * SMOOTHING_WIDTH) ** 4
     below = max(0.0, 1 - SMOOTHING_WIDTH / 2 - levels.level) ** 4
-    gamma = levels.shallow_level + (1 - levels.shallow_level) * above / (above + below)
+    gamma = levels.first_seen_level + (1 - levels.first_seen_level) * above / (above + below)
     return lifetime(levels) * gamma
 
 
 def move_levels(levels: ClassLevels, is_hit: bool, sample: float, size: float) -> None:
     """Moves both levels by one response (paper, algorithm 2)."""
     levels.mean_size += (size - levels.mean_size) * (LEVEL_STEP if levels.mean_size else 1.0)
-    shallow_step = SIZE_STEP * (size / levels.mean_size) * (SIZE_TARGET - sample) / SIZE_TARGET
+    first_seen_step = SIZE_STEP * (size / levels.mean_size) * (SIZE_TARGET - sample) / SIZE_TARGET
     levels.level = min(1.0, max(0.0, levels.level + LEVEL_STEP * (HIT_TARGET - is_hit)))
-    levels.shallow_level = min(1.0, max(0.0, levels.shallow_level + shallow_step))
+    levels.first_seen_level = min(1.0, max(0.0, levels.first_seen_level + first_seen_step))
 
 
 def rank_request(state: RoutingState, now: int, name: str, request: api.Request) -> tuple[int, int | None]:
@@ -47,8 +47,8 @@
         return UNRANKED, None
     levels = state.levels[request.class_name]
     remaining = state.names.remaining(now, name)
-    is_lifted = state.random.random() * lifetime(levels) < shallow_lifetime(levels)
-    if remaining is not None and top_has_room(state, name):
+    is_lifted = state.random.random() * lifetime(levels) < first_seen_lifetime(levels)
+    if remaining is not None and top_rank_has_capacity(state, name):
         rank = RANK_TOP
     elif remaining is not None or is_lifted:
         rank = RANK_MIDDLE
@@ -58,7 +58,7 @@
     return rank, remaining
 
 
-def top_has_room(state: RoutingState, name: str) -> bool:
+def top_rank_has_capacity(state: RoutingState, name: str) -> bool:
     """Whether the top rank, this name apart, holds under its share of bytes."""
     total = state.names.total_bytes()
     return total <= 0 or state.names.bytes_in(RANK_TOP, name) < TOP_RANK_SHARE * total
@@ -70,5 +70,5 @@
     if is_hit:
         sample = lifetime(levels) - (pending.name_remaining or 0)
     else:
-        sample = shallow_lifetime(levels) if pending.name_remaining is None else lifetime(levels)
+        sample = first_seen_lifetime(levels) if pending.name_remaining is None else lifetime(levels)
     move_levels(levels, is_hit, max(0.0, sample), pending.request.size_kb or 1.0)
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -76,10 +76,10 @@
 def transferred(state: RoutingState, now: int, key: str, part: float) -> float:
     """What transfers add to a part, or take off it; what may still be donated of an earlier process is."""
     balance = state.quotas.balance(now, key)
-    return balance if now >= _settled_at(state) else balance - DONATED_SHARE * part
+    return balance if now >= _donations_expired_at(state) else balance - DONATED_SHARE * part
 
 
-def _settled_at(state: RoutingState) -> int:
+def _donations_expired_at(state: RoutingState) -> int:
     """From when on no donation of this proxy's earlier process, which it can't know, is in use."""
     return state.endpoints.first_listed_at + MAX_TRANSFER_DURATION + state.settings.overload_window
 
@@ -101,7 +101,7 @@
 def donate(state: RoutingState, now: int, request: api.QuotaRequested, part: QuotaPart) -> api.DonateQuota:
     """Gives up what can be spared of a part."""
     amount = 0.0
-    if _settled_at(state) <= now < request.expires_at <= now + MAX_TRANSFER_DURATION:
+    if _donations_expired_at(state) <= now < request.expires_at <= now + MAX_TRANSFER_DURATION:
         donated = state.quotas.balance(now, request.key, max_amount=0.0)
         unused = part.amount + state.quotas.balance(now, request.key) - part.used
         amount = max(0.0, min(request.max_amount, DONATED_SHARE * part.amount + donated, unused))
--- a/olivepost/routing/initial_state.py
+++ b/olivepost/routing/initial_state.py
@@ -8,7 +8,7 @@
 def initial_state(settings: api.Settings, seed: int) -> RoutingState:
     """The state of a proxy that has learnt nothing yet."""
     tuning = Tuning(
-        initial_levels=ClassLevels(adaptive_ttl.INITIAL_LEVEL, adaptive_ttl.INITIAL_SHALLOW_LEVEL),
+        initial_levels=ClassLevels(adaptive_ttl.INITIAL_LEVEL, adaptive_ttl.INITIAL_FIRST_SEEN_LEVEL),
         ranks=adaptive_ttl.RANK_TOP + 1,
         max_names=adaptive_ttl.MAX_NAMES,
         max_invalidations=invalidation.MAX_INVALIDATIONS,
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -2,12 +2,12 @@
 
 from olivepost import interface as api
 from olivepost.routing import adaptive_ttl, admission, health
-from olivepost.routing_state import Attempt, PendingRequest, Role, RoutingState, Suspicion
+from olivepost.routing_state import Attempt, PendingRequest, PossibleFault, Role, RoutingState
 from olivepost.units import SECOND
 
-OBJECTIVE_PATIENCE = 0.5  # times the latency objective, and
-WORK_PATIENCE = 1.5  # times the work: an attempt in flight for longer is checked for silence,
-MIN_PATIENCE = SECOND // 100  # but not before this
+OBJECTIVE_TIMEOUT_FACTOR = 0.5  # times the latency objective, and
+WORK_TIMEOUT_FACTOR = 1.5  # times the work: in flight for longer, an attempt is checked for silence,
+MIN_SILENCE_TIMEOUT = SECOND // 100  # but not before this
 SHARE_STEP = 0.05  # of a followed share towards each sample
 INITIAL_SLOW_SHARE = 0.1
 CACHE_REJECTED = 0.2  # what each failure adds to the score of the endpoint at fault
@@ -19,11 +19,11 @@
 SOURCE_FAULTS = (api.CacheStatus.SOURCE_REJECTED, api.CacheStatus.SOURCE_DISCONNECTED)
 
 
-def patience(state: RoutingState, pending: PendingRequest) -> int:
+def silence_timeout(state: RoutingState, pending: PendingRequest) -> int:
     """How long an attempt is in flight before it is checked for silence."""
     work = state.work_of(pending.request, pending.request_class)
     objective = pending.request_class.latency_objective
-    return max(MIN_PATIENCE, int(OBJECTIVE_PATIENCE * objective + WORK_PATIENCE * work))
+    return max(MIN_SILENCE_TIMEOUT, int(OBJECTIVE_TIMEOUT_FACTOR * objective + WORK_TIMEOUT_FACTOR * work))
 
 
 def record_response(
@@ -39,7 +39,7 @@
         _record_success(state, now, attempt.source, Role.PARENT, work)
     if is_hit and not (pending.request.size_kb or outcome.is_not_modified):
         state.class_work.add(request_class.name, float(outcome.elapsed))
-    allowed = patience(state, pending)
+    allowed = silence_timeout(state, pending)
     state.slow_share.add(outcome.elapsed > allowed)
     pending.storing_cache = attempt.cache if is_hit or is_filled else ""
     if not pending.storing_cache:
@@ -72,8 +72,8 @@
 
 
 def record_silence(state: RoutingState, now: int, pending: PendingRequest, attempt: Attempt) -> bool:
-    """An attempt has outlasted its patience; whether its cache, silent all the while, is ejected now."""
-    if 2 * attempt.patience <= now - attempt.sent_at < 3 * attempt.patience:
+    """An attempt is past its silence timeout; whether its cache, silent all the while, is ejected now."""
+    if 2 * attempt.silence_timeout <= now - attempt.sent_at < 3 * attempt.silence_timeout:
         record_lateness(state, attempt.source, True)
     cache = state.endpoints.by_id.get(attempt.cache)
     if cache is None or cache.last_success_at >= attempt.sent_at:
@@ -101,9 +101,9 @@
         case api.AttemptStatus.REJECTED if outcome.cache_status is not api.CacheStatus.ORIGIN_FAILED:
             charge(state, now, pending, attempt.cache, CACHE_REJECTED)
         case api.AttemptStatus.ERROR if has_answered:
-            _suspect(state, pending, attempt, Suspicion(attempt.source, FILL_FAILED))
+            _add_fault(state, pending, attempt, PossibleFault(attempt.source, FILL_FAILED))
         case api.AttemptStatus.ERROR:
-            _suspect(state, pending, attempt, Suspicion(attempt.cache, ATTEMPT_FAILED))
+            _add_fault(state, pending, attempt, PossibleFault(attempt.cache, ATTEMPT_FAILED))
         # One connection's end is one piece of evidence, however many attempts were on it.
         case api.AttemptStatus.TIMED_OUT if has_answered:
             charge(state, now, pending, attempt.source, 0.0 if outcome.is_repeated_loss else FILL_FAILED)
@@ -124,27 +124,27 @@
         state.actions.append(api.ReportOutlier(endpoint_id))
 
 
-def _suspect(state: RoutingState, pending: PendingRequest, attempt: Attempt, suspicion: Suspicion) -> None:
+def _add_fault(state: RoutingState, pending: PendingRequest, attempt: Attempt, fault: PossibleFault) -> None:
     """An error may be the request's own fault: a second endpoint's word decides, and ends the request.
 
     While most errors are such, a new name gets no second attempt.
     """
-    pending.avoided.add(suspicion.endpoint_id)
+    pending.avoided.add(fault.endpoint_id)
     if attempt.cache != pending.missed_cache:
         pending.avoided.add(attempt.cache)
-    is_over = pending.suspicion is not None
+    is_over = pending.possible_fault is not None
     if is_over:
         state.request_fault_share.add(1.0)
     elif pending.name_remaining is None:
         is_over = state.random.random() < state.request_fault_share.value
-    pending.suspicion = None if is_over else suspicion
+    pending.possible_fault = None if is_over else fault
     if is_over:
         pending.attempt_count = state.settings.max_attempts
 
 
-def settle_suspicion(state: RoutingState, now: int, pending: PendingRequest) -> None:
+def confirm_fault(state: RoutingState, now: int, pending: PendingRequest) -> None:
     """The request is over and no second endpoint failed it: its one error counts."""
-    if pending.suspicion is not None:
-        weight = pending.suspicion.weight * (1 - state.request_fault_share.value)
-        charge(state, now, pending, pending.suspicion.endpoint_id, weight)
+    if pending.possible_fault is not None:
+        weight = pending.possible_fault.weight * (1 - state.request_fault_share.value)
+        charge(state, now, pending, pending.possible_fault.endpoint_id, weight)
         state.request_fault_share.add(0.0)
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -36,7 +36,7 @@
 
 def cost_of(pending: PendingRequest, outcome: api.AttemptOutcome) -> int:
     """What a retry draws on the budget: a connection's end pays once, a second word on an error nothing."""
-    return 0 if outcome.is_repeated_loss or pending.suspicion is not None else 1
+    return 0 if outcome.is_repeated_loss or pending.possible_fault is not None else 1
 
 
 def allows_attempt(state: RoutingState, now: int, pending: PendingRequest, target: str, cost: int) -> bool:
--- a/olivepost/routing_state/__init__.py
+++ b/olivepost/routing_state/__init__.py
@@ -11,7 +11,7 @@
     ExecutedAttempt,
     HintWait,
     PendingRequest,
-    Suspicion,
+    PossibleFault,
 )
 from olivepost.routing_state.quota_ledger import QuotaLedger, QuotaPart, QuotaTransfer
 from olivepost.routing_state.routing_state import RoutingState, Tuning
@@ -33,13 +33,13 @@
     "NameEntry",
     "OverloadLevel",
     "PendingRequest",
+    "PossibleFault",
     "QuotaLedger",
     "QuotaPart",
     "QuotaTransfer",
     "Role",
     "RoutingState",
     "SlidingWindowSum",
-    "Suspicion",
     "TimerCallback",
     "TimerTable",
     "Tuning",
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -37,8 +37,8 @@
         """Takes a list, whole or changed. What drains is no longer ready, what is removed is forgotten."""
         self.first_listed_at = self.first_listed_at or now
         before = self.by_id
-        is_whole = update.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.RESTORED)
-        self.by_id = {} if is_whole else dict(before)
+        is_complete = update.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.RESTORED)
+        self.by_id = {} if is_complete else dict(before)
         for metadata in update.endpoints:
             self.by_id.pop(metadata.id, None)
             role = role_of(settings, metadata)
--- a/olivepost/routing_state/levels.py
+++ b/olivepost/routing_state/levels.py
@@ -10,7 +10,7 @@
     """ϑ and ϑs of f-TTL, and the mean size of what was asked for."""
 
     level: float
-    shallow_level: float
+    first_seen_level: float
     mean_size: float = 0.0
 
 
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -15,7 +15,7 @@
     cache: str
     source: str
     sent_at: int
-    patience: int = 0  # after so long without a response it is checked for silence, again and again
+    silence_timeout: int = 0  # after so long without a response it is checked for silence, again and again
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicion:
+class PossibleFault:
     """Whom a request's only error so far is charged to, unless a second endpoint fails it too."""
 
     endpoint_id: str
@@ -56,7 +56,7 @@
     attempt_count: int = 0
     is_response_started: bool = False
     missed_cache: str = ""  # the cache that was found to lack the object
-    suspicion: Suspicion | None = None
+    possible_fault: PossibleFault | None = None
     timer_ids: list[int] = field(default_factory=list)
     avoided: set[str] = field(default_factory=set)  # endpoints that failed this request
     executed: list[ExecutedAttempt] = field(default_factory=list)
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -72,7 +72,7 @@
         # The time that sending a response of a class takes, and the work that a mean warm endpoint does.
         self.class_work = MovingAverages(tuning.work_step)
         self.warm_rates = {role: DecayingRate(tuning.rate_memory) for role in LISTED_ROLES}
-        # Of good responses lately, those that outlasted their patience.
+        # Of good responses lately, those that outlasted their silence timeout.
         self.slow_share = MovingAverage(tuning.share_step, tuning.initial_slow_share)
         # Of errors lately, those that a second endpoint confirmed.
         self.request_fault_share = MovingAverage(tuning.share_step, 0.0)
--- a/olivepost/shared_store/endpoints.py
+++ b/olivepost/shared_store/endpoints.py
@@ -39,7 +39,7 @@
             return False
         return endpoint.state is api.EndpointState.READY and endpoint.started_at == started_at
 
-    def is_gone(self, endpoint_id: str, started_at: int) -> bool:
+    def is_removed(self, endpoint_id: str, started_at: int) -> bool:
         """Whether an endpoint is no longer listed, or has restarted since a record named it."""
         endpoint = self._by_id.get(endpoint_id)
         return endpoint is None or endpoint.started_at > started_at
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -206,7 +206,7 @@
         """Whether no proxy can use a location: invalidated, or of a cache that restarted or is gone."""
         if location.generated_at_ms <= self._invalidations.last_ms(lookup.object, lookup.group):
             return True
-        return self._context.endpoints.is_gone(location.cache, location.cache_started_at)
+        return self._context.endpoints.is_removed(location.cache, location.cache_started_at)
 
     def _acquire(self, now: int, lookup: PendingLookup, operation: LookUp, fencing_number: int) -> None:
         """The lease is this proxy's, unless a later one of the name is known."""
@@ -220,7 +220,7 @@
             fencing_number,
             request.cache,
             lookup.sent_at,
-            lookup.sent_at + operation.span_ms * MILLISECOND,
+            lookup.sent_at + operation.lease_duration_ms * MILLISECOND,
         )
         if not self._leases.add(lease):
             self._context.counts["leases_fenced"] += 1
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -22,42 +22,42 @@
 class SyncOperation:
     """The periodic exchange: a heartbeat, this proxy's requests and reports, what is new of all others.
 
-    `needs` are quota requests, each a field and its record; `suspects` are the ids of endpoints that this
-    proxy has ejected; `after` is the number of the last invalidation read.
+    `quota_requests` are fields with their records; `outliers` are the ids of endpoints that this proxy has
+    ejected; `last_invalidation` is the number of the last invalidation read.
     """
 
     generation: int
     serial: int
-    after: int
-    needs: tuple[tuple[str, bytes], ...] = ()
-    suspects: tuple[str, ...] = ()
+    last_invalidation: int
+    quota_requests: tuple[tuple[str, bytes], ...] = ()
+    outliers: tuple[str, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class LookUp:
     """Which cache has or fills a name.
 
-    With `record`, the fill lease is acquired for `span_ms` where no other proxy holds it. `purges` are the
-    keys of invalidations that concern the name.
+    With `record`, the fill lease is acquired for `lease_duration_ms` where no other proxy holds it.
+    `invalidation_keys` are those of invalidations that concern the name.
     """
 
     generation: int
     name: str
-    purges: tuple[str, ...]
+    invalidation_keys: tuple[str, ...]
     record: bytes = b""
-    span_ms: int = 0
+    lease_duration_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class PublishLocation:
-    """Releases the fill lease `claim` if it is the current one.
+    """Releases the fill lease `lease` if it is the current one.
 
     With `record`, the name's cache location is published too, and kept for `keep_ms`.
     """
 
     generation: int
     name: str
-    claim: bytes
+    lease: bytes
     record: bytes = b""
     at_ms: int = 0
     keep_ms: int = 0
@@ -78,30 +78,30 @@
     """Publishes invalidations; of each key the latest counts."""
 
     generation: int
-    purges: InvalidationChunk
+    rows: InvalidationChunk
 
 
 @dataclass(frozen=True, slots=True)
 class GrantQuota:
-    """Hands a quota grant over to the proxy process `to`, whole or not at all.
+    """Hands a quota grant over to the proxy process `recipient`, whole or not at all.
 
-    `need` is the field of the request, `nonce` the one that it must still have.
+    `request_field` is the field of the request, `nonce` the one that it must still have.
     """
 
     generation: int
-    need: str
+    request_field: str
     nonce: str
-    to: str
+    recipient: str
     amount: float
     record: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class AdvanceGeneration:
-    """Sets a generation above `least`, if the store is still at `expected` (0: it has none)."""
+    """Sets a generation above `minimum`, if the store is still at `expected` (0: it has none)."""
 
     expected: int
-    least: int
+    minimum: int
 
 
 StoreOperation = (
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -25,19 +25,19 @@
 ROW_LENGTH = 3  # field, Unix millisecond, record
 
 
-class StandingRequest(NamedTuple):
+class RequestedQuota(NamedTuple):
     """A request of some proxy as the store has it; the one that stands there longest comes first."""
 
     since_ms: int
     field: str
     request: QuotaRequest
 
-    def precedes(self, other: StandingRequest) -> bool:
+    def precedes(self, other: RequestedQuota) -> bool:
         """Whether this one is answered rather than the other."""
         return (self.since_ms, self.field) <= (other.since_ms, other.field)
 
 
-def parse_standing_request(row: object) -> StandingRequest:
+def parse_requested_quota(row: object) -> RequestedQuota:
     """Returns the request in a row of a sync's reply; raises `RecordError` where it is malformed."""
     if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[0], bytes):
         raise RecordError("a quota request of another form", "field, Unix millisecond and record")
@@ -46,7 +46,7 @@
     request = decode_record(QuotaRequest, row[2])
     if field != f"{request.incarnation}|{request.key}":
         raise RecordError("a quota request in another proxy's field")
-    return StandingRequest(since_ms, field, request)
+    return RequestedQuota(since_ms, field, request)
 
 
 class QuotaExchange:
@@ -79,13 +79,13 @@
 
     def receive_requests(self, now: int, store: StoreHealth, rows: Sequence[object]) -> None:
         """Answers, of each quota, the request that stands longest, so that all donate to the same proxy."""
-        oldest: dict[str, StandingRequest] = {}
+        oldest: dict[str, RequestedQuota] = {}
         for row in rows:
             self._malformed.skip_errors(_keep_oldest, oldest, row)
-        for standing in oldest.values():
+        for requested in oldest.values():
             transfer_id = self._context.next_ticket()
-            request = standing.request
-            donation = self._transfers.offer(now, transfer_id, standing.field, request)
+            request = requested.request
+            donation = self._transfers.offer(now, transfer_id, requested.field, request)
             if donation is not None:
                 self._donating[transfer_id] = store
                 self._context.notify_router(
@@ -135,9 +135,9 @@
         self._context.notify_router(api.QuotaReceived(grant.key, amount, expires_at))
 
 
-def _keep_oldest(oldest: dict[str, StandingRequest], row: object) -> None:
+def _keep_oldest(oldest: dict[str, RequestedQuota], row: object) -> None:
     """Enters a row's request where no older one of its quota is known."""
-    standing = parse_standing_request(row)
-    known = oldest.get(standing.request.key)
-    if known is None or standing.precedes(known):
-        oldest[standing.request.key] = standing
+    requested = parse_requested_quota(row)
+    known = oldest.get(requested.request.key)
+    if known is None or requested.precedes(known):
+        oldest[requested.request.key] = requested
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -55,33 +55,41 @@
     """Returns the call for an operation of a process, on the keys under a prefix."""
     key = f"{prefix}:generation"
     if isinstance(operation, messages.AdvanceGeneration):
-        return ScriptCall(ScriptName.ADVANCE_GENERATION, key, (operation.expected, operation.least))
+        return ScriptCall(ScriptName.ADVANCE_GENERATION, key, (operation.expected, operation.minimum))
     common = (operation.generation, prefix, process)
     match operation:
         case messages.SyncOperation():
             return ScriptCall(ScriptName.SYNC, key, (*common, *_sync_arguments(operation)))
         case messages.LookUp():
-            lease = (operation.span_ms, operation.record)
-            return ScriptCall(ScriptName.LOOK_UP, key, (*common, operation.name, *lease, *operation.purges))
+            lease = (operation.lease_duration_ms, operation.record)
+            return ScriptCall(
+                ScriptName.LOOK_UP, key, (*common, operation.name, *lease, *operation.invalidation_keys)
+            )
         case messages.PublishLocation():
-            held = (operation.name, operation.claim)
+            held = (operation.name, operation.lease)
             location = (operation.record, operation.at_ms, operation.keep_ms)
             return ScriptCall(ScriptName.RELEASE_LEASE, key, (*common, *held, *location))
         case messages.ReportStaleLocation():
             report = (operation.name, operation.record, operation.times)
             return ScriptCall(ScriptName.REPORT_STALE, key, (*common, *report))
         case messages.PublishInvalidations():
-            pairs: list[Argument] = [part for pair in operation.purges for part in pair]
+            pairs: list[Argument] = [part for pair in operation.rows for part in pair]
             return ScriptCall(ScriptName.INVALIDATE, key, (*common, *pairs))
         case messages.GrantQuota():
-            request = (operation.need, operation.nonce, operation.to)
+            request = (operation.request_field, operation.nonce, operation.recipient)
             grant = (repr(operation.amount), operation.record)
             return ScriptCall(ScriptName.GRANT_QUOTA, key, (*common, *request, *grant))
 
 
 def _sync_arguments(operation: messages.SyncOperation) -> tuple[Argument, ...]:
-    requests: list[Argument] = [part for request in operation.needs for part in request]
-    return (operation.serial, operation.after, len(operation.needs), *requests, *operation.suspects)
+    requests: list[Argument] = [part for request in operation.quota_requests for part in request]
+    return (
+        operation.serial,
+        operation.last_invalidation,
+        len(operation.quota_requests),
+        *requests,
+        *operation.outliers,
+    )
 
 
 def read_reply(ticket: int, reply: object) -> messages.StoreReply | messages.ReplyLost:
--- a/tests/proxy/test_upstream_rules.py
+++ b/tests/proxy/test_upstream_rules.py
@@ -48,7 +48,7 @@
         timeout=SECOND,
         received_at=START,
         deliver=lambda exchange, response: None,
-        is_client_gone=lambda: False,
+        is_client_disconnected=lambda: False,
         idempotency_key=idempotency_key,
     )
 
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -11,8 +11,8 @@
 from tests.helpers import SECOND, Front, fetches, make_settings
 
 
-def levels(level: float, shallow_level: float) -> ClassLevels:
-    return ClassLevels(level, shallow_level)
+def levels(level: float, first_seen_level: float) -> ClassLevels:
+    return ClassLevels(level, first_seen_level)
 
 
 def test_lifetime_is_the_longest_times_the_level() -> None:
@@ -30,11 +30,11 @@
     ],
 )
 def test_threshold_function(deep: float, gamma: float) -> None:
-    assert adaptive_ttl.shallow_lifetime(levels(deep, 0.4)) == pytest.approx(MAX_LIFETIME * deep * gamma)
+    assert adaptive_ttl.first_seen_lifetime(levels(deep, 0.4)) == pytest.approx(MAX_LIFETIME * deep * gamma)
 
 
 def test_zero_level_gives_zero_lifetimes() -> None:
-    assert adaptive_ttl.shallow_lifetime(levels(0.0, 1.0)) == 0.0
+    assert adaptive_ttl.first_seen_lifetime(levels(0.0, 1.0)) == 0.0
 
 
 def test_a_hit_lowers_and_a_miss_raises_the_level() -> None:
@@ -43,21 +43,21 @@
     assert made.level == pytest.approx(0.5 + 0.01 * (0.8 - 1))
     adaptive_ttl.move_levels(made, False, 5 * SECOND, 1.0)
     assert made.level == pytest.approx(0.5 + 0.01 * (0.8 - 1) + 0.01 * 0.8)
-    assert made.shallow_level == pytest.approx(0.5)  # samples on target move nothing
+    assert made.first_seen_level == pytest.approx(0.5)  # samples on target move nothing
 
 
 def test_size_samples_move_the_shallow_level_by_weight() -> None:
     made = levels(0.5, 0.5)
     adaptive_ttl.move_levels(made, False, 10 * SECOND, 4.0)  # the first size is the mean: weight 1
-    assert made.shallow_level == pytest.approx(0.5 - 0.0001)
+    assert made.first_seen_level == pytest.approx(0.5 - 0.0001)
     adaptive_ttl.move_levels(made, False, 0.0, 8.0)  # mean becomes 4.04
-    assert made.shallow_level == pytest.approx(0.5 - 0.0001 + 0.0001 * 8 / 4.04)
+    assert made.first_seen_level == pytest.approx(0.5 - 0.0001 + 0.0001 * 8 / 4.04)
 
 
 def test_levels_stay_within_bounds() -> None:
     made = levels(1.0, 0.0)
     adaptive_ttl.move_levels(made, False, 60 * SECOND, 1.0)
-    assert (made.level, made.shallow_level) == (1.0, 0.0)
+    assert (made.level, made.first_seen_level) == (1.0, 0.0)
 
 
 def test_name_timers_end_and_are_reset() -> None:
@@ -88,15 +88,15 @@
 def test_top_rank_is_bounded_by_its_share_of_bytes() -> None:
     router = Front(make_settings()).router
     router.state.names.put("big", NameEntry(10, RANK_LOW, 89.0))
-    assert adaptive_ttl.top_has_room(router.state, "new")
+    assert adaptive_ttl.top_rank_has_capacity(router.state, "new")
     router.state.names.put("one", NameEntry(10, RANK_TOP, 11.0))
-    assert not adaptive_ttl.top_has_room(router.state, "new")  # 11 of 100 is over a share of 0.1
-    assert adaptive_ttl.top_has_room(router.state, "one")  # its own bytes do not stand against it
+    assert not adaptive_ttl.top_rank_has_capacity(router.state, "new")  # 11 of 100 is over a share of 0.1
+    assert adaptive_ttl.top_rank_has_capacity(router.state, "one")  # its own bytes do not stand against it
 
 
 def test_new_names_low_without_levels_and_repeats_top() -> None:
     front = Front(make_settings())
-    front.router.state.levels["image"].shallow_level = 0.0
+    front.router.state.levels["image"].first_seen_level = 0.0
     ranks = [fetches(front.ask(str(i), f"n{i}"))[0].rank for i in range(5)]
     assert ranks == [RANK_LOW] * 5  # θs = 0: never lifted; and never unkept
     assert fetches(front.ask("again", "n1"))[0].rank == RANK_TOP
@@ -110,7 +110,7 @@
 
 def test_lapsed_name_ranks_anew() -> None:
     front = Front(make_settings())
-    front.router.state.levels["image"].shallow_level = 0.0
+    front.router.state.levels["image"].first_seen_level = 0.0
     front.ask("1")
     front.wait(61 * SECOND)
     assert fetches(front.ask("2"))[0].rank == RANK_LOW
