--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(("fronts", "restarts"), [(4, 0), (4, 1), (4, 8), (250, 0), (250, 25)])
-def test_all_fronts_together_keep_a_cold_members_budget(fronts: int, restarts: int) -> None:
+def test_all_proxies_together_stay_within_a_cold_endpoints_budget(fronts: int, restarts: int) -> None:
     """Rule 4 over every window, also with fronts that forget what they sent."""
     sent = total_work(fronts, restarts)
     assert sent["a:1"]
@@ -147,7 +147,7 @@
     ("caches", "load", "restarts", "late"),
     [(4, 0.7, 0.0, 0.0), (4, 1.0, 0.5, 0.0), (2, 2.0, 0.0, 1.0), (3, 1.5, 1.0, 1.0)],
 )
-def test_the_fleet_keeps_a_cold_cache_over_every_window(
+def test_fleet_stays_within_a_cold_caches_budget_in_every_window(
     fronts: int, caches: int, load: float, restarts: float, late: float
 ) -> None:
     """Rule 4 for the sum of all fronts: N requests of mean work, and only 2 * sqrt(N) + 2 for chance.
@@ -189,7 +189,7 @@
 
 
 @pytest.mark.parametrize("elsewhere", [0, 400])
-def test_placement_work_does_not_grow_with_members_of_other_locations(
+def test_hashing_cost_does_not_grow_with_endpoints_of_other_zones(
     elsewhere: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     hashed: list[bytes] = []
@@ -213,14 +213,14 @@
     assert len(hashed) == 5
 
 
-def test_list_that_repeats_and_reorders_lines_names_each_member_once() -> None:
+def test_repeated_and_reordered_endpoint_list_names_each_endpoint_once() -> None:
     front, other = Front(make_settings(), (*FLEET, *reversed(FLEET))), Front(make_settings())
     for i in range(20):
         one, two = (fetches(f.fill(str(i), f"n{i}"))[0] for f in (front, other))
         assert (one.cache, one.source) == (two.cache, two.source)
 
 
-def test_stored_list_of_a_fleet_that_was_wholly_replaced() -> None:
+def test_restored_list_of_a_replaced_fleet_is_survived() -> None:
     """Every stored member refuses connections: answers come at once, then the new list is used."""
     front = Front(make_settings(allows_direct_forwarding=False))
     for i in range(30):
@@ -238,7 +238,7 @@
     assert {f.cache for f in fetches(front.ask("x", "y"))} <= {"new:1"}
 
 
-def test_one_cache_that_all_parents_have_left_fills_from_the_origin() -> None:
+def test_cache_without_parents_fills_from_the_origin() -> None:
     gone = tuple(dataclasses.replace(m, state=api.EndpointState.REMOVED) for m in FLEET if m.kind == "parent")
     front = Front(make_settings())
     front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -60,7 +60,7 @@
     assert (made.level, made.first_seen_level) == (1.0, 0.0)
 
 
-def test_name_timers_end_and_are_reset() -> None:
+def test_names_expire_and_are_renewed() -> None:
     table = ExpiringNameTable(MAX_NAMES, RANK_TOP + 1)
     table.put("a", NameEntry(10, RANK_LOW, 1.0))
     assert table.remaining(4, "a") == 6
@@ -69,7 +69,7 @@
     assert table.remaining(20, "a") is None
 
 
-def test_full_table_drops_the_earliest_ending() -> None:
+def test_full_name_table_evicts_the_earliest_expiry() -> None:
     table = ExpiringNameTable(2, RANK_TOP + 1)
     for name, end in (("a", 30), ("b", 10), ("c", 20)):
         table.put(name, NameEntry(end, RANK_LOW, 1.0))
@@ -94,7 +94,7 @@
     assert adaptive_ttl.top_rank_has_capacity(router.state, "one")  # its own bytes do not stand against it
 
 
-def test_new_names_low_without_levels_and_repeats_top() -> None:
+def test_new_names_rank_low_at_level_zero_and_repeats_rank_top() -> None:
     front = Front(make_settings())
     front.router.state.levels["image"].first_seen_level = 0.0
     ranks = [fetches(front.ask(str(i), f"n{i}"))[0].rank for i in range(5)]
@@ -102,13 +102,13 @@
     assert fetches(front.ask("again", "n1"))[0].rank == RANK_TOP
 
 
-def test_new_names_middle_at_the_ceiling() -> None:
+def test_new_names_rank_middle_at_the_level_ceiling() -> None:
     front = Front(make_settings())
     front.router.state.levels["image"].level = 1.0
     assert fetches(front.ask("1"))[0].rank == RANK_MIDDLE
 
 
-def test_lapsed_name_ranks_anew() -> None:
+def test_expired_name_ranks_as_new() -> None:
     front = Front(make_settings())
     front.router.state.levels["image"].first_seen_level = 0.0
     front.ask("1")
@@ -116,7 +116,7 @@
     assert fetches(front.ask("2"))[0].rank == RANK_LOW
 
 
-def test_placement_is_stable_and_moves_little() -> None:
+def test_rendezvous_order_moves_few_names_when_an_endpoint_leaves() -> None:
     names = [f"n{i}" for i in range(400)]
     firsts = {name: rendezvous_order(name, ("a", "b", "c"))[0] for name in names}
     assert all(count > 90 for count in map(list(firsts.values()).count, "abc"))
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -27,7 +27,7 @@
 OK, Status, Note = api.AttemptStatus.OK, api.AttemptStatus, api.CacheStatus
 
 
-def test_request_goes_to_its_place_with_its_parent_as_source() -> None:
+def test_request_goes_to_its_home_cache_with_its_home_parent_as_source() -> None:
     front = Front(make_settings())
     look = fetches(front.ask("0"))[0]
     first, second = fetches(front.end("0", 0, Status.NOT_CACHED))[0], fetches(front.fill("1"))[0]
@@ -38,7 +38,7 @@
     assert first.collapse_fills
 
 
-def test_parts_are_placed_by_themselves() -> None:
+def test_parts_of_an_object_are_hashed_apart() -> None:
     front = Front(make_settings())
     homes = {fetches(front.ask(str(i), "film", part=i))[0].cache for i in range(12)}
     assert len(homes) == 3
@@ -49,32 +49,32 @@
     assert fetches(front.fill("1"))[0].source == "origin:1"
 
 
-def test_without_parents_and_origin_the_cache_fills_nothing() -> None:
+def test_without_parents_and_origin_the_cache_gets_no_source() -> None:
     front = Front(make_settings(), (cache("a:1"),))
     fetch = fetches(front.ask("1"))[0]
     assert fetch.source == fetch.cache == "a:1"
 
 
-def test_empty_list_is_refused_at_once_with_advice() -> None:
+def test_empty_endpoint_list_rejects_at_once_with_retry_after() -> None:
     front = Front(make_settings(), ())
     (rejection,) = finals(front.ask("1"))
     assert isinstance(rejection, api.Reject)
     assert 0 < rejection.retry_after <= SECOND
 
 
-def test_no_cache_goes_straight_to_a_parent_only_where_allowed() -> None:
+def test_without_caches_a_parent_is_asked_directly_only_where_allowed() -> None:
     members = (parent("p:1"), ORIGIN)
     straight = fetches(Front(make_settings(), members).ask("1"))[0]
     assert (straight.cache, straight.source) == ("p:1", "origin:1")
     assert finals(Front(make_settings(allows_direct_forwarding=False), members).ask("1"))
 
 
-def test_uncacheable_class_keeps_nothing() -> None:
+def test_uncacheable_class_is_not_cached() -> None:
     front = Front(make_settings(make_class(is_uncacheable=True)))
     assert fetches(front.ask("1"))[0].rank == 0
 
 
-def test_backstop_answers_before_the_deadline() -> None:
+def test_deadline_timer_responds_before_the_deadline() -> None:
     front = Front(make_settings(can_cancel_attempts=False))
     front.ask("1", timeout=SECOND)
     assert not finals(front.wait(SECOND - 3 * MS))
@@ -83,7 +83,7 @@
     assert not front.wait(10 * SECOND)
 
 
-def test_begun_stream_has_no_deadline() -> None:
+def test_started_stream_has_no_deadline() -> None:
     front = Front(make_settings(make_class(is_streaming=True)))
     front.ask("1")
     front.do(api.ResponseStarted("1", 0))
@@ -91,14 +91,14 @@
     assert not fetches(front.end("1", 0, Status.CONNECTION_LOST, is_final=True))
 
 
-def test_client_left_cancels_what_is_out() -> None:
+def test_disconnected_client_cancels_attempts_in_flight() -> None:
     front = Front(make_settings())
     front.ask("1")
     assert front.do(api.ClientDisconnected("1")) == [api.CancelAttempt("1", 0)]
     assert front.do(api.ClientDisconnected("1")) == []
 
 
-def test_failing_cache_is_left_then_tried_once() -> None:
+def test_failing_cache_is_ejected_then_gets_one_trial() -> None:
     """Guards against a member that answers everything with errors."""
     front = Front(make_settings())
     home = fetches(front.ask("0"))[0].cache
@@ -116,7 +116,7 @@
     assert fetches(front.ask("5"))[0].cache == home
 
 
-def test_silent_cache_is_left_before_the_deadline() -> None:
+def test_silent_cache_is_abandoned_before_the_deadline() -> None:
     """Guards against members that say nothing while others answer."""
     front = Front(make_settings())
     home = fetches(front.ask("1"))[0].cache
@@ -125,7 +125,7 @@
     assert fetches(actions)[0].cache != home
 
 
-def test_slow_answer_of_a_member_that_answers_others_is_waited_for() -> None:
+def test_slow_response_of_an_endpoint_that_serves_others_is_waited_for() -> None:
     front = Front(make_settings())
     home = fetches(front.ask("1"))[0].cache
     front.wait(MS)
@@ -134,7 +134,7 @@
     assert api.CancelAttempt("1", 0) not in front.wait(500 * MS)
 
 
-def test_refused_fill_blames_the_source_where_told() -> None:
+def test_rejected_fill_is_charged_to_the_source_where_causes_are_reported() -> None:
     front = Front(make_settings(reports_failure_causes=True))
     first = fetches(front.fill("1"))[0]
     again = fetches(front.end("1", 1, Status.REJECTED, cache_status=Note.SOURCE_DISCONNECTED))[0]
@@ -142,7 +142,7 @@
     assert again.source != first.source
 
 
-def test_late_error_of_a_cache_that_answers_others_is_its_sources() -> None:
+def test_late_error_of_a_cache_that_serves_others_is_charged_to_its_source() -> None:
     """Incident ic4de60: fills that broke off after seconds had caches suspended that were well."""
     front = Front(make_settings())
     first = fetches(front.fill("1"))[0]
@@ -151,7 +151,7 @@
     assert again.source != first.source
 
 
-def test_retry_budget_ends_in_an_answer_at_once() -> None:
+def test_exhausted_retry_budget_responds_at_once() -> None:
     """Guards against trouble that feeds itself with further attempts."""
     front = Front(make_settings())
     sent = 0
@@ -166,7 +166,7 @@
     assert sent < 60 + 10 + 0.2 * 60 + 1
 
 
-def test_errors_that_follow_a_request_speak_of_the_request() -> None:
+def test_errors_of_two_endpoints_are_charged_to_the_request() -> None:
     """Requests for objects that nobody knows had good caches suspended and ate the retry budget."""
     front = Front(make_settings())
     for index in range(40):
@@ -183,7 +183,7 @@
     assert front.router.state.retry_balance == MAX_RETRIES
 
 
-def test_while_most_errors_are_the_requests_own_a_new_names_is_not_asked_about() -> None:
+def test_new_name_gets_no_second_attempt_while_most_errors_are_the_requests_own() -> None:
     front = Front(make_settings())
     sent = 0
     for index in range(300):
@@ -200,7 +200,7 @@
     assert fetches(front.end("again", 0, Status.ERROR))
 
 
-def test_an_error_that_a_second_member_does_not_share_blames_the_first() -> None:
+def test_error_that_a_second_endpoint_does_not_share_is_charged_to_the_first() -> None:
     front = Front(make_settings())
     home = fetches(front.ask("1"))[0].cache
     front.end("1", 0, Status.ERROR)
@@ -209,7 +209,7 @@
     assert front.router.state.endpoints.by_id[home].failure_score == 0.5
 
 
-def test_one_links_end_is_one_piece_of_evidence() -> None:
+def test_one_connections_end_is_one_failure() -> None:
     """A reset with many attempts on it had a good member suspended, and the retry budget spent."""
     front = Front(make_settings())
     homes = {held: fetches(front.ask(held, "x"))[0].cache for held in map(str, range(6))}
@@ -226,7 +226,7 @@
     assert front.router.state.retry_balance == saved - 1
 
 
-def test_what_was_out_before_a_suspension_does_not_lengthen_it() -> None:
+def test_attempts_older_than_an_ejection_do_not_lengthen_it() -> None:
     front = Front(make_settings())
     home = fetches(front.ask("0", "x"))[0].cache
     for held in "12345":
@@ -236,7 +236,7 @@
     assert front.router.state.endpoints.by_id[home].ejected_until == front.now + SECOND
 
 
-def test_an_answer_without_bytes_is_no_sending_time() -> None:
+def test_response_without_bytes_is_no_transfer_time() -> None:
     """Answers VALID, 8 % of all, had shortened the sending times that cold budgets go by."""
     front = Front(make_settings())
     for index, bare in enumerate((True, False)):
@@ -245,7 +245,7 @@
         assert ("image" in front.router.state.class_work) is not bare
 
 
-def test_a_request_that_is_over_leaves_no_timer_behind() -> None:
+def test_finished_request_leaves_no_timer() -> None:
     front = Front(make_settings())
     for index in range(50):
         front.fill(str(index), f"n{index}")
@@ -254,14 +254,14 @@
     assert front.router.requests.pending == {}
 
 
-def test_patience_beyond_the_deadline_is_the_deadlines() -> None:
+def test_timeout_beyond_the_deadline_is_cut_to_it() -> None:
     front = Front(make_settings())
     front.ask("1", timeout=10**18)
     assert finals(front.wait(3 * SECOND))
     assert front.router.requests.pending == {}
 
 
-def test_unsafe_request_is_never_sent_twice_nor_refused_once_it_may_have_run() -> None:
+def test_non_idempotent_request_is_never_sent_twice_nor_rejected_once_executed() -> None:
     spec = make_class(idempotency=api.Idempotency.NOT_IDEMPOTENT)
     front = Front(make_settings(spec))
     front.ask("1")
@@ -272,7 +272,7 @@
     assert not fetches(front.wait(2 * SECOND))  # a silent one is waited for
 
 
-def test_keyed_request_stays_in_its_group_and_window() -> None:
+def test_request_with_key_stays_in_its_deduplication_scope_and_window() -> None:
     spec = make_class(idempotency=api.Idempotency.WITH_KEY, deduplication_scope=api.DeduplicationScope.CELL)
     fleet = (cache("a:1", cell=1), cache("b:1", cell=2), cache("c:1", cell=1), parent("p:1"), ORIGIN)
     front = Front(make_settings(spec), fleet)
@@ -287,7 +287,7 @@
 
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
-def test_told_draining_or_gone_is_neither_cache_nor_source(state: api.EndpointState) -> None:
+def test_draining_or_removed_endpoint_is_neither_cache_nor_source(state: api.EndpointState) -> None:
     front = Front(make_settings())
     fetch = fetches(front.ask("1"))[0]
     changed = (cache(fetch.cache, state), parent(fetch.source, state))
@@ -298,7 +298,7 @@
             assert fetch.source != sent.source
 
 
-def test_member_missing_from_a_full_list_is_gone() -> None:
+def test_endpoint_missing_from_a_full_list_is_removed() -> None:
     front = Front(make_settings())
     front.do(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (cache("a:1"), ORIGIN)))
     assert {(f.cache, f.source) for i in range(9) for f in fetches(front.fill(str(i), f"n{i}"))} == {
@@ -306,7 +306,7 @@
     }
 
 
-def test_failed_subscription_is_asked_for_again() -> None:
+def test_failed_subscription_is_retried() -> None:
     settings = make_settings(subscribes_to_endpoints=True)
     router = Router(settings, 1)
     timer = router.handle(START, api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, FLEET))[0]
@@ -318,7 +318,7 @@
     assert 0 < again.delay < settings.subscription_timeout
 
 
-def test_cold_cache_gets_no_more_than_its_budget(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_cold_cache_gets_no_more_than_its_slow_start_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     """Budget by hand: 2.0 x 0.2 x 2 transfers x 2 s = 1.6 s of work; each request is 0.05 s."""
     monkeypatch.setattr("olivepost.routing.admission.LEVEL_CEILING", 0.0)
     front = Front(
@@ -330,7 +330,7 @@
     assert not fetches(front.ask("next"))  # the window has not passed
 
 
-def test_cold_parent_gets_no_more_than_its_budget() -> None:
+def test_cold_parent_gets_no_more_than_its_slow_start_budget() -> None:
     """Budget by hand: 2.0 x 0.1 x 2 transfers x 2 s = 0.8 s of work; each request is 0.05 s."""
     members = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
     front = Front(make_settings(), members)
@@ -339,7 +339,7 @@
     assert sources.count("origin:1") == 4
 
 
-def test_a_look_costs_a_cold_parent_nothing_and_a_cold_cache_is_not_looked_at() -> None:
+def test_cache_only_attempt_is_not_charged_to_a_cold_parent_nor_sent_to_a_cold_cache() -> None:
     """Every attempt counts at a cold cache; at a cold parent only what fills from it does."""
     members = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
     front = Front(make_settings(), members)
@@ -350,7 +350,7 @@
     assert fetches(cold.ask("1"))[0].source == "p:1"
 
 
-def test_cold_budget_does_not_swell_as_warm_members_leave() -> None:
+def test_slow_start_budget_does_not_grow_as_warm_endpoints_leave() -> None:
     """Incident i0667f8: a release replaced the warm caches and the guess of a link grew with each."""
     fleet = (*[cache(f"w{i}:1") for i in range(6)], ORIGIN)
     front = Front(make_settings(allows_direct_forwarding=False), fleet)
@@ -383,7 +383,7 @@
     return api.ServeCachedResponse(request_id) in actions
 
 
-def test_own_copies_are_served_while_the_own_link_has_room() -> None:
+def test_cached_responses_are_served_while_the_own_link_has_capacity() -> None:
     front = Front(make_settings(local_transfer_capacity=2.5))
     assert own(front, "1", 0)
     assert own(front, "2", 50 * SECOND)
@@ -393,7 +393,7 @@
     assert not own(Front(make_settings()), "1", 0)
 
 
-def test_own_copies_are_fresh_and_younger_than_any_purge() -> None:
+def test_served_cached_responses_are_fresh_and_younger_than_any_invalidation() -> None:
     front = Front(
         make_settings(
             make_class(freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND), local_transfer_capacity=9.0
@@ -407,7 +407,7 @@
     assert own(front, "5", 3 * SECOND, group=2)
 
 
-def test_a_purge_counts_for_good_against_own_copies() -> None:
+def test_invalidation_counts_for_good_against_cached_responses() -> None:
     """An answer that crossed the purge was kept, and served once caches had nothing older."""
     front = Front(make_settings(local_transfer_capacity=9.0))
     front.do(api.Invalidation(None, 1, 0))
@@ -416,7 +416,7 @@
     assert own(front, "2", 59 * SECOND)
 
 
-def test_only_names_that_come_again_are_kept() -> None:
+def test_only_repeated_names_are_stored() -> None:
     front = Front(make_settings(local_transfer_capacity=2.5))
     kept = []
     for request_id in ("1", "2"):
@@ -434,7 +434,7 @@
 
 
 @pytest.mark.parametrize("by_group", [True, False])
-def test_purge_bounds_the_age_until_gone_everywhere(by_group: bool) -> None:
+def test_invalidation_bounds_the_age_until_carried_out_everywhere(by_group: bool) -> None:
     front = Front(make_settings())
     assert fetches(front.ask("0"))[0].max_age == 0
     front.do(api.Invalidation(None if by_group else "x", 1, 40 * MS))
@@ -448,14 +448,14 @@
     assert fetches(front.ask("2"))[0].max_age == 0
 
 
-def test_group_purge_binds_where_the_group_is_not_told() -> None:
+def test_group_invalidation_counts_where_the_request_names_no_group() -> None:
     front = Front(make_settings())
     front.do(api.Invalidation(None, 9, 0))
     front.wait(MS)
     assert fetches(front.ask("1", group=None))[0].max_age == MS
 
 
-def test_purge_table_is_bounded_and_forgets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalidation_table_is_bounded_and_forgets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("olivepost.routing.invalidation.MAX_INVALIDATIONS", 3)
     front = Front(make_settings())
     for index in range(9):
@@ -465,7 +465,7 @@
     assert 0 < fetches(front.ask("1", "n0"))[0].max_age <= MS
 
 
-def test_stale_copies_only_after_a_failure() -> None:
+def test_stale_responses_are_allowed_only_after_a_failure() -> None:
     front = Front(make_settings(make_class(freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND)))
     first = fetches(front.ask("1"))[0]
     assert first.max_age == 8 * SECOND
@@ -473,7 +473,7 @@
     assert fetches(front.end("1", 0, Status.ERROR))[0].max_age == 38 * SECOND
 
 
-def test_crowded_cache_is_skipped_and_pressure_follows() -> None:
+def test_full_cache_is_skipped_and_overload_rises() -> None:
     """Guards against a location that takes more than it can serve in time."""
     front = Front(make_settings())
     sends = [fetches(front.ask(str(i))) for i in range(150)]
@@ -481,7 +481,7 @@
     assert front.router.state.arrivals.level > 0.5
 
 
-def test_late_fills_refuse_the_dearest_fills_and_leave_hits_alone() -> None:
+def test_late_fills_reject_the_most_expensive_fills_and_leave_hits_alone() -> None:
     """Quiet day at full size: a location's full link in made every fill late, and all were sent again."""
     front = Front(make_settings())
     for index in range(40):
@@ -497,7 +497,7 @@
     assert fetches(front.fill("again", size_kb=400.0))
 
 
-def test_refused_fills_raise_the_fill_level_as_late_ones_do() -> None:
+def test_rejected_fills_raise_the_fill_level_as_late_ones_do() -> None:
     """Incident i114a12: thousands of fills were refused, each sent to the next parent of one origin."""
     front = Front(make_settings())
     front.fill("1")
@@ -505,14 +505,14 @@
     assert front.router.state.fills.level > 0
 
 
-def test_a_fill_that_does_not_end_is_seen_before_it_does() -> None:
+def test_fill_in_flight_for_long_counts_as_late_before_it_ends() -> None:
     front = Front(make_settings())
     front.fill("1")
     front.wait(SECOND)
     assert front.router.state.fills.level > 0
 
 
-def test_late_fills_tighten_the_bound_of_the_source_and_late_hits_of_the_cache() -> None:
+def test_late_fills_lower_the_sources_limit_and_late_hits_the_caches() -> None:
     """Incident i36c20f: links in were full, fills came late, hits did not."""
     front = Front(make_settings())
     fetch = fetches(front.fill("1"))[0]
@@ -525,7 +525,7 @@
     assert cache_member.late_share > 0.2
 
 
-def test_bound_of_one_of_many_fronts_has_room_for_chance() -> None:
+def test_concurrency_limit_of_one_of_many_proxies_has_room_for_chance() -> None:
     """Quiet day at full size: the home of every fourth request stood at a bound of one and was skipped."""
     alone, many = (
         Front(make_settings()),
@@ -539,7 +539,7 @@
     assert 3 < bounds[1] < 4.5 < 12 * bounds[1]
 
 
-def test_one_silence_is_waited_for_where_many_good_answers_take_as_long() -> None:
+def test_one_silence_is_waited_for_where_many_good_responses_take_as_long() -> None:
     """Slow fills made caches look silent to fronts with few requests; they were suspended for it."""
     calm, slow = Front(make_settings()), Front(make_settings())
     calm.router.state.slow_share.value, slow.router.state.slow_share.value = 0.02, 0.5
@@ -550,7 +550,7 @@
     assert slow.router.requests.pending["1"].in_flight.get(0)
 
 
-def test_member_late_more_often_than_its_peers_sheds_names_by_degrees() -> None:
+def test_endpoint_late_more_often_than_its_peers_sheds_names_by_degrees() -> None:
     """Full-size day of ageing: two parents grew slow, and half of all misses were refused for it."""
     homes = []
     for late in (0.0, 0.4, 0.9):
@@ -568,14 +568,14 @@
     assert 0 < homes[2] < homes[0] / 4  # a tenth stays, so that recovery shows
 
 
-def test_members_late_together_shed_nothing() -> None:
+def test_endpoints_late_together_shed_nothing() -> None:
     front = Front(make_settings())
     for address in ("p:1", "q:1"):
         front.router.state.endpoints.by_id[address].late_share = 0.9
     assert {fetches(front.fill(str(i), f"n{i}"))[0].source for i in range(9)} == {"p:1", "q:1"}
 
 
-def test_trial_that_ends_without_a_verdict_leaves_room_for_the_next() -> None:
+def test_trial_without_a_result_allows_the_next() -> None:
     front = Front(make_settings())
     home = fetches(front.ask("0"))[0].cache
     health.record_failure(front.router.state.endpoints.by_id[home], front.now, 1.0)
@@ -586,7 +586,7 @@
     assert fetches(front.ask("2"))[0].cache == home
 
 
-def test_second_start_of_a_member_starts_its_health_anew() -> None:
+def test_restarted_endpoint_starts_with_fresh_health() -> None:
     front = Front(make_settings())
     home = fetches(front.ask("0"))[0].cache
     for index in range(2):
@@ -597,7 +597,7 @@
     assert health.is_available(front.router.state.endpoints.by_id[home], front.now)
 
 
-def test_cold_cache_is_crowded_sooner() -> None:
+def test_cold_cache_has_a_lower_concurrency_limit() -> None:
     """A release leaves a location half cold: late hits came from cold caches used like warm ones."""
     front = Front(make_settings(), (cache("a:1"), cache("z:1", started_at=START), ORIGIN))
     warm, cold = front.router.state.endpoints.by_id["a:1"], front.router.state.endpoints.by_id["z:1"]
@@ -610,14 +610,14 @@
     )
 
 
-def test_members_without_a_start_are_never_cold() -> None:
+def test_endpoints_without_a_start_time_are_warm() -> None:
     front = Front(
         make_settings(caches=api.TierSettings(1, 0.0, 1, 2.0), parents=api.TierSettings(1, 0.0, 1, 2.0))
     )
     assert fetches(front.fill("1"))[0].source in {"p:1", "q:1"}
 
 
-def test_everything_cold_still_answers_each_request() -> None:
+def test_every_request_gets_a_response_while_all_endpoints_are_cold() -> None:
     cold = tuple(dataclasses.replace(m, started_at=START) for m in FLEET[:5])
     front = Front(make_settings(), (*cold, ORIGIN))
     for index in range(200):
@@ -628,7 +628,7 @@
 # Endings
 
 
-def test_a_front_that_ends_answers_all_it_holds_at_once() -> None:
+def test_shutdown_responds_to_all_pending_requests_at_once() -> None:
     front = Front(
         make_settings(make_class(), make_class("order", idempotency=api.Idempotency.NOT_IDEMPOTENT))
     )
@@ -640,7 +640,7 @@
     assert not finals(front.wait(10 * SECOND))
 
 
-def test_a_repeat_must_begin_within_its_window() -> None:
+def test_retry_must_start_within_its_idempotency_window() -> None:
     """Rule 2: the attempt may wait for its connection, and its window goes on meanwhile."""
     spec = make_class(idempotency=api.Idempotency.WITH_KEY, idempotency_window=SECOND)
     front = Front(make_settings(spec))
@@ -655,7 +655,7 @@
 @pytest.mark.parametrize(
     "changes", [{"latency_objective": 0, "latency_objective_stretch": 0.0}, {"priority_weight": 0.0}]
 )
-def test_a_class_without_aim_or_worth_is_served(changes: dict[str, Any]) -> None:
+def test_class_without_objective_or_weight_is_served(changes: dict[str, Any]) -> None:
     """An aim of 0 must not look at its attempts without a pause, nor a worth of 0 divide by it."""
     front = Front(make_settings(make_class(**changes), transfer_rate_kb_per_s=0.0))
     for number in range(20):
@@ -664,7 +664,7 @@
     front.wait(SECOND)
 
 
-def test_where_no_cold_member_falls_none_is_spared() -> None:
+def test_without_an_overload_multiple_no_cold_endpoint_is_spared() -> None:
     settings = make_settings(
         caches=api.TierSettings(9, 0.1, 10 * SECOND, 0.0), allows_direct_forwarding=False
     )
@@ -672,7 +672,7 @@
     assert fetches(front.ask("r"))
 
 
-def test_a_front_that_has_started_again_spares_cold_members_for_a_window() -> None:
+def test_restarted_proxy_spares_cold_endpoints_for_a_window() -> None:
     """What the process before it sent in that window, it can't know."""
     settings = make_settings(
         caches=api.TierSettings(1, 0.5, 30 * SECOND, 3.0), allows_direct_forwarding=False
