--- a/benchmarks/branch/__init__.py
+++ b/benchmarks/branch/__init__.py
@@ -8,8 +8,8 @@
 from benchmarks.branch.branch import Branch, BranchOptions
 from benchmarks.branch.cache import Cache
 from benchmarks.branch.counts import Counts
-from benchmarks.branch.proxy import Front
+from benchmarks.branch.proxy import EmulatedProxy
 from benchmarks.branch.settings import settings
-from benchmarks.branch.store_link import Way
+from benchmarks.branch.store_link import StoreLink
 
-__all__ = ["Branch", "BranchOptions", "Cache", "Counts", "Front", "Way", "settings"]
+__all__ = ["Branch", "BranchOptions", "Cache", "Counts", "EmulatedProxy", "StoreLink", "settings"]
--- a/benchmarks/branch/branch.py
+++ b/benchmarks/branch/branch.py
@@ -13,9 +13,9 @@
 from benchmarks.branch.cache import Cache, CacheTier
 from benchmarks.branch.counts import Counts
 from benchmarks.branch.lease_audit import LeaseAudit
-from benchmarks.branch.proxy import Front
+from benchmarks.branch.proxy import EmulatedProxy
 from benchmarks.branch.simulation import Simulation
-from benchmarks.branch.store_link import StoreLinks, Way
+from benchmarks.branch.store_link import StoreLink, StoreLinks
 from olivepost import interface as api
 from olivepost.shared_store import messages
 from olivepost.units import MILLISECOND, SECOND
@@ -28,45 +28,49 @@
 class BranchOptions:
     """What a branch has, beside its proxies; times in nanoseconds."""
 
-    sharing: bool = True  # whether proxies use the stores
+    has_store: bool = True  # whether proxies use the stores
     stores: int = 1
     caches: int = 8
-    room: int = 150  # names that a cache stores
-    link: float = 4.0  # transfers that a cache carries at once
+    capacity: int = 150  # names that a cache stores
+    weight: float = 4.0  # transfers that a cache carries at once
     names: int = 2_000
     skew: float = 0.9  # exponent of the names' Zipf distribution
     groups: int = 16
-    size: float = 50.0  # KB of each response
+    size_kb: float = 50.0  # of each response
     reply_timeout: int = 10 * MILLISECOND  # of stores
     sync_interval: int = 50 * MILLISECOND
-    fill: tuple[int, int] = (60 * MILLISECOND, 400 * MILLISECOND)  # least and most that a fill takes
+    fill_durations: tuple[int, int] = (
+        60 * MILLISECOND,
+        400 * MILLISECOND,
+    )  # least and most that a fill takes
 
 
 class Branch(Simulation):
     """A branch under simulation. Not thread-safe."""
 
-    def __init__(self, settings: api.Settings, fronts: int, seed: int, **options: Any) -> None:
+    def __init__(self, settings: api.Settings, proxies: int, seed: int, **options: Any) -> None:
         """Takes the fields of BranchOptions as options."""
         super().__init__(seed)
         self.options = BranchOptions(**options)
         self.settings = settings
         self.groups = self.options.groups
         self.counts = Counts()
-        self.notes = Counter[str]()  # events of the proxies' logs by name
+        self.log_events = Counter[str]()  # events of the proxies' logs by name
         self.caches = {
-            f"c{number}": Cache(self.options.room, self.options.link) for number in range(self.options.caches)
+            f"c{number}": Cache(self.options.capacity, self.options.weight)
+            for number in range(self.options.caches)
         }
-        self.cache_tier = CacheTier(self, settings, self.counts, self.caches, self.options.fill)
+        self.cache_tier = CacheTier(self, settings, self.counts, self.caches, self.options.fill_durations)
         self.stores = {f"s{number}": Keyspace(self.now_ms) for number in range(self.options.stores)}
-        audit = LeaseAudit(self, self.counts, self.stores, lambda: self.fronts)
+        audit = LeaseAudit(self, self.counts, self.stores, lambda: self.proxies)
         self.store_links = StoreLinks(self, self.stores, audit)
         self._names = [f"{number:06x}" for number in range(self.options.names)]
         weights = [1 / (rank + 1) ** self.options.skew for rank in range(self.options.names)]
         self._cumulative_weights = list(itertools.accumulate(weights))
-        self.fronts = [Front(self, number) for number in range(fronts)]
+        self.proxies = [EmulatedProxy(self, number) for number in range(proxies)]
 
     @property
-    def ways(self) -> dict[str, Way]:
+    def links(self) -> dict[str, StoreLink]:
         """The links to stores, whose faults may be set."""
         return self.store_links.by_store
 
@@ -74,7 +78,7 @@
         """The endpoint list as it is."""
         ready = api.EndpointState.READY
         caches = [
-            api.EndpointMetadata(name, ready, "standard", "west", 0, cache.link, cache.started)
+            api.EndpointMetadata(name, ready, "standard", "west", 0, cache.weight, cache.started)
             for name, cache in self.caches.items()
         ]
         parent = api.EndpointMetadata("p", ready, "parent", "hub", 0, PARENT_WEIGHT)
@@ -83,9 +87,9 @@
 
     # Requests
 
-    def request(self, front: Front, name: str | None = None) -> None:
+    def request(self, proxy: EmulatedProxy, name: str | None = None) -> None:
         """Has a client ask a proxy for a name, by default a random one."""
-        if front.paused_until > self.now:
+        if proxy.paused_until > self.now:
             return
         if name is None:
             (name,) = self.draw.choices(self._names, cum_weights=self._cumulative_weights)
@@ -96,42 +100,42 @@
             request_class.name,
             name,
             request_class.deadline,
-            self.options.size,
+            self.options.size_kb,
             self._group_of(name),
         )
-        front.requests[request.id] = request
-        front.do_router(request)
+        proxy.requests[request.id] = request
+        proxy.handle_routing_event(request)
 
-    def load(self, rate: float, duration: int, select_front: Callable[[], int] | None = None) -> None:
+    def load(self, rate: float, duration: int, select_proxy: Callable[[], int] | None = None) -> None:
         """Requests at so many a second for a while, to the proxies that are selected, by default evenly."""
-        select = select_front or self._random_front
+        select = select_proxy or self._random_proxy
         self._load_until(self.now + duration, rate, select)
 
-    def _random_front(self) -> int:
-        return self.draw.randrange(len(self.fronts))
+    def _random_proxy(self) -> int:
+        return self.draw.randrange(len(self.proxies))
 
-    def _load_until(self, end: int, rate: float, select_front: Callable[[], int]) -> None:
-        self.request(self.fronts[select_front()])
+    def _load_until(self, end: int, rate: float, select_proxy: Callable[[], int]) -> None:
+        self.request(self.proxies[select_proxy()])
         if self.now < end:
             gap = int(self.draw.expovariate(rate) * SECOND)
-            self.after(gap, None, partial(self._load_until, end, rate, select_front))
+            self.after(gap, None, partial(self._load_until, end, rate, select_proxy))
 
     def _group_of(self, name: str) -> int:
         return int(name, 16) % self.groups
 
     # Endpoints and invalidations
 
-    def list_anew(self) -> None:
+    def publish_endpoints(self) -> None:
         """Sends all proxies the endpoint list as it is."""
         update = api.EndpointUpdate(api.EndpointUpdateKind.FULL, self.endpoints())
-        for front in self.fronts:
-            front.do_router(update)
-            front.do_sharing(update)
+        for proxy in self.proxies:
+            proxy.handle_routing_event(update)
+            proxy.handle_store_event(update)
 
     def restart_cache(self, name: str) -> None:
         """A cache comes back empty and cold."""
         self.caches[name].restart(self.now)
-        self.list_anew()
+        self.publish_endpoints()
 
     def purge(self, groups: list[int]) -> None:
         """Invalidates groups: proxies learn of it at once, caches carry it out within its lifetime."""
@@ -140,9 +144,9 @@
         for group in groups:
             self.cache_tier.invalidated_at[group] = self.now
             invalidation = api.Invalidation(None, group, 0)
-            for front in self.fronts:
-                front.do_router(invalidation)
-                front.do_sharing(messages.InvalidationReceived(invalidation, self.now_ms()))
+            for proxy in self.proxies:
+                proxy.handle_routing_event(invalidation)
+                proxy.handle_store_event(messages.InvalidationReceived(invalidation, self.now_ms()))
 
     def _drop_groups(self, groups: frozenset[int], invalidated_at: int) -> None:
         def is_affected(name: str) -> bool:
@@ -154,17 +158,17 @@
     # Stores and audits
 
     def run_script(
-        self, front: Front, command: messages.StoreCommand
+        self, proxy: EmulatedProxy, command: messages.StoreCommand
     ) -> messages.StoreReply | messages.ReplyLost:
         """Runs a command's script at once, past the link."""
-        return self.store_links.run_script(front, command)
+        return self.store_links.run_script(proxy, command)
 
-    def look_at_budgets(self) -> None:
+    def check_quotas(self) -> None:
         """Checks all proxies' parts of each cold cache's quotas, with transfers, against the whole."""
         for name, cache in self.caches.items():
             if cache.started:
-                self.counts.looks += 1
-                self.counts.over_whole += count_exceeded_quotas(self.now, self.fronts, name, cache)
+                self.counts.quota_checks += 1
+                self.counts.quotas_exceeded += count_exceeded_quotas(self.now, self.proxies, name, cache)
 
     def slow_start_use(self, name: str) -> BudgetUse:
         """What a cold cache was sent in the windows so far, and what its whole budget was."""
--- a/benchmarks/branch/budget_audit.py
+++ b/benchmarks/branch/budget_audit.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from benchmarks.branch.cache import Cache
-from benchmarks.branch.proxy import Front
+from benchmarks.branch.proxy import EmulatedProxy
 from olivepost import interface as api
 from olivepost.routing import capacity
 
@@ -30,14 +30,14 @@
         return self.usable > self.whole * (1 + RELATIVE_TOLERANCE) + ABSOLUTE_TOLERANCE
 
 
-def count_exceeded_quotas(now: int, fronts: Sequence[Front], name: str, cache: Cache) -> int:
+def count_exceeded_quotas(now: int, proxies: Sequence[EmulatedProxy], name: str, cache: Cache) -> int:
     """How many of a cold cache's two quotas, slow start budget and concurrency, are exceeded now."""
     budget = QuotaSums()
     concurrency = QuotaSums()
     process = f"{name}@{cache.started}"
-    for front in fronts:
-        state = front.router.state
-        local_now = front.clock(now)
+    for proxy in proxies:
+        state = proxy.router.state
+        local_now = proxy.clock(now)
         endpoint = state.endpoints.by_id.get(name)
         if endpoint is None or endpoint.metadata.started_at != cache.started:
             continue
@@ -77,4 +77,4 @@
     tier = settings.caches
     initial_share = tier.slow_start_initial_share
     share = initial_share + (1 - initial_share) * age / tier.slow_start_duration
-    return tier.overload_multiple * share * settings.overload_window * cache.link
+    return tier.overload_multiple * share * settings.overload_window * cache.weight
--- a/benchmarks/branch/cache.py
+++ b/benchmarks/branch/cache.py
@@ -30,26 +30,26 @@
 class Cache:
     """The names that a cache stores since when, and its fills until when; least recently used first."""
 
-    room: int  # names
-    link: float  # transfers that it carries at once
+    capacity: int  # names
+    weight: float  # transfers that it carries at once
     started: int = 0  # 0: long ago
-    kept: dict[str, int] = field(default_factory=dict)
+    stored: dict[str, int] = field(default_factory=dict)
     filling: dict[str, int] = field(default_factory=dict)
     work: list[tuple[int, float]] = field(default_factory=list)  # sent to it: when, how much
 
     def restart(self, now: int) -> None:
         """Comes back empty and cold."""
-        self.kept = {}
+        self.stored = {}
         self.filling = {}
         self.work = []
         self.started = now
 
     def look_up(self, now: int, name: str, max_age: int) -> int | None:
         """When the response that may be served was stored; it is then the most recently used. 0: any age."""
-        stored_at = self.kept.get(name)
+        stored_at = self.stored.get(name)
         if stored_at is None or (max_age and now - stored_at > max_age):
             return None
-        self.kept[name] = self.kept.pop(name)
+        self.stored[name] = self.stored.pop(name)
         return stored_at
 
     def is_filling(self, now: int, name: str) -> bool:
@@ -59,9 +59,9 @@
     def complete_fill(self, name: str, started_at: int) -> None:
         """Stores what a fill brought, unless the cache was restarted meanwhile."""
         if self.filling.pop(name, 0) and self.started <= started_at:
-            self.kept[name] = started_at
-            while len(self.kept) > self.room:
-                del self.kept[next(iter(self.kept))]
+            self.stored[name] = started_at
+            while len(self.stored) > self.capacity:
+                del self.stored[next(iter(self.stored))]
 
 
 class CacheTier:
@@ -119,7 +119,7 @@
         now = self._simulation.now
         others = [other for other in self.caches.values() if other is not cache]
         return any(
-            other.kept.get(name, 0) > invalidated_at or other.is_filling(now, name) for other in others
+            other.stored.get(name, 0) > invalidated_at or other.is_filling(now, name) for other in others
         )
 
     def _check_age(self, request: api.Request, stored_at: int) -> None:
@@ -129,11 +129,13 @@
         if not invalidated_at or now <= invalidated_at + INVALIDATION_DELAY:
             return
         if now - stored_at > (now - invalidated_at) * (1 + MAX_CLOCK_DRIFT):
-            self._counts.older_than_purge += 1
+            self._counts.served_invalidated += 1
 
     def drop_stored_before(self, time: int, is_affected: Callable[[str], bool]) -> None:
         """Removes the affected names that were stored before a time from all caches."""
         for cache in self.caches.values():
-            stale = [name for name, stored_at in cache.kept.items() if stored_at < time and is_affected(name)]
+            stale = [
+                name for name, stored_at in cache.stored.items() if stored_at < time and is_affected(name)
+            ]
             for name in stale:
-                del cache.kept[name]
+                del cache.stored[name]
--- a/benchmarks/branch/lease_audit.py
+++ b/benchmarks/branch/lease_audit.py
@@ -19,7 +19,7 @@
 class LeaseHolder(Protocol):
     """A proxy that may hold leases."""
 
-    sharing: StoreCoordinator | None
+    coordinator: StoreCoordinator | None
 
 
 class ClockedHolder(LeaseHolder, Protocol):
@@ -66,8 +66,8 @@
         number, _, _ = publication.lease.partition(b" ")
         last = self._grants.get((store, publication.name))
         if last is None or last.number != int(number):
-            self._counts.old_published += 1
-            self._counts.owned_twice += 1
+            self._counts.stale_publications += 1
+            self._counts.lease_conflicts += 1
 
     def _record_grant(self, holder: LeaseHolder, store: str, lookup: messages.LookUp, number: int) -> None:
         """A lease's number grows, and no two of one generation overlap by the holders' own clocks."""
@@ -75,23 +75,23 @@
         last = self._grants.get(key)
         # A store that lost its data can't keep holders apart: their numbers do.
         incarnation = self._stores[store].incarnation
-        self._counts.numbers += 1
+        self._counts.leases += 1
         if last is not None and number <= last.number:
-            self._counts.numbers_shrunk += 1
-            self._counts.owned_twice += 1
+            self._counts.lease_numbers_shrunk += 1
+            self._counts.lease_conflicts += 1
         if last is not None and last.store_incarnation == incarnation:
             is_running = last.expires_at > self._simulation.now
             if is_running and self._is_held_by_another(holder, lookup):
-                self._counts.overlaps += 1
-                self._counts.owned_twice += 1
+                self._counts.lease_overlaps += 1
+                self._counts.lease_conflicts += 1
         expires_at = self._simulation.now + lookup.lease_duration_ms * MILLISECOND
         self._grants[key] = Grant(number, expires_at, incarnation)
 
     def _is_held_by_another(self, holder: LeaseHolder, lookup: messages.LookUp) -> bool:
         """Whether a holder other than this one has not released the lease."""
         return any(
-            other.sharing is not None
-            and other.sharing.leases.find_active(
+            other.coordinator is not None
+            and other.coordinator.leases.find_active(
                 other.clock(self._simulation.now), lookup.name, lookup.generation
             )
             for other in self._holders()
--- a/benchmarks/branch/proxy.py
+++ b/benchmarks/branch/proxy.py
@@ -21,7 +21,7 @@
 SEED_RANGE = 2**32
 
 
-class Front:
+class EmulatedProxy:
     """One proxy of a branch."""
 
     def __init__(self, branch: Branch, number: int) -> None:
@@ -31,7 +31,7 @@
         self.paused_until = 0
         self._clock_offset = branch.draw.randrange(-MAX_CLOCK_OFFSET, MAX_CLOCK_OFFSET)
         self._clock_rate = 1 + branch.draw.uniform(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)
-        self.begin()
+        self.restart()
 
     @property
     def pending_count(self) -> int:
@@ -42,18 +42,18 @@
         """What this proxy's clock shows at a time of the simulation."""
         return START + self._clock_offset + int((at - START) * self._clock_rate)
 
-    def begin(self) -> None:
+    def restart(self) -> None:
         """Starts a new process under the name: nothing of the one before is known."""
         self.incarnation += 1
         branch = self.branch
         self.requests: dict[str, api.Request] = {}
         self.router = Router(branch.settings, branch.draw.randrange(SEED_RANGE))
-        self.sharing: StoreCoordinator | None = None
+        self.coordinator: StoreCoordinator | None = None
         restored = api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, branch.endpoints())
-        self.do_router(restored)
+        self.handle_routing_event(restored)
         for group, invalidated_at in branch.cache_tier.invalidated_at.items():
-            self.do_router(api.Invalidation(None, group, branch.now - invalidated_at))
-        if branch.options.sharing:
+            self.handle_routing_event(api.Invalidation(None, group, branch.now - invalidated_at))
+        if branch.options.has_store:
             self._start_sharing(restored)
 
     def _start_sharing(self, restored: api.EndpointUpdate) -> None:
@@ -65,35 +65,35 @@
             reply_timeout=branch.options.reply_timeout,
             sync_interval=branch.options.sync_interval,
         )
-        self.sharing = StoreCoordinator(terms, branch.draw.randrange(SEED_RANGE))
-        self.do_sharing(restored)
+        self.coordinator = StoreCoordinator(terms, branch.draw.randrange(SEED_RANGE))
+        self.handle_store_event(restored)
         self._tick(self.incarnation)
 
     def _tick(self, incarnation: int) -> None:
         if incarnation == self.incarnation:
-            self.do_sharing(messages.Tick())
+            self.handle_store_event(messages.Tick())
             self.branch.after(TICK_INTERVAL, self, partial(self._tick, incarnation))
 
-    def do_router(self, event: api.Event) -> None:
+    def handle_routing_event(self, event: api.Event) -> None:
         """Hands an event to the router and carries out its actions."""
         now = self.clock(self.branch.now)
         self.branch.counts.steps += 1
         for action in self.router.handle(now, event):
             self._act(action)
 
-    def do_sharing(self, event: messages.Event) -> None:
+    def handle_store_event(self, event: messages.Event) -> None:
         """Hands an event to the store coordinator and carries out its actions."""
-        if self.sharing is None:
+        if self.coordinator is None:
             return
         self.branch.counts.steps += 1
-        for action in self.sharing.handle(self.clock(self.branch.now), event):
+        for action in self.coordinator.handle(self.clock(self.branch.now), event):
             match action:
                 case messages.StoreCommand():
                     self.branch.store_links.send(self, action)
                 case messages.NotifyRouter():
-                    self.do_router(action.event)
+                    self.handle_routing_event(action.event)
                 case messages.LogEvent():
-                    self.branch.notes[action.name] += 1
+                    self.branch.log_events[action.name] += 1
 
     def _act(self, action: api.Action) -> None:
         match action:
@@ -103,17 +103,17 @@
             case api.ForwardAttempt():
                 self._forward(action)
             case api.LookUpHint():
-                self.branch.counts.consults += 1
+                self.branch.counts.lookups += 1
                 request = self.requests[action.request_id]
-                self.do_sharing(messages.LookupRequested(action, request.object, request.group))
+                self.handle_store_event(messages.LookupRequested(action, request.object, request.group))
             case api.ReleaseLease():
-                self.do_sharing(messages.LeaseReleased(action))
+                self.handle_store_event(messages.LeaseReleased(action))
             case api.ReportStaleHint() | api.RequestQuota() | api.DonateQuota() | api.ReportOutlier():
-                self.do_sharing(action)
+                self.handle_store_event(action)
 
     def _fire(self, incarnation: int, timer_id: int) -> None:
         if incarnation == self.incarnation:
-            self.do_router(api.TimerFired(timer_id))
+            self.handle_routing_event(api.TimerFired(timer_id))
 
     # Attempts
 
@@ -136,6 +136,6 @@
         if is_final and number in self.router.requests.pending[request_id].in_flight:
             self.branch.counts.served += 1
         elapsed = self.branch.now - sent_at
-        self.do_router(
+        self.handle_routing_event(
             api.AttemptOutcome(request_id, number, response.status, elapsed, is_final, response.cache_status)
         )
--- a/benchmarks/branch/store_link.py
+++ b/benchmarks/branch/store_link.py
@@ -22,21 +22,21 @@
 class StoreClient(Protocol):
     """The proxy that sends commands."""
 
-    sharing: StoreCoordinator | None
+    coordinator: StoreCoordinator | None
     incarnation: int
     paused_until: int
 
-    def do_sharing(self, event: messages.Event) -> None:
+    def handle_store_event(self, event: messages.Event) -> None:
         """Takes a reply."""
 
 
 @dataclass
-class Way:
+class StoreLink:
     """The link to one store: the chance of each fault for each command; times in nanoseconds."""
 
     lost: float = 0.0
     cut: float = 0.0  # done, but its reply never comes
-    doubled: float = 0.0
+    duplicated: float = 0.0
     span: tuple[int, int] = (int(0.1 * MILLISECOND), int(0.6 * MILLISECOND))  # latency one way
     slow: float = 0.0  # chance of a latency a hundred times as long
     silent_until: int = 0
@@ -51,7 +51,7 @@
         stores: dict[str, Keyspace],
         audit: LeaseAudit,
     ) -> None:
-        self.by_store = {name: Way() for name in stores}
+        self.by_store = {name: StoreLink() for name in stores}
         self._simulation = simulation
         self._stores = stores
         self._audit = audit
@@ -66,7 +66,7 @@
             arrive = partial(self._arrive, client, incarnation, command)
             self._simulation.after(self._latency(link), None, arrive)
 
-    def _latency(self, link: Way) -> int:
+    def _latency(self, link: StoreLink) -> int:
         factor = SLOW_FACTOR if self._simulation.draw.random() < link.slow else 1
         return int(self._simulation.draw.uniform(*link.span) * factor)
 
@@ -86,15 +86,15 @@
             return
         answer = partial(deliver, client, incarnation, reply)
         self._simulation.after(self._latency(link), client, answer)
-        if self._simulation.draw.random() < link.doubled:
+        if self._simulation.draw.random() < link.duplicated:
             self._simulation.after(self._latency(link) + self._latency(link), client, answer)
 
     def run_script(
         self, client: StoreClient, command: messages.StoreCommand
     ) -> messages.StoreReply | messages.ReplyLost:
         """Runs a command's script in its store, and audits what it grants."""
-        assert client.sharing is not None
-        script = scripts.encode_operation(command.operation, KEY_PREFIX, client.sharing.terms.incarnation)
+        assert client.coordinator is not None
+        script = scripts.encode_operation(command.operation, KEY_PREFIX, client.coordinator.terms.incarnation)
         try:
             reply = scripts.read_reply(command.ticket, run(self._stores[command.store], script))
         except CommandError as error:
@@ -107,7 +107,7 @@
 def deliver(client: StoreClient, incarnation: int, event: messages.Event) -> None:
     """Hands a reply to the process that asked, if it still runs."""
     if incarnation == client.incarnation:
-        client.do_sharing(event)
+        client.handle_store_event(event)
 
 
 def run(store: Keyspace, script: scripts.ScriptCall) -> object:
--- a/benchmarks/modelled_branch.py
+++ b/benchmarks/modelled_branch.py
@@ -8,7 +8,7 @@
 from functools import partial
 from typing import NamedTuple
 
-from benchmarks.branch import Branch, Way, settings
+from benchmarks.branch import Branch, StoreLink, settings
 from olivepost.units import MILLISECOND, SECOND
 
 PROXIES = 12
@@ -54,7 +54,7 @@
 def measure_budget_use(job: BudgetJob) -> BudgetRun:
     """A branch of 12, one proxy busy, one cache or all of them cold."""
     branch = Branch(
-        settings(PROXIES), PROXIES, job.seed, sharing=job.has_store, names=4_000, size=100.0, link=4.0
+        settings(PROXIES), PROXIES, job.seed, has_store=job.has_store, names=4_000, size_kb=100.0, weight=4.0
     )
     branch.run(7 * SECOND)
     weights = [BUSY_WEIGHT] + [1] * (PROXIES - 1)
@@ -69,11 +69,11 @@
         branch.restart_cache(name)
     for _ in range(BUDGET_CHECKS):
         branch.run(BUDGET_CHECK_INTERVAL)
-        branch.look_at_budgets()
+        branch.check_quotas()
     uses = [branch.slow_start_use(name) for name, cache in branch.caches.items() if cache.started]
     used_share = sum(use.used for use in uses) / sum(use.whole for use in uses)
     counts = branch.counts
-    return BudgetRun(used_share, counts.over_whole, counts.served, counts.requests)
+    return BudgetRun(used_share, counts.quotas_exceeded, counts.served, counts.requests)
 
 
 class DoubleFillJob(NamedTuple):
@@ -86,7 +86,7 @@
 
 def measure_double_fills(job: DoubleFillJob) -> float:
     """The double fills' share in a branch of 12, one cache restarted, half of the groups invalidated."""
-    branch = Branch(settings(PROXIES), PROXIES, job.seed, sharing=job.has_store)
+    branch = Branch(settings(PROXIES), PROXIES, job.seed, has_store=job.has_store)
     branch.run(4 * SECOND)
     branch.load(job.rate, 16 * SECOND)
     branch.run(4 * SECOND)
@@ -121,10 +121,10 @@
 
     def __init__(self, seed: int) -> None:
         self.branch = Branch(
-            settings(HOSTILE_PROXIES), HOSTILE_PROXIES, seed, caches=HOSTILE_CACHES, names=300, size=150.0
+            settings(HOSTILE_PROXIES), HOSTILE_PROXIES, seed, caches=HOSTILE_CACHES, names=300, size_kb=150.0
         )
         self._draw: random.Random = self.branch.draw
-        self._link: Way = self.branch.ways["s0"]
+        self._link: StoreLink = self.branch.links["s0"]
         self._store = self.branch.stores["s0"]
         self._moves: dict[int, Callable[[], None]] = {
             0: self._restart_proxy,
@@ -143,7 +143,7 @@
         act = self._moves.get(self._draw.randrange(MOVE_KINDS), self._request)
         act()
         self.branch.run(self._draw.randrange(MAX_GAP))
-        self.branch.look_at_budgets()
+        self.branch.check_quotas()
 
     def _rarely(self, act: Callable[[], None]) -> None:
         is_due = self._draw.random() < RARE_FAULT_CHANCE
@@ -153,20 +153,20 @@
             self._request()
 
     def _request(self) -> None:
-        self.branch.request(self.branch.fronts[self._draw.randrange(HOSTILE_PROXIES)])
+        self.branch.request(self.branch.proxies[self._draw.randrange(HOSTILE_PROXIES)])
 
     def _restart_proxy(self) -> None:
-        self.branch.fronts[self._draw.randrange(HOSTILE_PROXIES)].begin()
+        self.branch.proxies[self._draw.randrange(HOSTILE_PROXIES)].restart()
 
     def _pause_proxy(self) -> None:
         paused_until = self.branch.now + self._draw.randrange(MAX_PAUSE)
-        proxy = self.branch.fronts[self._draw.randrange(HOSTILE_PROXIES)]
+        proxy = self.branch.proxies[self._draw.randrange(HOSTILE_PROXIES)]
         proxy.paused_until = paused_until
 
     def _change_link(self) -> None:
         self._link.lost = self._draw.choice(LINK_FAULT_CHANCES)
         self._link.cut = self._draw.choice(LINK_FAULT_CHANCES)
-        self._link.doubled = self._draw.choice(LINK_FAULT_CHANCES)
+        self._link.duplicated = self._draw.choice(LINK_FAULT_CHANCES)
         self._link.slow = self._draw.choice(LINK_FAULT_CHANCES)
 
     def _restore_snapshot(self) -> None:
@@ -192,9 +192,9 @@
     branch.run(QUIET_END)
     return HistoryRun(
         steps=branch.counts.steps,
-        leases=branch.counts.numbers,
-        lease_conflicts=branch.counts.owned_twice,
-        budgets_exceeded=branch.counts.over_whole,
-        served_invalidated=branch.counts.older_than_purge,
-        pending_at_end=sum(front.pending_count for front in branch.fronts),
+        leases=branch.counts.leases,
+        lease_conflicts=branch.counts.lease_conflicts,
+        budgets_exceeded=branch.counts.quotas_exceeded,
+        served_invalidated=branch.counts.served_invalidated,
+        pending_at_end=sum(proxy.pending_count for proxy in branch.proxies),
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -83,16 +83,16 @@
 FLEET = (cache("a:1"), cache("b:1"), cache("c:1"), parent("p:1"), parent("q:1"), ORIGIN)
 
 
-class Front:
+class RouterDriver:
     """A router under test, with its timers kept and fired in order."""
 
     def __init__(
-        self, settings: api.Settings, members: tuple[api.EndpointMetadata, ...] = FLEET, seed: int = 7
+        self, settings: api.Settings, endpoints: tuple[api.EndpointMetadata, ...] = FLEET, seed: int = 7
     ) -> None:
         self.router = Router(settings, seed)
         self.now = START
         self.timers: list[tuple[int, int]] = []
-        self.do(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, members))
+        self.do(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, endpoints))
 
     def do(self, event: api.Event) -> list[api.Action]:
         """Hands over one event now."""
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -19,7 +19,7 @@
     ORIGIN,
     SECOND,
     START,
-    Front,
+    RouterDriver,
     cache,
     fetches,
     finals,
@@ -202,7 +202,7 @@
     monkeypatch.setattr(selection, "blake2b", counted)
     selection.rendezvous_order.cache_clear()
     others = tuple(cache(f"e{i}:1", zone=f"zone{i % 40}") for i in range(elsewhere))
-    front = Front(make_settings(), (*FLEET, *others))
+    front = RouterDriver(make_settings(), (*FLEET, *others))
     front.fill("1", "x")
     assert len(hashed) == 5
     assert len(front.router.state.endpoints.by_id) == len(FLEET)
@@ -214,7 +214,7 @@
 
 
 def test_repeated_and_reordered_endpoint_list_names_each_endpoint_once() -> None:
-    front, other = Front(make_settings(), (*FLEET, *reversed(FLEET))), Front(make_settings())
+    front, other = RouterDriver(make_settings(), (*FLEET, *reversed(FLEET))), RouterDriver(make_settings())
     for i in range(20):
         one, two = (fetches(f.fill(str(i), f"n{i}"))[0] for f in (front, other))
         assert (one.cache, one.source) == (two.cache, two.source)
@@ -222,7 +222,7 @@
 
 def test_restored_list_of_a_replaced_fleet_is_survived() -> None:
     """Every stored member refuses connections: answers come at once, then the new list is used."""
-    front = Front(make_settings(allows_direct_forwarding=False))
+    front = RouterDriver(make_settings(allows_direct_forwarding=False))
     for i in range(30):
         actions = front.ask(str(i), f"n{i}")
         for number in range(6):
@@ -240,6 +240,6 @@
 
 def test_cache_without_parents_fills_from_the_origin() -> None:
     gone = tuple(dataclasses.replace(m, state=api.EndpointState.REMOVED) for m in FLEET if m.kind == "parent")
-    front = Front(make_settings())
+    front = RouterDriver(make_settings())
     front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
     assert fetches(front.fill("1"))[0].source == "origin:1"
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -8,7 +8,7 @@
 from olivepost.routing.initial_state import initial_state
 from olivepost.routing.selection import rendezvous_order
 from olivepost.routing_state import ClassLevels, ExpiringNameTable, NameEntry, PendingRequest
-from tests.helpers import SECOND, Front, fetches, make_settings
+from tests.helpers import SECOND, RouterDriver, fetches, make_settings
 
 
 def levels(level: float, first_seen_level: float) -> ClassLevels:
@@ -86,7 +86,7 @@
 
 
 def test_top_rank_is_bounded_by_its_share_of_bytes() -> None:
-    router = Front(make_settings()).router
+    router = RouterDriver(make_settings()).router
     router.state.names.put("big", NameEntry(10, RANK_LOW, 89.0))
     assert adaptive_ttl.top_rank_has_capacity(router.state, "new")
     router.state.names.put("one", NameEntry(10, RANK_TOP, 11.0))
@@ -95,25 +95,25 @@
 
 
 def test_new_names_rank_low_at_level_zero_and_repeats_rank_top() -> None:
-    front = Front(make_settings())
-    front.router.state.levels["image"].first_seen_level = 0.0
-    ranks = [fetches(front.ask(str(i), f"n{i}"))[0].rank for i in range(5)]
+    driver = RouterDriver(make_settings())
+    driver.router.state.levels["image"].first_seen_level = 0.0
+    ranks = [fetches(driver.ask(str(i), f"n{i}"))[0].rank for i in range(5)]
     assert ranks == [RANK_LOW] * 5  # θs = 0: never lifted; and never unkept
-    assert fetches(front.ask("again", "n1"))[0].rank == RANK_TOP
+    assert fetches(driver.ask("again", "n1"))[0].rank == RANK_TOP
 
 
 def test_new_names_rank_middle_at_the_level_ceiling() -> None:
-    front = Front(make_settings())
-    front.router.state.levels["image"].level = 1.0
-    assert fetches(front.ask("1"))[0].rank == RANK_MIDDLE
+    driver = RouterDriver(make_settings())
+    driver.router.state.levels["image"].level = 1.0
+    assert fetches(driver.ask("1"))[0].rank == RANK_MIDDLE
 
 
 def test_expired_name_ranks_as_new() -> None:
-    front = Front(make_settings())
-    front.router.state.levels["image"].first_seen_level = 0.0
-    front.ask("1")
-    front.wait(61 * SECOND)
-    assert fetches(front.ask("2"))[0].rank == RANK_LOW
+    driver = RouterDriver(make_settings())
+    driver.router.state.levels["image"].first_seen_level = 0.0
+    driver.ask("1")
+    driver.wait(61 * SECOND)
+    assert fetches(driver.ask("2"))[0].rank == RANK_LOW
 
 
 def test_rendezvous_order_moves_few_names_when_an_endpoint_leaves() -> None:
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -15,7 +15,7 @@
     ORIGIN,
     SECOND,
     START,
-    Front,
+    RouterDriver,
     cache,
     fetches,
     finals,
@@ -28,9 +28,9 @@
 
 
 def test_request_goes_to_its_home_cache_with_its_home_parent_as_source() -> None:
-    front = Front(make_settings())
-    look = fetches(front.ask("0"))[0]
-    first, second = fetches(front.end("0", 0, Status.NOT_CACHED))[0], fetches(front.fill("1"))[0]
+    driver = RouterDriver(make_settings())
+    look = fetches(driver.ask("0"))[0]
+    first, second = fetches(driver.end("0", 0, Status.NOT_CACHED))[0], fetches(driver.fill("1"))[0]
     assert (first.cache, first.source) == (second.cache, second.source)
     assert first.cache == look.cache == look.source
     assert first.source in {"p:1", "q:1"}
@@ -39,269 +39,271 @@
 
 
 def test_parts_of_an_object_are_hashed_apart() -> None:
-    front = Front(make_settings())
-    homes = {fetches(front.ask(str(i), "film", part=i))[0].cache for i in range(12)}
+    driver = RouterDriver(make_settings())
+    homes = {fetches(driver.ask(str(i), "film", part=i))[0].cache for i in range(12)}
     assert len(homes) == 3
 
 
 def test_without_parents_the_origin_is_the_source() -> None:
-    front = Front(make_settings(), (cache("a:1"), ORIGIN))
-    assert fetches(front.fill("1"))[0].source == "origin:1"
+    driver = RouterDriver(make_settings(), (cache("a:1"), ORIGIN))
+    assert fetches(driver.fill("1"))[0].source == "origin:1"
 
 
 def test_without_parents_and_origin_the_cache_gets_no_source() -> None:
-    front = Front(make_settings(), (cache("a:1"),))
-    fetch = fetches(front.ask("1"))[0]
+    driver = RouterDriver(make_settings(), (cache("a:1"),))
+    fetch = fetches(driver.ask("1"))[0]
     assert fetch.source == fetch.cache == "a:1"
 
 
 def test_empty_endpoint_list_rejects_at_once_with_retry_after() -> None:
-    front = Front(make_settings(), ())
-    (rejection,) = finals(front.ask("1"))
+    driver = RouterDriver(make_settings(), ())
+    (rejection,) = finals(driver.ask("1"))
     assert isinstance(rejection, api.Reject)
     assert 0 < rejection.retry_after <= SECOND
 
 
 def test_without_caches_a_parent_is_asked_directly_only_where_allowed() -> None:
-    members = (parent("p:1"), ORIGIN)
-    straight = fetches(Front(make_settings(), members).ask("1"))[0]
+    endpoints = (parent("p:1"), ORIGIN)
+    straight = fetches(RouterDriver(make_settings(), endpoints).ask("1"))[0]
     assert (straight.cache, straight.source) == ("p:1", "origin:1")
-    assert finals(Front(make_settings(allows_direct_forwarding=False), members).ask("1"))
+    assert finals(RouterDriver(make_settings(allows_direct_forwarding=False), endpoints).ask("1"))
 
 
 def test_uncacheable_class_is_not_cached() -> None:
-    front = Front(make_settings(make_class(is_uncacheable=True)))
-    assert fetches(front.ask("1"))[0].rank == 0
+    driver = RouterDriver(make_settings(make_class(is_uncacheable=True)))
+    assert fetches(driver.ask("1"))[0].rank == 0
 
 
 def test_deadline_timer_responds_before_the_deadline() -> None:
-    front = Front(make_settings(can_cancel_attempts=False))
-    front.ask("1", timeout=SECOND)
-    assert not finals(front.wait(SECOND - 3 * MS))
-    assert len(finals(front.wait(2 * MS))) == 1
-    assert not front.end("1", 0, OK)  # late outcomes are ignored
-    assert not front.wait(10 * SECOND)
+    driver = RouterDriver(make_settings(can_cancel_attempts=False))
+    driver.ask("1", timeout=SECOND)
+    assert not finals(driver.wait(SECOND - 3 * MS))
+    assert len(finals(driver.wait(2 * MS))) == 1
+    assert not driver.end("1", 0, OK)  # late outcomes are ignored
+    assert not driver.wait(10 * SECOND)
 
 
 def test_started_stream_has_no_deadline() -> None:
-    front = Front(make_settings(make_class(is_streaming=True)))
-    front.ask("1")
-    front.do(api.ResponseStarted("1", 0))
-    assert not finals(front.wait(20 * SECOND))
-    assert not fetches(front.end("1", 0, Status.CONNECTION_LOST, is_final=True))
+    driver = RouterDriver(make_settings(make_class(is_streaming=True)))
+    driver.ask("1")
+    driver.do(api.ResponseStarted("1", 0))
+    assert not finals(driver.wait(20 * SECOND))
+    assert not fetches(driver.end("1", 0, Status.CONNECTION_LOST, is_final=True))
 
 
 def test_disconnected_client_cancels_attempts_in_flight() -> None:
-    front = Front(make_settings())
-    front.ask("1")
-    assert front.do(api.ClientDisconnected("1")) == [api.CancelAttempt("1", 0)]
-    assert front.do(api.ClientDisconnected("1")) == []
+    driver = RouterDriver(make_settings())
+    driver.ask("1")
+    assert driver.do(api.ClientDisconnected("1")) == [api.CancelAttempt("1", 0)]
+    assert driver.do(api.ClientDisconnected("1")) == []
 
 
 def test_failing_cache_is_ejected_then_gets_one_trial() -> None:
     """Guards against a member that answers everything with errors."""
-    front = Front(make_settings())
-    home = fetches(front.ask("0"))[0].cache
-    assert fetches(front.end("0", 0, Status.ERROR))[0].cache != home
-    front.end("0", 1, OK, cache_status=Note.HIT)
-    assert fetches(front.ask("1"))[0].cache == home
-    front.end("1", 0, Status.ERROR)
-    front.end("1", 1, OK, cache_status=Note.HIT)
-    assert fetches(front.ask("2"))[0].cache != home
-    front.do(api.ClientDisconnected("2"))
-    front.wait(1100 * MS)
-    assert fetches(front.ask("3"))[0].cache == home  # the one trial
-    assert fetches(front.ask("4"))[0].cache != home
-    front.end("3", 0, OK, cache_status=Note.HIT)
-    assert fetches(front.ask("5"))[0].cache == home
+    driver = RouterDriver(make_settings())
+    home = fetches(driver.ask("0"))[0].cache
+    assert fetches(driver.end("0", 0, Status.ERROR))[0].cache != home
+    driver.end("0", 1, OK, cache_status=Note.HIT)
+    assert fetches(driver.ask("1"))[0].cache == home
+    driver.end("1", 0, Status.ERROR)
+    driver.end("1", 1, OK, cache_status=Note.HIT)
+    assert fetches(driver.ask("2"))[0].cache != home
+    driver.do(api.ClientDisconnected("2"))
+    driver.wait(1100 * MS)
+    assert fetches(driver.ask("3"))[0].cache == home  # the one trial
+    assert fetches(driver.ask("4"))[0].cache != home
+    driver.end("3", 0, OK, cache_status=Note.HIT)
+    assert fetches(driver.ask("5"))[0].cache == home
 
 
 def test_silent_cache_is_abandoned_before_the_deadline() -> None:
     """Guards against members that say nothing while others answer."""
-    front = Front(make_settings())
-    home = fetches(front.ask("1"))[0].cache
-    actions = front.wait(SECOND)
+    driver = RouterDriver(make_settings())
+    home = fetches(driver.ask("1"))[0].cache
+    actions = driver.wait(SECOND)
     assert api.CancelAttempt("1", 0) in actions
     assert fetches(actions)[0].cache != home
 
 
 def test_slow_response_of_an_endpoint_that_serves_others_is_waited_for() -> None:
-    front = Front(make_settings())
-    home = fetches(front.ask("1"))[0].cache
-    front.wait(MS)
-    health.record_success(front.router.state.endpoints.by_id[home], front.now)
-    health.record_success(front.router.state.endpoints.by_id[fetches(front.ask("2"))[0].source], front.now)
-    assert api.CancelAttempt("1", 0) not in front.wait(500 * MS)
+    driver = RouterDriver(make_settings())
+    home = fetches(driver.ask("1"))[0].cache
+    driver.wait(MS)
+    health.record_success(driver.router.state.endpoints.by_id[home], driver.now)
+    health.record_success(driver.router.state.endpoints.by_id[fetches(driver.ask("2"))[0].source], driver.now)
+    assert api.CancelAttempt("1", 0) not in driver.wait(500 * MS)
 
 
 def test_rejected_fill_is_charged_to_the_source_where_causes_are_reported() -> None:
-    front = Front(make_settings(reports_failure_causes=True))
-    first = fetches(front.fill("1"))[0]
-    again = fetches(front.end("1", 1, Status.REJECTED, cache_status=Note.SOURCE_DISCONNECTED))[0]
+    driver = RouterDriver(make_settings(reports_failure_causes=True))
+    first = fetches(driver.fill("1"))[0]
+    again = fetches(driver.end("1", 1, Status.REJECTED, cache_status=Note.SOURCE_DISCONNECTED))[0]
     assert again.cache == first.cache
     assert again.source != first.source
 
 
 def test_late_error_of_a_cache_that_serves_others_is_charged_to_its_source() -> None:
     """Incident ic4de60: fills that broke off after seconds had caches suspended that were well."""
-    front = Front(make_settings())
-    first = fetches(front.fill("1"))[0]
-    again = fetches(front.end("1", 1, Status.ERROR))[0]
+    driver = RouterDriver(make_settings())
+    first = fetches(driver.fill("1"))[0]
+    again = fetches(driver.end("1", 1, Status.ERROR))[0]
     assert again.cache == first.cache
     assert again.source != first.source
 
 
 def test_exhausted_retry_budget_responds_at_once() -> None:
     """Guards against trouble that feeds itself with further attempts."""
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     sent = 0
     for index in range(60):
-        actions = front.ask(str(index), f"n{index}")
+        actions = driver.ask(str(index), f"n{index}")
         for number in range(6):
             sent += len(fetches(actions))
             if finals(actions):
                 break
-            actions = front.end(str(index), number, Status.CONNECTION_LOST)
-        assert str(index) not in front.router.requests.pending
+            actions = driver.end(str(index), number, Status.CONNECTION_LOST)
+        assert str(index) not in driver.router.requests.pending
     assert sent < 60 + 10 + 0.2 * 60 + 1
 
 
 def test_errors_of_two_endpoints_are_charged_to_the_request() -> None:
     """Requests for objects that nobody knows had good caches suspended and ate the retry budget."""
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     for index in range(40):
         held = str(index)
-        caches = {fetches(front.ask(held, f"odd{index}"))[0].cache}
-        again = front.end(held, 0, Status.ERROR)
+        caches = {fetches(driver.ask(held, f"odd{index}"))[0].cache}
+        again = driver.end(held, 0, Status.ERROR)
         if fetches(again):
             caches.add(fetches(again)[0].cache)
             assert len(caches) == 2
-            again = front.end(held, 1, Status.ERROR)
+            again = driver.end(held, 1, Status.ERROR)
         assert isinstance(finals(again)[0], api.Reject)  # at once
-    members = front.router.state.endpoints.by_id.values()
-    assert not any(member.ejected_until for member in members)
-    assert front.router.state.retry_balance == MAX_RETRIES
+    endpoints = driver.router.state.endpoints.by_id.values()
+    assert not any(member.ejected_until for member in endpoints)
+    assert driver.router.state.retry_balance == MAX_RETRIES
 
 
 def test_new_name_gets_no_second_attempt_while_most_errors_are_the_requests_own() -> None:
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     sent = 0
     for index in range(300):
-        sent += len(fetches(front.ask(str(index), f"odd{index}")))
-        again = front.end(str(index), 0, Status.ERROR)
+        sent += len(fetches(driver.ask(str(index), f"odd{index}")))
+        again = driver.end(str(index), 0, Status.ERROR)
         if fetches(again):
             sent += 1
-            front.end(str(index), 1, Status.ERROR)
+            driver.end(str(index), 1, Status.ERROR)
     assert sent < 300 + 60
-    front.router.state.request_fault_share.value = 1.0
-    front.ask("live", "known")
-    front.end("live", 0, OK, cache_status=Note.HIT)
-    front.ask("again", "known")  # a name that lives is asked about all the same
-    assert fetches(front.end("again", 0, Status.ERROR))
+    driver.router.state.request_fault_share.value = 1.0
+    driver.ask("live", "known")
+    driver.end("live", 0, OK, cache_status=Note.HIT)
+    driver.ask("again", "known")  # a name that lives is asked about all the same
+    assert fetches(driver.end("again", 0, Status.ERROR))
 
 
 def test_error_that_a_second_endpoint_does_not_share_is_charged_to_the_first() -> None:
-    front = Front(make_settings())
-    home = fetches(front.ask("1"))[0].cache
-    front.end("1", 0, Status.ERROR)
-    assert front.router.state.endpoints.by_id[home].failure_score == 0
-    front.end("1", 1, OK, cache_status=Note.HIT)
-    assert front.router.state.endpoints.by_id[home].failure_score == 0.5
+    driver = RouterDriver(make_settings())
+    home = fetches(driver.ask("1"))[0].cache
+    driver.end("1", 0, Status.ERROR)
+    assert driver.router.state.endpoints.by_id[home].failure_score == 0
+    driver.end("1", 1, OK, cache_status=Note.HIT)
+    assert driver.router.state.endpoints.by_id[home].failure_score == 0.5
 
 
 def test_one_connections_end_is_one_failure() -> None:
     """A reset with many attempts on it had a good member suspended, and the retry budget spent."""
-    front = Front(make_settings())
-    homes = {held: fetches(front.ask(held, "x"))[0].cache for held in map(str, range(6))}
+    driver = RouterDriver(make_settings())
+    homes = {held: fetches(driver.ask(held, "x"))[0].cache for held in map(str, range(6))}
     (home,) = set(homes.values())
-    saved = front.router.state.retry_balance
+    saved = driver.router.state.retry_balance
     for held in homes:
-        moved = front.end(held, 0, Status.CONNECTION_LOST, is_repeated_loss=held != "0")
+        moved = driver.end(held, 0, Status.CONNECTION_LOST, is_repeated_loss=held != "0")
         assert fetches(moved)[0].cache != home  # all go elsewhere
-    member = front.router.state.endpoints.by_id[home]
+    member = driver.router.state.endpoints.by_id[home]
     assert (member.failure_score, member.ejected_until) == (
         0.5,
         0,
     )
-    assert front.router.state.retry_balance == saved - 1
+    assert driver.router.state.retry_balance == saved - 1
 
 
 def test_attempts_older_than_an_ejection_do_not_lengthen_it() -> None:
-    front = Front(make_settings())
-    home = fetches(front.ask("0", "x"))[0].cache
+    driver = RouterDriver(make_settings())
+    home = fetches(driver.ask("0", "x"))[0].cache
     for held in "12345":
-        front.ask(held, "x")
+        driver.ask(held, "x")
     for held in "012345":
-        front.end(held, 0, Status.CONNECTION_LOST)
-    assert front.router.state.endpoints.by_id[home].ejected_until == front.now + SECOND
+        driver.end(held, 0, Status.CONNECTION_LOST)
+    assert driver.router.state.endpoints.by_id[home].ejected_until == driver.now + SECOND
 
 
 def test_response_without_bytes_is_no_transfer_time() -> None:
     """Answers VALID, 8 % of all, had shortened the sending times that cold budgets go by."""
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     for index, bare in enumerate((True, False)):
-        front.ask(str(index), size_kb=0.0)
-        front.end(str(index), 0, OK, cache_status=Note.HIT, is_not_modified=bare)
-        assert ("image" in front.router.state.class_work) is not bare
+        driver.ask(str(index), size_kb=0.0)
+        driver.end(str(index), 0, OK, cache_status=Note.HIT, is_not_modified=bare)
+        assert ("image" in driver.router.state.class_work) is not bare
 
 
 def test_finished_request_leaves_no_timer() -> None:
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     for index in range(50):
-        front.fill(str(index), f"n{index}")
-        front.end(str(index), 1, OK, cache_status=Note.FILLED)
-    assert len(front.router.timers) == 0
-    assert front.router.requests.pending == {}
+        driver.fill(str(index), f"n{index}")
+        driver.end(str(index), 1, OK, cache_status=Note.FILLED)
+    assert len(driver.router.timers) == 0
+    assert driver.router.requests.pending == {}
 
 
 def test_timeout_beyond_the_deadline_is_cut_to_it() -> None:
-    front = Front(make_settings())
-    front.ask("1", timeout=10**18)
-    assert finals(front.wait(3 * SECOND))
-    assert front.router.requests.pending == {}
+    driver = RouterDriver(make_settings())
+    driver.ask("1", timeout=10**18)
+    assert finals(driver.wait(3 * SECOND))
+    assert driver.router.requests.pending == {}
 
 
 def test_non_idempotent_request_is_never_sent_twice_nor_rejected_once_executed() -> None:
-    spec = make_class(idempotency=api.Idempotency.NOT_IDEMPOTENT)
-    front = Front(make_settings(spec))
-    front.ask("1")
-    assert finals(front.end("1", 0, Status.CONNECTION_LOST)) == [api.Fail("1")]
-    front.ask("2")
-    assert fetches(front.end("2", 0, Status.CONNECT_FAILED))  # known not to have run
-    front.ask("3")
-    assert not fetches(front.wait(2 * SECOND))  # a silent one is waited for
+    request_class = make_class(idempotency=api.Idempotency.NOT_IDEMPOTENT)
+    driver = RouterDriver(make_settings(request_class))
+    driver.ask("1")
+    assert finals(driver.end("1", 0, Status.CONNECTION_LOST)) == [api.Fail("1")]
+    driver.ask("2")
+    assert fetches(driver.end("2", 0, Status.CONNECT_FAILED))  # known not to have run
+    driver.ask("3")
+    assert not fetches(driver.wait(2 * SECOND))  # a silent one is waited for
 
 
 def test_request_with_key_stays_in_its_deduplication_scope_and_window() -> None:
-    spec = make_class(idempotency=api.Idempotency.WITH_KEY, deduplication_scope=api.DeduplicationScope.CELL)
+    request_class = make_class(
+        idempotency=api.Idempotency.WITH_KEY, deduplication_scope=api.DeduplicationScope.CELL
+    )
     fleet = (cache("a:1", cell=1), cache("b:1", cell=2), cache("c:1", cell=1), parent("p:1"), ORIGIN)
-    front = Front(make_settings(spec), fleet)
+    driver = RouterDriver(make_settings(request_class), fleet)
     cells = {m.id: m.cell for m in fleet}
     for index in range(20):
-        first = fetches(front.ask(str(index), f"n{index}"))[0]
-        actions = front.end(str(index), 0, Status.ERROR)
+        first = fetches(driver.ask(str(index), f"n{index}"))[0]
+        actions = driver.end(str(index), 0, Status.ERROR)
         for fetch in fetches(actions):
             assert cells[fetch.cache] == cells[first.cache]
         assert not any(isinstance(action, api.Reject) for action in actions)
-        front.do(api.ClientDisconnected(str(index)))
+        driver.do(api.ClientDisconnected(str(index)))
 
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
 def test_draining_or_removed_endpoint_is_neither_cache_nor_source(state: api.EndpointState) -> None:
-    front = Front(make_settings())
-    fetch = fetches(front.ask("1"))[0]
+    driver = RouterDriver(make_settings())
+    fetch = fetches(driver.ask("1"))[0]
     changed = (cache(fetch.cache, state), parent(fetch.source, state))
-    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, changed))
+    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, changed))
     for index in range(30):
-        for sent in fetches(front.ask(f"x{index}", f"n{index}")):
+        for sent in fetches(driver.ask(f"x{index}", f"n{index}")):
             assert fetch.cache != sent.cache
             assert fetch.source != sent.source
 
 
 def test_endpoint_missing_from_a_full_list_is_removed() -> None:
-    front = Front(make_settings())
-    front.do(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (cache("a:1"), ORIGIN)))
-    assert {(f.cache, f.source) for i in range(9) for f in fetches(front.fill(str(i), f"n{i}"))} == {
+    driver = RouterDriver(make_settings())
+    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (cache("a:1"), ORIGIN)))
+    assert {(f.cache, f.source) for i in range(9) for f in fetches(driver.fill(str(i), f"n{i}"))} == {
         ("a:1", "origin:1")
     }
 
@@ -321,215 +323,217 @@
 def test_cold_cache_gets_no_more_than_its_slow_start_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     """Budget by hand: 2.0 x 0.2 x 2 transfers x 2 s = 1.6 s of work; each request is 0.05 s."""
     monkeypatch.setattr("olivepost.routing.admission.LEVEL_CEILING", 0.0)
-    front = Front(
+    driver = RouterDriver(
         make_settings(allows_direct_forwarding=False), (cache("a:1", started_at=START), parent("p:1"), ORIGIN)
     )
-    sent = sum(len(fetches(front.ask(str(i), f"n{i}"))) for i in range(100))
+    sent = sum(len(fetches(driver.ask(str(i), f"n{i}"))) for i in range(100))
     assert sent == 32
-    front.wait(SECOND)
-    assert not fetches(front.ask("next"))  # the window has not passed
+    driver.wait(SECOND)
+    assert not fetches(driver.ask("next"))  # the window has not passed
 
 
 def test_cold_parent_gets_no_more_than_its_slow_start_budget() -> None:
     """Budget by hand: 2.0 x 0.1 x 2 transfers x 2 s = 0.8 s of work; each request is 0.05 s."""
-    members = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
-    front = Front(make_settings(), members)
-    sources = [fetches(front.fill(str(i)))[0].source for i in range(20)]
+    endpoints = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
+    driver = RouterDriver(make_settings(), endpoints)
+    sources = [fetches(driver.fill(str(i)))[0].source for i in range(20)]
     assert sources.count("p:1") == 16
     assert sources.count("origin:1") == 4
 
 
 def test_cache_only_attempt_is_not_charged_to_a_cold_parent_nor_sent_to_a_cold_cache() -> None:
     """Every attempt counts at a cold cache; at a cold parent only what fills from it does."""
-    members = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
-    front = Front(make_settings(), members)
+    endpoints = (cache("a:1"), parent("p:1", started_at=START), ORIGIN)
+    driver = RouterDriver(make_settings(), endpoints)
     for index in range(40):
-        front.ask(str(index))
-    assert not front.router.state.endpoints.by_id["p:1"].work
-    cold = Front(make_settings(), (cache("a:1", started_at=START), parent("p:1"), ORIGIN))
+        driver.ask(str(index))
+    assert not driver.router.state.endpoints.by_id["p:1"].work
+    cold = RouterDriver(make_settings(), (cache("a:1", started_at=START), parent("p:1"), ORIGIN))
     assert fetches(cold.ask("1"))[0].source == "p:1"
 
 
 def test_slow_start_budget_does_not_grow_as_warm_endpoints_leave() -> None:
     """Incident i0667f8: a release replaced the warm caches and the guess of a link grew with each."""
     fleet = (*[cache(f"w{i}:1") for i in range(6)], ORIGIN)
-    front = Front(make_settings(allows_direct_forwarding=False), fleet)
+    driver = RouterDriver(make_settings(allows_direct_forwarding=False), fleet)
     for index in range(200):
-        if fetches(front.ask(str(index), f"n{index}")):
-            front.end(str(index), 0, OK, cache_status=Note.HIT)
-    cold = cache("z:1", started_at=front.now)
-    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cold,)))
-    member = front.router.state.endpoints.by_id["z:1"]
+        if fetches(driver.ask(str(index), f"n{index}")):
+            driver.end(str(index), 0, OK, cache_status=Note.HIT)
+    cold = cache("z:1", started_at=driver.now)
+    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cold,)))
+    member = driver.router.state.endpoints.by_id["z:1"]
 
     def room() -> int:
         # Forgets what was sent before.
-        member.work.total(front.now + front.router.settings.overload_window + 1)
+        member.work.total(driver.now + driver.router.settings.overload_window + 1)
         for work in range(100_000):
-            if not capacity.has_slow_start_budget(front.router.state, front.now, member, 0.01 * SECOND):
+            if not capacity.has_slow_start_budget(driver.router.state, driver.now, member, 0.01 * SECOND):
                 return work
-            member.work.add(front.now, 0.01 * SECOND)
+            member.work.add(driver.now, 0.01 * SECOND)
         raise AssertionError("no bound on what a cold member is sent")
 
     before = room()
     gone = tuple(cache(f"w{i}:1", api.EndpointState.REMOVED) for i in range(5))
-    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
+    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
     assert room() <= before
 
 
-def own(front: Front, request_id: str, age: int, span: int = 100 * MS, **changes: Any) -> bool:
+def own(driver: RouterDriver, request_id: str, age: int, span: int = 100 * MS, **changes: Any) -> bool:
     """Whether a request that comes with an own copy is answered from it."""
-    actions = front.ask(request_id, cached_response=api.CachedResponse(age, span), **changes)
+    actions = driver.ask(request_id, cached_response=api.CachedResponse(age, span), **changes)
     assert (api.ServeCachedResponse(request_id) in actions) is not bool(fetches(actions))
     return api.ServeCachedResponse(request_id) in actions
 
 
 def test_cached_responses_are_served_while_the_own_link_has_capacity() -> None:
-    front = Front(make_settings(local_transfer_capacity=2.5))
-    assert own(front, "1", 0)
-    assert own(front, "2", 50 * SECOND)
-    assert not own(front, "3", 0)
-    front.wait(100 * MS)
-    assert own(front, "4", 0)
-    assert not own(Front(make_settings()), "1", 0)
+    driver = RouterDriver(make_settings(local_transfer_capacity=2.5))
+    assert own(driver, "1", 0)
+    assert own(driver, "2", 50 * SECOND)
+    assert not own(driver, "3", 0)
+    driver.wait(100 * MS)
+    assert own(driver, "4", 0)
+    assert not own(RouterDriver(make_settings()), "1", 0)
 
 
 def test_served_cached_responses_are_fresh_and_younger_than_any_invalidation() -> None:
-    front = Front(
+    driver = RouterDriver(
         make_settings(
             make_class(freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND), local_transfer_capacity=9.0
         )
     )
-    assert own(front, "1", 8 * SECOND)
-    assert not own(front, "2", 8 * SECOND + 1)
-    front.do(api.Invalidation(None, 1, 2 * SECOND))
-    assert not own(front, "3", 2 * SECOND + 1)
-    assert own(front, "4", 2 * SECOND)
-    assert own(front, "5", 3 * SECOND, group=2)
+    assert own(driver, "1", 8 * SECOND)
+    assert not own(driver, "2", 8 * SECOND + 1)
+    driver.do(api.Invalidation(None, 1, 2 * SECOND))
+    assert not own(driver, "3", 2 * SECOND + 1)
+    assert own(driver, "4", 2 * SECOND)
+    assert own(driver, "5", 3 * SECOND, group=2)
 
 
 def test_invalidation_counts_for_good_against_cached_responses() -> None:
     """An answer that crossed the purge was kept, and served once caches had nothing older."""
-    front = Front(make_settings(local_transfer_capacity=9.0))
-    front.do(api.Invalidation(None, 1, 0))
-    front.wait(60 * SECOND)
-    assert not own(front, "1", 60 * SECOND + 1)
-    assert own(front, "2", 59 * SECOND)
+    driver = RouterDriver(make_settings(local_transfer_capacity=9.0))
+    driver.do(api.Invalidation(None, 1, 0))
+    driver.wait(60 * SECOND)
+    assert not own(driver, "1", 60 * SECOND + 1)
+    assert own(driver, "2", 59 * SECOND)
 
 
 def test_only_repeated_names_are_stored() -> None:
-    front = Front(make_settings(local_transfer_capacity=2.5))
+    driver = RouterDriver(make_settings(local_transfer_capacity=2.5))
     kept = []
     for request_id in ("1", "2"):
-        front.ask(request_id)
+        driver.ask(request_id)
         kept += [
-            a for a in front.end(request_id, 0, OK, cache_status=Note.HIT) if isinstance(a, api.StoreResponse)
+            a
+            for a in driver.end(request_id, 0, OK, cache_status=Note.HIT)
+            if isinstance(a, api.StoreResponse)
         ]
     assert kept == [api.StoreResponse("2")]
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     for request_id in ("1", "2"):
-        front.ask(request_id)
+        driver.ask(request_id)
         assert not any(
-            isinstance(a, api.StoreResponse) for a in front.end(request_id, 0, OK, cache_status=Note.HIT)
+            isinstance(a, api.StoreResponse) for a in driver.end(request_id, 0, OK, cache_status=Note.HIT)
         )
 
 
 @pytest.mark.parametrize("by_group", [True, False])
 def test_invalidation_bounds_the_age_until_carried_out_everywhere(by_group: bool) -> None:
-    front = Front(make_settings())
-    assert fetches(front.ask("0"))[0].max_age == 0
-    front.do(api.Invalidation(None if by_group else "x", 1, 40 * MS))
-    front.wait(500 * MS)
-    assert fetches(front.ask("1"))[0].max_age == 540 * MS
-    again = fetches(front.end("1", 0, Status.ERROR))[0]
+    driver = RouterDriver(make_settings())
+    assert fetches(driver.ask("0"))[0].max_age == 0
+    driver.do(api.Invalidation(None if by_group else "x", 1, 40 * MS))
+    driver.wait(500 * MS)
+    assert fetches(driver.ask("1"))[0].max_age == 540 * MS
+    again = fetches(driver.end("1", 0, Status.ERROR))[0]
     assert again.max_age == 540 * MS
     if not by_group:
-        assert fetches(front.ask("other", "y"))[0].max_age == 0
-    front.wait(8 * SECOND)
-    assert fetches(front.ask("2"))[0].max_age == 0
+        assert fetches(driver.ask("other", "y"))[0].max_age == 0
+    driver.wait(8 * SECOND)
+    assert fetches(driver.ask("2"))[0].max_age == 0
 
 
 def test_group_invalidation_counts_where_the_request_names_no_group() -> None:
-    front = Front(make_settings())
-    front.do(api.Invalidation(None, 9, 0))
-    front.wait(MS)
-    assert fetches(front.ask("1", group=None))[0].max_age == MS
+    driver = RouterDriver(make_settings())
+    driver.do(api.Invalidation(None, 9, 0))
+    driver.wait(MS)
+    assert fetches(driver.ask("1", group=None))[0].max_age == MS
 
 
 def test_invalidation_table_is_bounded_and_forgets_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("olivepost.routing.invalidation.MAX_INVALIDATIONS", 3)
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     for index in range(9):
-        front.do(api.Invalidation(f"n{index}", index, 0))
-    front.wait(MS)
-    assert len(front.router.state.invalidations) <= 3
-    assert 0 < fetches(front.ask("1", "n0"))[0].max_age <= MS
+        driver.do(api.Invalidation(f"n{index}", index, 0))
+    driver.wait(MS)
+    assert len(driver.router.state.invalidations) <= 3
+    assert 0 < fetches(driver.ask("1", "n0"))[0].max_age <= MS
 
 
 def test_stale_responses_are_allowed_only_after_a_failure() -> None:
-    front = Front(make_settings(make_class(freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND)))
-    first = fetches(front.ask("1"))[0]
+    driver = RouterDriver(make_settings(make_class(freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND)))
+    first = fetches(driver.ask("1"))[0]
     assert first.max_age == 8 * SECOND
     assert first.refresh
-    assert fetches(front.end("1", 0, Status.ERROR))[0].max_age == 38 * SECOND
+    assert fetches(driver.end("1", 0, Status.ERROR))[0].max_age == 38 * SECOND
 
 
 def test_full_cache_is_skipped_and_overload_rises() -> None:
     """Guards against a location that takes more than it can serve in time."""
-    front = Front(make_settings())
-    sends = [fetches(front.ask(str(i))) for i in range(150)]
+    driver = RouterDriver(make_settings())
+    sends = [fetches(driver.ask(str(i))) for i in range(150)]
     assert {f.cache for fs in sends for f in fs} == {"a:1", "b:1", "c:1"}
-    assert front.router.state.arrivals.level > 0.5
+    assert driver.router.state.arrivals.level > 0.5
 
 
 def test_late_fills_reject_the_most_expensive_fills_and_leave_hits_alone() -> None:
     """Quiet day at full size: a location's full link in made every fill late, and all were sent again."""
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     for index in range(40):
-        front.fill(f"slow{index}", size_kb=20.0)
-        front.end(f"slow{index}", 1, OK, cache_status=Note.FILLED, elapsed=350 * MS)
-    assert front.router.state.fills.level > 0.8
-    assert fetches(front.fill("small", size_kb=5.0))
-    assert finals(front.fill("large", size_kb=400.0))
-    assert fetches(front.ask("1", size_kb=400.0))  # the look; a hit needs no link in
+        driver.fill(f"slow{index}", size_kb=20.0)
+        driver.end(f"slow{index}", 1, OK, cache_status=Note.FILLED, elapsed=350 * MS)
+    assert driver.router.state.fills.level > 0.8
+    assert fetches(driver.fill("small", size_kb=5.0))
+    assert finals(driver.fill("large", size_kb=400.0))
+    assert fetches(driver.ask("1", size_kb=400.0))  # the look; a hit needs no link in
     for index in range(60):
-        front.fill(f"quick{index}", size_kb=5.0)
-        front.end(f"quick{index}", 1, OK, cache_status=Note.FILLED, elapsed=20 * MS)
-    assert fetches(front.fill("again", size_kb=400.0))
+        driver.fill(f"quick{index}", size_kb=5.0)
+        driver.end(f"quick{index}", 1, OK, cache_status=Note.FILLED, elapsed=20 * MS)
+    assert fetches(driver.fill("again", size_kb=400.0))
 
 
 def test_rejected_fills_raise_the_fill_level_as_late_ones_do() -> None:
     """Incident i114a12: thousands of fills were refused, each sent to the next parent of one origin."""
-    front = Front(make_settings())
-    front.fill("1")
-    front.end("1", 1, Status.REJECTED)
-    assert front.router.state.fills.level > 0
+    driver = RouterDriver(make_settings())
+    driver.fill("1")
+    driver.end("1", 1, Status.REJECTED)
+    assert driver.router.state.fills.level > 0
 
 
 def test_fill_in_flight_for_long_counts_as_late_before_it_ends() -> None:
-    front = Front(make_settings())
-    front.fill("1")
-    front.wait(SECOND)
-    assert front.router.state.fills.level > 0
+    driver = RouterDriver(make_settings())
+    driver.fill("1")
+    driver.wait(SECOND)
+    assert driver.router.state.fills.level > 0
 
 
 def test_late_fills_lower_the_sources_limit_and_late_hits_the_caches() -> None:
     """Incident i36c20f: links in were full, fills came late, hits did not."""
-    front = Front(make_settings())
-    fetch = fetches(front.fill("1"))[0]
-    cache_member, source = (front.router.state.endpoints.by_id[a] for a in (fetch.cache, fetch.source))
-    front.end("1", 1, OK, cache_status=Note.FILLED, elapsed=420 * MS)
+    driver = RouterDriver(make_settings())
+    fetch = fetches(driver.fill("1"))[0]
+    cache_member, source = (driver.router.state.endpoints.by_id[a] for a in (fetch.cache, fetch.source))
+    driver.end("1", 1, OK, cache_status=Note.FILLED, elapsed=420 * MS)
     assert cache_member.late_share == 0.2
     assert source.late_share > 0.2
-    front.ask("2")
-    front.end("2", 0, OK, cache_status=Note.HIT, elapsed=420 * MS)
+    driver.ask("2")
+    driver.end("2", 0, OK, cache_status=Note.HIT, elapsed=420 * MS)
     assert cache_member.late_share > 0.2
 
 
 def test_concurrency_limit_of_one_of_many_proxies_has_room_for_chance() -> None:
     """Quiet day at full size: the home of every fourth request stood at a bound of one and was skipped."""
     alone, many = (
-        Front(make_settings()),
-        Front(make_settings(caches=api.TierSettings(12, 0.2, 10 * SECOND, 2.0))),
+        RouterDriver(make_settings()),
+        RouterDriver(make_settings(caches=api.TierSettings(12, 0.2, 10 * SECOND, 2.0))),
     )
     bounds = [
         capacity.concurrency_limit(f.router.state, f.now, f.router.state.endpoints.by_id["a:1"])
@@ -541,11 +545,11 @@
 
 def test_one_silence_is_waited_for_where_many_good_responses_take_as_long() -> None:
     """Slow fills made caches look silent to fronts with few requests; they were suspended for it."""
-    calm, slow = Front(make_settings()), Front(make_settings())
+    calm, slow = RouterDriver(make_settings()), RouterDriver(make_settings())
     calm.router.state.slow_share.value, slow.router.state.slow_share.value = 0.02, 0.5
-    for front in (calm, slow):
-        front.ask("1")
-        front.wait(500 * MS)
+    for driver in (calm, slow):
+        driver.ask("1")
+        driver.wait(500 * MS)
     assert not calm.router.requests.pending["1"].in_flight.get(0)
     assert slow.router.requests.pending["1"].in_flight.get(0)
 
@@ -554,14 +558,14 @@
     """Full-size day of ageing: two parents grew slow, and half of all misses were refused for it."""
     homes = []
     for late in (0.0, 0.4, 0.9):
-        front = Front(make_settings())
+        driver = RouterDriver(make_settings())
         for address in ("p:1", "q:1"):
-            front.router.state.endpoints.by_id[address].late_share = 0.0
-        front.router.state.endpoints.by_id["p:1"].late_share = late
+            driver.router.state.endpoints.by_id[address].late_share = 0.0
+        driver.router.state.endpoints.by_id["p:1"].late_share = late
         sources = []
         for i in range(200):
-            sources.append(fetches(front.fill(str(i), f"n{i}"))[0].source)
-            front.do(api.ClientDisconnected(str(i)))
+            sources.append(fetches(driver.fill(str(i), f"n{i}"))[0].source)
+            driver.do(api.ClientDisconnected(str(i)))
         homes.append(sources.count("p:1"))
     assert homes[0] > 70
     assert 15 < homes[1] < homes[0] - 15
@@ -569,59 +573,61 @@
 
 
 def test_endpoints_late_together_shed_nothing() -> None:
-    front = Front(make_settings())
+    driver = RouterDriver(make_settings())
     for address in ("p:1", "q:1"):
-        front.router.state.endpoints.by_id[address].late_share = 0.9
-    assert {fetches(front.fill(str(i), f"n{i}"))[0].source for i in range(9)} == {"p:1", "q:1"}
+        driver.router.state.endpoints.by_id[address].late_share = 0.9
+    assert {fetches(driver.fill(str(i), f"n{i}"))[0].source for i in range(9)} == {"p:1", "q:1"}
 
 
 def test_trial_without_a_result_allows_the_next() -> None:
-    front = Front(make_settings())
-    home = fetches(front.ask("0"))[0].cache
-    health.record_failure(front.router.state.endpoints.by_id[home], front.now, 1.0)
-    front.do(api.ClientDisconnected("0"))
-    front.wait(1100 * MS)
-    assert fetches(front.ask("1"))[0].cache == home
-    front.do(api.ClientDisconnected("1"))
-    assert fetches(front.ask("2"))[0].cache == home
+    driver = RouterDriver(make_settings())
+    home = fetches(driver.ask("0"))[0].cache
+    health.record_failure(driver.router.state.endpoints.by_id[home], driver.now, 1.0)
+    driver.do(api.ClientDisconnected("0"))
+    driver.wait(1100 * MS)
+    assert fetches(driver.ask("1"))[0].cache == home
+    driver.do(api.ClientDisconnected("1"))
+    assert fetches(driver.ask("2"))[0].cache == home
 
 
 def test_restarted_endpoint_starts_with_fresh_health() -> None:
-    front = Front(make_settings())
-    home = fetches(front.ask("0"))[0].cache
+    driver = RouterDriver(make_settings())
+    home = fetches(driver.ask("0"))[0].cache
     for index in range(2):
-        front.ask(f"f{index}")
-        outcomes.charge(front.router.state, front.now, front.router.requests.pending[f"f{index}"], home, 1.0)
-    assert not health.is_available(front.router.state.endpoints.by_id[home], front.now)
-    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache(home, started_at=front.now),)))
-    assert health.is_available(front.router.state.endpoints.by_id[home], front.now)
+        driver.ask(f"f{index}")
+        outcomes.charge(
+            driver.router.state, driver.now, driver.router.requests.pending[f"f{index}"], home, 1.0
+        )
+    assert not health.is_available(driver.router.state.endpoints.by_id[home], driver.now)
+    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache(home, started_at=driver.now),)))
+    assert health.is_available(driver.router.state.endpoints.by_id[home], driver.now)
 
 
 def test_cold_cache_has_a_lower_concurrency_limit() -> None:
     """A release leaves a location half cold: late hits came from cold caches used like warm ones."""
-    front = Front(make_settings(), (cache("a:1"), cache("z:1", started_at=START), ORIGIN))
-    warm, cold = front.router.state.endpoints.by_id["a:1"], front.router.state.endpoints.by_id["z:1"]
-    assert capacity.concurrency_limit(front.router.state, front.now, cold) == pytest.approx(
-        0.2 * capacity.concurrency_limit(front.router.state, front.now, warm)
+    driver = RouterDriver(make_settings(), (cache("a:1"), cache("z:1", started_at=START), ORIGIN))
+    warm, cold = driver.router.state.endpoints.by_id["a:1"], driver.router.state.endpoints.by_id["z:1"]
+    assert capacity.concurrency_limit(driver.router.state, driver.now, cold) == pytest.approx(
+        0.2 * capacity.concurrency_limit(driver.router.state, driver.now, warm)
     )
-    front.wait(10 * SECOND)
-    assert capacity.concurrency_limit(front.router.state, front.now, cold) == capacity.concurrency_limit(
-        front.router.state, front.now, warm
+    driver.wait(10 * SECOND)
+    assert capacity.concurrency_limit(driver.router.state, driver.now, cold) == capacity.concurrency_limit(
+        driver.router.state, driver.now, warm
     )
 
 
 def test_endpoints_without_a_start_time_are_warm() -> None:
-    front = Front(
+    driver = RouterDriver(
         make_settings(caches=api.TierSettings(1, 0.0, 1, 2.0), parents=api.TierSettings(1, 0.0, 1, 2.0))
     )
-    assert fetches(front.fill("1"))[0].source in {"p:1", "q:1"}
+    assert fetches(driver.fill("1"))[0].source in {"p:1", "q:1"}
 
 
 def test_every_request_gets_a_response_while_all_endpoints_are_cold() -> None:
     cold = tuple(dataclasses.replace(m, started_at=START) for m in FLEET[:5])
-    front = Front(make_settings(), (*cold, ORIGIN))
+    driver = RouterDriver(make_settings(), (*cold, ORIGIN))
     for index in range(200):
-        actions = front.ask(str(index), f"n{index}")
+        actions = driver.ask(str(index), f"n{index}")
         assert fetches(actions) or finals(actions)
 
 
@@ -629,27 +635,27 @@
 
 
 def test_shutdown_responds_to_all_pending_requests_at_once() -> None:
-    front = Front(
+    driver = RouterDriver(
         make_settings(make_class(), make_class("order", idempotency=api.Idempotency.NOT_IDEMPOTENT))
     )
-    front.ask("safe")
-    front.ask("unsafe", class_name="order", name="y")
-    actions = front.do(api.Shutdown())
+    driver.ask("safe")
+    driver.ask("unsafe", class_name="order", name="y")
+    actions = driver.do(api.Shutdown())
     assert {type(it) for it in finals(actions)} == {api.Reject, api.Fail}
     assert len(finals(actions)) == 2
-    assert not finals(front.wait(10 * SECOND))
+    assert not finals(driver.wait(10 * SECOND))
 
 
 def test_retry_must_start_within_its_idempotency_window() -> None:
     """Rule 2: the attempt may wait for its connection, and its window goes on meanwhile."""
-    spec = make_class(idempotency=api.Idempotency.WITH_KEY, idempotency_window=SECOND)
-    front = Front(make_settings(spec))
-    (first,) = fetches(front.ask("r"))
+    request_class = make_class(idempotency=api.Idempotency.WITH_KEY, idempotency_window=SECOND)
+    driver = RouterDriver(make_settings(request_class))
+    (first,) = fetches(driver.ask("r"))
     assert first.start_before == 0
-    sent = front.now
-    front.wait(100 * MS)
-    (again,) = fetches(front.end("r", 0, api.AttemptStatus.CONNECTION_LOST))
-    assert again.start_before == sent + SECOND - front.router.settings.deadline_margin
+    sent = driver.now
+    driver.wait(100 * MS)
+    (again,) = fetches(driver.end("r", 0, api.AttemptStatus.CONNECTION_LOST))
+    assert again.start_before == sent + SECOND - driver.router.settings.deadline_margin
 
 
 @pytest.mark.parametrize(
@@ -657,19 +663,19 @@
 )
 def test_class_without_objective_or_weight_is_served(changes: dict[str, Any]) -> None:
     """An aim of 0 must not look at its attempts without a pause, nor a worth of 0 divide by it."""
-    front = Front(make_settings(make_class(**changes), transfer_rate_kb_per_s=0.0))
+    driver = RouterDriver(make_settings(make_class(**changes), transfer_rate_kb_per_s=0.0))
     for number in range(20):
-        assert fetches(front.ask(f"r{number}", name=f"n{number}"))
-    assert all(delay > front.now for delay, _ in front.timers)
-    front.wait(SECOND)
+        assert fetches(driver.ask(f"r{number}", name=f"n{number}"))
+    assert all(delay > driver.now for delay, _ in driver.timers)
+    driver.wait(SECOND)
 
 
 def test_without_an_overload_multiple_no_cold_endpoint_is_spared() -> None:
     settings = make_settings(
         caches=api.TierSettings(9, 0.1, 10 * SECOND, 0.0), allows_direct_forwarding=False
     )
-    front = Front(settings, (cache("a:1", started_at=START), ORIGIN))
-    assert fetches(front.ask("r"))
+    driver = RouterDriver(settings, (cache("a:1", started_at=START), ORIGIN))
+    assert fetches(driver.ask("r"))
 
 
 def test_restarted_proxy_spares_cold_endpoints_for_a_window() -> None:
@@ -677,7 +683,7 @@
     settings = make_settings(
         caches=api.TierSettings(1, 0.5, 30 * SECOND, 3.0), allows_direct_forwarding=False
     )
-    front = Front(settings, (cache("a:1", started_at=START - SECOND), ORIGIN))
-    assert not fetches(front.ask("r1"))
-    front.wait(settings.overload_window + MS)
-    assert fetches(front.ask("r2"))
+    driver = RouterDriver(settings, (cache("a:1", started_at=START - SECOND), ORIGIN))
+    assert not fetches(driver.ask("r1"))
+    driver.wait(settings.overload_window + MS)
+    assert fetches(driver.ask("r2"))
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from olivepost import interface as api
-from tests.helpers import MS, ORIGIN, SECOND, Front, cache, make_class, make_settings, parent
+from tests.helpers import MS, ORIGIN, SECOND, RouterDriver, cache, make_class, make_settings, parent
 
 CLASSES = (
     make_class("safe", freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND),
@@ -53,7 +53,7 @@
 )
 
 
-class World(Front):
+class World(RouterDriver):
     """Plays the other side and checks each action against the rules."""
 
     def __init__(self, direct: bool) -> None:
@@ -102,12 +102,12 @@
                 request, deadline = self.owed.pop(action.request_id)
                 assert self.now <= deadline  # rule 1: in time
                 if isinstance(action, api.Reject):
-                    spec = self.settings.classes[request.class_name]
+                    request_class = self.settings.classes[request.class_name]
                     maybe = self.ran[action.request_id] or any(
                         key[0] == action.request_id for key in self.out
                     )
                     assert (
-                        spec.idempotency is api.Idempotency.IDEMPOTENT or not maybe
+                        request_class.idempotency is api.Idempotency.IDEMPOTENT or not maybe
                     )  # rule 2: harmless to repeat
                 self.over.add(action.request_id)
 
@@ -115,21 +115,21 @@
         assert fetch.request_id in self.owed
         assert fetch.request_id not in self.over
         request, _ = self.owed[fetch.request_id]
-        spec = self.settings.classes[request.class_name]
+        request_class = self.settings.classes[request.class_name]
         assert not any(key[0] == fetch.request_id for key in self.out)  # rule 2: one at a time
-        if spec.idempotency is api.Idempotency.NOT_IDEMPOTENT:
+        if request_class.idempotency is api.Idempotency.NOT_IDEMPOTENT:
             assert not self.ran[fetch.request_id]
-        if spec.idempotency is api.Idempotency.WITH_KEY and self.ran[fetch.request_id]:
+        if request_class.idempotency is api.Idempotency.WITH_KEY and self.ran[fetch.request_id]:
             since, first = self.ran[fetch.request_id][0]
             assert CELLS.get(fetch.cache) == CELLS.get(first) is not None
-            assert self.now - since < spec.idempotency_window + 4 * SECOND
+            assert self.now - since < request_class.idempotency_window + 4 * SECOND
         for address in (fetch.cache, fetch.source):  # rule 3
             assert address == ORIGIN.id or self.states[address] is api.EndpointState.READY
         for name, when in self.purges:  # rule 5
             if name in (None, request.object) and self.now - when <= self.settings.invalidation_lifetime:
                 assert 0 < fetch.max_age <= max(1, self.now - when)
-        if spec.freshness_lifetime:
-            assert 0 < fetch.max_age <= spec.freshness_lifetime + spec.stale_grace
+        if request_class.freshness_lifetime:
+            assert 0 < fetch.max_age <= request_class.freshness_lifetime + request_class.stale_grace
         for address in {fetch.cache, fetch.source}:
             self.check_cold(address, request)
         self.out[fetch.request_id, self.sends[fetch.request_id]] = fetch
--- a/tests/shared_store/model.py
+++ b/tests/shared_store/model.py
@@ -11,13 +11,13 @@
 NAME = "000007"  # an object that no cache has at the start
 
 
-def make_branch(fronts: int = 3, seed: int = 1, **changes: Any) -> Branch:
+def make_branch(proxies: int = 3, seed: int = 1, **changes: Any) -> Branch:
     """Returns a location whose store is available and whose proxies may donate quota."""
-    branch = Branch(settings(fronts), fronts, seed, **{"caches": 4, "names": 200, **changes})
+    branch = Branch(settings(proxies), proxies, seed, **{"caches": 4, "names": 200, **changes})
     branch.run(5 * SECOND)
     return branch
 
 
 def counted(branch: Branch, name: str) -> int:
     """Returns a counter of all proxies together."""
-    return sum(front.sharing.counts.get(name, 0) for front in branch.fronts if front.sharing)
+    return sum(proxy.coordinator.counts.get(name, 0) for proxy in branch.proxies if proxy.coordinator)
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -20,7 +20,7 @@
 
 def keep_apart(branch: Branch, number: int, cache: str) -> None:
     """Has one proxy keep a cache ejected, as by its own bad luck with it."""
-    endpoint = branch.fronts[number].router.state.endpoints.by_id[cache]
+    endpoint = branch.proxies[number].router.state.endpoints.by_id[cache]
     endpoint.ejected_until = 2**62
     endpoint.has_trial_in_flight = True
 
@@ -29,24 +29,24 @@
     branch = make_branch()
     home = cold_home(branch)
     keep_apart(branch, 1, home)
-    branch.request(branch.fronts[0], NAME)
+    branch.request(branch.proxies[0], NAME)
     branch.run(20 * MS)
-    for front in branch.fronts[1:]:
-        endpoint = front.router.state.endpoints.by_id[home]
+    for proxy in branch.proxies[1:]:
+        endpoint = proxy.router.state.endpoints.by_id[home]
         # In use again, while another proxy's lease says that it fills the name.
         endpoint.ejected_until = 0
         endpoint.has_trial_in_flight = False
-    branch.request(branch.fronts[2], NAME)
+    branch.request(branch.proxies[2], NAME)
     branch.run(2 * SECOND)
     assert branch.counts.fills == 1
     assert branch.counts.served == 2
 
 
 def test_without_a_store_two_proxies_fill_the_same_name_twice() -> None:
-    branch = make_branch(sharing=False)
+    branch = make_branch(has_store=False)
     keep_apart(branch, 1, cold_home(branch))
-    branch.request(branch.fronts[0], NAME)
-    branch.request(branch.fronts[1], NAME)
+    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[1], NAME)
     branch.run(2 * SECOND)
     assert branch.counts.fills == 2
     assert branch.counts.double_fills == 1
@@ -55,12 +55,12 @@
 def test_leases_requested_in_the_same_millisecond_have_one_owner() -> None:
     branch = make_branch(12)
     for _ in range(20):
-        for front in branch.fronts:
-            branch.request(front)
+        for proxy in branch.proxies:
+            branch.request(proxy)
         branch.run(30 * MS)
     branch.run(3 * SECOND)
-    assert branch.counts.numbers
-    assert not branch.counts.owned_twice
+    assert branch.counts.leases
+    assert not branch.counts.lease_conflicts
     assert counted(branch, "leases_followed") + counted(branch, "hints_given")
 
 
@@ -68,9 +68,9 @@
     branch = make_branch()
     home = cold_home(branch)
     keep_apart(branch, 0, home)
-    branch.request(branch.fronts[0], NAME)  # filled elsewhere
+    branch.request(branch.proxies[0], NAME)  # filled elsewhere
     branch.run(2 * SECOND)
-    branch.request(branch.fronts[1], NAME)
+    branch.request(branch.proxies[1], NAME)
     branch.run(2 * SECOND)
     assert counted(branch, "hints_given") >= 1
     assert branch.counts.fills == 1
@@ -79,12 +79,12 @@
 
 def test_evicted_location_is_reported_stale_and_requests_are_served() -> None:
     branch = make_branch()
-    branch.request(branch.fronts[0], NAME)
+    branch.request(branch.proxies[0], NAME)
     branch.run(2 * SECOND)
-    cache_with_name = next(cache for cache in branch.caches.values() if f"{NAME}.0" in cache.kept)
-    cache_with_name.kept.clear()  # evicted, of which no proxy is notified
-    for front in branch.fronts[1:]:
-        branch.request(front, NAME)
+    cache_with_name = next(cache for cache in branch.caches.values() if f"{NAME}.0" in cache.stored)
+    cache_with_name.stored.clear()  # evicted, of which no proxy is notified
+    for proxy in branch.proxies[1:]:
+        branch.request(proxy, NAME)
         branch.run(30 * MS)
     branch.run(2 * SECOND)
     assert counted(branch, "hints_stale") >= 1
@@ -92,28 +92,28 @@
 
 
 def test_lease_of_a_dead_owner_is_free_after_it_expires() -> None:
-    branch = make_branch(fill=(500 * MS, 501 * MS))
-    branch.request(branch.fronts[0], NAME)
+    branch = make_branch(fill_durations=(500 * MS, 501 * MS))
+    branch.request(branch.proxies[0], NAME)
     branch.run(20 * MS)
-    branch.fronts[0].paused_until = branch.now + 3600 * SECOND
+    branch.proxies[0].paused_until = branch.now + 3600 * SECOND
     branch.run(4 * SECOND)  # longer than the class's deadline, which bounds the lease
     store = branch.stores["s0"]
     assert not [key for key in [*store.data] if b":c:" in key and store.live_value(key)]
     for cache in branch.caches.values():
-        cache.kept.clear()
-    branch.request(branch.fronts[1], NAME)
+        cache.stored.clear()
+    branch.request(branch.proxies[1], NAME)
     branch.run(2 * SECOND)
-    assert branch.counts.numbers == 2
-    assert not branch.counts.owned_twice
+    assert branch.counts.leases == 2
+    assert not branch.counts.lease_conflicts
     assert branch.counts.served == 1
 
 
 def test_owner_paused_until_its_lease_expired_publishes_nothing() -> None:
     """Guards against a location published by a proxy that no longer holds the lease."""
-    branch = make_branch(fill=(100 * MS, 101 * MS))
-    branch.request(branch.fronts[0], NAME)
+    branch = make_branch(fill_durations=(100 * MS, 101 * MS))
+    branch.request(branch.proxies[0], NAME)
     branch.run(50 * MS)
-    branch.fronts[0].paused_until = branch.now + 6 * SECOND
+    branch.proxies[0].paused_until = branch.now + 6 * SECOND
     branch.run(8 * SECOND)
     assert counted(branch, "leases_expired") == 1
     assert not counted(branch, "lease_releases_confirmed")
@@ -123,7 +123,9 @@
     """Guards the fencing numbers: a counter alone goes back with its store."""
     branch = make_branch()
     store = branch.stores["s0"]
-    (generation,) = {front.sharing.stores["s0"].generation for front in branch.fronts if front.sharing}
+    (generation,) = {
+        proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
+    }
     numbers = []
     for name in ("a", "b", "c"):
         if name == "b":
@@ -132,7 +134,7 @@
             store.go_back(0)
         branch.now += MS
         look = ev.LookUp(generation, name, ("o:x", "g:1"), b"record", 1_000)
-        reply = branch.run_script(branch.fronts[0], ev.StoreCommand(1, "s0", look))
+        reply = branch.run_script(branch.proxies[0], ev.StoreCommand(1, "s0", look))
         assert isinstance(reply, ev.StoreReply)
         assert reply.values[0] == b"mine"
         numbers.append(int(cast("bytes", reply.values[1])))
@@ -140,16 +142,16 @@
 
 
 def test_store_that_lost_a_held_lease_lets_no_old_owner_publish() -> None:
-    branch = make_branch(fill=(600 * MS, 601 * MS))
-    branch.request(branch.fronts[0], NAME)
+    branch = make_branch(fill_durations=(600 * MS, 601 * MS))
+    branch.request(branch.proxies[0], NAME)
     branch.run(30 * MS)
     branch.stores["s0"].lose()
     branch.run(100 * MS)
     keep_apart(branch, 1, cold_home(branch))
-    branch.request(branch.fronts[1], NAME)  # its lease is free again at once
+    branch.request(branch.proxies[1], NAME)  # its lease is free again at once
     branch.run(3 * SECOND)
-    assert branch.counts.numbers == 2
-    assert not branch.counts.old_published
+    assert branch.counts.leases == 2
+    assert not branch.counts.stale_publications
     assert branch.counts.served == 2
     assert counted(branch, "lease_releases_confirmed") <= 1
 
@@ -161,31 +163,33 @@
 
 def test_two_stale_reports_drop_a_location_from_the_store() -> None:
     branch = make_branch(4)
-    branch.request(branch.fronts[0], NAME)
+    branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
     (key,) = holders(branch)
-    cache_with_name = next(name for name, cache in branch.caches.items() if cache.kept)
-    for count, front in enumerate(branch.fronts[1:3]):
+    cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
+    for count, proxy in enumerate(branch.proxies[1:3]):
         assert key in holders(branch)
         lookup = api.LookUpHint(f"q{count}", f"{NAME}.0", cache_with_name, "", 10 * MS, SECOND)
-        front.do_sharing(ev.LookupRequested(lookup, NAME, 7))
+        proxy.handle_store_event(ev.LookupRequested(lookup, NAME, 7))
         branch.run(20 * MS)
-        front.do_sharing(api.ReportStaleHint(lookup.request_id, lookup.name, cache_with_name))
+        proxy.handle_store_event(api.ReportStaleHint(lookup.request_id, lookup.name, cache_with_name))
         branch.run(20 * MS)
     assert key not in holders(branch)
 
 
 def test_location_in_a_restarted_cache_is_dropped_for_all() -> None:
     branch = make_branch()
-    branch.request(branch.fronts[0], NAME)
+    branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
     (key,) = holders(branch)
-    cache_with_name = next(name for name, cache in branch.caches.items() if cache.kept)
+    cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     branch.restart_cache(cache_with_name)
     branch.caches[cache_with_name].started = branch.now - 3600 * SECOND  # warm, so that a lookup comes first
-    branch.list_anew()
-    front = branch.fronts[1]
-    front.do_sharing(ev.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7))
+    branch.publish_endpoints()
+    proxy = branch.proxies[1]
+    proxy.handle_store_event(
+        ev.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7)
+    )
     branch.run(20 * MS)
     assert key not in holders(branch)
 
@@ -193,11 +197,11 @@
 def test_owner_whose_lease_another_proxy_has_publishes_nothing() -> None:
     """The store compares the whole lease: fencing number and incarnation."""
     made = make_branch()
-    (generation,) = {front.sharing.stores["s0"].generation for front in made.fronts if front.sharing}
+    (generation,) = {proxy.coordinator.stores["s0"].generation for proxy in made.proxies if proxy.coordinator}
     claims = []
-    for front in made.fronts[:2]:
+    for proxy in made.proxies[:2]:
         look = ev.LookUp(generation, "n", ("o:x", "g:1"), b"record", 500)
-        reply = made.run_script(front, ev.StoreCommand(1, "s0", look))
+        reply = made.run_script(proxy, ev.StoreCommand(1, "s0", look))
         assert isinstance(reply, ev.StoreReply)
         assert reply.values[0] == b"mine"
         claims.append(cast("bytes", reply.values[1]) + b" record")
@@ -213,14 +217,14 @@
 
 def test_release_after_the_lease_expired_sends_nothing() -> None:
     """By the owner's own clock, before any tick has dropped the lease."""
-    branch = make_branch(fill=(900 * MS, 901 * MS))
-    branch.request(branch.fronts[0], NAME)
+    branch = make_branch(fill_durations=(900 * MS, 901 * MS))
+    branch.request(branch.proxies[0], NAME)
     branch.run(30 * MS)
-    front = branch.fronts[0]
-    coordinator = front.sharing
+    proxy = branch.proxies[0]
+    coordinator = proxy.coordinator
     assert coordinator is not None
     assert len(coordinator.leases) == 1
-    later = front.clock(branch.now) + 20 * SECOND
+    later = proxy.clock(branch.now) + 20 * SECOND
     actions = coordinator.handle(later, ev.LeaseReleased(api.ReleaseLease("r1", "c0", 1)))
     assert not [
         a for a in actions if isinstance(a, ev.StoreCommand) and isinstance(a.operation, ev.PublishLocation)
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -17,14 +17,14 @@
     """Four proxies with clocks apart, a cold cache, and a store that is anything but reliable."""
 
     @initialize(seed=st.integers(0, 2**16))
-    def begin(self, seed: int) -> None:
-        self.branch: Branch = make_branch(4, seed, size=150.0)
+    def restart(self, seed: int) -> None:
+        self.branch: Branch = make_branch(4, seed, size_kb=150.0)
         self.branch.restart_cache("c0")
 
     @rule(number=PROXY_NUMBER, count=st.integers(1, 12))
     def requests(self, number: int, count: int) -> None:
         for _ in range(count):
-            self.branch.request(self.branch.fronts[number])
+            self.branch.request(self.branch.proxies[number])
 
     @rule(span=st.sampled_from([5, 30, 60, 300, 1500, 2500]))
     def wait(self, span: int) -> None:
@@ -32,21 +32,21 @@
 
     @rule(number=PROXY_NUMBER)
     def crash(self, number: int) -> None:
-        self.branch.fronts[number].begin()
+        self.branch.proxies[number].restart()
 
     @rule(number=PROXY_NUMBER, span=st.integers(10, 3000))
     def pause(self, number: int, span: int) -> None:
-        self.branch.fronts[number].paused_until = self.branch.now + span * MS
+        self.branch.proxies[number].paused_until = self.branch.now + span * MS
 
     @rule(
         lost=st.sampled_from([0.0, 0.5]),
         cut=st.sampled_from([0.0, 0.5]),
-        doubled=st.sampled_from([0.0, 0.8]),
+        duplicated=st.sampled_from([0.0, 0.8]),
         slow=st.sampled_from([0.0, 0.4]),
     )
-    def way(self, lost: float, cut: float, doubled: float, slow: float) -> None:
-        way = self.branch.ways["s0"]
-        way.lost, way.cut, way.doubled, way.slow = lost, cut, doubled, slow
+    def way(self, lost: float, cut: float, duplicated: float, slow: float) -> None:
+        way = self.branch.links["s0"]
+        way.lost, way.cut, way.duplicated, way.slow = lost, cut, duplicated, slow
 
     @rule()
     def snapshot(self) -> None:
@@ -62,7 +62,7 @@
 
     @rule(span=st.integers(50, 2000))
     def silence(self, span: int) -> None:
-        self.branch.ways["s0"].silent_until = self.branch.now + span * MS
+        self.branch.links["s0"].silent_until = self.branch.now + span * MS
 
     @rule(name=st.sampled_from(["c0", "c1"]))
     def cold(self, name: str) -> None:
@@ -75,18 +75,20 @@
     @invariant()
     def the_whole_is_never_exceeded(self) -> None:
         if hasattr(self, "branch"):
-            self.branch.look_at_budgets()
-            assert not self.branch.counts.over_whole
-            assert not self.branch.counts.owned_twice
-            assert not self.branch.counts.older_than_purge
+            self.branch.check_quotas()
+            assert not self.branch.counts.quotas_exceeded
+            assert not self.branch.counts.lease_conflicts
+            assert not self.branch.counts.served_invalidated
 
     def teardown(self) -> None:
         if hasattr(self, "branch"):
-            for way in self.branch.ways.values():
+            for way in self.branch.links.values():
                 way.lost = way.cut = way.slow = 0.0
             self.branch.run(8 * SECOND)
-            assert not any(front.router.requests.pending for front in self.branch.fronts)
-            assert all(not front.sharing or len(front.sharing.commands) < 4 for front in self.branch.fronts)
+            assert not any(proxy.router.requests.pending for proxy in self.branch.proxies)
+            assert all(
+                not proxy.coordinator or len(proxy.coordinator.commands) < 4 for proxy in self.branch.proxies
+            )
 
 
 TestQuotaHistories = QuotaHistories.TestCase
--- a/tests/shared_store/test_invalidations.py
+++ b/tests/shared_store/test_invalidations.py
@@ -25,14 +25,14 @@
 
 def test_store_that_came_back_empty_gets_the_invalidations_again() -> None:
     branch = make_branch()
-    branch.request(branch.fronts[0], NAME)
+    branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
     branch.purge([int(NAME, 16) % branch.groups])
     branch.run(SECOND)
-    first = {front.sharing.stores["s0"].generation for front in branch.fronts if front.sharing}
+    first = {proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator}
     branch.stores["s0"].lose()
     branch.run(SECOND)
-    later = {front.sharing.stores["s0"].generation for front in branch.fronts if front.sharing}
+    later = {proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator}
     assert len(later) == 1
     assert min(later) > max(first)
     (generation,) = later
@@ -46,9 +46,9 @@
         branch.purge([group])
     branch.run(SECOND)
     branch.stores["s0"].lose()
-    front = branch.fronts[0]
-    assert front.sharing is not None
-    store = front.sharing.stores["s0"]
+    proxy = branch.proxies[0]
+    assert proxy.coordinator is not None
+    store = proxy.coordinator.stores["s0"]
     seen: set[TrustLevel] = set()
     for _ in range(2_000):
         branch.run(MS // 10)
@@ -64,12 +64,12 @@
 
 def test_invalidations_reach_proxies_that_the_platform_did_not_notify() -> None:
     branch = make_branch()
-    front = branch.fronts[0]
-    front.do_sharing(_invalidation(branch))
+    proxy = branch.proxies[0]
+    proxy.handle_store_event(_invalidation(branch))
     branch.run(200 * MS)
     assert counted(branch, "invalidations_received") == 2
     request = api.Request("x", "image", "o", SECOND, group=3)
-    state, now = branch.fronts[2].router.state, branch.fronts[2].clock(branch.now)
+    state, now = branch.proxies[2].router.state, branch.proxies[2].clock(branch.now)
     assert invalidation.age_bound(state, now, request) is not None
 
 
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -69,36 +69,36 @@
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
-    front = branch.fronts[0]
+    proxy = branch.proxies[0]
     key = f"cold:c0@{branch.caches['c0'].started}"
-    front.do_router(api.QuotaRequested(1, key, 1e12, front.clock(branch.now) + SECOND))
-    donated = -capacity.transferred(front.router.state, front.clock(branch.now), key, 0.0)
+    proxy.handle_routing_event(api.QuotaRequested(1, key, 1e12, proxy.clock(branch.now) + SECOND))
+    donated = -capacity.transferred(proxy.router.state, proxy.clock(branch.now), key, 0.0)
     assert donated > 0
-    front.begin()
-    endpoint, at = front.router.state.endpoints.by_id["c0"], front.clock(branch.now)
+    proxy.restart()
+    endpoint, at = proxy.router.state.endpoints.by_id["c0"], proxy.clock(branch.now)
     tier, window = branch.settings.caches, branch.settings.overload_window
     part = (
         tier.overload_multiple
         * capacity.slow_start_share(at - window, endpoint)
         * window
-        * capacity.certain_link(front.router.state, endpoint)
+        * capacity.certain_link(proxy.router.state, endpoint)
     )
-    assert capacity.transferred(front.router.state, at, key, part) <= -donated
+    assert capacity.transferred(proxy.router.state, at, key, part) <= -donated
     branch.run(5 * SECOND)
-    assert capacity.transferred(front.router.state, front.clock(branch.now), key, part) == 0
+    assert capacity.transferred(proxy.router.state, proxy.clock(branch.now), key, part) == 0
 
 
 def test_slow_start_quota_moves_to_the_busy_proxy_and_never_grows() -> None:
     def served(sharing: bool) -> int:
-        branch = make_branch(6, sharing=sharing, size=200.0)
+        branch = make_branch(6, has_store=sharing, size_kb=200.0)
         for name in list(branch.caches):
             branch.restart_cache(name)
         branch.load(60, 5 * SECOND, lambda: 0 if branch.draw.random() < 0.95 else 1)
         for _ in range(120):
             branch.run(50 * MS)
-            branch.look_at_budgets()
-        assert not branch.counts.over_whole
-        assert branch.counts.looks
+            branch.check_quotas()
+        assert not branch.counts.quotas_exceeded
+        assert branch.counts.quota_checks
         return branch.counts.served
 
     assert served(True) > 1.3 * served(False)
@@ -109,17 +109,17 @@
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
-    key, donor = f"cold:c0@{branch.caches['c0'].started}", branch.fronts[0]
-    branch.ways["s0"].cut = 1.0
-    branch.fronts[1].do_sharing(api.RequestQuota(key, 1e6))
+    key, donor = f"cold:c0@{branch.caches['c0'].started}", branch.proxies[0]
+    branch.links["s0"].cut = 1.0
+    branch.proxies[1].handle_store_event(api.RequestQuota(key, 1e6))
     branch.run(60 * MS)
-    branch.ways["s0"].cut = 0.0
-    branch.fronts[1].do_sharing(api.RequestQuota(key, 1e9))
+    branch.links["s0"].cut = 0.0
+    branch.proxies[1].handle_store_event(api.RequestQuota(key, 1e9))
     for _ in range(40):
         branch.run(10 * MS)
-        branch.ways["s0"].cut = 1.0 if donor.router.state.quotas else 0.0
-        branch.look_at_budgets()
+        branch.links["s0"].cut = 1.0 if donor.router.state.quotas else 0.0
+        branch.check_quotas()
     assert donor.router.state.quotas
-    assert not branch.counts.over_whole
+    assert not branch.counts.quotas_exceeded
     branch.run(300 * MS)
     assert capacity.transferred(donor.router.state, donor.clock(branch.now), key, 0.0) < 0
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -6,14 +6,14 @@
 
 from olivepost import interface as api
 from olivepost.routing import capacity, health
-from tests.helpers import FLEET, MS, SECOND, Front, cache, fetches, finals, make_class, make_settings
+from tests.helpers import FLEET, MS, SECOND, RouterDriver, cache, fetches, finals, make_class, make_settings
 
 WAIT = 10 * MS
 
 
-def proxy_with_store(**changes: object) -> Front:
+def proxy_with_store(**changes: object) -> RouterDriver:
     """Returns a proxy whose store is available."""
-    proxy = Front(make_settings(**{"shared_store_timeout": WAIT, **changes}))
+    proxy = RouterDriver(make_settings(**{"shared_store_timeout": WAIT, **changes}))
     proxy.wait(5 * SECOND)
     proxy.do(api.StoreAvailability(True))
     return proxy
@@ -34,7 +34,7 @@
 
 
 def test_without_a_store_nothing_is_looked_up() -> None:
-    proxy = Front(make_settings(shared_store_timeout=WAIT))
+    proxy = RouterDriver(make_settings(shared_store_timeout=WAIT))
     assert fetches(proxy.ask("1"))
     assert not lookups(proxy.ask("2", "y"))
 
@@ -149,13 +149,13 @@
 
 
 def test_classes_with_a_freshness_lifetime_ask_for_the_lease_at_once() -> None:
-    proxy = Front(make_settings(make_class(freshness_lifetime=8 * SECOND), shared_store_timeout=WAIT))
+    proxy = RouterDriver(make_settings(make_class(freshness_lifetime=8 * SECOND), shared_store_timeout=WAIT))
     proxy.do(api.StoreAvailability(True))
     (lookup,) = lookups(proxy.ask("1"))
     assert lookup.source
 
 
-def proxy_with_cold_cache(**changes: object) -> Front:
+def proxy_with_cold_cache(**changes: object) -> RouterDriver:
     proxy = proxy_with_store(
         has_endpoint_weights=True, caches=api.TierSettings(4, 0.2, 20 * SECOND, 3.0), **changes
     )
@@ -167,7 +167,7 @@
     return proxy
 
 
-def donated_amount(proxy: Front, key: str, most: float = 1e12, span: int = SECOND) -> float:
+def donated_amount(proxy: RouterDriver, key: str, most: float = 1e12, span: int = SECOND) -> float:
     (action,) = proxy.do(api.QuotaRequested(1, key, most, proxy.now + span))
     assert isinstance(action, api.DonateQuota)
     return action.amount
@@ -211,7 +211,7 @@
 
 
 def test_proxy_that_has_just_started_donates_nothing() -> None:
-    proxy = Front(make_settings(shared_store_timeout=WAIT))
+    proxy = RouterDriver(make_settings(shared_store_timeout=WAIT))
     assert donated_amount(proxy, "retry") == 0
 
 
@@ -236,7 +236,7 @@
 
 
 def test_proxy_that_lacks_quota_requests_it() -> None:
-    proxy = Front(
+    proxy = RouterDriver(
         make_settings(
             has_endpoint_weights=True,
             caches=api.TierSettings(64, 0.2, 20 * SECOND, 2.0),
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -9,15 +9,15 @@
 from tests.shared_store.model import NAME, counted, make_branch
 
 
-@pytest.mark.parametrize("faults", [{"lost": 0.3}, {"cut": 0.3}, {"doubled": 0.5}, {"slow": 0.3}])
+@pytest.mark.parametrize("faults", [{"lost": 0.3}, {"cut": 0.3}, {"duplicated": 0.5}, {"slow": 0.3}])
 def test_requests_are_served_while_replies_are_lost_cut_doubled_or_late(faults: dict[str, float]) -> None:
     branch = make_branch(4)
     for name, value in faults.items():
-        setattr(branch.ways["s0"], name, value)
+        setattr(branch.links["s0"], name, value)
     branch.load(200, 6 * SECOND)
     branch.run(10 * SECOND)
     assert branch.counts.served == branch.counts.requests
-    assert not branch.counts.owned_twice
+    assert not branch.counts.lease_conflicts
 
 
 def test_silent_store_costs_a_few_waits_and_then_none() -> None:
@@ -25,24 +25,24 @@
     branch = make_branch(2)
     branch.load(100, 10 * SECOND)
     branch.run(2 * SECOND)
-    branch.ways["s0"].silent_until = branch.now + 6 * SECOND
+    branch.links["s0"].silent_until = branch.now + 6 * SECOND
     branch.run(SECOND)
-    before = branch.counts.consults
+    before = branch.counts.lookups
     branch.run(4 * SECOND)
-    assert branch.counts.consults == before
+    assert branch.counts.lookups == before
     assert all(
-        front.sharing and front.sharing.stores["s0"].breaker is not BreakerState.CLOSED
-        for front in branch.fronts
+        proxy.coordinator and proxy.coordinator.stores["s0"].breaker is not BreakerState.CLOSED
+        for proxy in branch.proxies
     )
     branch.run(5 * SECOND)
-    assert all(front.sharing and front.sharing.stores["s0"].is_available for front in branch.fronts)
+    assert all(proxy.coordinator and proxy.coordinator.stores["s0"].is_available for proxy in branch.proxies)
     assert branch.counts.served >= branch.counts.requests - 1
 
 
 def test_store_restored_from_before_an_invalidation_gives_no_hint_of_then() -> None:
     """Guards against an old snapshot: its locations stand under a generation that no proxy has adopted."""
     branch = make_branch()
-    branch.request(branch.fronts[0], NAME)
+    branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
     branch.stores["s0"].snapshot()
     assert [key for key in branch.stores["s0"].data if b":h:" in key]
@@ -52,44 +52,46 @@
     branch.stores["s0"].go_back(SECOND // MS)
     assert [key for key in branch.stores["s0"].data if b":h:" in key]
     before = counted(branch, "hints_given")
-    branch.request(branch.fronts[1], NAME)
+    branch.request(branch.proxies[1], NAME)
     branch.run(SECOND)
     assert counted(branch, "hints_given") == before
-    assert not branch.counts.older_than_purge
+    assert not branch.counts.served_invalidated
     assert counted(branch, "replies_rolled_back") + counted(branch, "replies_moved") >= 3
 
 
 def test_malformed_records_are_skipped_and_counted() -> None:
     branch = make_branch()
     store = branch.stores["s0"]
-    (generation,) = {front.sharing.stores["s0"].generation for front in branch.fronts if front.sharing}
+    (generation,) = {
+        proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
+    }
     prefix = b"t:%d:" % generation
     store.call([b"HSET", prefix + b"needs", b"x|cold:c0@0", b"1 9999999999999 - garbage"])
     store.call([b"SET", prefix + f"h:{NAME}.0".encode(), b"a string where a hash should be"])
     store.call(
         [
             b"RPUSH",
-            prefix + b"p:" + branch.fronts[0].sharing.terms.incarnation.encode(),  # type: ignore
+            prefix + b"p:" + branch.proxies[0].coordinator.terms.incarnation.encode(),  # type: ignore
             b"\x00" * 100,
         ]
     )
     store.call([b"HSET", prefix + b"suspects", b"nobody", b"9999999999999"])
-    branch.request(branch.fronts[0], NAME)
+    branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
     assert branch.counts.served == 1
     assert counted(branch, "records_malformed") >= 3
-    assert all(front.sharing and front.sharing.stores["s0"].is_available for front in branch.fronts)
+    assert all(proxy.coordinator and proxy.coordinator.stores["s0"].is_available for proxy in branch.proxies)
 
 
 def test_malformed_records_are_logged_once_a_minute() -> None:
     branch = make_branch(1)
-    coordinator = branch.fronts[0].sharing
+    coordinator = branch.proxies[0].coordinator
     assert coordinator is not None
     for _ in range(100):
         key = b"t:%d:suspects" % coordinator.stores["s0"].generation
         branch.stores["s0"].call([b"HSET", key, b"nobody", b"9999999999999"])
         branch.run(SECOND)
-    assert 1 <= branch.notes["store_records_malformed"] <= 2
+    assert 1 <= branch.log_events["store_records_malformed"] <= 2
     assert counted(branch, "records_malformed") >= 100
 
 
@@ -97,11 +99,11 @@
     branch = make_branch(2, stores=3)
     branch.load(100, 4 * SECOND)
     branch.run(SECOND)
-    branch.ways["s1"].silent_until = branch.now + 60 * SECOND
+    branch.links["s1"].silent_until = branch.now + 60 * SECOND
     branch.run(4 * SECOND)
-    for front in branch.fronts:
-        assert front.sharing is not None
-        ups = {name: store.is_available for name, store in front.sharing.stores.items()}
+    for proxy in branch.proxies:
+        assert proxy.coordinator is not None
+        ups = {name: store.is_available for name, store in proxy.coordinator.stores.items()}
         assert ups == {"s0": True, "s1": False, "s2": True}
     assert branch.counts.served == branch.counts.requests
 
@@ -109,10 +111,10 @@
 def test_reply_three_seconds_late_publishes_nothing() -> None:
     """The lease may be ours: the fill goes on as without a store, and nothing is published of it."""
     branch = make_branch()
-    branch.ways["s0"].span = (1500 * MS, 1500 * MS + 1)
-    branch.request(branch.fronts[0], NAME)
+    branch.links["s0"].span = (1500 * MS, 1500 * MS + 1)
+    branch.request(branch.proxies[0], NAME)
     branch.run(900 * MS)
     assert branch.counts.served == 1  # it waited for its 10 ms and no longer
     branch.run(4 * SECOND)
-    assert branch.counts.numbers <= 1
+    assert branch.counts.leases <= 1
     assert not counted(branch, "lease_releases_confirmed")
