--- /dev/null
+++ b/tests/test_docs.py
@@ -0,0 +1,74 @@
+"""The documentation names files, log events and counters that exist."""
+
+import ast
+import re
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parents[1]
+PAGES = sorted([ROOT / "README.md", ROOT / "CONTRIBUTING.md", *(ROOT / "docs").rglob("*.md")])
+LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
+NAME = re.compile(r"`([a-z0-9_.*]+)`")
+SEPARATOR = re.compile(r"[\s|:-]+")
+LOG_HEADINGS = ("## Log events", "## Metrics", "### Counters", "## Old and new names")
+
+
+def prose(text: str) -> str:
+    """A page without its blocks of code and its diagrams."""
+    return re.sub(r"^```.*?^```", "", text, flags=re.DOTALL | re.MULTILINE)
+
+
+def relative_links(page: Path) -> list[str]:
+    """The targets of a page's links that lead to files."""
+    targets = LINK.findall(prose(page.read_text(encoding="utf-8")))
+    return [target for target in targets if "://" not in target and not target.startswith("#")]
+
+
+def table_rows(page: Path, headings: tuple[str, ...]) -> list[list[str]]:
+    """The cells of all table rows that stand under one of the headings."""
+    rows: list[list[str]] = []
+    is_wanted = False
+    previous = ""
+    for line in page.read_text(encoding="utf-8").splitlines():
+        if line.startswith("#"):
+            is_wanted = line.startswith(headings)
+        is_head = not previous.startswith("|")
+        if is_wanted and line.startswith("|") and not is_head and not SEPARATOR.fullmatch(line):
+            rows.append([cell.strip() for cell in line.strip("|").split("|")])
+        previous = line
+    return rows
+
+
+def documented_names() -> set[str]:
+    """Log events, fields and counters in the tables of the on-call page; `a_*` stands for a family."""
+    page = ROOT / "docs" / "oncall.md"
+    events = [row[0] for row in table_rows(page, LOG_HEADINGS[:3])]
+    renamed = [row[1] for row in table_rows(page, LOG_HEADINGS[3:])]
+    return {name for cell in [*events, *renamed] for name in NAME.findall(cell)}
+
+
+def names_in_code() -> set[str]:
+    """All strings and keyword arguments of the program; `a_*` for a string that begins with `a_`."""
+    names: set[str] = set()
+    for path in (ROOT / "olivepost").rglob("*.py"):
+        for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
+            if isinstance(node, ast.JoinedStr) and isinstance(node.values[0], ast.Constant):
+                names.add(f"{node.values[0].value}*")
+            elif isinstance(node, ast.Constant) and isinstance(node.value, str):
+                names.add(node.value)
+            elif isinstance(node, ast.keyword) and node.arg is not None:
+                names.add(node.arg)
+    return names
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_relative_links_lead_to_files(page: Path) -> None:
+    targets = {target: (page.parent / target.partition("#")[0]) for target in relative_links(page)}
+    assert [target for target, path in targets.items() if not path.exists()] == []
+
+
+def test_log_events_and_counters_of_the_on_call_page_occur_in_the_code() -> None:
+    documented = documented_names()
+    assert len(documented) > 40, "the tables were not found"
+    assert sorted(documented - names_in_code()) == []
