--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,9 @@
-"""The documentation names files, log events and counters that exist."""
+"""The documentation names files, log events, counters and parts of the code that exist."""
 
 import ast
 import re
+from collections import defaultdict
+from functools import cache
 from pathlib import Path
 
 import pytest
@@ -10,8 +12,11 @@
 PAGES = sorted([ROOT / "README.md", ROOT / "CONTRIBUTING.md", *(ROOT / "docs").rglob("*.md")])
 LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
 NAME = re.compile(r"`([a-z0-9_.*]+)`")
+CODE = re.compile(r"`([A-Za-z_][A-Za-z0-9_.]*)(?:\[[a-z_]+\]|\([^)`]*\))?`")
+FILE = re.compile(r".*\.(py|md|toml|json|yaml|txt)")
 SEPARATOR = re.compile(r"[\s|:-]+")
 NAME_HEADINGS = ("## Log events", "## Metrics", "### Counters", "### Invariants")
+CODE_PAGES = ("architecture", "design", "endings", "glossary")
 RENAMED_HEADING = ("## Old and new names",)
 
 
@@ -49,10 +54,16 @@
     return {name for cell in [*present, *renamed] for name in NAME.findall(cell)}
 
 
+@cache
+def modules(*packages: str) -> dict[Path, ast.Module]:
+    """The syntax of all modules of the packages."""
+    paths = [path for package in packages for path in (ROOT / package).rglob("*.py")]
+    return {path: ast.parse(path.read_text(encoding="utf-8")) for path in paths}
+
+
 def program_nodes() -> list[ast.AST]:
     """The syntax of the whole program."""
-    modules = (ROOT / "olivepost").rglob("*.py")
-    return [node for path in modules for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))]
+    return [node for tree in modules("olivepost").values() for node in ast.walk(tree)]
 
 
 def names_in_code() -> set[str]:
@@ -87,3 +98,61 @@
     documented = documented_names()
     assert len(documented) > 60, "the tables were not found"
     assert sorted(documented - names_in_code()) == []
+
+
+def defined_in(tree: ast.AST) -> set[str]:
+    """What a module or class defines: functions, classes, fields, attributes of `self`."""
+    names: set[str] = set()
+    for node in ast.walk(tree):
+        if isinstance(node, (ast.FunctionDef, ast.ClassDef)):
+            names.add(node.name)
+        elif isinstance(node, ast.Name) and isinstance(node.ctx, ast.Store):
+            names.add(node.id)
+        elif isinstance(node, ast.Attribute) and isinstance(node.ctx, ast.Store):
+            names.add(node.attr)
+    return names
+
+
+def members_by_owner() -> dict[str, set[str]]:
+    """What the program's modules and classes define, by their names."""
+    members: dict[str, set[str]] = defaultdict(set)
+    for path, tree in modules("olivepost").items():
+        members[path.stem] |= defined_in(tree)
+        for node in ast.walk(tree):
+            if isinstance(node, ast.ClassDef):
+                members[node.name] |= defined_in(node)
+    return members
+
+
+def names_of_tests() -> set[str]:
+    """The names of all tests."""
+    trees = modules("tests").values()
+    defined = {node.name for tree in trees for node in ast.walk(tree) if isinstance(node, ast.FunctionDef)}
+    return {name for name in defined if name.startswith("test_")}
+
+
+def code_names(page: Path) -> set[str]:
+    """The names in code type on a page; in a table of the glossary those of its last column."""
+    text = prose(page.read_text(encoding="utf-8"))
+    if page.stem == "glossary":
+        rows = [line.strip("|").split("|") for line in text.splitlines() if line.startswith("|")]
+        text = "\n".join(row[-1] for row in rows)
+    return {name for name in CODE.findall(text) if not FILE.fullmatch(name)}
+
+
+@pytest.mark.parametrize("stem", CODE_PAGES)
+def test_parts_of_the_code_that_a_page_names_exist(stem: str) -> None:
+    members = members_by_owner()
+    tests = " ".join(names_of_tests())
+    known = set(members).union(*members.values()) | names_in_code()
+    missing = set()
+    for name in code_names(ROOT / "docs" / f"{stem}.md"):
+        owner, _, member = name.partition(".")
+        is_word = name in (name.lower(), name.upper()) and "_" not in name  # of a wire
+        if "." in name:
+            is_known = member in members.get(owner, ())
+        else:
+            is_known = is_word or name in known or name in tests
+        if not is_known:
+            missing.add(name)
+    assert sorted(missing) == []
