--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -157,3 +157,10 @@
         if not is_known:
             missing.add(name)
     assert sorted(missing) == []
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_diagrams_hold_no_semicolon(page: Path) -> None:
+    """Mermaid takes a semicolon for the end of a line; such a diagram is not drawn at all."""
+    diagrams = re.findall(r"^```mermaid$.*?^```$", page.read_text(encoding="utf-8"), re.DOTALL | re.MULTILINE)
+    assert [diagram for diagram in diagrams if ";" in diagram] == []
