--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -9,7 +9,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-PAGES = sorted([ROOT / "README.md", ROOT / "CONTRIBUTING.md", *(ROOT / "docs").rglob("*.md")])
+PAGES = sorted([*ROOT.glob("*.md"), ROOT / "examples" / "README.md", *(ROOT / "docs").rglob("*.md")])
 LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
 NAME = re.compile(r"`([a-z0-9_.*]+)`")
 CODE = re.compile(r"`([A-Za-z_][A-Za-z0-9_.]*)(?:\[[a-z_]+\]|\([^)`]*\))?`")
