--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -13,6 +13,7 @@
 LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
 NAME = re.compile(r"`([a-z0-9_.*]+)`")
 CODE = re.compile(r"`([A-Za-z_][A-Za-z0-9_.]*)(?:\[[a-z_]+\]|\([^)`]*\))?`")
+PAGE_PATH = re.compile(r"docs/[A-Za-z0-9_./-]+\.md")
 FILE = re.compile(r".*\.(py|md|toml|json|yaml|txt)")
 SEPARATOR = re.compile(r"[\s|:-]+")
 NAME_HEADINGS = ("## Log events", "## Metrics", "### Counters", "### Invariants")
@@ -95,6 +96,14 @@
     assert [target for target, path in targets.items() if not path.exists()] == []
 
 
+def test_pages_that_the_code_names_exist() -> None:
+    folders = ("olivepost", "tests", "benchmarks", "standins", "examples")
+    sources = [path for folder in folders for path in (ROOT / folder).rglob("*.py")]
+    named = {page for path in sources for page in PAGE_PATH.findall(path.read_text(encoding="utf-8"))}
+    assert len(named) > 1, "no page was found"
+    assert sorted(page for page in named if not (ROOT / page).exists()) == []
+
+
 def test_log_events_and_counters_of_the_on_call_page_occur_in_the_code() -> None:
     documented = documented_names()
     assert len(documented) > 60, "the tables were not found"
