--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -14,6 +14,10 @@
 NAME = re.compile(r"`([a-z0-9_.*]+)`")
 CODE = re.compile(r"`([A-Za-z_][A-Za-z0-9_.]*)(?:\[[a-z_]+\]|\([^)`]*\))?`")
 PAGE_PATH = re.compile(r"docs/[A-Za-z0-9_./-]+\.md")
+SOURCE_PATH = re.compile(r"`((?:benchmarks|deploy|docs|examples|olivepost|standins|tests)/[A-Za-z0-9_./-]*)`")
+# What the pages of history name may be gone by now.
+HISTORY = {ROOT / "CHANGELOG.md", ROOT / "docs" / "results.md", *(ROOT / "docs" / "incidents").glob("*.md")}
+PRESENT_PAGES = [page for page in PAGES if page not in HISTORY]
 FILE = re.compile(r".*\.(py|md|toml|json|yaml|txt)")
 SEPARATOR = re.compile(r"[\s|:-]+")
 NAME_HEADINGS = ("## Log events", "## Metrics", "### Counters", "### Invariants")
@@ -96,6 +100,12 @@
     assert [target for target, path in targets.items() if not path.exists()] == []
 
 
+@pytest.mark.parametrize("page", PRESENT_PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
+def test_paths_that_a_page_names_exist(page: Path) -> None:
+    named = SOURCE_PATH.findall(prose(page.read_text(encoding="utf-8")))
+    assert [path for path in named if not (ROOT / path).exists()] == []
+
+
 def test_pages_that_the_code_names_exist() -> None:
     folders = ("olivepost", "tests", "benchmarks", "standins", "examples")
     sources = [path for folder in folders for path in (ROOT / folder).rglob("*.py")]
