--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -1,6 +1,6 @@
 """Router settings: the platform's JSON, key by key, to `olivepost.interface.Settings`.
 
-The keys are the platform's and documented in `docs/front.md`. Keys that are not read here are skipped, so
+The keys are the platform's and documented in `docs/proxy.md`. Keys that are not read here are skipped, so
 that a newer platform can add some.
 """
 
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -36,9 +36,8 @@
         self._pending = pending
         self._executor = executor
         self.discovery_heard_at = 0
-        self.shutdown_at = (
-            0  # when all that is pending gets its final response; 0: no shutdown, or it is past
-        )
+        # When all that is pending gets its final response; 0: no shutdown, or it is past.
+        self.shutdown_at = 0
         self._is_shut_down = False  # what comes now gets its final response at once
 
     # Arrival and shutdown
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -103,9 +103,8 @@
 
     def _write_request(self, sock: socket.socket, request: UpstreamRequest) -> None:
         exchange = request.exchange
-        if (
-            exchange.is_client_disconnected()
-        ):  # the event loop is about to learn of it, and takes the request back
+        # The event loop is about to learn of a client that has gone, and takes the request back.
+        if exchange.is_client_disconnected():
             self._resources.log.increment("requests_of_disconnected_clients")
             return
         now = self._resources.clock.now()
