--- a/olivepost/interface/__init__.py
+++ b/olivepost/interface/__init__.py
@@ -22,7 +22,10 @@
     Subscribe,
 )
 from olivepost.interface.events import (
+    CACHE_FILLS,
+    CACHE_HITS,
     NOT_EXECUTED,
+    SOURCE_FAILURES,
     AttemptOutcome,
     AttemptStatus,
     CachedResponse,
@@ -53,7 +56,10 @@
 )
 
 __all__ = [
+    "CACHE_FILLS",
+    "CACHE_HITS",
     "NOT_EXECUTED",
+    "SOURCE_FAILURES",
     "Action",
     "AttemptOutcome",
     "AttemptStatus",
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -63,6 +63,11 @@
     ORIGIN_FAILED = 10
 
 
+CACHE_HITS = (CacheStatus.HIT, CacheStatus.STALE_HIT)
+CACHE_FILLS = (CacheStatus.FILLED, CacheStatus.FILLED_FROM_ORIGIN, CacheStatus.COLLAPSED)
+SOURCE_FAILURES = (CacheStatus.SOURCE_REJECTED, CacheStatus.SOURCE_DISCONNECTED)
+
+
 @dataclass(frozen=True, slots=True)
 class EndpointMetadata:
     """One endpoint as the endpoint list has it."""
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -69,11 +69,7 @@
         overload: OverloadLevel | None = None,
     ) -> None:
         """Forwards the next attempt, or gives up at once where none can be made or it is too expensive."""
-        cache = selection.select_cache(self._state, now, pending)
-        source = selection.select_source(self._state, now, pending, cache)
-        if cache is None and self._settings.allows_direct_forwarding and source:
-            cache = source
-            source = self._state.endpoints.origin or source
+        cache, source = selection.select_route(self._state, now, pending)
         retries.request_quota(self._state, retry_cost)
         is_rejected = overload is not None and admission.is_too_expensive(self._state, pending, overload)
         if cache is None or is_rejected:
@@ -82,7 +78,6 @@
         if not retries.allows_attempt(self._state, now, pending, cache, retry_cost):
             self.give_up(now, pending)
             return
-        source = source or cache
         if hints.should_look_up(self._state, pending, cache, source):
             self._look_up(now, pending, cache, source, retry_cost)
             return
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -1,7 +1,4 @@
-"""f-TTL: two adaptive levels per class, and the cache ranks that follow from them.
-
-After "Adaptive TTL-Based Caching for Content Delivery", III to V; docs/design.md lists what is adapted.
-"""
+"""f-TTL ("Adaptive TTL-Based Caching for Content Delivery", III to V): levels per class, and ranks."""
 
 from olivepost import interface as api
 from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RoutingState
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -14,9 +14,6 @@
 SOURCE_REJECTED = 0.35
 FILL_FAILED = 0.25
 ATTEMPT_FAILED = 0.5
-HITS = (api.CacheStatus.HIT, api.CacheStatus.STALE_HIT)
-FILLS = (api.CacheStatus.FILLED, api.CacheStatus.FILLED_FROM_ORIGIN, api.CacheStatus.COLLAPSED)
-SOURCE_FAULTS = (api.CacheStatus.SOURCE_REJECTED, api.CacheStatus.SOURCE_DISCONNECTED)
 
 
 def silence_timeout(state: RoutingState, pending: PendingRequest) -> int:
@@ -31,8 +28,8 @@
 ) -> None:
     """Learns from a response: health, lateness, the work done, and the class's levels."""
     request_class = pending.request_class
-    is_hit = outcome.cache_status in HITS
-    is_filled = outcome.cache_status in FILLS
+    is_hit = outcome.cache_status in api.CACHE_HITS
+    is_filled = outcome.cache_status in api.CACHE_FILLS
     work = state.mean_work(request_class)
     _record_success(state, now, attempt.cache, Role.CACHE, work)
     if is_filled:
@@ -95,7 +92,7 @@
             health.record_success(cache, now)
         case api.AttemptStatus.NOT_CACHED:
             pending.avoided.add(attempt.source)
-        case api.AttemptStatus.REJECTED if outcome.cache_status in SOURCE_FAULTS or is_unexplained:
+        case api.AttemptStatus.REJECTED if outcome.cache_status in api.SOURCE_FAILURES or is_unexplained:
             charge(state, now, pending, attempt.source, SOURCE_REJECTED)
             record_lateness(state, attempt.source, True)  # a rejected fill is no better than a late one
         case api.AttemptStatus.REJECTED if outcome.cache_status is not api.CacheStatus.ORIGIN_FAILED:
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -6,7 +6,7 @@
 
 from olivepost import interface as api
 from olivepost.routing import capacity, health
-from olivepost.routing_state import Endpoint, PendingRequest, RoutingState
+from olivepost.routing_state import Endpoint, PendingRequest, Route, RoutingState
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 
 MAX_CACHED_ORDERS = 16_384
@@ -36,7 +36,7 @@
     return endpoint.in_flight + 1 <= capacity.concurrency_limit(state, now, endpoint)
 
 
-def select_cache(state: RoutingState, now: int, pending: PendingRequest) -> str | None:
+def _select_cache(state: RoutingState, now: int, pending: PendingRequest) -> str | None:
     """The cache for an attempt: the hint's, past its concurrency limit, since a hit or a join is no fill."""
     hint = pending.hint
     if hint is not None and hint.cache in state.endpoints.caches:
@@ -49,11 +49,15 @@
     return _select(state, now, state.endpoints.caches, pending)
 
 
-def select_source(state: RoutingState, now: int, pending: PendingRequest, cache: str | None) -> str:
-    """The source of a fill; the cache itself where it is only asked for what it has; empty: there is none."""
+def select_route(state: RoutingState, now: int, pending: PendingRequest) -> Route:
+    """The cache of an attempt and the source of its fill: the cache itself where none is named."""
+    cache = _select_cache(state, now, pending)
     if cache is not None and _is_lookup_only(state, now, pending, cache):
-        return cache
-    return _select(state, now, state.endpoints.parents, pending) or state.endpoints.origin
+        return Route(cache, cache)
+    source = _select(state, now, state.endpoints.parents, pending) or state.endpoints.origin
+    if cache is None and state.settings.allows_direct_forwarding and source:
+        return Route(source, state.endpoints.origin or source)  # departure: straight to a parent
+    return Route(cache, source or cache or "")
 
 
 def _is_lookup_only(state: RoutingState, now: int, pending: PendingRequest, cache: str) -> bool:
--- a/olivepost/routing_state/__init__.py
+++ b/olivepost/routing_state/__init__.py
@@ -12,6 +12,7 @@
     HintWait,
     PendingRequest,
     PossibleFault,
+    Route,
 )
 from olivepost.routing_state.quota_ledger import QuotaLedger, QuotaPart, QuotaTransfer
 from olivepost.routing_state.routing_state import RoutingState, Tuning
@@ -38,6 +39,7 @@
     "QuotaPart",
     "QuotaTransfer",
     "Role",
+    "Route",
     "RoutingState",
     "SlidingWindowSum",
     "TimerCallback",
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -3,10 +3,18 @@
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from olivepost import interface as api
 
 
+class Route(NamedTuple):
+    """Where an attempt goes; no cache: nowhere. Equal ids: no fill."""
+
+    cache: str | None
+    source: str
+
+
 @dataclass(slots=True)
 class Attempt:
     """One attempt in flight."""
