--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -1,4 +1,4 @@
-"""f-TTL ("Adaptive TTL-Based Caching for Content Delivery", III to V): levels per class, and ranks."""
+"""f-TTL ("Adaptive TTL-Based Caching for Content Delivery"; docs/design.md): levels per class, and ranks."""
 
 from olivepost import interface as api
 from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RoutingState
