--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -35,10 +35,10 @@
 class UpstreamConnection:
     """State that the event loop, the writer thread and the reader thread of one connection share.
 
-    `_lock` guards `_open`, `_past_ids`, `_pending_aborts`, each change of `is_closing`, and of the requests
-    in `_open` the fields `connection`, `stage`, `body` and `lacks_buffers`. Under it, aborts enter `outbox`
-    in the order in which their requests end. Counts and flags are read without it: they are hints there.
-    The writer thread alone sets the socket and `is_closed`; the reader thread alone writes `liveness`.
+    `_lock` guards `_pending_requests`, `_past_ids`, `_pending_aborts`, each change of `is_closing`, and of the
+    pending requests the fields `connection`, `stage`, `body` and `lacks_buffers`. Under it, aborts enter
+    `outbox` in the order in which their requests end. Counts and flags are read without it: they are hints
+    there. The writer thread alone sets the socket and `is_closed`; the reader thread alone writes `liveness`.
     """
 
     def __init__(self, resources: UpstreamResources, address: EndpointAddress) -> None:
@@ -49,7 +49,7 @@
         self.is_closing = False
         self.is_closed = False  # its descriptor is free
         self._lock = threading.Lock()
-        self._open: dict[str, UpstreamRequest] = {}
+        self._pending_requests: dict[str, UpstreamRequest] = {}
         self._past_ids: dict[str, None] = {}  # of requests that were written here, oldest first
         self._pending_aborts: list[UpstreamAborted] = []  # to be reported, and not written yet
         self._sock: socket.socket | None = None
@@ -57,7 +57,7 @@
     @property
     def open_count(self) -> int:
         """How many requests are open; any thread."""
-        return len(self._open)
+        return len(self._pending_requests)
 
     @property
     def is_connected(self) -> bool:
@@ -71,7 +71,7 @@
         id_ = request.exchange.id
         return (
             self.open_count < self.resources.limits.max_requests_per_connection
-            and id_ not in self._open
+            and id_ not in self._pending_requests
             and id_ not in self._past_ids
         )
 
@@ -82,9 +82,9 @@
                 return False
             request.connection = self
             request.stage = RequestStage.QUEUED
-            self._open[request.exchange.id] = request
+            self._pending_requests[request.exchange.id] = request
             invariants.check(
-                len(self._open) <= self.resources.limits.max_requests_per_connection,
+                len(self._pending_requests) <= self.resources.limits.max_requests_per_connection,
                 "open_requests_within_limit",
             )
         self.outbox.put(request)
@@ -97,7 +97,7 @@
         work on the request.
         """
         with self._lock:
-            if self._open.get(request.exchange.id) is not request:
+            if self._pending_requests.get(request.exchange.id) is not request:
                 return False
             was_writing = request.stage is RequestStage.WRITING
             self._remove(request)
@@ -112,7 +112,9 @@
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
         """Take back the matching requests that are still waiting to be written."""
         with self._lock:
-            queued = [request for request in self._open.values() if request.stage is RequestStage.QUEUED]
+            queued = [
+                request for request in self._pending_requests.values() if request.stage is RequestStage.QUEUED
+            ]
             withdrawn = [request for request in queued if matches(request)]
             for request in withdrawn:
                 self._remove(request)
@@ -154,7 +156,7 @@
     def close_if_unused(self) -> None:
         """Mark the connection as closing where nothing is open on it."""
         with self._lock:
-            self.is_closing = self.is_closing or not self._open
+            self.is_closing = self.is_closing or not self._pending_requests
 
     # Called by the reader thread.
 
@@ -162,13 +164,14 @@
         """Return when the request that waits longest for a response was forwarded; `now` where none does."""
         with self._lock:
             return min(
-                (request.forwarded_at for request in self._open.values() if request.is_started), default=now
+                (request.forwarded_at for request in self._pending_requests.values() if request.is_started),
+                default=now,
             )
 
     def find_written(self, request_id: str) -> UpstreamRequest | None:
         """Return the open request that a response answers; None, and counted, where there is none."""
         with self._lock:
-            request = self._open.get(request_id)
+            request = self._pending_requests.get(request_id)
             if request is not None and request.stage is RequestStage.WRITING:
                 return request
             is_past = request_id in self._past_ids
@@ -179,7 +182,7 @@
         """Give a request the buffers for its response's body (None: there were none), unless it has ended."""
         with self._lock:
             request.lacks_buffers = body is None
-            is_open = self._open.get(request.exchange.id) is request
+            is_open = self._pending_requests.get(request.exchange.id) is request
             if is_open:
                 request.body = body
         if body is not None and not is_open:
@@ -222,8 +225,8 @@
         with self._lock:
             self.is_closing = True
             aborts = list(self._pending_aborts)
-            requests = list(self._open.values())
-            self._open = {}
+            requests = list(self._pending_requests.values())
+            self._pending_requests = {}
             self._past_ids.clear()
             for request in requests:
                 request.stage = RequestStage.DONE
@@ -237,7 +240,7 @@
 
     def _remove(self, request: UpstreamRequest) -> None:
         """End a request on this connection; call it with the lock held."""
-        del self._open[request.exchange.id]
+        del self._pending_requests[request.exchange.id]
         if request.stage is RequestStage.WRITING:
             self._past_ids[request.exchange.id] = None
             if len(self._past_ids) > MAX_PAST_REQUESTS:
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -94,7 +94,7 @@
         if isinstance(command.operation, AdvanceGeneration):
             command.on_reply(now, (reply.generation,))
             return
-        verdict = command.store.judge(reply, command.generation, command.confirmed_serial)
+        verdict = command.store.judge_reply(reply, command.generation, command.confirmed_serial)
         if verdict is ReplyVerdict.CURRENT:
             command.on_reply(now, reply.values)
             return
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -135,7 +135,7 @@
         self.serial += 1
         return self.serial
 
-    def judge(self, reply: StoreReply, generation: int, confirmed_serial: int) -> ReplyVerdict:
+    def judge_reply(self, reply: StoreReply, generation: int, confirmed_serial: int) -> ReplyVerdict:
         """Returns what a reply means.
 
         `generation` and `confirmed_serial` are those of the moment when the command was sent.
--- a/tests/shared_store/test_store_health.py
+++ b/tests/shared_store/test_store_health.py
@@ -67,14 +67,14 @@
     ],
 )
 def test_reply_tells_whether_its_store_lost_state_or_moved(reply: StoreReply, verdict: ReplyVerdict) -> None:
-    assert trusted_store().judge(reply, 7, 5) is verdict
+    assert trusted_store().judge_reply(reply, 7, 5) is verdict
 
 
 def test_store_that_lost_state_is_not_trusted_for_later_serials() -> None:
     """Guards against a snapshot: the sync that finds it out leaves a new serial there."""
     store = trusted_store()
     store.trust = TrustLevel.NONE
-    assert store.judge(StoreReply(1, 7, 99), 7, 5) is ReplyVerdict.ROLLED_BACK
+    assert store.judge_reply(StoreReply(1, 7, 99), 7, 5) is ReplyVerdict.ROLLED_BACK
     store.adopt(8, [(("g:1", 5),)])
     assert not store.is_available
     assert store.confirm_published(store.unpublished[0])
