--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -35,7 +35,7 @@
 class UpstreamConnection:
     """State that the event loop, the writer thread and the reader thread of one connection share.
 
-    `_lock` guards `_pending_requests`, `_past_ids`, `_pending_aborts`, each change of `is_closing`, and of the
+    `_lock` guards `_pending_requests`, `_past_ids`, `_pending_aborts`, changes of `is_closing`, and of the
     pending requests the fields `connection`, `stage`, `body` and `lacks_buffers`. Under it, aborts enter
     `outbox` in the order in which their requests end. Counts and flags are read without it: they are hints
     there. The writer thread alone sets the socket and `is_closed`; the reader thread alone writes `liveness`.
