--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -9,7 +9,7 @@
 from olivepost.proxy.event_loop_resources import EventLoopResources, SharedStore
 from olivepost.proxy.exchange import Response, ResponseKind
 from olivepost.proxy.messages import LoopEvent
-from olivepost.proxy.pending_requests import PendingRequest, PendingRequests
+from olivepost.proxy.pending_exchanges import PendingExchange, PendingExchanges
 from olivepost.proxy.response_cache import response_from
 from olivepost.proxy.timers import TimerQueue
 from olivepost.proxy.upstream.command import command_fields
@@ -25,7 +25,7 @@
     def __init__(
         self,
         resources: EventLoopResources,
-        pending: PendingRequests,
+        pending: PendingExchanges,
         timers: TimerQueue,
         post: Callable[[LoopEvent], None],
     ) -> None:
@@ -39,9 +39,9 @@
         self._post = post
         # Requests that have ended by the event whose actions are carried out: their attempts are still to
         # be cancelled and their leases to be released.
-        self._closed: dict[str, PendingRequest] = {}
+        self._closed: dict[str, PendingExchange] = {}
 
-    def execute(self, actions: list[api.Action], closed: PendingRequest | None = None) -> None:
+    def execute(self, actions: list[api.Action], closed: PendingExchange | None = None) -> None:
         """Carries out actions in order; `closed` is the request that their event has ended before."""
         if closed is not None:
             self._closed[closed.exchange.id] = closed
@@ -86,7 +86,7 @@
         else:
             self._upstream.forward(attempt)
 
-    def _new_attempt(self, pending: PendingRequest, action: api.ForwardAttempt) -> UpstreamRequest:
+    def _new_attempt(self, pending: PendingExchange, action: api.ForwardAttempt) -> UpstreamRequest:
         number = pending.attempt_count
         pending.attempt_count += 1
         fields = command_fields(pending.exchange, action)
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -15,7 +15,7 @@
 from olivepost.proxy.exchange import Exchange, RequestAbandoned, RequestReceived, Response, ResponseKind
 from olivepost.proxy.exchange_lifecycle import ExchangeLifecycle
 from olivepost.proxy.messages import LoopEvent, ShutdownDeadline, StopEventLoop, StoreEvent
-from olivepost.proxy.pending_requests import PendingRequests
+from olivepost.proxy.pending_exchanges import PendingExchanges
 from olivepost.proxy.timers import TimerQueue
 from olivepost.proxy.upstream.request import (
     UpstreamAborted,
@@ -44,7 +44,7 @@
         self._response_cache = resources.response_cache
         self._upstream = resources.upstream
         self._shared_store = resources.shared_store
-        self._pending = PendingRequests()
+        self._pending = PendingExchanges()
         self._timers = TimerQueue()
         self._executor = ActionExecutor(resources, self._pending, self._timers, events.post)
         self._lifecycle = ExchangeLifecycle(resources, self._pending, self._executor)
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -11,7 +11,7 @@
 from olivepost.proxy.action_executor import ActionExecutor
 from olivepost.proxy.event_loop_resources import EventLoopResources
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
-from olivepost.proxy.pending_requests import PendingRequest, PendingRequests
+from olivepost.proxy.pending_exchanges import PendingExchange, PendingExchanges
 from olivepost.proxy.response_cache import CacheEntry
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.units import SECOND
@@ -25,7 +25,7 @@
     """The requests of one proxy. Only the event loop's thread calls this."""
 
     def __init__(
-        self, resources: EventLoopResources, pending: PendingRequests, executor: ActionExecutor
+        self, resources: EventLoopResources, pending: PendingExchanges, executor: ActionExecutor
     ) -> None:
         self._router = resources.router
         self._clock = resources.clock
@@ -155,7 +155,7 @@
         actions = self._deliver(now, pending, event)
         self._executor.execute(actions, pending)
 
-    def _deliver(self, now: int, pending: PendingRequest, event: UpstreamCompleted) -> list[api.Action]:
+    def _deliver(self, now: int, pending: PendingExchange, event: UpstreamCompleted) -> list[api.Action]:
         """Closes the request where there is a response, and returns what the router makes of the outcome.
 
         The body is shared meanwhile: the client's side may have released it before the router says whether
--- a/olivepost/proxy/pending_requests.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class PendingRequest:
+class PendingExchange:
     """A request that is owed a response, and its attempts in flight."""
 
     exchange: Exchange
@@ -26,14 +26,14 @@
     generated_at: int = 0  # of its response, in Unix nanoseconds; 0: unknown
 
 
-class PendingRequests:
+class PendingExchanges:
     """Pending requests by id, and their attempts by timeout timer.
 
     Only the event loop's thread calls this; another may read its length.
     """
 
     def __init__(self) -> None:
-        self.by_id: dict[str, PendingRequest] = {}
+        self.by_id: dict[str, PendingExchange] = {}
         self._attempts_by_timer: dict[int, UpstreamRequest] = {}
 
     def __len__(self) -> int:
@@ -42,24 +42,24 @@
     def __contains__(self, request_id: str) -> bool:
         return request_id in self.by_id
 
-    def get(self, request_id: str) -> PendingRequest | None:
+    def get(self, request_id: str) -> PendingExchange | None:
         """The pending request of an id."""
         return self.by_id.get(request_id)
 
-    def expect(self, request_id: str, invariant: str) -> PendingRequest | None:
+    def expect(self, request_id: str, invariant: str) -> PendingExchange | None:
         """The pending request of an id that must be pending, by the named invariant."""
         pending = self.by_id.get(request_id)
         invariants.check(pending is not None, invariant)
         return pending
 
-    def of_exchange(self, exchange: Exchange) -> PendingRequest | None:
+    def of_exchange(self, exchange: Exchange) -> PendingExchange | None:
         """The pending request of this very exchange; an id may have been used again since."""
         pending = self.by_id.get(exchange.id)
         if pending is None or pending.exchange is not exchange:
             return None
         return pending
 
-    def of_attempt(self, attempt: UpstreamRequest) -> PendingRequest | None:
+    def of_attempt(self, attempt: UpstreamRequest) -> PendingExchange | None:
         """The pending request that has this very attempt in flight."""
         pending = self.by_id.get(attempt.exchange.id)
         if pending is None or pending.attempts.get(attempt.number) is not attempt:
@@ -68,14 +68,14 @@
 
     def add(self, exchange: Exchange, cache_entry: CacheEntry | None) -> None:
         """Records a request that has just come."""
-        self.by_id[exchange.id] = PendingRequest(exchange, cache_entry)
+        self.by_id[exchange.id] = PendingExchange(exchange, cache_entry)
 
-    def close(self, pending: PendingRequest, response: Response | None) -> None:
+    def close(self, pending: PendingExchange, response: Response | None) -> None:
         """Ends a request; cancelling its attempts in flight is the router's decision."""
         del self.by_id[pending.exchange.id]
         pending.exchange.close(response)
 
-    def add_attempt(self, pending: PendingRequest, attempt: UpstreamRequest) -> None:
+    def add_attempt(self, pending: PendingExchange, attempt: UpstreamRequest) -> None:
         """Records an attempt in flight; its timer id is set."""
         pending.attempts[attempt.number] = attempt
         self._attempts_by_timer[attempt.timer_id] = attempt
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -53,7 +53,7 @@
 def events_of_loss(
     requests: list[UpstreamRequest], lost_at: int, was_connected: bool
 ) -> Iterator[UpstreamEvent]:
-    """Yield what becomes of the requests that were open on a connection when it ended.
+    """Yield what becomes of the requests that were pending on a connection when it ended.
 
     One that has not begun is forwarded again, once; the first of the others counts as the connection's loss.
     """
--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -1,4 +1,4 @@
-"""State of one upstream connection: its open requests, and the lock that orders writes and ends."""
+"""State of one upstream connection: its pending requests, and the lock that orders writes and ends."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 class WriterSignal(Enum):
     """What the writer thread may be asked for besides requests and aborts."""
 
-    DRAIN = "drain"  # close once nothing is open
+    DRAIN = "drain"  # close once nothing is pending
     CHECK_LIVENESS = "check liveness"
 
 
@@ -55,8 +55,8 @@
         self._sock: socket.socket | None = None
 
     @property
-    def open_count(self) -> int:
-        """How many requests are open; any thread."""
+    def pending_count(self) -> int:
+        """How many requests are pending; any thread."""
         return len(self._pending_requests)
 
     @property
@@ -70,7 +70,7 @@
         """Whether the request can go here; a late response to an id used here would be taken for its own."""
         id_ = request.exchange.id
         return (
-            self.open_count < self.resources.limits.max_requests_per_connection
+            self.pending_count < self.resources.limits.max_requests_per_connection
             and id_ not in self._pending_requests
             and id_ not in self._past_ids
         )
@@ -121,7 +121,7 @@
         return withdrawn
 
     def drain(self) -> None:
-        """Let the connection end once nothing is open on it."""
+        """Let the connection end once nothing is pending on it."""
         self.outbox.put(WriterSignal.DRAIN)
 
     # Called by the writer thread.
@@ -154,7 +154,7 @@
             self.resources.post(aborted)
 
     def close_if_unused(self) -> None:
-        """Mark the connection as closing where nothing is open on it."""
+        """Mark the connection as closing where nothing is pending on it."""
         with self._lock:
             self.is_closing = self.is_closing or not self._pending_requests
 
@@ -169,7 +169,7 @@
             )
 
     def find_written(self, request_id: str) -> UpstreamRequest | None:
-        """Return the open request that a response answers; None, and counted, where there is none."""
+        """Return the pending request that a response answers; None, and counted, where there is none."""
         with self._lock:
             request = self._pending_requests.get(request_id)
             if request is not None and request.stage is RequestStage.WRITING:
@@ -213,13 +213,13 @@
                 "upstream_connection_lost",
                 endpoint=self.address.id,
                 reason=reason,
-                open_requests=self.open_count,
+                open_requests=self.pending_count,
             )
 
     def end(self) -> None:
-        """End the connection, and report once what became of the requests that were open on it.
+        """End the connection, and report once what became of the requests that were pending on it.
 
-        The connection first: its end gives up all that is open there, and what is reported here may be
+        The connection first: its end gives up all that is pending there, and what is reported here may be
         forwarded again at once, where two attempts of an exchange must not be out together.
         """
         with self._lock:
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -52,7 +52,7 @@
         return withdrawn
 
     def forward(self, request: UpstreamRequest) -> None:
-        """Hand a request to a connection: the one with the fewest open requests, or a new one."""
+        """Hand a request to a connection: the one with the fewest pending requests, or a new one."""
         endpoint = self._ready_endpoint(request)
         if endpoint is None:
             self._report(request, api.AttemptStatus.CONNECT_FAILED)
@@ -60,7 +60,7 @@
         usable = [connection for connection in endpoint.connections if not connection.is_closing]
         endpoint.connections = usable
         candidates = [connection for connection in usable if connection.can_accept(request)]
-        candidates.sort(key=lambda connection: (not connection.is_connected, connection.open_count))
+        candidates.sort(key=lambda connection: (not connection.is_connected, connection.pending_count))
         for connection in candidates:
             if connection.offer(request):
                 return
@@ -82,7 +82,7 @@
             self._remove_endpoint(address.id)
 
     def _remove_endpoint(self, endpoint_id: str) -> None:
-        """Forget an endpoint; its connections end once nothing is open on them."""
+        """Forget an endpoint; its connections end once nothing is pending on them."""
         endpoint = self._endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -73,7 +73,7 @@
                 liveness.response_started_at = liveness.last_received_at
             if liveness.response_started_at:
                 liveness.check_progress(liveness.last_received_at)
-        if self._connection.open_count or not parser.is_between_responses:
+        if self._connection.pending_count or not parser.is_between_responses:
             self._connection.record_loss("closed by the endpoint")
 
     def _process(self, data: memoryview) -> None:
@@ -106,7 +106,7 @@
     def _start_response(self, line: ResponseLine) -> None:
         """Find the request that a response answers, and buffers for its body.
 
-        One that answers no open request (given up, answered before, never written here) is read whole and
+        One that answers no pending request (given up, answered before, never written here) is read whole and
         dropped: the bytes behind it are good.
         """
         self._line = line
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -27,7 +27,7 @@
 class UpstreamRequest:
     """One attempt of an exchange on its way to an endpoint.
 
-    The event loop creates it. While it is open on a connection, that connection's lock guards `connection`,
+    The event loop creates it. While pending on a connection, that connection's lock guards `connection`,
     `stage`, `body` and `lacks_buffers`; `is_started` belongs to the connection's writer thread.
     """
 
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -15,7 +15,7 @@
 
 LIVENESS_COMMAND = encode_command("alive", "link")
 IDLE_MARGIN = 1 * SECOND  # nanoseconds that the proxy closes an idle connection before its endpoint does
-DRAIN_POLL_S = 0.1  # how often a draining connection's open requests are counted
+DRAIN_POLL_S = 0.1  # how often a draining connection's pending requests are counted
 
 
 class ConnectionWriter:
@@ -84,7 +84,7 @@
         connection = self._connection
         idle_timeout = self._resources.limits.upstream_idle_timeout
         idle_timeout_s = max(idle_timeout - IDLE_MARGIN, idle_timeout // 2) / SECOND
-        while not connection.is_closing and not (self._is_draining and not connection.open_count):
+        while not connection.is_closing and not (self._is_draining and not connection.pending_count):
             timeout_s = DRAIN_POLL_S if self._is_draining else idle_timeout_s
             try:
                 message = connection.outbox.get(timeout=timeout_s)
@@ -110,7 +110,7 @@
         now = self._resources.clock.now()
         # An endpoint may close an idle connection, and its reader may not have come to that yet. A request
         # that is written then may have run for all that is known; one not begun is forwarded again.
-        if self._connection.open_count <= 1 and self._connection.liveness.is_idle(now):
+        if self._connection.pending_count <= 1 and self._connection.liveness.is_idle(now):
             if sockets.is_closed_by_peer(sock):
                 raise ConnectionError("closed by the endpoint while idle")
             now = self._resources.clock.now()  # the check may have waited: `start_before` is a strict bound
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -179,7 +179,7 @@
             if invalidation.should_store(self._state, pending):
                 self._state.actions.append(api.StoreResponse(outcome.request_id))
         else:
-            outcomes.record_failure(self._state, now, pending, attempt, outcome)
+            outcomes.record_failed_attempt(self._state, now, pending, attempt, outcome)
         if outcome.is_final:
             self.forget(now, outcome.request_id)
         elif not is_ok:
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -79,7 +79,7 @@
     return cache.ejected_until > 0
 
 
-def record_failure(
+def record_failed_attempt(
     state: RoutingState, now: int, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
 ) -> None:
     """Charges a failure to the cache, its source, or nobody; a cache heard from is not the silent one."""
--- a/tests/proxy/test_pending_requests.py
+++ b/tests/proxy/test_pending_exchanges.py
@@ -5,7 +5,7 @@
 import pytest
 
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
-from olivepost.proxy.pending_requests import PendingRequest, PendingRequests
+from olivepost.proxy.pending_exchanges import PendingExchange, PendingExchanges
 from olivepost.proxy.upstream.request import UpstreamRequest
 
 
@@ -22,7 +22,7 @@
     return attempt
 
 
-def add(pending: PendingRequests, exchange: Exchange) -> PendingRequest:
+def add(pending: PendingExchanges, exchange: Exchange) -> PendingExchange:
     pending.add(exchange, None)
     added = pending.of_exchange(exchange)
     assert added is not None
@@ -30,7 +30,7 @@
 
 
 def test_id_that_is_used_again_names_another_exchange() -> None:
-    pending = PendingRequests()
+    pending = PendingExchanges()
     first = make_exchange([])
     second = make_exchange([])
     pending.close(add(pending, first), None)
@@ -41,7 +41,7 @@
 
 def test_closed_request_delivers_its_response_and_is_no_longer_pending() -> None:
     delivered: list[Response] = []
-    pending = PendingRequests()
+    pending = PendingExchanges()
     response = Response(ResponseKind.REJECTED)
     pending.close(add(pending, make_exchange(delivered)), response)
     assert delivered == [response]
@@ -49,7 +49,7 @@
 
 
 def test_attempt_is_found_by_its_timer_until_it_has_ended() -> None:
-    pending = PendingRequests()
+    pending = PendingExchanges()
     exchange = make_exchange([])
     attempt = make_attempt(exchange, 0)
     owner = add(pending, exchange)
@@ -62,7 +62,7 @@
 
 
 def test_deferred_attempt_is_withdrawn_once_and_only_if_concerned() -> None:
-    pending = PendingRequests()
+    pending = PendingExchanges()
     exchange = make_exchange([])
     attempt = make_attempt(exchange, 1)
     add(pending, exchange).deferred_attempt = attempt
@@ -73,4 +73,4 @@
 
 def test_expected_request_that_is_not_pending_violates_the_named_invariant() -> None:
     with pytest.raises(AssertionError, match="of_this_test_too"):
-        PendingRequests().expect("1", "of_this_test_too")
+        PendingExchanges().expect("1", "of_this_test_too")
