--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -21,7 +21,7 @@
 from heapq import heappop, heappush
 from typing import Any, NamedTuple
 
-from examples.toy_server import Command, Coordinator, Member, entry
+from examples.toy_server import Command, Coordinator, ToyEndpoint, listed_endpoint
 
 GROUPS = 16
 INVALIDATION_LIFETIME_S = 6.0  # until caches have carried an invalidation out, as in the proxies' settings
@@ -110,15 +110,15 @@
         self.coordinator = Coordinator()
         self._capacity = capacity
         self._scheduler = Scheduler()
-        self._caches = [Member(f"c{number}", reply=self._reply) for number in range(count)]
-        self._parent = Member("p")
-        self._origin = Member("o")
+        self._caches = [ToyEndpoint(f"c{number}", reply=self._reply) for number in range(count)]
+        self._parent = ToyEndpoint("p")
+        self._origin = ToyEndpoint("o")
         self._states = {cache.id: CacheState() for cache in self._caches}
         self._invalidated_ms: dict[int, int] = {}  # the last invalidation of each group
         self._entries = [
-            *(entry(cache, weight=weight) for cache in self._caches),
-            entry(self._parent, "parent", "hub", weight=PARENT_WEIGHT),
-            entry(self._origin, "origin", "hub"),
+            *(listed_endpoint(cache, weight=weight) for cache in self._caches),
+            listed_endpoint(self._parent, "parent", "hub", weight=PARENT_WEIGHT),
+            listed_endpoint(self._origin, "origin", "hub"),
         ]
         self.coordinator.add(endpoints={"version": 1, "full": True, "servers": self._entries})
 
@@ -127,14 +127,14 @@
         with self._scheduler.condition:
             return asdict(self.counts)
 
-    def _reply(self, cache: Member, command: Command) -> None:
+    def _reply(self, cache: ToyEndpoint, command: Command) -> None:
         if command.verb == "alive":
             command.sock.sendall(f"{command.id} PONG\r\n".encode())
         elif command.verb == "fetch":
             with self._scheduler.condition:
                 self._fetch(cache, command)
 
-    def _fetch(self, cache: Member, command: Command) -> None:
+    def _fetch(self, cache: ToyEndpoint, command: Command) -> None:
         """Answers later: from the store, by a fill under way, or by one of its own."""
         fields = command.fields
         name = f"{fields['name']}.{fields['piece']}"
@@ -146,19 +146,19 @@
             invalidated_ms = self._invalidated_ms.get(group_of(fields["name"]), 0)
             if stored_ms < invalidated_ms and now_ms > invalidated_ms + INVALIDATION_GRACE_MS:
                 self.counts.older_than_purge += 1
-            self._scheduler.after(HIT_LATENCY_S, partial(answer, command, name, stored_ms, "warm"))
+            self._scheduler.after(HIT_LATENCY_S, partial(send_answer, command, name, stored_ms, "warm"))
         elif name in state.fills:
             fill = state.fills[name]
             self.counts.joined += 1
             remaining_s = fill.ends_at - time.monotonic()
-            self._scheduler.after(remaining_s, partial(answer, command, name, fill.started_ms, "piggy"))
+            self._scheduler.after(remaining_s, partial(send_answer, command, name, fill.started_ms, "piggy"))
         elif "miss" not in fields:
             self.counts.misses += 1
-            self._scheduler.after(MISS_LATENCY_S, partial(command.answer, "NONE"))
+            self._scheduler.after(MISS_LATENCY_S, partial(command.respond, "NONE"))
         else:
             self._start_fill(cache, command, name, now_ms)
 
-    def _start_fill(self, cache: Member, command: Command, name: str, now_ms: int) -> None:
+    def _start_fill(self, cache: ToyEndpoint, command: Command, name: str, now_ms: int) -> None:
         self.counts.fills += 1
         if self._has_other_copy(cache, name, group_of(command.fields["name"])):
             self.counts.double_fills += 1
@@ -167,19 +167,19 @@
         self._states[cache.id].fills[name] = fill
         self._scheduler.after(duration_s, partial(self._complete_fill, cache, command, name, now_ms))
 
-    def _has_other_copy(self, cache: Member, name: str, group: int) -> bool:
+    def _has_other_copy(self, cache: ToyEndpoint, name: str, group: int) -> bool:
         invalidated_ms = self._invalidated_ms.get(group, 0)
         others = [state for id_, state in self._states.items() if id_ != cache.id]
         return any(state.stored.get(name, 0) > invalidated_ms or name in state.fills for state in others)
 
-    def _complete_fill(self, cache: Member, command: Command, name: str, started_ms: int) -> None:
+    def _complete_fill(self, cache: ToyEndpoint, command: Command, name: str, started_ms: int) -> None:
         state = self._states[cache.id]
         with self._scheduler.condition:
             if state.fills.pop(name, None) is not None:
                 state.stored[name] = started_ms
                 while len(state.stored) > self._capacity:
                     del state.stored[next(iter(state.stored))]
-        answer(command, name, started_ms, "fill")
+        send_answer(command, name, started_ms, "fill")
 
     def restart(self, id_: str) -> None:
         """A cache comes back cold and empty; the endpoint list says so at once."""
@@ -229,12 +229,12 @@
     return MIN_FILL_S + byte / 256 * FILL_RANGE_S
 
 
-def answer(command: Command, name: str, stored_ms: int, why: str) -> None:
+def send_answer(command: Command, name: str, stored_ms: int, why: str) -> None:
     """Sends a body of 2 KB that follows from the name, unless the connection has closed."""
     body = blake2b(name.encode()).digest() * 32
     entity = blake2b(name.encode(), digest_size=8).hexdigest()
     try:
-        command.answer("HIT", body, why=why, entity=entity, issued=str(stored_ms))
+        command.respond("HIT", body, why=why, entity=entity, issued=str(stored_ms))
     except OSError:
         return
 
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -93,7 +93,7 @@
             sock.close()
 
 
-Reply = Callable[["Member", "Command"], None]
+Reply = Callable[["ToyEndpoint", "Command"], None]
 
 
 @dataclass(slots=True, eq=False)
@@ -106,34 +106,34 @@
     fields: dict[str, str]
     body: bytes
 
-    def answer(self, word: str, body: bytes = b"", /, **fields: str) -> None:
+    def respond(self, word: str, body: bytes = b"", /, **fields: str) -> None:
         """Sends a response: its status word, fields and body."""
         listed = ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
         self.sock.sendall(f"{self.id} {word} {listed} {len(body)}\r\n".encode() + body + b"\r\n")
 
 
-def serve_all(_member: Member, command: Command) -> None:
+def respond_normally(_endpoint: ToyEndpoint, command: Command) -> None:
     """An endpoint's ordinary response to each command."""
     if command.verb == "alive":
         command.sock.sendall(f"{command.id} PONG\r\n".encode())
     if command.verb == "fetch":
-        serve_fetch(command)
+        respond_to_fetch(command)
 
 
-def serve_fetch(command: Command) -> None:
+def respond_to_fetch(command: Command) -> None:
     """Responds to a fetch as its object's name asks for."""
     name = command.fields["name"]
     piece = command.fields["piece"]
     is_cached = not name.startswith(NOT_CACHED_PREFIX)
     fields = {"entity": tag_of(name, piece), "issued": str(time.time_ns() // NANOSECONDS_PER_MS)}
     if name.startswith(REJECTED_PREFIX):
-        command.answer("SHED")
+        command.respond("SHED")
     elif not is_cached and "miss" not in command.fields:
-        command.answer("NONE")
+        command.respond("NONE")
     elif command.fields.get("mine") == fields["entity"]:
-        command.answer("VALID", why="warm", **fields)
+        command.respond("VALID", why="warm", **fields)
     else:
-        command.answer("HIT", body_of(name, piece), why="warm" if is_cached else "fill", **fields)
+        command.respond("HIT", body_of(name, piece), why="warm" if is_cached else "fill", **fields)
 
 
 def read_command(sock: socket.socket, lines: Any) -> Command | None:
@@ -151,10 +151,10 @@
     return Command(sock, verb, id_, fields, body)
 
 
-class Member(Server):
+class ToyEndpoint(Server):
     """An endpoint: a cache, a parent or an origin. `_received` guards `commands`."""
 
-    def __init__(self, id_: str, port: int = 0, reply: Reply = serve_all) -> None:
+    def __init__(self, id_: str, port: int = 0, reply: Reply = respond_normally) -> None:
         self.id = id_
         self.reply = reply
         self.commands: list[Command] = []
@@ -172,10 +172,10 @@
     def wait_for(self, count: int, verb: str = "fetch", within: float = 20.0) -> list[Command]:
         """The commands with this verb, once there are `count` or after `within` seconds."""
         with self._received:
-            self._received.wait_for(lambda: len(self.seen(verb)) >= count, within)
-            return self.seen(verb)
+            self._received.wait_for(lambda: len(self.received(verb)) >= count, within)
+            return self.received(verb)
 
-    def seen(self, verb: str = "fetch") -> list[Command]:
+    def received(self, verb: str = "fetch") -> list[Command]:
         """The commands with this verb so far."""
         return [command for command in self.commands if command.verb == verb]
 
@@ -235,11 +235,13 @@
         pass
 
 
-def entry(member: Member, kind: str = "standard", zone: str = "west", **more: Any) -> dict[str, Any]:
+def listed_endpoint(
+    endpoint: ToyEndpoint, kind: str = "standard", zone: str = "west", **more: Any
+) -> dict[str, Any]:
     """An endpoint as the coordinator's endpoint list has it."""
     defaults = {
-        "id": member.id,
-        "addr": member.address,
+        "id": endpoint.id,
+        "addr": endpoint.address,
         "zone": zone,
         "kind": kind,
         "cell": 0,
@@ -260,12 +262,12 @@
     config = json.loads(CONFIG.read_text())
     updates = config["known"]["updates"]
     servers = updates[0]["endpoints"]["servers"]
-    members = [Member(server["id"], port_of(server["addr"])) for server in servers]
+    endpoints = [ToyEndpoint(server["id"], port_of(server["addr"])) for server in servers]
     coordinator = Coordinator(port_of(config["coordinator"]))
     coordinator.events = updates
     print(f"coordinator at {coordinator.address}")
-    for member in members:
-        print(f"endpoint {member.id} at {member.address}", flush=True)
+    for endpoint in endpoints:
+        print(f"endpoint {endpoint.id} at {endpoint.address}", flush=True)
     threading.Event().wait()
     return 0
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -11,7 +11,7 @@
 from olivepost.config import ConfigError, load, read_config
 from olivepost.config.loader import MAX_DEADLINE_MARGIN
 from olivepost.units import MILLISECOND, SECOND
-from tests.rig import toy_config
+from tests.proxy_harness import toy_config
 
 BYTES_PER_MB = 2**20
 
--- a/tests/config/test_memory_budget.py
+++ b/tests/config/test_memory_budget.py
@@ -7,7 +7,7 @@
 from olivepost.config import read_config
 from olivepost.config.limits import CLIENT_CONNECTION_BYTES, UPSTREAM_CONNECTION_BYTES
 from olivepost.config.memory_budget import BUFFER_OVERHEAD_BYTES, MemoryBudget
-from tests.rig import toy_config
+from tests.proxy_harness import toy_config
 
 
 @pytest.mark.parametrize("memory_mb", [32, 48, 64, 96, 128, 192, 2048])
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,7 +25,7 @@
 
 
 @pytest.fixture
-def narrow(monkeypatch: pytest.MonkeyPatch) -> None:
+def small_send_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
     """As if bodies were larger than the kernel takes at once."""
     monkeypatch.setattr(
         sockets,
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -13,7 +13,7 @@
 from olivepost.proxy import shutdown, sockets
 from olivepost.proxy.upstream.reader import ConnectionReader
 from tests.proxy.fakes import MS, DelayedAborts, DelayedConnects
-from tests.rig import WITHIN
+from tests.proxy_harness import WAIT_TIMEOUT_S
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
         sock = connect(*args)
         if threading.current_thread().name.startswith("upstream-writer-") and not first.is_set():
             first.set()
-            until = time.monotonic() + WITHIN
+            until = time.monotonic() + WAIT_TIMEOUT_S
             while not sockets.is_closed_by_peer(sock) and time.monotonic() < until:
                 threading.Event().wait(0.001)
         return sock
@@ -39,7 +39,7 @@
 
     def late(self: ConnectionReader, sock: socket.socket) -> None:
         if sockets.is_closed_by_peer(sock):
-            gate.wait(WITHIN)
+            gate.wait(WAIT_TIMEOUT_S)
         read(self, sock)
 
     monkeypatch.setattr(sockets, "connect", ended)
--- a/tests/proxy/discovery/test_flow_control.py
+++ b/tests/proxy/discovery/test_flow_control.py
@@ -11,7 +11,7 @@
 from examples.toy_server import Coordinator
 from olivepost.proxy.discovery.long_poll import MIN_POLL_INTERVAL
 from olivepost.units import SECOND
-from tests.rig import rig
+from tests.proxy_harness import running_proxy
 
 WATCHED_S = 1.0
 
@@ -20,18 +20,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(Coordinator, "_wait", lambda *_: None)
-    with rig() as made:
-        assert made.coordinator.wait_for_poll(1)
-        before = made.coordinator.polls
+    with running_proxy() as proxy:
+        assert proxy.coordinator.wait_for_poll(1)
+        before = proxy.coordinator.polls
         time.sleep(WATCHED_S)
-        assert made.coordinator.polls - before <= WATCHED_S * SECOND / MIN_POLL_INTERVAL + 1
+        assert proxy.coordinator.polls - before <= WATCHED_S * SECOND / MIN_POLL_INTERVAL + 1
 
 
 def test_next_list_is_polled_once_the_last_one_is_handled() -> None:
-    with rig() as made:
+    with running_proxy() as proxy:
         gate = threading.Event()
         held = threading.Event()
-        router = made.proxy.event_loop.router
+        router = proxy.server.event_loop.router
         handle = router.handle
 
         def late(now: int, event: Any) -> Any:
@@ -39,23 +39,25 @@
             gate.wait(0.5)
             return handle(now, event)
 
-        assert made.coordinator.wait_for_poll(1)
+        assert proxy.coordinator.wait_for_poll(1)
         router.handle = late  # type: ignore[method-assign]
-        made.coordinator.add(endpoints={"version": 2, "full": True, "servers": made.entries})
+        proxy.coordinator.add(endpoints={"version": 2, "full": True, "servers": proxy.listed_endpoints})
         assert held.wait(20)
-        polls = made.coordinator.polls
+        polls = proxy.coordinator.polls
         for version in range(3, 8):
-            made.coordinator.add(endpoints={"version": version, "full": True, "servers": made.entries})
-        assert made.coordinator.polls <= polls + 1
+            proxy.coordinator.add(
+                endpoints={"version": version, "full": True, "servers": proxy.listed_endpoints}
+            )
+        assert proxy.coordinator.polls <= polls + 1
         gate.set()
-        assert made.until(lambda: made.proxy.discovery._last_index == 7)
+        assert proxy.wait_until(lambda: proxy.server.discovery._last_index == 7)
 
 
 def test_decoded_list_of_the_start_is_not_kept() -> None:
-    with rig() as made:
-        assert made.proxy.config.known_events is None
-        assert len(router_endpoints(made)) == 4
+    with running_proxy() as proxy:
+        assert proxy.server.config.known_events is None
+        assert len(router_endpoints(proxy)) == 4
 
 
-def router_endpoints(made: Any) -> list[str]:
-    return list(made.proxy.event_loop.router.state.endpoints.by_id)
+def router_endpoints(proxy: Any) -> list[str]:
+    return list(proxy.server.event_loop.router.state.endpoints.by_id)
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -8,50 +8,50 @@
 
 import pytest
 
-from examples.toy_server import Command, Member, serve_all
+from examples.toy_server import Command, ToyEndpoint, respond_normally
 from olivepost import interface as api
 from olivepost.proxy import sockets
 from olivepost.proxy.downstream.connection import DownstreamConnection
 from olivepost.proxy.upstream.writer import ConnectionWriter
-from tests.rig import WITHIN, Rig, toy_config
+from tests.proxy_harness import WAIT_TIMEOUT_S, ProxyHarness, toy_config
 
 UNCACHED_NAME = "0a3a9c21e0b4d655"  # no toy cache has it
 
 
-def silent(member: Member, command: Command) -> None:
+def never_reply(endpoint: ToyEndpoint, command: Command) -> None:
     """An endpoint that accepts everything and does not respond."""
 
 
 MS = 1_000_000
 
 
-class HeldReplies:
+class DelayedReplies:
     """Endpoints that respond once the gate is set."""
 
     def __init__(self) -> None:
         self.gate = threading.Event()
 
-    def __call__(self, member: Member, command: Command) -> None:
-        self.gate.wait(WITHIN)
-        serve_all(member, command)
+    def __call__(self, endpoint: ToyEndpoint, command: Command) -> None:
+        self.gate.wait(WAIT_TIMEOUT_S)
+        respond_normally(endpoint, command)
 
 
-def only_connection(made: Rig) -> DownstreamConnection:
+def only_connection(proxy: ProxyHarness) -> DownstreamConnection:
     """The one connection that is open."""
-    assert made.until(lambda: made.proxy.downstream.open_count == 1)
-    (connection,) = made.proxy.downstream._connections
+    assert proxy.wait_until(lambda: proxy.server.downstream.open_count == 1)
+    (connection,) = proxy.server.downstream._connections
     return connection
 
 
-def idle_connection(made: Rig) -> DownstreamConnection:
+def idle_connection(proxy: ProxyHarness) -> DownstreamConnection:
     """The one connection, once its response is written and its writer is done with it."""
-    connection = only_connection(made)
-    assert made.until(lambda: connection.is_idle and not connection._lock.locked())
+    connection = only_connection(proxy)
+    assert proxy.wait_until(lambda: connection.is_idle and not connection._lock.locked())
     return connection
 
 
-def no_attempt_was_sent(made: Rig) -> bool:
-    return not any(member.seen() for member in made.members)
+def no_attempt_was_sent(proxy: ProxyHarness) -> bool:
+    return not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
 class DelayedConnects:
@@ -64,7 +64,7 @@
         def late(*args: Any) -> socket.socket:
             if threading.current_thread().name.startswith("upstream-writer-"):
                 self.begun.set()
-                self.gate.wait(WITHIN)
+                self.gate.wait(WAIT_TIMEOUT_S)
             return connect(*args)
 
         monkeypatch.setattr(sockets, "connect", late)
@@ -85,7 +85,7 @@
 
         def late(writer: ConnectionWriter, sock: socket.socket, data: bytes, call: Any) -> None:
             if data.startswith(b"abort"):
-                self.gate.wait(WITHIN)
+                self.gate.wait(WAIT_TIMEOUT_S)
                 if self.resets:
                     raise ConnectionError("reset by the endpoint")
             send(writer, sock, data, call)
@@ -93,11 +93,12 @@
         monkeypatch.setattr(ConnectionWriter, "_send", late)
 
 
-def draining_entries(made: Rig, count: int) -> list[dict[str, Any]]:
-    return [{**row, "state": "terminating"} for row in made.entries[:count]]
+def draining_entries(proxy: ProxyHarness, count: int) -> list[dict[str, Any]]:
+    return [{**row, "state": "terminating"} for row in proxy.listed_endpoints[:count]]
 
 
-def cache_a_is_draining(made: Rig) -> bool:
+def cache_a_is_draining(proxy: ProxyHarness) -> bool:
     return (
-        made.proxy.event_loop._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
+        proxy.server.event_loop._router.state.endpoints.by_id["a"].metadata.state
+        is api.EndpointState.DRAINING
     )
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -9,23 +9,23 @@
 
 import pytest
 
-from examples.toy_server import Command, Member, serve_all
+from examples.toy_server import Command, ToyEndpoint, respond_normally
 from olivepost.proxy import sockets
 from olivepost.proxy.exchange_lifecycle import ExchangeLifecycle
 from olivepost.units import SECOND
-from tests.proxy.fakes import DelayedConnects, no_attempt_was_sent, settings_with_idempotency, silent
-from tests.rig import WITHIN, Client, rig
+from tests.proxy.fakes import DelayedConnects, never_reply, no_attempt_was_sent, settings_with_idempotency
+from tests.proxy_harness import WAIT_TIMEOUT_S, HttpClient, running_proxy
 
 
 def test_request_and_attempt_of_a_disconnected_client_are_released() -> None:
-    with rig(silent) as made:
-        with made.client() as client:
-            client.send(client.request())
-            command = made.fetches()[0]
-            assert made.proxy.event_loop.pending_count == 1
-        assert made.until(lambda: made.proxy.event_loop.pending_count == 0)
-        assert made.until(lambda: any(cache.seen("abort") for cache in made.caches))
-        assert [it.id for cache in made.caches for it in cache.seen("abort")] == [command.id]
+    with running_proxy(never_reply) as proxy:
+        with proxy.connect() as client:
+            client.send(client.encode_request())
+            command = proxy.wait_for_fetches()[0]
+            assert proxy.server.event_loop.pending_count == 1
+        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0)
+        assert proxy.wait_until(lambda: any(cache.received("abort") for cache in proxy.caches))
+        assert [it.id for cache in proxy.caches for it in cache.received("abort")] == [command.id]
 
 
 Disconnect = Callable[[socket.socket], object]
@@ -61,44 +61,47 @@
 
         def waits(sock: socket.socket) -> bool:
             if asked.is_set() and threading.current_thread().name.startswith("Dummy"):
-                late.wait(WITHIN)
+                late.wait(WAIT_TIMEOUT_S)
             asked.set()
             return wait(sock)
 
         monkeypatch.setattr(sockets, "wait_readable", waits)
-    with rig() as made:
-        client = made.client()
-        client.send(Client.request(patience=3000))
-        assert made.until(lambda: made.proxy.event_loop.pending_count == 1)
-        assert delayed_connects.begun.wait(WITHIN)
-        (connection,) = made.proxy.downstream._connections
+    with running_proxy() as proxy:
+        client = proxy.connect()
+        client.send(HttpClient.encode_request(timeout_ms=3000))
+        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 1)
+        assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
+        (connection,) = proxy.server.downstream._connections
         leave(client.sock)
-        assert made.until(connection.is_closed_by_client)
+        assert proxy.wait_until(connection.is_closed_by_client)
         delayed_connects.gate.set()
-        assert made.until(lambda: made.counted("requests_of_disconnected_clients") == 1)
-        assert no_attempt_was_sent(made)
+        assert proxy.wait_until(lambda: proxy.counter("requests_of_disconnected_clients") == 1)
+        assert no_attempt_was_sent(proxy)
         late.set()
         client.sock.close()
-        with made.client() as other:  # the upstream connection goes on
-            assert other.ask(piece=7)[0] == 200
-        assert made.proxy.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
-        assert made.proxy.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
+        with proxy.connect() as other:  # the upstream connection goes on
+            assert other.request(part=7)[0] == 200
+        assert proxy.server.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
+        assert proxy.server.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
 
 
 def test_attempts_of_many_disconnected_clients_are_aborted() -> None:
-    def alive(member: Member, command: Command) -> None:
+    def alive(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "alive":
-            serve_all(member, command)
+            respond_normally(endpoint, command)
 
-    with rig(alive, settings=settings_with_idempotency("read_like", aim=15 * SECOND)) as made:
-        leaving = [made.client() for _ in range(6)]
+    with running_proxy(alive, settings=settings_with_idempotency("read_like", aim=15 * SECOND)) as proxy:
+        leaving = [proxy.connect() for _ in range(6)]
         for number, client in enumerate(leaving):
-            client.send(Client.request(piece=number, patience=15_000))
-        sent = {command.id for command in made.fetches(6)}
+            client.send(HttpClient.encode_request(part=number, timeout_ms=15_000))
+        sent = {command.id for command in proxy.wait_for_fetches(6)}
         for client in leaving:
             client.sock.close()
-        assert made.until(lambda: made.proxy.event_loop.pending_count == 0)
-        assert made.until(lambda: {it.id for cache in made.caches for it in cache.seen("abort")} == sent)
+        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0)
+        assert proxy.wait_until(
+            lambda: {it.id for cache in proxy.caches for it in cache.received("abort")} == sent
+        )
         assert not any(
-            member.failure_score for member in made.proxy.event_loop._router.state.endpoints.by_id.values()
+            endpoint.failure_score
+            for endpoint in proxy.server.event_loop._router.state.endpoints.by_id.values()
         )
--- a/tests/proxy/test_discovery_changes.py
+++ b/tests/proxy/test_discovery_changes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from examples.toy_server import Coordinator, entry
+from examples.toy_server import Coordinator, listed_endpoint
 from olivepost import interface as api
 from olivepost.config import read_address, read_config
 from olivepost.proxy.discovery import long_poll
@@ -19,39 +19,46 @@
 from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.server import ConfigurationSource, ProxyServer
 from tests.proxy.fakes import MS, cache_a_is_draining, draining_entries
-from tests.rig import NAME, WITHIN, Client, rig, toy_config
+from tests.proxy_harness import OBJECT_NAME, WAIT_TIMEOUT_S, HttpClient, running_proxy, toy_config
 
 
 def test_draining_endpoint_gets_no_new_request() -> None:
-    with rig() as made, made.client() as client:
-        made.coordinator.add(
-            endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
+    with running_proxy() as proxy, proxy.connect() as client:
+        proxy.coordinator.add(
+            endpoints={
+                "version": 2,
+                "full": False,
+                "servers": [{**proxy.listed_endpoints[0], "state": "terminating"}],
+            }
         )
-        placed = made.proxy.event_loop._router.state.endpoints.by_id
-        assert made.until(lambda: placed is not made.proxy.event_loop._router.state.endpoints.by_id)
+        placed = proxy.server.event_loop._router.state.endpoints.by_id
+        assert proxy.wait_until(lambda: placed is not proxy.server.event_loop._router.state.endpoints.by_id)
         for piece in range(20):
-            assert client.ask(piece=piece)[0] == 200
-        assert made.caches[0].seen() == []
-        assert len(made.caches[1].seen()) == 20
+            assert client.request(part=piece)[0] == 200
+        assert proxy.caches[0].received() == []
+        assert len(proxy.caches[1].received()) == 20
 
 
 def test_new_endpoint_on_an_old_address_gets_new_connections() -> None:
-    with rig() as made, made.client() as client:
+    with running_proxy() as proxy, proxy.connect() as client:
         for piece in range(12):
-            assert client.ask(piece=piece)[0] == 200
-        old = made.caches[0]
+            assert client.request(part=piece)[0] == 200
+        old = proxy.caches[0]
         before = len(old.connections)
         assert before == 1
-        made.coordinator.add(
+        proxy.coordinator.add(
             endpoints={
                 "version": 2,
                 "full": False,
-                "servers": [{**made.entries[0], "state": "terminated"}, {**made.entries[0], "id": "new"}],
+                "servers": [
+                    {**proxy.listed_endpoints[0], "state": "terminated"},
+                    {**proxy.listed_endpoints[0], "id": "new"},
+                ],
             }
         )
-        assert made.until(lambda: "new" in made.proxy.event_loop._router.state.endpoints.by_id)
+        assert proxy.wait_until(lambda: "new" in proxy.server.event_loop._router.state.endpoints.by_id)
         for piece in range(12):
-            assert client.ask(piece=piece)[0] == 200
+            assert client.request(part=piece)[0] == 200
         assert len(old.connections) == 2
 
 
@@ -61,19 +68,21 @@
 @pytest.mark.parametrize("clock_error_ms", [0, -500, 5_000, -5_000, HOUR_MS, -HOUR_MS])
 def test_invalidations_bound_the_age_of_cached_responses(clock_error_ms: int) -> None:
     """They count from when they were told, whatever this process's wall clock was at its start."""
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
         told_at = time.monotonic()
-        made.coordinator.add(evict={"ref": NAME, "unix_ms": time.time_ns() // 1_000_000 + clock_error_ms})
-        made.coordinator.add(evict={"shard": 18, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.proxy.event_loop._router.state.invalidations
-        assert made.until(lambda: len(purges) == 2)
-        assert client.ask()[0] == 200
-        assert client.ask("1" * 16)[0] == 200
+        proxy.coordinator.add(
+            evict={"ref": OBJECT_NAME, "unix_ms": time.time_ns() // 1_000_000 + clock_error_ms}
+        )
+        proxy.coordinator.add(evict={"shard": 18, "unix_ms": time.time_ns() // 1_000_000})
+        purges = proxy.server.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: len(purges) == 2)
+        assert client.request()[0] == 200
+        assert client.request("1" * 16)[0] == 200
         first, bounded, other = (
-            made.fetches(3)
-            if len(made.caches[0].seen()) in (0, 3)
-            else sorted(made.fetches(3), key=lambda it: it.id)
+            proxy.wait_for_fetches(3)
+            if len(proxy.caches[0].received()) in (0, 3)
+            else sorted(proxy.wait_for_fetches(3), key=lambda it: it.id)
         )
         assert "within" not in first.fields
         assert "within" not in other.fields
@@ -81,56 +90,56 @@
 
 
 def test_gap_in_the_events_is_resynced() -> None:
-    with rig() as made, made.client() as client:
-        assert made.coordinator.wait_for_poll(1)
-        late = entry(made.caches[0], state="terminating")
-        whole = {"version": 3, "full": True, "servers": made.entries[1:]}
-        with made.coordinator._change:
-            made.coordinator.events[:] = [
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert proxy.coordinator.wait_for_poll(1)
+        late = listed_endpoint(proxy.caches[0], state="terminating")
+        whole = {"version": 3, "full": True, "servers": proxy.listed_endpoints[1:]}
+        with proxy.coordinator._change:
+            proxy.coordinator.events[:] = [
                 {"index": 5, "endpoints": {"version": 2, "full": False, "servers": [late]}},
                 {"index": 6, "endpoints": whole},
             ]
-            made.coordinator._change.notify_all()
-        assert made.until(lambda: "a" not in made.proxy.event_loop._router.state.endpoints.by_id)
-        assert client.ask()[0] == 200
+            proxy.coordinator._change.notify_all()
+        assert proxy.wait_until(lambda: "a" not in proxy.server.event_loop._router.state.endpoints.by_id)
+        assert client.request()[0] == 200
 
 
 def test_invalid_events_do_not_stop_later_ones() -> None:
-    with rig() as made, made.client() as client:
-        made.coordinator.add(endpoints={"servers": [{"id": "x y", "addr": "127.0.0.1:1"}]})
-        made.coordinator.add(evict={})
-        made.coordinator.add(evict={"ref": NAME, "unix_ms": time.time_ns() // 1_000_000})
-        assert made.until(lambda: len(made.proxy.event_loop._router.state.invalidations) == 1)
-        assert made.counted("invalid_events") == 2
-        assert client.ask()[0] == 200
+    with running_proxy() as proxy, proxy.connect() as client:
+        proxy.coordinator.add(endpoints={"servers": [{"id": "x y", "addr": "127.0.0.1:1"}]})
+        proxy.coordinator.add(evict={})
+        proxy.coordinator.add(evict={"ref": OBJECT_NAME, "unix_ms": time.time_ns() // 1_000_000})
+        assert proxy.wait_until(lambda: len(proxy.server.event_loop._router.state.invalidations) == 1)
+        assert proxy.counter("invalid_events") == 2
+        assert client.request()[0] == 200
 
 
 def test_last_endpoint_list_holds_while_the_coordinator_is_down() -> None:
-    with rig() as made, made.client() as client:
-        assert made.coordinator.wait_for_poll(1)
-        made.coordinator.close()
-        assert made.until(lambda: made.counted("poll_failures") >= 2)
-        assert client.ask()[0] == 200
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert proxy.coordinator.wait_for_poll(1)
+        proxy.coordinator.close()
+        assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 2)
+        assert client.request()[0] == 200
 
 
 def test_new_coordinator_is_polled_at_once_from_the_last_index() -> None:
-    with rig() as made:
+    with running_proxy() as proxy:
         other = Coordinator()
-        made.coordinator.add(evict={"shard": 1, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.proxy.event_loop._router.state.invalidations
-        assert made.until(lambda: len(purges) == 1)
-        other.events = list(made.coordinator.events)
+        proxy.coordinator.add(evict={"shard": 1, "unix_ms": time.time_ns() // 1_000_000})
+        purges = proxy.server.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: len(purges) == 1)
+        other.events = list(proxy.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        assert made.proxy.discovery.switch_coordinator(read_address(other.address))
-        assert not made.proxy.discovery.switch_coordinator(read_address(other.address))
-        made.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # to nobody
-        assert made.until(lambda: len(purges) == 2)
+        assert proxy.server.discovery.switch_coordinator(read_address(other.address))
+        assert not proxy.server.discovery.switch_coordinator(read_address(other.address))
+        proxy.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # to nobody
+        assert proxy.wait_until(lambda: len(purges) == 2)
         assert other.wait_for_poll(2)
         assert other.follows[0] == 2
         other.add(evict={"shard": 4, "unix_ms": time.time_ns() // 1_000_000})
-        assert made.until(lambda: ("group", 4) in purges._times)
+        assert proxy.wait_until(lambda: ("group", 4) in purges._times)
         assert set(purges._times) == {("group", 1), ("group", 2), ("group", 4)}
-        assert made.counted("discovery_error") == 0
+        assert proxy.counter("discovery_error") == 0
         other.close()
 
 
@@ -153,39 +162,43 @@
 
 @pytest.mark.parametrize("trickles", [False, True])
 def test_coordinator_that_stalls_in_a_response_is_polled_again_in_time(trickles: bool) -> None:
-    with rig() as made:
+    with running_proxy() as proxy:
         other = StallingCoordinator(trickles)
-        other.events = list(made.coordinator.events)
+        other.events = list(proxy.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         began = time.monotonic()
-        made.proxy.discovery.switch_coordinator(read_address(other.address))
-        purges = made.proxy.event_loop._router.state.invalidations
-        assert made.until(lambda: ("group", 2) in purges._times)
+        proxy.server.discovery.switch_coordinator(read_address(other.address))
+        purges = proxy.server.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: ("group", 2) in purges._times)
         assert other.stopped
         assert time.monotonic() - began >= 1
-        assert made.counted("poll_failures") <= 2
+        assert proxy.counter("poll_failures") <= 2
         other.over.set()
         other.close()
 
 
 def test_lagging_coordinator_is_not_taken_for_a_new_one() -> None:
-    with rig() as made:
-        made.coordinator.add(
-            endpoints={"version": 2, "full": False, "servers": [{**made.entries[0], "state": "terminating"}]}
+    with running_proxy() as proxy:
+        proxy.coordinator.add(
+            endpoints={
+                "version": 2,
+                "full": False,
+                "servers": [{**proxy.listed_endpoints[0], "state": "terminating"}],
+            }
         )
-        assert made.until(lambda: made.proxy.discovery._last_index == 2)
+        assert proxy.wait_until(lambda: proxy.server.discovery._last_index == 2)
         lagging = Coordinator()
-        lagging.events = made.coordinator.events[:1]
-        made.proxy.discovery.switch_coordinator(read_address(lagging.address))
+        lagging.events = proxy.coordinator.events[:1]
+        proxy.server.discovery.switch_coordinator(read_address(lagging.address))
         assert lagging.wait_for_poll(2)
         assert lagging.follows[:2] == [2, 2]
-        assert made.until(lambda: made.proxy.discovery._lagging_responses >= 1)
-        lagging.events = list(made.coordinator.events)
+        assert proxy.wait_until(lambda: proxy.server.discovery._lagging_responses >= 1)
+        lagging.events = list(proxy.coordinator.events)
         lagging.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        purges = made.proxy.event_loop._router.state.invalidations
-        assert made.until(lambda: ("group", 2) in purges._times)
+        purges = proxy.server.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: ("group", 2) in purges._times)
         assert (
-            made.proxy.event_loop._router.state.endpoints.by_id["a"].metadata.state
+            proxy.server.event_loop._router.state.endpoints.by_id["a"].metadata.state
             is api.EndpointState.DRAINING
         )
         assert 0 not in lagging.follows
@@ -210,20 +223,20 @@
     def reply(self, sock: socket.socket, data: bytes) -> None:
         self.left -= 1
         if self.left >= 0:
-            self.over.wait(WITHIN)
+            self.over.wait(WAIT_TIMEOUT_S)
         else:
             super().reply(sock, data)
 
 
 def test_endpoint_list_may_come_in_pieces() -> None:
-    with rig() as made, made.client() as client:
+    with running_proxy() as proxy, proxy.connect() as client:
         other = BytewiseCoordinator()
-        other.events = list(made.coordinator.events)
-        other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(made, 1)})
-        made.proxy.discovery.switch_coordinator(read_address(other.address))
-        assert made.until(lambda: cache_a_is_draining(made))
-        assert client.ask()[0] == 200
-        assert made.caches[0].seen() == []
+        other.events = list(proxy.coordinator.events)
+        other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
+        proxy.server.discovery.switch_coordinator(read_address(other.address))
+        assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
+        assert client.request()[0] == 200
+        assert proxy.caches[0].received() == []
         other.close()
 
 
@@ -231,34 +244,34 @@
     """The open poll gets no response, nor the next one; the cache drains meanwhile and stays up."""
     monkeypatch.setattr(long_poll, "POLL_WAIT", 100 * MS)
     monkeypatch.setattr(long_poll, "FIRST_RESPONSE_TIMEOUT", 100 * MS)
-    with rig() as made, made.client() as client:
+    with running_proxy() as proxy, proxy.connect() as client:
         other = SilentCoordinator(2)
-        other.events = list(made.coordinator.events)
-        made.proxy.discovery.switch_coordinator(read_address(other.address))
+        other.events = list(proxy.coordinator.events)
+        proxy.server.discovery.switch_coordinator(read_address(other.address))
         assert other.wait_for_poll(1)
-        other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(made, 1)})
-        assert made.until(lambda: cache_a_is_draining(made))
-        before = len(made.caches[0].seen())
+        other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
+        assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
+        before = len(proxy.caches[0].received())
         # On a busy machine the one cache that is left may stall for a moment: a rejection then
         # is not discovery's doing. What counts is that nothing goes to the draining one.
-        assert 200 in {client.ask(piece=piece)[0] for piece in range(12)}
-        assert len(made.caches[0].seen()) == before
+        assert 200 in {client.request(part=piece)[0] for piece in range(12)}
+        assert len(proxy.caches[0].received()) == before
         other.over.set()
         other.close()
 
 
 def test_reload_moves_discovery_while_the_old_coordinator_is_down() -> None:
-    with rig() as made:
-        assert made.coordinator.wait_for_poll(1)
-        made.coordinator.close()
-        assert made.until(lambda: made.counted("poll_failures") >= 1)
+    with running_proxy() as proxy:
+        assert proxy.coordinator.wait_for_poll(1)
+        proxy.coordinator.close()
+        assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 1)
         other = Coordinator()
-        other.events = list(made.coordinator.events)
-        other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(made, 1)})
-        moved = dataclasses.replace(made.proxy.config, coordinator=read_address(other.address))
-        made.proxy._source = ConfigurationSource(lambda: moved, lambda: None)
-        made.proxy.reload()
-        assert made.until(lambda: cache_a_is_draining(made))
+        other.events = list(proxy.coordinator.events)
+        other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
+        moved = dataclasses.replace(proxy.server.config, coordinator=read_address(other.address))
+        proxy.server._source = ConfigurationSource(lambda: moved, lambda: None)
+        proxy.server.reload()
+        assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
         assert other.follows[0] == 1
         other.close()
 
@@ -267,19 +280,19 @@
     """Discovery is down at the start: the known endpoint list is used."""
     coordinator = Coordinator()
     coordinator.close()
-    with rig() as other:
+    with running_proxy() as other:
         config = toy_config(coordinator=coordinator.address, known=other.coordinator.listed())
         nowhere = os.open(os.devnull, os.O_WRONLY)
-        made = ProxyServer(read_config(config, {}), nowhere)
-        with Client(made.start()) as client:
+        proxy = ProxyServer(read_config(config, {}), nowhere)
+        with HttpClient(proxy.start()) as client:
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
-            assert client.read()[0] == 200
-            assert client.ask()[0] == 200
-        made.discovery.stop()
-        made.downstream.stop_accepting()
-        made.downstream.stop_watching()
-        made.event_loop.post(StopEventLoop())
-        made.log.close(WITHIN)
+            assert client.read_response()[0] == 200
+            assert client.request()[0] == 200
+        proxy.discovery.stop()
+        proxy.downstream.stop_accepting()
+        proxy.downstream.stop_watching()
+        proxy.event_loop.post(StopEventLoop())
+        proxy.log.close(WAIT_TIMEOUT_S)
         os.close(nowhere)
 
 
@@ -299,9 +312,9 @@
         if isinstance(event, DiscoveryEvent) and isinstance(event.change, api.Invalidation):
             ages.append(event.change.age)
 
-    with rig() as made:
+    with running_proxy() as proxy:
         nowhere = read_address("127.0.0.1:9")
-        client = DiscoveryClient(nowhere, made.proxy.clock, made.proxy.log, post, seed=1)
+        client = DiscoveryClient(nowhere, proxy.server.clock, proxy.server.log, post, seed=1)
         client.start({"index": 2, "updates": updates})
         client.stop()
     assert len(ages) == 2
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -9,8 +9,8 @@
 import pytest
 
 from olivepost.proxy import sockets
-from tests.proxy.fakes import HeldReplies, idle_connection, only_connection
-from tests.rig import WITHIN, Client, rig
+from tests.proxy.fakes import DelayedReplies, idle_connection, only_connection
+from tests.proxy_harness import WAIT_TIMEOUT_S, HttpClient, running_proxy
 
 
 @pytest.mark.parametrize("end", ["evict", "expire", "close_if_idle"])
@@ -18,29 +18,29 @@
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It waits in the kernel's buffer at the close: what is read after that is not forwarded."""
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        connection, hang_up = idle_connection(made), sockets.shutdown
-        before, sent, posted = len(made.fetches()), list[bytes](), list[Any]()
-        made.proxy.downstream.context.post = posted.append
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        connection, hang_up = idle_connection(proxy), sockets.shutdown
+        before, sent, posted = len(proxy.wait_for_fetches()), list[bytes](), list[Any]()
+        proxy.server.downstream.context.post = posted.append
 
         def crossed(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
             if sock is connection._sock and not sent:
-                sent.append(Client.request())
+                sent.append(HttpClient.encode_request())
                 client.send(sent[0])
-                made.until(lambda: not sockets.has_nothing_unread(sock))
+                proxy.wait_until(lambda: not sockets.has_nothing_unread(sock))
             hang_up(sock, how)
 
         monkeypatch.setattr(sockets, "shutdown", crossed)
         connection.deadline = 1 if end == "expire" else 0
         getattr(connection, end)()
         assert sent
-        assert client.closed()
+        assert client.is_closed_by_proxy()
         client.sock.close()
-        assert made.until(lambda: made.proxy.downstream.open_count == 0)
+        assert proxy.wait_until(lambda: proxy.server.downstream.open_count == 0)
         monkeypatch.setattr(sockets, "shutdown", hang_up)
         assert not posted
-        assert len(made.fetches()) == before
+        assert len(proxy.wait_for_fetches()) == before
 
 
 def test_connection_with_an_unread_request_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -48,38 +48,38 @@
 
     def late(sock: socket.socket) -> bool:
         came = wait(sock)
-        return (asked.is_set() and gate.wait(WITHIN) and came) or came
+        return (asked.is_set() and gate.wait(WAIT_TIMEOUT_S) and came) or came
 
     asked = threading.Event()
     monkeypatch.setattr(sockets, "wait_readable", late)
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        connection = idle_connection(made)
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        connection = idle_connection(proxy)
         asked.set()
-        client.send(Client.request())
-        assert made.until(lambda: not connection.has_nothing_unread)
+        client.send(HttpClient.encode_request())
+        assert proxy.wait_until(lambda: not connection.has_nothing_unread)
         assert not connection.evict()
         gate.set()
-        assert client.read()[0] == 200
+        assert client.read_response()[0] == 200
 
 
 def test_request_that_was_read_is_served_though_its_limit_has_passed() -> None:
     """The limit was checked before the request came, and is applied after it."""
-    held = HeldReplies()
-    with rig(held) as made, made.client() as client:
-        client.send(Client.request(patience=15_000))
-        made.fetches()
-        only_connection(made).expire()
+    held = DelayedReplies()
+    with running_proxy(held) as proxy, proxy.connect() as client:
+        client.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.wait_for_fetches()
+        only_connection(proxy).expire()
         held.gate.set()
-        assert client.read()[0] == 200
+        assert client.read_response()[0] == 200
 
 
 def test_connection_that_its_reader_holds_is_not_expired() -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        connection = idle_connection(made)
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        connection = idle_connection(proxy)
         connection.deadline = 1
         with connection._lock:
             connection.expire()
         connection.deadline = 0
-        assert client.ask()[0] == 200
+        assert client.request()[0] == 200
--- a/tests/proxy/test_error_isolation.py
+++ b/tests/proxy/test_error_isolation.py
@@ -8,7 +8,7 @@
 
 from olivepost import interface as api
 from olivepost.proxy.downstream.connection import DownstreamConnection
-from tests.rig import rig
+from tests.proxy_harness import running_proxy
 
 
 def test_error_in_one_connection_closes_only_that(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -20,23 +20,23 @@
         route(self, message, at)
 
     monkeypatch.setattr(DownstreamConnection, "_route", odd)
-    with rig() as made, made.client() as bad, made.client() as good:
+    with running_proxy() as proxy, proxy.connect() as bad, proxy.connect() as good:
         bad.send(b"GET /fault HTTP/1.1\r\n\r\n")
-        assert bad.closed()
-        assert good.ask()[0] == 200
-        assert made.counted("downstream_connection_error") == 1
+        assert bad.is_closed_by_proxy()
+        assert good.request()[0] == 200
+        assert proxy.counter("downstream_connection_error") == 1
 
 
 def test_error_in_the_event_loop_fails_only_that_request(monkeypatch: pytest.MonkeyPatch) -> None:
-    with rig() as made, made.client() as client:
-        handle = made.proxy.event_loop._router.handle
+    with running_proxy() as proxy, proxy.connect() as client:
+        handle = proxy.server.event_loop._router.handle
 
         def odd(now: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request) and event.part == 13:
                 raise RuntimeError("unforeseen")
             return handle(now, event)
 
-        monkeypatch.setattr(made.proxy.event_loop._router, "handle", odd)
-        assert client.ask(piece=13)[0] == 502
-        assert client.ask()[0] == 200
-        assert made.counted("event_loop_error") == 1
+        monkeypatch.setattr(proxy.server.event_loop._router, "handle", odd)
+        assert client.request(part=13)[0] == 502
+        assert client.request()[0] == 200
+        assert proxy.counter("event_loop_error") == 1
--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -19,7 +19,7 @@
     ResponseParser,
     response_head,
 )
-from tests.helpers import split
+from tests.router_harness import split
 
 MAX_HEAD_SIZE = 500
 MAX_BODY_SIZE = 100
--- a/tests/proxy/test_line_protocol.py
+++ b/tests/proxy/test_line_protocol.py
@@ -15,7 +15,7 @@
     encode_command,
     parse_fields,
 )
-from tests.helpers import split
+from tests.router_harness import split
 
 STREAM = (
     b"0123456789abcdef HIT why=warm,entity=4be0c1927d55a6f3,issued=1764576000123 7\r\nab\r\n\x00\xffc\r\n"
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -17,8 +17,8 @@
     MemoryMonitor,
     resident_bytes_reader,
 )
-from tests.proxy.fakes import HeldReplies
-from tests.rig import Client, Rig, rig
+from tests.proxy.fakes import DelayedReplies
+from tests.proxy_harness import HttpClient, ProxyHarness, running_proxy
 
 LIMIT = 100_000_000
 
@@ -87,95 +87,98 @@
     assert held
 
 
-def press(made: Rig, share: float) -> None:
+def press(proxy: ProxyHarness, share: float) -> None:
     """Has the proxy find so much of its memory in use, as its main thread does."""
-    limit = made.proxy.config.limits.memory.limit
-    made.proxy.memory_monitor.read_resident_bytes = lambda: int(share * limit)
-    made.proxy.memory_monitor.check()
+    limit = proxy.server.config.limits.memory.limit
+    proxy.server.memory_monitor.read_resident_bytes = lambda: int(share * limit)
+    proxy.server.memory_monitor.check()
 
 
 def test_own_cache_gives_way_first() -> None:
-    with rig(flow_bytes_per_s=1_000_000, link_bytes_per_s=8_000_000) as made, made.client() as client:
+    with (
+        running_proxy(flow_bytes_per_s=1_000_000, link_bytes_per_s=8_000_000) as proxy,
+        proxy.connect() as client,
+    ):
         for piece in (0, 1, 2, 3) * 2:  # the second response of a name is stored
-            assert client.ask(piece=piece)[0] == 200
-        assert made.until(lambda: len(made.proxy.response_cache) == 4)
-        press(made, 0.81)
-        assert made.until(lambda: len(made.proxy.response_cache) == 2)
-        press(made, 0.81)
-        press(made, 0.81)
-        assert made.until(lambda: len(made.proxy.response_cache) == 0)
-        assert client.ask()[0] == 200  # requests and connections go on
-        assert made.until(lambda: made.proxy.body_buffers.in_use <= 60)
-        press(made, 0.81)
-        assert made.until(lambda: made.proxy.body_buffers.touched_bytes < 300_000)
+            assert client.request(part=piece)[0] == 200
+        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 4)
+        press(proxy, 0.81)
+        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 2)
+        press(proxy, 0.81)
+        press(proxy, 0.81)
+        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 0)
+        assert client.request()[0] == 200  # requests and connections go on
+        assert proxy.wait_until(lambda: proxy.server.body_buffers.in_use <= 60)
+        press(proxy, 0.81)
+        assert proxy.wait_until(lambda: proxy.server.body_buffers.touched_bytes < 300_000)
 
 
 def test_idle_connections_are_closed_under_pressure_and_busy_ones_kept() -> None:
-    held = HeldReplies()
-    with rig(held) as made, made.client() as busy, made.client() as idle:
+    held = DelayedReplies()
+    with running_proxy(held) as proxy, proxy.connect() as busy, proxy.connect() as idle:
         idle.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
-        assert idle.read()[0] == 200
-        busy.send(Client.request(patience=15_000))
-        made.fetches()
-        assert made.until(lambda: press_until_evicted(made))
-        assert idle.closed()
+        assert idle.read_response()[0] == 200
+        busy.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.wait_for_fetches()
+        assert proxy.wait_until(lambda: press_until_evicted(proxy))
+        assert idle.is_closed_by_proxy()
         held.gate.set()
-        assert busy.read()[0] == 200
+        assert busy.read_response()[0] == 200
 
 
-def press_until_evicted(made: Rig) -> bool:
+def press_until_evicted(proxy: ProxyHarness) -> bool:
     """Whether a connection was closed: one that was just used is left alone for a while."""
-    press(made, 0.85)
-    return made.counted("connections_evicted") > 0
+    press(proxy, 0.85)
+    return proxy.counter("connections_evicted") > 0
 
 
 def test_requests_are_rejected_at_once_close_to_the_limit_and_served_again_below() -> None:
-    with rig() as made, made.client() as client:
-        press(made, 0.95)
-        status, headers, _ = client.ask()
+    with running_proxy() as proxy, proxy.connect() as client:
+        press(proxy, 0.95)
+        status, headers, _ = client.request()
         assert status == 503
         assert int(headers["x-come-back-ms"]) > 0
-        assert made.counted("given_up_memory") == 1
-        press(made, 0.5)
-        assert client.ask()[0] == 200
+        assert proxy.counter("given_up_memory") == 1
+        press(proxy, 0.5)
+        assert client.request()[0] == 200
 
 
 def test_names_are_frozen_and_halved_under_pressure() -> None:
-    with rig() as made, made.client() as client:
+    with running_proxy() as proxy, proxy.connect() as client:
         for piece in range(8):
-            client.ask(piece=piece)
-        names = made.proxy.event_loop.router.state.names
+            client.request(part=piece)
+        names = proxy.server.event_loop.router.state.names
         capacity = names.capacity
         names.capacity = 8
-        press(made, 0.88)
-        assert made.until(lambda: len(names) == 4)
-        client.ask(piece=20)
+        press(proxy, 0.88)
+        assert proxy.wait_until(lambda: len(names) == 4)
+        client.request(part=20)
         assert len(names) <= 4
         names.capacity = capacity
-        press(made, 0.5)
-        assert client.ask(piece=21)[0] == 200
-        assert made.until(lambda: len(names) > 4 or made.proxy.memory_monitor.level is Level.NONE)
+        press(proxy, 0.5)
+        assert client.request(part=21)[0] == 200
+        assert proxy.wait_until(lambda: len(names) > 4 or proxy.server.memory_monitor.level is Level.NONE)
 
 
 def test_client_over_the_lowered_connection_limit_waits_for_a_place() -> None:
-    with rig(limits={"sockets": 64, "memory_mb": 64}) as made:
-        half = made.proxy.config.limits.max_client_connections // 2
-        clients = [made.client() for _ in range(half + 2)]
+    with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
+        half = proxy.server.config.limits.max_client_connections // 2
+        clients = [proxy.connect() for _ in range(half + 2)]
         for client in clients:
-            assert client.ask()[0] == 200
-        press(made, 0.91)
-        made.proxy.downstream.give_way(Level.LIMIT_CONNECTIONS)
-        with made.client() as late:
-            late.send(Client.request(patience=15_000))
-            assert late.read()[0] == 200
+            assert client.request()[0] == 200
+        press(proxy, 0.91)
+        proxy.server.downstream.give_way(Level.LIMIT_CONNECTIONS)
+        with proxy.connect() as late:
+            late.send(HttpClient.encode_request(timeout_ms=15_000))
+            assert late.read_response()[0] == 200
         for client in clients:
             client.sock.close()
 
 
 def test_account_names_every_owner_within_what_it_may_take() -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        account = memory_account(made.proxy)
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        account = memory_account(proxy.server)
     assert set(account) >= {"connections", "bodies", "names", "requests", "endpoints", "routes", "log"}
     assert all(owner.used <= owner.allowed for owner in account.values())
     assert account["names"].used > 0
--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -7,9 +7,9 @@
 import orjson
 import pytest
 
-from examples.toy_server import Command, Member, serve_all
-from tests.proxy.fakes import only_connection, silent
-from tests.rig import Client, Rig, rig
+from examples.toy_server import Command, ToyEndpoint, respond_normally
+from tests.proxy.fakes import never_reply, only_connection
+from tests.proxy_harness import HttpClient, ProxyHarness, running_proxy
 
 LogLines = list[dict[str, object]]
 
@@ -31,52 +31,52 @@
     return lines
 
 
-def first_event(made: Rig, lines: LogLines, name: str) -> dict[str, object]:
+def first_event(proxy: ProxyHarness, lines: LogLines, name: str) -> dict[str, object]:
     """The first event of a name, once it is logged."""
-    assert made.until(lambda: any(line["event"] == name for line in lines))
+    assert proxy.wait_until(lambda: any(line["event"] == name for line in lines))
     return next(line for line in lines if line["event"] == name)
 
 
 def test_given_up_request_is_logged_with_its_id_and_reason(
     log_lines: LogLines,
 ) -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask(name=REJECTED_BY_ALL, X_Call_Id="00000000000000aa")[0] == 503
-        given_up = first_event(made, log_lines, "request_given_up")
-        failed = first_event(made, log_lines, "attempt_failed")
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request(name=REJECTED_BY_ALL, X_Call_Id="00000000000000aa")[0] == 503
+        given_up = first_event(proxy, log_lines, "request_given_up")
+        failed = first_event(proxy, log_lines, "attempt_failed")
     assert given_up["request"] == failed["request"] == "00000000000000aa"
     assert given_up["reason"] in ("retry_not_allowed", "no_endpoint")
     assert failed["status"] == "rejected"
     assert failed["endpoint"] in ("a", "b")
-    assert made.counted(f"given_up_{given_up['reason']}") == 1
+    assert proxy.counter(f"given_up_{given_up['reason']}") == 1
 
 
 def test_connection_that_ends_under_a_request_is_logged_with_its_id(
     log_lines: LogLines,
 ) -> None:
-    with rig(silent) as made:
-        client = made.client()
-        client.send(Client.request(X_Call_Id="00000000000000bb"))
-        made.fetches()
+    with running_proxy(never_reply) as proxy:
+        client = proxy.connect()
+        client.send(HttpClient.encode_request(X_Call_Id="00000000000000bb"))
+        proxy.wait_for_fetches()
         client.sock.close()
-        closed = first_event(made, log_lines, "client_connection_closed")
+        closed = first_event(proxy, log_lines, "client_connection_closed")
     assert (closed["reason"], closed["request"]) == ("client_closed", "00000000000000bb")
 
 
 def test_evicted_connection_is_counted_with_its_reason() -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        assert only_connection(made).evict()
-        assert client.closed()
-        assert made.until(lambda: made.counted("connections_closed_evicted") == 1)
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        assert only_connection(proxy).evict()
+        assert client.is_closed_by_proxy()
+        assert proxy.wait_until(lambda: proxy.counter("connections_closed_evicted") == 1)
 
 
 def test_events_are_counted_by_kind() -> None:
-    def reply(member: Member, command: Command) -> None:
-        serve_all(member, command)
+    def reply(endpoint: ToyEndpoint, command: Command) -> None:
+        respond_normally(endpoint, command)
 
-    with rig(reply) as made, made.client() as client:
-        assert client.ask()[0] == 200
-        counts = made.proxy.event_loop.event_counts()
+    with running_proxy(reply) as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        counts = proxy.server.event_loop.event_counts()
     assert counts["RequestReceived"] == 1
     assert counts["UpstreamCompleted"] >= 1
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -6,37 +6,37 @@
 
 import pytest
 
-from examples.toy_server import Command, Member, body_of, serve_all, tag_of
+from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally, tag_of
 from tests.proxy.fakes import UNCACHED_NAME
-from tests.rig import NAME, WITHIN, Client, rig
+from tests.proxy_harness import OBJECT_NAME, WAIT_TIMEOUT_S, HttpClient, running_proxy
 
 
 def test_response_body_is_complete_and_unchanged() -> None:
-    with rig() as made, made.client() as client:
-        status, headers, body = client.ask()
-        assert (status, body) == (200, body_of(NAME, "3"))
-        assert headers["etag"] == f'"{tag_of(NAME, "3")}"'
+    with running_proxy() as proxy, proxy.connect() as client:
+        status, headers, body = client.request()
+        assert (status, body) == (200, body_of(OBJECT_NAME, "3"))
+        assert headers["etag"] == f'"{tag_of(OBJECT_NAME, "3")}"'
         assert "connection" not in headers
-        assert client.ask(piece=4)[2] == body_of(NAME, "4")
-        fields = next(it.fields for it in made.fetches(2) if it.fields["piece"] == "3")
+        assert client.request(part=4)[2] == body_of(OBJECT_NAME, "4")
+        fields = next(it.fields for it in proxy.wait_for_fetches(2) if it.fields["piece"] == "3")
         assert fields["lane"] == "segment"
-        assert fields["name"] == NAME
+        assert fields["name"] == OBJECT_NAME
         assert fields["piece"] == "3"
         assert 1 <= int(fields["ttl"]) <= 1500
         assert "within" not in fields
         assert "miss" not in fields
-        assert made.proxy.event_loop.pending_count == 0
+        assert proxy.server.event_loop.pending_count == 0
 
 
 def test_cache_miss_is_filled_from_the_parent() -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask(UNCACHED_NAME)[2] == body_of(UNCACHED_NAME, "3")
-        look, fill = made.fetches(2)
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request(UNCACHED_NAME)[2] == body_of(UNCACHED_NAME, "3")
+        look, fill = proxy.wait_for_fetches(2)
         assert "miss" not in look.fields
         assert fill.fields["miss"] == "p"
         assert look.id == fill.id
-        assert made.parent.seen() == []
-        assert made.origin.seen() == []
+        assert proxy.parent.received() == []
+        assert proxy.origin.received() == []
 
 
 def test_bodies_of_every_size_are_passed_on() -> None:
@@ -45,147 +45,147 @@
         for size in (0, 1, 16_383, 16_384, 16_385, 240_000)
     }
 
-    def reply(member: Member, command: Command) -> None:
+    def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "fetch":
-            command.answer("HIT", sizes[command.fields["name"]], why="warm", entity="x", issued="1")
+            command.respond("HIT", sizes[command.fields["name"]], why="warm", entity="x", issued="1")
 
-    with rig(reply) as made, made.client() as client:
+    with running_proxy(reply) as proxy, proxy.connect() as client:
         for name, body in sizes.items():
-            assert client.ask(name)[2] == body
+            assert client.request(name)[2] == body
 
 
 def test_current_copy_of_the_client_gets_304() -> None:
-    tag = tag_of(NAME, "3")
-    with rig() as made, made.client() as client:
-        assert client.ask(If_None_Match=f'"{tag}"') == (304, {"etag": f'"{tag}"'}, b"")
-        assert made.fetches()[0].fields["mine"] == tag
+    tag = tag_of(OBJECT_NAME, "3")
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request(If_None_Match=f'"{tag}"') == (304, {"etag": f'"{tag}"'}, b"")
+        assert proxy.wait_for_fetches()[0].fields["mine"] == tag
         for other in ('"old"', f'W/"{tag}"', f'"{tag}", "x"', "*", '"a,b"'):
-            assert client.ask(If_None_Match=other)[0] == 200
-        assert [command.fields.get("mine") for command in made.fetches(6)[1:]].count("old") == 1
-        assert sum("mine" in command.fields for command in made.fetches(6)) == 2
+            assert client.request(If_None_Match=other)[0] == 200
+        assert [command.fields.get("mine") for command in proxy.wait_for_fetches(6)[1:]].count("old") == 1
+        assert sum("mine" in command.fields for command in proxy.wait_for_fetches(6)) == 2
 
 
 def test_rejection_says_when_to_retry() -> None:
-    with rig() as made, made.client() as client:
-        status, headers, body = client.ask("f" * 16)
+    with running_proxy() as proxy, proxy.connect() as client:
+        status, headers, body = client.request("f" * 16)
         assert status == 503
         assert body == b""
         assert 1 <= int(headers["x-come-back-ms"]) <= 1000
-        assert client.ask()[0] == 200
-        assert made.counted("rejected") == 1
+        assert client.request()[0] == 200
+        assert proxy.counter("rejected") == 1
 
 
 def test_request_may_come_in_any_pieces() -> None:
-    with rig() as made, made.client() as client:
+    with running_proxy() as proxy, proxy.connect() as client:
         for piece in (1, 2):
-            data = client.request(piece=piece)
+            data = client.encode_request(part=piece)
             for at in range(0, len(data), 7):
                 client.send(data[at : at + 7])
-            assert client.read()[2] == body_of(NAME, str(piece))
-        assert made.proxy.downstream.open_count == 1
+            assert client.read_response()[2] == body_of(OBJECT_NAME, str(piece))
+        assert proxy.server.downstream.open_count == 1
 
 
 def test_pipelined_requests_are_not_served() -> None:
-    with rig() as made, made.client() as client:
-        client.send(b"".join(client.request(piece=piece) for piece in range(300)))
-        status, headers, body = client.read()
-        assert (status, headers["connection"], body) == (200, "close", body_of(NAME, "0"))
-        assert client.closed()
-        assert len(made.fetches()) == 1
-        assert made.counted("pipelining_rejected") >= 1
+    with running_proxy() as proxy, proxy.connect() as client:
+        client.send(b"".join(client.encode_request(part=piece) for piece in range(300)))
+        status, headers, body = client.read_response()
+        assert (status, headers["connection"], body) == (200, "close", body_of(OBJECT_NAME, "0"))
+        assert client.is_closed_by_proxy()
+        assert len(proxy.wait_for_fetches()) == 1
+        assert proxy.counter("pipelining_rejected") >= 1
 
 
 def test_connection_close_is_honoured() -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask(Connection="close")[1]["connection"] == "close"
-        assert client.closed()
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request(Connection="close")[1]["connection"] == "close"
+        assert client.is_closed_by_proxy()
 
 
 def test_health_check_fails_while_draining() -> None:
-    with rig() as made, made.client() as client:
+    with running_proxy() as proxy, proxy.connect() as client:
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert client.read()[0] == 200
-        made.proxy.downstream.drain()
+        assert client.read_response()[0] == 200
+        proxy.server.downstream.drain()
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
-        status, headers, _ = client.read()
+        status, headers, _ = client.read_response()
         assert status == 503
         assert headers["connection"] == "close"
-        assert client.closed()
+        assert client.is_closed_by_proxy()
 
 
 INVALID_REQUESTS = [
-    (Client.request(X_Call_Id=""), 400),
-    (Client.request(X_Call_Id="9B1F03AA5C7E2D41"), 400),
-    (Client.request(X_Call_Id="9b1f03aa5c7e2d4"), 400),
-    (Client.request(X_Patience_Ms=""), 400),
-    (Client.request(X_Patience_Ms="-1"), 400),
-    (Client.request(X_Patience_Ms="1e3"), 400),
-    (Client.request(X_Set="256"), 400),
-    (Client.request(X_Set=""), 400),
-    (Client.request(class_name="nobody"), 404),
-    (Client.request(name="xyz"), 404),
+    (HttpClient.encode_request(X_Call_Id=""), 400),
+    (HttpClient.encode_request(X_Call_Id="9B1F03AA5C7E2D41"), 400),
+    (HttpClient.encode_request(X_Call_Id="9b1f03aa5c7e2d4"), 400),
+    (HttpClient.encode_request(X_Patience_Ms=""), 400),
+    (HttpClient.encode_request(X_Patience_Ms="-1"), 400),
+    (HttpClient.encode_request(X_Patience_Ms="1e3"), 400),
+    (HttpClient.encode_request(X_Set="256"), 400),
+    (HttpClient.encode_request(X_Set=""), 400),
+    (HttpClient.encode_request(class_name="nobody"), 404),
+    (HttpClient.encode_request(name="xyz"), 404),
     (b"GET /elsewhere HTTP/1.1\r\n\r\n", 404),
-    (Client.request().replace(b"GET", b"PUT"), 405),
+    (HttpClient.encode_request().replace(b"GET", b"PUT"), 405),
     (b"nonsense\r\n\r\n", 400),
-    (Client.request(Content_Length="1", Transfer_Encoding="chunked"), 400),
-    (Client.request(Transfer_Encoding="chunked"), 501),
-    (Client.request(Content_Length="999999"), 413),
-    (Client.request(Long="x" * 10_000), 431),
+    (HttpClient.encode_request(Content_Length="1", Transfer_Encoding="chunked"), 400),
+    (HttpClient.encode_request(Transfer_Encoding="chunked"), 501),
+    (HttpClient.encode_request(Content_Length="999999"), 413),
+    (HttpClient.encode_request(Long="x" * 10_000), 431),
 ]
 
 
 def test_invalid_requests_get_their_status_and_reach_no_cache() -> None:
-    with rig() as made:
+    with running_proxy() as proxy:
         for data, status in INVALID_REQUESTS:
-            with made.client() as client:
+            with proxy.connect() as client:
                 client.send(data)
-                got, headers, _ = client.read()
+                got, headers, _ = client.read_response()
                 assert (got, headers["connection"]) == (status, "close"), data[:60]
-                assert client.closed()
-        assert not any(member.seen() for member in made.members)
+                assert client.is_closed_by_proxy()
+        assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
 @pytest.mark.parametrize("patience", [0, 1])
 def test_request_without_time_left_is_rejected_at_once(patience: int) -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask(patience=patience)[0] == 503
-        assert not any(member.seen() for member in made.members)
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request(timeout_ms=patience)[0] == 503
+        assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
 def test_timeout_beyond_the_deadline_is_accepted() -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask(patience=999_999_999)[0] == 200
-        assert made.proxy.event_loop.pending_count == 0
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request(timeout_ms=999_999_999)[0] == 200
+        assert proxy.server.event_loop.pending_count == 0
 
 
 def test_duplicate_request_id_fails_and_the_first_request_is_served() -> None:
     gate = threading.Event()
 
-    def reply(member: Member, command: Command) -> None:
-        gate.wait(WITHIN)
-        serve_all(member, command)
+    def reply(endpoint: ToyEndpoint, command: Command) -> None:
+        gate.wait(WAIT_TIMEOUT_S)
+        respond_normally(endpoint, command)
 
-    with rig(reply) as made, made.client() as first, made.client() as second:
-        request = Client.request(patience=15_000)
+    with running_proxy(reply) as proxy, proxy.connect() as first, proxy.connect() as second:
+        request = HttpClient.encode_request(timeout_ms=15_000)
         first.send(request)
-        made.fetches()
+        proxy.wait_for_fetches()
         second.send(request)
-        assert second.read()[0] == 502
+        assert second.read_response()[0] == 502
         gate.set()
-        assert first.read()[0] == 200
+        assert first.read_response()[0] == 200
 
 
 def test_only_the_etag_that_the_client_sent_gets_304() -> None:
     """An endpoint that names another etag, or none, does not confirm the client's copy."""
     names = iter(["other", ""])
 
-    def reply(member: Member, command: Command) -> None:
+    def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "fetch":
             tag = next(names, None)
             fields = {} if tag == "" else {"entity": "mine" if tag is None else tag}
-            command.answer("VALID", why="warm", issued="1", **fields)
+            command.respond("VALID", why="warm", issued="1", **fields)
 
-    with rig(reply) as made, made.client() as client:
-        assert client.ask(If_None_Match='"mine"')[0] != 304
-        assert made.counted("unexpected_responses") == 2
-        assert client.ask(If_None_Match='"mine"')[0] == 304
+    with running_proxy(reply) as proxy, proxy.connect() as client:
+        assert client.request(If_None_Match='"mine"')[0] != 304
+        assert proxy.counter("unexpected_responses") == 2
+        assert client.request(If_None_Match='"mine"')[0] == 304
--- a/tests/proxy/test_routes.py
+++ b/tests/proxy/test_routes.py
@@ -11,7 +11,7 @@
 from olivepost.proxy.downstream.routes import build_exchange, is_health_check
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
 from olivepost.proxy.http1 import HttpError, Message, RequestLine
-from tests.helpers import make_class
+from tests.router_harness import make_class
 
 MS = 1_000_000
 OBJECT = "7f3a9c21e0b4d655"
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from examples.toy_server import Command, Member, body_of, serve_all
+from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally
 from olivepost.proxy import shutdown
 from olivepost.proxy.downstream.connection import DownstreamConnection
 from olivepost.proxy.downstream.listener import DownstreamServer
@@ -16,42 +16,50 @@
 from tests.proxy.fakes import (
     MS,
     DelayedConnects,
-    HeldReplies,
+    DelayedReplies,
+    never_reply,
     no_attempt_was_sent,
     only_connection,
     settings_with_idempotency,
-    silent,
 )
-from tests.rig import NAME, WITHIN, Client, Rig, ask_narrowly, large, rig
+from tests.proxy_harness import (
+    OBJECT_NAME,
+    WAIT_TIMEOUT_S,
+    HttpClient,
+    ProxyHarness,
+    reply_with_large_body,
+    request_with_small_receive_buffer,
+    running_proxy,
+)
 
 
 def test_sigterm_loses_no_request() -> None:
     gate = threading.Event()
 
-    def reply(member: Member, command: Command) -> None:
-        gate.wait(WITHIN)
-        serve_all(member, command)
+    def reply(endpoint: ToyEndpoint, command: Command) -> None:
+        gate.wait(WAIT_TIMEOUT_S)
+        respond_normally(endpoint, command)
 
-    with rig(reply) as made, made.client() as client, made.client() as idle:
-        client.send(Client.request(patience=15_000))
-        made.fetches()
-        ending = threading.Thread(target=made.proxy.shut_down)
+    with running_proxy(reply) as proxy, proxy.connect() as client, proxy.connect() as idle:
+        client.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.wait_for_fetches()
+        ending = threading.Thread(target=proxy.server.shut_down)
         ending.start()
-        assert made.until(lambda: made.proxy.downstream.is_draining)
-        with made.client() as late:
-            late.send(Client.request(patience=15_000))
+        assert proxy.wait_until(lambda: proxy.server.downstream.is_draining)
+        with proxy.connect() as late:
+            late.send(HttpClient.encode_request(timeout_ms=15_000))
             gate.set()
-            status, headers, body = late.read()
-            assert (status, headers["connection"], body) == (200, "close", body_of(NAME, "3"))
-        status, headers, _ = client.read()
+            status, headers, body = late.read_response()
+            assert (status, headers["connection"], body) == (200, "close", body_of(OBJECT_NAME, "3"))
+        status, headers, _ = client.read_response()
         assert (status, headers["connection"]) == (200, "close")
-        assert client.closed()
-        assert idle.closed()
+        assert client.is_closed_by_proxy()
+        assert idle.is_closed_by_proxy()
         client.sock.close()
         idle.sock.close()
-        ending.join(WITHIN)
+        ending.join(WAIT_TIMEOUT_S)
         assert not ending.is_alive()
-        assert made.proxy.downstream.open_count == 0
+        assert proxy.server.downstream.open_count == 0
 
 
 def test_connections_accepted_by_the_kernel_are_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -59,52 +67,52 @@
     gate, start = threading.Event(), DownstreamServer._start_connection
 
     def late(self: DownstreamServer, sock: socket.socket) -> None:
-        gate.wait(WITHIN)
+        gate.wait(WAIT_TIMEOUT_S)
         start(self, sock)
 
-    with rig() as made, made.client() as idle:
-        assert idle.ask()[0] == 200
+    with running_proxy() as proxy, proxy.connect() as idle:
+        assert idle.request()[0] == 200
         monkeypatch.setattr(DownstreamServer, "_start_connection", late)
-        waiting = [made.client() for _ in range(5)]
+        waiting = [proxy.connect() for _ in range(5)]
         for client in waiting:
-            client.send(Client.request(patience=15_000))
-        made.proxy.downstream.drain()
-        stopping = threading.Thread(target=made.proxy.downstream.stop_accepting)
+            client.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.server.downstream.drain()
+        stopping = threading.Thread(target=proxy.server.downstream.stop_accepting)
         stopping.start()
         gate.set()
         for client in waiting:
-            status, headers, _ = client.read()
+            status, headers, _ = client.read_response()
             assert (status, headers["connection"]) == (200, "close")
-            assert client.closed()
+            assert client.is_closed_by_proxy()
             client.sock.close()
-        stopping.join(WITHIN)
+        stopping.join(WAIT_TIMEOUT_S)
         with pytest.raises(ConnectionRefusedError):
-            made.client()
+            proxy.connect()
 
 
 def test_connection_with_an_unread_request_is_not_closed_as_idle() -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        (connection,) = made.proxy.downstream._connections
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        (connection,) = proxy.server.downstream._connections
         with connection._lock:  # its reader has to wait
-            client.send(Client.request(patience=15_000))
-            assert made.until(lambda: not connection.has_nothing_unread)
-            made.proxy.downstream.drain()
-            closing = threading.Thread(target=made.proxy.downstream.close_idle)
+            client.send(HttpClient.encode_request(timeout_ms=15_000))
+            assert proxy.wait_until(lambda: not connection.has_nothing_unread)
+            proxy.server.downstream.drain()
+            closing = threading.Thread(target=proxy.server.downstream.close_idle)
             closing.start()
-        closing.join(WITHIN)
-        status, headers, _ = client.read()
+        closing.join(WAIT_TIMEOUT_S)
+        status, headers, _ = client.read_response()
         assert (status, headers["connection"]) == (200, "close")
 
 
 def test_proxy_restarts_at_once_on_the_same_address() -> None:
-    with rig() as made:
-        client = made.client()
-        assert client.ask()[0] == 200
-        made.proxy.downstream.stop_accepting()
-        again = Rig(listen=f"127.0.0.1:{made.address[1]}")
-        with again.client() as other:
-            assert other.ask()[0] == 200
+    with running_proxy() as proxy:
+        client = proxy.connect()
+        assert client.request()[0] == 200
+        proxy.server.downstream.stop_accepting()
+        again = ProxyHarness(listen=f"127.0.0.1:{proxy.address[1]}")
+        with again.connect() as other:
+            assert other.request()[0] == 200
         again.close()
         client.sock.close()
 
@@ -112,42 +120,42 @@
 KILLED_AFTER = 1500 * MS  # after SIGTERM, with `short_shutdown`
 
 
-def start_shutdown(made: Rig) -> tuple[threading.Thread, int]:
+def start_shutdown(proxy: ProxyHarness) -> tuple[threading.Thread, int]:
     """Starts the shutdown as SIGTERM does; returns its thread and its time."""
-    thread, at = threading.Thread(target=made.proxy.shut_down), made.proxy.clock.now()
+    thread, at = threading.Thread(target=proxy.server.shut_down), proxy.server.clock.now()
     thread.start()
-    assert made.until(lambda: made.proxy.downstream.is_draining)
+    assert proxy.wait_until(lambda: proxy.server.downstream.is_draining)
     return thread, at
 
 
 @pytest.mark.usefixtures("short_shutdown")
 def test_pending_requests_get_responses_before_the_kill_where_upstream_hangs() -> None:
-    with rig(silent) as made, made.client() as client:
-        client.send(Client.request(patience=15_000))
-        made.fetches()
-        ending, began = start_shutdown(made)
-        with made.client() as late:
-            late.send(Client.request(patience=15_000))
-            assert (client.read()[0], late.read()[0]) == (503, 503)
-            assert made.proxy.clock.now() < began + KILLED_AFTER
-        ending.join(WITHIN)
-        assert made.proxy.event_loop.pending_count == 0
+    with running_proxy(never_reply) as proxy, proxy.connect() as client:
+        client.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.wait_for_fetches()
+        ending, began = start_shutdown(proxy)
+        with proxy.connect() as late:
+            late.send(HttpClient.encode_request(timeout_ms=15_000))
+            assert (client.read_response()[0], late.read_response()[0]) == (503, 503)
+            assert proxy.server.clock.now() < began + KILLED_AFTER
+        ending.join(WAIT_TIMEOUT_S)
+        assert proxy.server.event_loop.pending_count == 0
 
 
 @pytest.mark.usefixtures("short_shutdown")
 def test_request_that_waits_for_a_connection_gets_a_response_before_the_kill(
     delayed_connects: DelayedConnects,
 ) -> None:
-    with rig() as made, made.client() as client:
-        client.send(Client.request(patience=15_000))
-        assert made.until(lambda: made.proxy.event_loop.pending_count == 1)
-        assert delayed_connects.begun.wait(WITHIN)
-        ending, began = start_shutdown(made)
-        assert client.read()[0] == 503
-        assert made.proxy.clock.now() < began + KILLED_AFTER
-        ending.join(WITHIN)
+    with running_proxy() as proxy, proxy.connect() as client:
+        client.send(HttpClient.encode_request(timeout_ms=15_000))
+        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 1)
+        assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
+        ending, began = start_shutdown(proxy)
+        assert client.read_response()[0] == 503
+        assert proxy.server.clock.now() < began + KILLED_AFTER
+        ending.join(WAIT_TIMEOUT_S)
         delayed_connects.gate.set()
-        assert no_attempt_was_sent(made)
+        assert no_attempt_was_sent(proxy)
 
 
 @pytest.mark.usefixtures("short_shutdown")
@@ -155,22 +163,22 @@
     gate, write = threading.Event(), DownstreamConnection.write
 
     def late(self: DownstreamConnection, *args: Any) -> Any:
-        gate.wait(WITHIN)
+        gate.wait(WAIT_TIMEOUT_S)
         return write(self, *args)
 
     monkeypatch.setattr(DownstreamConnection, "write", late)
-    with rig() as made, made.client() as client:
-        client.send(Client.request(patience=15_000))
-        made.fetches()
-        assert made.until(lambda: made.proxy.event_loop.pending_count == 0)
-        ending, began = start_shutdown(made)
-        assert made.until(
-            lambda: made.proxy.clock.now() > began + 600 * MS
+    with running_proxy() as proxy, proxy.connect() as client:
+        client.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.wait_for_fetches()
+        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0)
+        ending, began = start_shutdown(proxy)
+        assert proxy.wait_until(
+            lambda: proxy.server.clock.now() > began + 600 * MS
         )  # past the clients' time to close
         gate.set()
-        assert client.read()[0] == 200
+        assert client.read_response()[0] == 200
         client.sock.close()
-        ending.join(WITHIN)
+        ending.join(WAIT_TIMEOUT_S)
 
 
 def test_client_that_waits_at_the_connection_limit_is_served_at_shutdown(
@@ -178,78 +186,81 @@
 ) -> None:
     """The accept thread holds it while all connections are busy; closing the listener must not lose it."""
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
-    held = HeldReplies()
-    with rig(held, limits={"sockets": 64, "memory_mb": 64}) as made:
-        busy = [made.client() for _ in range(made.proxy.config.limits.max_client_connections)]
+    held = DelayedReplies()
+    with running_proxy(held, limits={"sockets": 64, "memory_mb": 64}) as proxy:
+        busy = [proxy.connect() for _ in range(proxy.server.config.limits.max_client_connections)]
         for client in busy:
-            client.send(Client.request(patience=15_000))
-        assert made.until(lambda: made.proxy.event_loop.pending_count == len(busy))
-        with made.client() as late:
-            late.send(Client.request(patience=15_000))
-            assert made.until(lambda: made.counted("connection_cap_reached") == 1)
-            ending, began = start_shutdown(made)
-            assert made.until(lambda: made.proxy.clock.now() > began + 200 * MS)
+            client.send(HttpClient.encode_request(timeout_ms=15_000))
+        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == len(busy))
+        with proxy.connect() as late:
+            late.send(HttpClient.encode_request(timeout_ms=15_000))
+            assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
+            ending, began = start_shutdown(proxy)
+            assert proxy.wait_until(lambda: proxy.server.clock.now() > began + 200 * MS)
             held.gate.set()
             for client in busy:
-                assert client.read()[0] in (200, 503)
+                assert client.read_response()[0] in (200, 503)
                 client.sock.close()
-            assert late.read()[0] == 200
-        ending.join(WITHIN)
+            assert late.read_response()[0] == 200
+        ending.join(WAIT_TIMEOUT_S)
 
 
 @pytest.mark.usefixtures("short_shutdown")
 def test_non_idempotent_request_that_may_have_run_fails_at_shutdown() -> None:
-    with rig(silent, settings=settings_with_idempotency("non_idempotent")) as made, made.client() as client:
-        client.send(Client.request(patience=15_000))
-        made.fetches()
-        ending, _ = start_shutdown(made)
-        assert client.read()[0] == 502
-        ending.join(WITHIN)
-
-
-@pytest.mark.usefixtures("narrow")
+    with (
+        running_proxy(never_reply, settings=settings_with_idempotency("non_idempotent")) as proxy,
+        proxy.connect() as client,
+    ):
+        client.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.wait_for_fetches()
+        ending, _ = start_shutdown(proxy)
+        assert client.read_response()[0] == 502
+        ending.join(WAIT_TIMEOUT_S)
+
+
+@pytest.mark.usefixtures("small_send_buffer")
 def test_response_to_a_slow_reader_is_finished_before_exit(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
-    with rig(large) as made:
-        sock = ask_narrowly(made, patience=15_000)
-        assert made.until(
-            lambda: made.counted("slow_clients") == 1 and made.proxy.event_loop.pending_count == 0
+    with running_proxy(reply_with_large_body) as proxy:
+        sock = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
+        assert proxy.wait_until(
+            lambda: proxy.counter("slow_clients") == 1 and proxy.server.event_loop.pending_count == 0
         )
-        ending, began = start_shutdown(made)
+        ending, began = start_shutdown(proxy)
         # Past the times to accept and to close: a pending response is waited for all the same.
-        assert made.until(lambda: made.proxy.clock.now() > began + 400 * MS)
+        assert proxy.wait_until(lambda: proxy.server.clock.now() > began + 400 * MS)
         assert ending.is_alive()
         got = b""
         while piece := sock.recv(65_536):
             got += piece
         assert got.count(b"x") >= 240_000
         sock.close()
-        ending.join(WITHIN)
+        ending.join(WAIT_TIMEOUT_S)
 
 
 def test_partly_read_request_is_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
-    with rig() as made, made.client() as client:
-        request = Client.request(patience=15_000)
+    with running_proxy() as proxy, proxy.connect() as client:
+        request = HttpClient.encode_request(timeout_ms=15_000)
         client.send(request[:30])
-        connection = only_connection(made)
-        assert made.until(lambda: not connection._parser.is_idle)
-        ending, began = start_shutdown(made)
-        assert made.until(lambda: made.proxy.clock.now() > began + 400 * MS)
+        connection = only_connection(proxy)
+        assert proxy.wait_until(lambda: not connection._parser.is_idle)
+        ending, began = start_shutdown(proxy)
+        assert proxy.wait_until(lambda: proxy.server.clock.now() > began + 400 * MS)
         client.send(request[30:])
-        status, headers, body = client.read()
-        assert (status, headers["connection"], body) == (200, "close", body_of(NAME, "3"))
+        status, headers, body = client.read_response()
+        assert (status, headers["connection"], body) == (200, "close", body_of(OBJECT_NAME, "3"))
         client.sock.close()
-        ending.join(WITHIN)
+        ending.join(WAIT_TIMEOUT_S)
 
 
 def test_second_sigterm_and_reload_during_draining_change_nothing() -> None:
-    held = HeldReplies()
-    with rig(held) as made, made.client() as client:
+    held = DelayedReplies()
+    with running_proxy(held) as proxy, proxy.connect() as client:
         requests = iter([SignalRequest.RELOAD, SignalRequest.SHUT_DOWN] * 2)
 
         def wait_for_signal(timeout: int) -> SignalRequest | None:
@@ -258,13 +269,13 @@
                 wait_without_signals(min(timeout, 10 * MS))
             return request
 
-        made.proxy._wait_for_signal = wait_for_signal
-        client.send(Client.request(patience=15_000))
-        made.fetches()
-        ending, _ = start_shutdown(made)
-        assert made.until(lambda: next(requests, None) is None)
+        proxy.server._wait_for_signal = wait_for_signal
+        client.send(HttpClient.encode_request(timeout_ms=15_000))
+        proxy.wait_for_fetches()
+        ending, _ = start_shutdown(proxy)
+        assert proxy.wait_until(lambda: next(requests, None) is None)
         held.gate.set()
-        assert client.read()[0] == 200
+        assert client.read_response()[0] == 200
         client.sock.close()
-        ending.join(WITHIN)
-        assert made.proxy.downstream.open_count == 0
+        ending.join(WAIT_TIMEOUT_S)
+        assert proxy.server.downstream.open_count == 0
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -19,8 +19,8 @@
 from olivepost.proxy.downstream.listener import ACCEPT_TIMEOUT
 from olivepost.proxy.upstream import writer
 from olivepost.units import SECOND
-from tests.proxy.fakes import HeldReplies, no_attempt_was_sent
-from tests.rig import Client, Rig, rig
+from tests.proxy.fakes import DelayedReplies, no_attempt_was_sent
+from tests.proxy_harness import HttpClient, ProxyHarness, running_proxy
 
 STAND_IN_THREADS = ("MainThread", "Thread-")  # of the client and of the toy endpoints
 SHORTAGES = [errno.ENOBUFS, errno.ENOMEM]
@@ -49,32 +49,32 @@
 )
 def test_accept_that_fails_is_tried_again(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(socket.socket, "accept", failing(socket.socket.accept, os_error(number), 3, "accept"))
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        assert made.counted("accept_failed") == 3
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        assert proxy.counter("accept_failed") == 3
 
 
 def test_unforeseen_error_does_not_end_the_accept_thread(monkeypatch: pytest.MonkeyPatch) -> None:
-    with rig() as made:
-        start = failing(made.proxy.downstream._start_connection, MemoryError(), 1)
-        monkeypatch.setattr(made.proxy.downstream, "_start_connection", start)
-        lost = made.client()
-        assert made.until(lambda: made.counted("accept_error") == 1)
-        assert lost.closed()
-        free = made.proxy.downstream._slots._value
-        assert free == made.proxy.config.limits.max_client_connections
-        with made.client() as client:
-            assert client.ask()[0] == 200
+    with running_proxy() as proxy:
+        start = failing(proxy.server.downstream._start_connection, MemoryError(), 1)
+        monkeypatch.setattr(proxy.server.downstream, "_start_connection", start)
+        lost = proxy.connect()
+        assert proxy.wait_until(lambda: proxy.counter("accept_error") == 1)
+        assert lost.is_closed_by_proxy()
+        free = proxy.server.downstream._slots._value
+        assert free == proxy.server.config.limits.max_client_connections
+        with proxy.connect() as client:
+            assert client.request()[0] == 200
         lost.sock.close()
 
 
 def test_connection_is_served_though_no_thread_is_free_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     start = failing(_thread.start_new_thread, RuntimeError("can't start new thread"), 5)
-    with rig() as made:
+    with running_proxy() as proxy:
         monkeypatch.setattr(_thread, "start_new_thread", start)
-        with made.client() as client:
-            assert client.ask()[0] == 200
-        assert made.counted("threads_short") == 5
+        with proxy.connect() as client:
+            assert client.request()[0] == 200
+        assert proxy.counter("threads_short") == 5
 
 
 @pytest.mark.parametrize("number", SHORTAGES)
@@ -82,8 +82,8 @@
 def test_transfer_that_the_system_is_short_of_memory_for_goes_on(
     name: str, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
         call = getattr(socket.socket, name)
         fails = threading.local()
 
@@ -97,38 +97,38 @@
 
         monkeypatch.setattr(socket.socket, name, fail_at_times)
         for piece in range(20):
-            status, _, body = client.ask(piece=piece)
+            status, _, body = client.request(part=piece)
             assert (status, bool(body)) == (200, True)
 
 
 def test_connection_whose_options_cannot_be_set_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    with rig() as made:
+    with running_proxy() as proxy:
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
-        with made.client() as client:
-            assert client.ask()[0] == 200
+        with proxy.connect() as client:
+            assert client.request()[0] == 200
             # Longer than the listener's receive timeout, which accepted sockets inherit.
             time.sleep(4 * ACCEPT_TIMEOUT / SECOND)
-            assert client.ask(piece=4)[0] == 200
+            assert client.request(part=4)[0] == 200
 
 
 def test_request_is_answered_late_on_a_connection_whose_options_cannot_be_set(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = HeldReplies()
-    with rig(held) as made, made.client() as first:
+    held = DelayedReplies()
+    with running_proxy(held) as proxy, proxy.connect() as first:
         held.gate.set()
-        assert first.ask()[0] == 200  # the connections to the caches are there
+        assert first.request()[0] == 200  # the connections to the caches are there
         held.gate.clear()
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
-        with made.client() as client:
-            client.send(Client.request(patience=15_000))
+        with proxy.connect() as client:
+            client.send(HttpClient.encode_request(timeout_ms=15_000))
             time.sleep(2 * ACCEPT_TIMEOUT / SECOND)
             held.gate.set()
-            assert client.read()[0] == 200
+            assert client.read_response()[0] == 200
 
 
-def failure_scores(made: Rig) -> list[float]:
-    endpoints = made.proxy.event_loop.router.state.endpoints.by_id.values()
+def failure_scores(proxy: ProxyHarness) -> list[float]:
+    endpoints = proxy.server.event_loop.router.state.endpoints.by_id.values()
     return [endpoint.failure_score for endpoint in endpoints]
 
 
@@ -138,9 +138,9 @@
 ) -> None:
     connect = failing(sockets.connect, os_error(number), 4, "upstream-writer-")
     monkeypatch.setattr(sockets, "connect", connect)
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
-        assert failure_scores(made) == [0.0] * 4
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
+        assert failure_scores(proxy) == [0.0] * 4
 
 
 def test_want_of_threads_is_charged_to_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -148,10 +148,10 @@
         raise RuntimeError("can't start new thread")
 
     monkeypatch.setattr(writer, "start_thread", start)
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 503
-        assert no_attempt_was_sent(made)
-        assert failure_scores(made) == [0.0] * 4
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 503
+        assert no_attempt_was_sent(proxy)
+        assert failure_scores(proxy) == [0.0] * 4
 
 
 def test_want_of_a_thread_to_read_with_is_charged_to_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -164,19 +164,19 @@
         begin(thread)
 
     monkeypatch.setattr(threading.Thread, "start", start)
-    with rig() as made, made.client() as client:
-        assert client.ask(patience=4_000)[0] == 503
-        assert failure_scores(made) == [0.0] * 4
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request(timeout_ms=4_000)[0] == 503
+        assert failure_scores(proxy) == [0.0] * 4
 
 
 def test_address_that_is_held_a_little_longer_is_waited_for() -> None:
     holder = socket.create_server(("127.0.0.1", 0))
     port = holder.getsockname()[1]
     threading.Timer(0.5, holder.close).start()
-    made = Rig(listen=f"127.0.0.1:{port}")
-    with made.client() as client:
-        assert client.ask()[0] == 200
-    made.close()
+    proxy = ProxyHarness(listen=f"127.0.0.1:{port}")
+    with proxy.connect() as client:
+        assert client.request()[0] == 200
+    proxy.close()
 
 
 def test_start_waits_for_threads(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -191,53 +191,53 @@
             start(thread)
 
     monkeypatch.setattr(threading.Thread, "start", start_late)
-    with rig() as made, made.client() as client:
-        assert client.ask()[0] == 200
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert client.request()[0] == 200
 
 
 def test_reload_without_a_thread_leaves_discovery_as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
     def start(*_: object) -> threading.Thread:
         raise RuntimeError("can't start new thread")
 
-    with rig() as made, rig() as other:
-        assert made.coordinator.wait_for_poll(1)
+    with running_proxy() as proxy, running_proxy() as other:
+        assert proxy.coordinator.wait_for_poll(1)
         host, _, port = other.coordinator.address.rpartition(":")
-        address = type(made.proxy.config.coordinator)(host, int(port))
+        address = type(proxy.server.config.coordinator)(host, int(port))
         with monkeypatch.context() as patch:
             patch.setattr(long_poll, "start_thread", start)
             with pytest.raises(RuntimeError):
-                made.proxy.discovery.switch_coordinator(address)
-        polls = made.coordinator.polls
-        assert made.coordinator.wait_for_poll(polls + 1)  # the old poll goes on
-        assert made.proxy.discovery.switch_coordinator(address)  # and the next reload moves it
+                proxy.server.discovery.switch_coordinator(address)
+        polls = proxy.coordinator.polls
+        assert proxy.coordinator.wait_for_poll(polls + 1)  # the old poll goes on
+        assert proxy.server.discovery.switch_coordinator(address)  # and the next reload moves it
 
 
 def test_event_loop_outlives_errors_outside_of_events(monkeypatch: pytest.MonkeyPatch) -> None:
-    with rig() as made, made.client() as client:
-        loop = made.proxy.event_loop
+    with running_proxy() as proxy, proxy.connect() as client:
+        loop = proxy.server.event_loop
         monkeypatch.setattr(loop, "_fire_due", failing(loop._fire_due, MemoryError(), 3))
         for piece in range(5):
-            assert client.ask(piece=piece)[0] == 200
-        assert made.counted("event_loop_error") == 3
+            assert client.request(part=piece)[0] == 200
+        assert proxy.counter("event_loop_error") == 3
 
 
 def test_client_that_sends_beside_a_failing_poll_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
     """Discovery's own system calls fail for ever: requests go by the known list."""
     connect = failing(sockets.connect, os_error(errno.ENETUNREACH), 1_000_000, "discovery")
     monkeypatch.setattr(sockets, "connect", connect)
-    with rig() as made, made.client() as client:
-        assert made.until(lambda: made.counted("poll_failures") >= 2)
-        client.send(Client.request())
-        assert client.read()[0] == 200
+    with running_proxy() as proxy, proxy.connect() as client:
+        assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 2)
+        client.send(HttpClient.encode_request())
+        assert client.read_response()[0] == 200
 
 
 def test_connection_that_waits_for_a_thread_is_not_evicted_for_one(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its request may come while it waits, and longer than an idle connection is left alone."""
     start = failing(_thread.start_new_thread, RuntimeError("can't start new thread"), 30)
-    with rig() as made:
+    with running_proxy() as proxy:
         monkeypatch.setattr(_thread, "start_new_thread", start)
-        with made.client() as client:
-            assert made.until(lambda: made.counted("threads_short") >= 20)
-            client.send(Client.request(patience=15_000))
-            assert client.read()[0] == 200
-        assert made.counted("connections_evicted") == 0
+        with proxy.connect() as client:
+            assert proxy.wait_until(lambda: proxy.counter("threads_short") >= 20)
+            client.send(HttpClient.encode_request(timeout_ms=15_000))
+            assert client.read_response()[0] == 200
+        assert proxy.counter("connections_evicted") == 0
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -7,10 +7,17 @@
 
 import pytest
 
-from examples.toy_server import Command, Member, serve_all
+from examples.toy_server import Command, ToyEndpoint, respond_normally
 from olivepost.config import MAX_OBJECT_SIZE, SMALL_BODY_SIZE, read_config
 from olivepost.proxy.downstream.body_budget import LargeBodyBudget, LargeBodyReservation
-from tests.rig import NAME, WITHIN, Client, Rig, rig, toy_config
+from tests.proxy_harness import (
+    OBJECT_NAME,
+    WAIT_TIMEOUT_S,
+    HttpClient,
+    ProxyHarness,
+    running_proxy,
+    toy_config,
+)
 
 KEY = "e88162b04f93af70ad562033008092e1"
 
@@ -23,31 +30,33 @@
     return {**example, "classes": [row, *example["classes"][1:]], "family-info": family}
 
 
-def put_request(body: bytes = b"z" * 100, name: str = NAME, **headers: str) -> bytes:
+def put_request(body: bytes = b"z" * 100, name: str = OBJECT_NAME, **headers: str) -> bytes:
     """A PUT request, with its body."""
-    request = Client.request(name, "segment", 3, 15_000, **{"Content_Length": str(len(body)), **headers})
+    request = HttpClient.encode_request(
+        name, "segment", 3, 15_000, **{"Content_Length": str(len(body)), **headers}
+    )
     return b"PUT" + request[3:] + body
 
 
-def serve_writes(member: Member, command: Command) -> None:
-    """Answers a request with a body, and all others as the toy members do."""
+def serve_writes(endpoint: ToyEndpoint, command: Command) -> None:
+    """Answers a request with a body, and all others as the toy endpoints do."""
     if command.verb == "fetch" and command.body:
-        command.answer("HIT", b"done", why="fill", entity="new", issued="1")
+        command.respond("HIT", b"done", why="fill", entity="new", issued="1")
     else:
-        serve_all(member, command)
+        respond_normally(endpoint, command)
 
 
-def reserved_bytes(made: Rig) -> int:
+def reserved_bytes(proxy: ProxyHarness) -> int:
     """What large request bodies have reserved of their budget."""
-    return made.proxy.downstream.context.large_bodies.reserved_bytes
+    return proxy.server.downstream.context.large_bodies.reserved_bytes
 
 
 def test_write_is_forwarded_with_its_body_and_idempotency_key_and_joins_no_other() -> None:
-    with rig(serve_writes, settings=write_settings()) as made, made.client() as client:
+    with running_proxy(serve_writes, settings=write_settings()) as proxy, proxy.connect() as client:
         client.send(put_request(b"\0\r\nbody" * 20, X_Dedupe_Key=KEY, If_None_Match='"mine"'))
-        status, _, body = client.read()
+        status, _, body = client.read_response()
         assert (status, body) == (200, b"done")
-        (command,) = made.fetches()
+        (command,) = proxy.wait_for_fetches()
         assert command.body == b"\0\r\nbody" * 20
         assert command.fields["dedupe"] == KEY
         assert command.fields["miss"] in ("p", "o")
@@ -56,30 +65,30 @@
 
 def test_write_is_not_answered_from_the_response_cache() -> None:
     rates: dict[str, Any] = {"flow_bytes_per_s": 100_000_000, "link_bytes_per_s": 400_000_000}
-    with rig(serve_writes, settings=write_settings(), **rates) as made, made.client() as client:
-        assert made.until(lambda: made.proxy.event_loop._lifecycle.discovery_heard_at)
+    with running_proxy(serve_writes, settings=write_settings(), **rates) as proxy, proxy.connect() as client:
+        assert proxy.wait_until(lambda: proxy.server.event_loop._lifecycle.discovery_heard_at)
         for count in range(1, 5):
             client.send(put_request())
-            assert client.read()[0] == 200
-            assert len(made.fetches(count)) == count
-        assert made.counted("cached_responses_served") == 0
+            assert client.read_response()[0] == 200
+            assert len(proxy.wait_for_fetches(count)) == count
+        assert proxy.counter("cached_responses_served") == 0
 
 
 @pytest.mark.parametrize(
     ("request_", "status"),
     [
-        (b"PUT" + Client.request(class_name="image", Content_Length="1")[3:] + b"x", 405),
+        (b"PUT" + HttpClient.encode_request(class_name="image", Content_Length="1")[3:] + b"x", 405),
         (put_request(X_Dedupe_Key="two words"), 400),
-        (b"PUT" + Client.request(Content_Length="60000000")[3:], 413),
-        (b"POST" + Client.request(Content_Length="1")[3:] + b"x", 405),
+        (b"PUT" + HttpClient.encode_request(Content_Length="60000000")[3:], 413),
+        (b"POST" + HttpClient.encode_request(Content_Length="1")[3:] + b"x", 405),
     ],
     ids=["class without writes", "malformed key", "body too long", "method not allowed"],
 )
 def test_rejected_write_is_not_forwarded(request_: bytes, status: int) -> None:
-    with rig(serve_writes, settings=write_settings()) as made, made.client() as client:
+    with running_proxy(serve_writes, settings=write_settings()) as proxy, proxy.connect() as client:
         client.send(request_)
-        assert client.read()[0] == status
-        assert not any(member.seen() for member in made.members)
+        assert client.read_response()[0] == status
+        assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
 def test_platform_classes_reject_writes() -> None:
@@ -87,39 +96,39 @@
     limits = read_config(toy_config(), {}).limits
     assert limits.max_request_body == SMALL_BODY_SIZE
     assert limits.large_body_bytes == 0
-    with rig() as made, made.client() as client:
+    with running_proxy() as proxy, proxy.connect() as client:
         client.send(put_request())
-        assert client.read()[0] == 405
-        assert not any(member.seen() for member in made.members)
+        assert client.read_response()[0] == 405
+        assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
 def test_large_bodies_share_one_budget_and_release_it() -> None:
     """One too many is rejected before it is read; a response and a client that closes release theirs."""
     gate = threading.Event()
 
-    def reply(member: Member, command: Command) -> None:
-        gate.wait(WITHIN)
-        serve_writes(member, command)
+    def reply(endpoint: ToyEndpoint, command: Command) -> None:
+        gate.wait(WAIT_TIMEOUT_S)
+        serve_writes(endpoint, command)
 
-    large = b"y" * MAX_OBJECT_SIZE
-    with rig(
+    largest_body = b"y" * MAX_OBJECT_SIZE
+    with running_proxy(
         reply, settings=write_settings("read_like"), bounds={"large_body_bytes": 2 * MAX_OBJECT_SIZE}
-    ) as made:
-        first, leaving, late = made.client(), made.client(), made.client()
-        first.send(put_request(large))
-        leaving.send(put_request(large, "0" * 16)[: -MAX_OBJECT_SIZE // 2])
-        assert made.until(lambda: reserved_bytes(made) == 2 * MAX_OBJECT_SIZE)
-        late.send(put_request(large, "1" * 16)[:-MAX_OBJECT_SIZE])
-        assert late.read()[0] == 503
-        assert late.closed()
+    ) as proxy:
+        first, leaving, late = proxy.connect(), proxy.connect(), proxy.connect()
+        first.send(put_request(largest_body))
+        leaving.send(put_request(largest_body, "0" * 16)[: -MAX_OBJECT_SIZE // 2])
+        assert proxy.wait_until(lambda: reserved_bytes(proxy) == 2 * MAX_OBJECT_SIZE)
+        late.send(put_request(largest_body, "1" * 16)[:-MAX_OBJECT_SIZE])
+        assert late.read_response()[0] == 503
+        assert late.is_closed_by_proxy()
         leaving.sock.close()
-        assert made.until(lambda: reserved_bytes(made) == MAX_OBJECT_SIZE)
+        assert proxy.wait_until(lambda: reserved_bytes(proxy) == MAX_OBJECT_SIZE)
         gate.set()
-        assert first.read()[0] == 200
-        assert made.until(lambda: reserved_bytes(made) == 0)
-        first.send(put_request(large))
-        assert first.read()[0] == 200
-        assert [len(command.body) for command in made.fetches(2) if command.body] == [
+        assert first.read_response()[0] == 200
+        assert proxy.wait_until(lambda: reserved_bytes(proxy) == 0)
+        first.send(put_request(largest_body))
+        assert first.read_response()[0] == 200
+        assert [len(command.body) for command in proxy.wait_for_fetches(2) if command.body] == [
             MAX_OBJECT_SIZE,
             MAX_OBJECT_SIZE,
         ]
@@ -130,22 +139,25 @@
 def test_large_body_of_a_health_check_releases_its_reservation() -> None:
     """Its connection stays open: it is the response that releases, not the end of the keep-alive time."""
     keepalive = {"keepalive_timeout": 60_000_000_000}
-    with rig(serve_writes, settings=write_settings(), bounds=keepalive) as made, made.client() as client:
+    with (
+        running_proxy(serve_writes, settings=write_settings(), bounds=keepalive) as proxy,
+        proxy.connect() as client,
+    ):
         client.send(b"GET /-/healthy HTTP/1.1\r\nContent-Length: 100000\r\n\r\n")
-        assert made.until(lambda: reserved_bytes(made) == 100_000)
+        assert proxy.wait_until(lambda: reserved_bytes(proxy) == 100_000)
         client.send(b"x" * 100_000)
-        assert client.read()[0] == 200
-        assert made.until(lambda: reserved_bytes(made) == 0)
-        assert client.ask()[0] == 200
+        assert client.read_response()[0] == 200
+        assert proxy.wait_until(lambda: reserved_bytes(proxy) == 0)
+        assert client.request()[0] == 200
 
 
 def test_small_body_needs_no_reservation() -> None:
     with (
-        rig(serve_writes, settings=write_settings(), bounds={"large_body_bytes": 0}) as made,
-        made.client() as client,
+        running_proxy(serve_writes, settings=write_settings(), bounds={"large_body_bytes": 0}) as proxy,
+        proxy.connect() as client,
     ):
         client.send(put_request(b"x" * SMALL_BODY_SIZE))
-        assert client.read()[0] == 200
+        assert client.read_response()[0] == 200
 
 
 def test_reservation_takes_from_the_budget_once_and_gives_it_back_once() -> None:
--- a/tests/rig.py
+++ b/tests/proxy_harness.py
@@ -13,15 +13,23 @@
 from types import TracebackType
 from typing import Any
 
-from examples.toy_server import CONFIG, Command, Coordinator, Member, Reply, entry, serve_all
+from examples.toy_server import (
+    CONFIG,
+    Command,
+    Coordinator,
+    Reply,
+    ToyEndpoint,
+    listed_endpoint,
+    respond_normally,
+)
 from olivepost import interface as api
 from olivepost.config import read_config
 from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.server import ProxyServer
 from olivepost.router import Router
 
-NAME = "7f3a9c21e0b4d655"
-WITHIN = 20.0  # seconds that a test waits for what must come
+OBJECT_NAME = "7f3a9c21e0b4d655"
+WAIT_TIMEOUT_S = 20.0  # seconds that a test waits for what must come
 CHECK_INTERVAL_S = 0.005  # between two checks whether it has
 
 
@@ -31,16 +39,16 @@
     return {**data, "listen": "127.0.0.1:0", "limits": {"memory_mb": 64, "sockets": 1024}, **changes}
 
 
-class Client:
+class HttpClient:
     """One connection to a proxy."""
 
     _ids = itertools.count(1)
 
     def __init__(self, address: tuple[str, int]) -> None:
-        self.sock = socket.create_connection(address, WITHIN)
+        self.sock = socket.create_connection(address, WAIT_TIMEOUT_S)
         self._data = b""
 
-    def __enter__(self) -> Client:
+    def __enter__(self) -> HttpClient:
         return self
 
     def __exit__(
@@ -52,30 +60,30 @@
         self.sock.close()
 
     @classmethod
-    def request(
+    def encode_request(
         cls,
-        name: str = NAME,
+        name: str = OBJECT_NAME,
         class_name: str = "segment",
-        piece: int = 3,
-        patience: int = 1500,
+        part: int = 3,
+        timeout_ms: int = 1500,
         **headers: str,
     ) -> bytes:
         """A request as clients send it; a header given as '' is left out."""
         lines = {
             "Host": "backend.local",
             "X-Call-Id": f"{next(cls._ids):016x}",
-            "X-Patience-Ms": str(patience),
+            "X-Patience-Ms": str(timeout_ms),
             "X-Set": "17",
         }
         lines |= {key.replace("_", "-"): value for key, value in headers.items()}
         text = "".join(f"{key}: {value}\r\n" for key, value in lines.items() if value)
-        return f"GET /api/v2/{class_name}/{name}/slice-{piece} HTTP/1.1\r\n{text}\r\n".encode()
+        return f"GET /api/v2/{class_name}/{name}/slice-{part} HTTP/1.1\r\n{text}\r\n".encode()
 
     def send(self, data: bytes) -> None:
         """Sends bytes as they are."""
         self.sock.sendall(data)
 
-    def read(self) -> tuple[int, dict[str, str], bytes]:
+    def read_response(self) -> tuple[int, dict[str, str], bytes]:
         """The next response: status, headers with lower-case names, body."""
         while b"\r\n\r\n" not in self._data:
             self._receive()
@@ -94,12 +102,12 @@
             raise ConnectionError("closed by the proxy")
         self._data += data
 
-    def ask(self, *args: Any, **kwargs: Any) -> tuple[int, dict[str, str], bytes]:
+    def request(self, *args: Any, **kwargs: Any) -> tuple[int, dict[str, str], bytes]:
         """Sends one request and reads its response."""
-        self.send(self.request(*args, **kwargs))
-        return self.read()
+        self.send(self.encode_request(*args, **kwargs))
+        return self.read_response()
 
-    def closed(self) -> bool:
+    def is_closed_by_proxy(self) -> bool:
         """Waits until the proxy closes the connection; true where nothing came before that."""
         try:
             return not self._data and not self.sock.recv(1)
@@ -107,38 +115,41 @@
             return True
 
 
-def large(member: Member, command: Command) -> None:
+def reply_with_large_body(endpoint: ToyEndpoint, command: Command) -> None:
     """Replies with objects as large as they may be."""
     if command.verb == "fetch":
-        command.answer("HIT", b"x" * 240_000, why="warm", entity="x", issued="1")
+        command.respond("HIT", b"x" * 240_000, why="warm", entity="x", issued="1")
 
 
-class Rig:
+class ProxyHarness:
     """A proxy with a coordinator, caches `a` and `b`, a parent and an origin.
 
     `bounds` changes resource limits, `changes` keys of the configuration.
     """
 
     def __init__(
-        self, reply: Reply = serve_all, bounds: dict[str, Any] | None = None, **changes: Any
+        self, reply: Reply = respond_normally, bounds: dict[str, Any] | None = None, **changes: Any
     ) -> None:
         self.coordinator = Coordinator()
-        self.caches = [Member("a", reply=reply), Member("b", reply=reply)]
-        self.parent, self.origin = Member("p", reply=reply), Member("o", reply=reply)
-        self.members = [*self.caches, self.parent, self.origin]
-        self.entries = [entry(cache) for cache in self.caches]
-        self.entries += [entry(self.parent, "parent", "hub"), entry(self.origin, "origin", "hub")]
-        self.coordinator.add(endpoints={"version": 1, "full": True, "servers": self.entries})
+        self.caches = [ToyEndpoint("a", reply=reply), ToyEndpoint("b", reply=reply)]
+        self.parent, self.origin = ToyEndpoint("p", reply=reply), ToyEndpoint("o", reply=reply)
+        self.endpoints = [*self.caches, self.parent, self.origin]
+        self.listed_endpoints = [listed_endpoint(cache) for cache in self.caches]
+        self.listed_endpoints += [
+            listed_endpoint(self.parent, "parent", "hub"),
+            listed_endpoint(self.origin, "origin", "hub"),
+        ]
+        self.coordinator.add(endpoints={"version": 1, "full": True, "servers": self.listed_endpoints})
         config = toy_config(coordinator=self.coordinator.address, known=self.coordinator.listed(), **changes)
         self._devnull = os.open(os.devnull, os.O_WRONLY)
         read = read_config(config, {})
         limits = replace(read.limits, **(bounds or {}))
-        self.proxy = ProxyServer(replace(read, limits=limits), self._devnull)
+        self.server = ProxyServer(replace(read, limits=limits), self._devnull)
         # This process holds the tests as well: its memory says nothing of the proxy's.
-        self.proxy.memory_monitor.read_resident_bytes = lambda: 0
+        self.server.memory_monitor.read_resident_bytes = lambda: 0
         self.attempt_outcomes: list[api.AttemptOutcome] = []
-        self._record_outcomes(self.proxy.event_loop._router)
-        self.address = self.proxy.start()
+        self._record_outcomes(self.server.event_loop._router)
+        self.address = self.server.start()
 
     def _record_outcomes(self, router: Router) -> None:
         handle = router.handle
@@ -150,70 +161,74 @@
 
         router.handle = record_and_handle  # type: ignore[method-assign]
 
-    def client(self) -> Client:
+    def connect(self) -> HttpClient:
         """A new connection."""
-        return Client(self.address)
+        return HttpClient(self.address)
 
-    def fetches(self, count: int = 1) -> list[Any]:
+    def wait_for_fetches(self, count: int = 1) -> list[Any]:
         """All fetch commands that the caches have received, once there are so many in all."""
-        if not self.until(lambda: len(self._received_fetches()) >= count):
+        if not self.wait_until(lambda: len(self._received_fetches()) >= count):
             raise AssertionError(f"fewer than {count} fetches came")
         return self._received_fetches()
 
     def _received_fetches(self) -> list[Any]:
-        return [command for cache in self.caches for command in cache.seen()]
+        return [command for cache in self.caches for command in cache.received()]
 
-    def until(self, holds: Callable[[], object]) -> bool:
-        """Waits until something holds; false where it does not within `WITHIN`."""
+    def wait_until(self, holds: Callable[[], object]) -> bool:
+        """Waits until something holds; false where it does not within `WAIT_TIMEOUT_S`."""
         pause = threading.Event()
-        for _ in range(int(WITHIN / CHECK_INTERVAL_S)):
+        for _ in range(int(WAIT_TIMEOUT_S / CHECK_INTERVAL_S)):
             if holds():
                 return True
             pause.wait(CHECK_INTERVAL_S)
         return False
 
-    def outcomes(self, status: str, count: int) -> list[api.AttemptOutcome]:
+    def wait_for_outcomes(self, status: str, count: int) -> list[api.AttemptOutcome]:
         """The outcomes of a status that the router has handled, once there are so many."""
-        assert self.until(lambda: len(self._outcomes_of(status)) >= count)
+        assert self.wait_until(lambda: len(self._outcomes_of(status)) >= count)
         return self._outcomes_of(status)
 
     def _outcomes_of(self, status: str) -> list[api.AttemptOutcome]:
         return [outcome for outcome in self.attempt_outcomes if outcome.status.name == status]
 
-    def counted(self, name: str) -> int:
+    def counter(self, name: str) -> int:
         """A counter of the proxy's event log."""
-        return self.proxy.log.counters().get(name, 0)
+        return self.server.log.counters().get(name, 0)
 
     def close(self) -> None:
         """Closes everything at once, without a graceful shutdown."""
-        self.proxy.discovery.stop()
-        self.proxy.downstream.stop_accepting()
-        self.proxy.downstream.stop_watching()
-        self.proxy.upstream.close()
-        self.proxy.event_loop.post(StopEventLoop())
-        for server in (*self.members, self.coordinator):
+        self.server.discovery.stop()
+        self.server.downstream.stop_accepting()
+        self.server.downstream.stop_watching()
+        self.server.upstream.close()
+        self.server.event_loop.post(StopEventLoop())
+        for server in (*self.endpoints, self.coordinator):
             server.close()
-        self.proxy.log.close(WITHIN)
+        self.server.log.close(WAIT_TIMEOUT_S)
         os.close(self._devnull)
 
 
-def ask_narrowly(made: Rig, **more: Any) -> socket.socket:
+def request_with_small_receive_buffer(proxy: ProxyHarness, **more: Any) -> socket.socket:
     """Sends a request on a socket that receives little at once."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-    sock.connect(made.address)
-    sock.sendall(Client.request(**more))
+    sock.connect(proxy.address)
+    sock.sendall(HttpClient.encode_request(**more))
     return sock
 
 
 @contextmanager
-def rig(reply: Reply = serve_all, bounds: dict[str, Any] | None = None, **changes: Any) -> Iterator[Rig]:
+def running_proxy(
+    reply: Reply = respond_normally, bounds: dict[str, Any] | None = None, **changes: Any
+) -> Iterator[ProxyHarness]:
     """A proxy under test; at the end no request may be pending and no buffer in use."""
-    made = Rig(reply, bounds, **changes)
+    proxy = ProxyHarness(reply, bounds, **changes)
     try:
-        yield made
-        assert made.until(lambda: made.proxy.event_loop.pending_count == 0), "a request is still pending"
+        yield proxy
+        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0), (
+            "a request is still pending"
+        )
     finally:
-        made.close()
-    assert made.until(lambda: made.proxy.body_buffers.in_use == 0), "a body buffer is still in use"
-    assert made.until(lambda: made.proxy.read_buffers.in_use == 0), "a read buffer is still in use"
+        proxy.close()
+    assert proxy.wait_until(lambda: proxy.server.body_buffers.in_use == 0), "a body buffer is still in use"
+    assert proxy.wait_until(lambda: proxy.server.read_buffers.in_use == 0), "a read buffer is still in use"
--- a/tests/helpers.py
+++ b/tests/router_harness.py
@@ -92,9 +92,9 @@
         self.router = Router(settings, seed)
         self.now = START
         self.timers: list[tuple[int, int]] = []
-        self.do(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, endpoints))
+        self.handle(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, endpoints))
 
-    def do(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         """Hands over one event now."""
         actions = self.router.handle(self.now, event)
         for action in actions:
@@ -102,43 +102,43 @@
                 self.timers.append((self.now + action.delay, action.timer_id))
         return actions
 
-    def wait(self, span: int) -> list[api.Action]:
+    def advance(self, span: int) -> list[api.Action]:
         """Lets time pass and fires what comes due."""
         until, actions = self.now + span, list[api.Action]()
         while due := [timer for timer in self.timers if timer[0] <= until]:
             timer = min(due)
             self.timers.remove(timer)
             self.now = max(self.now, timer[0])
-            actions += self.do(api.TimerFired(timer[1]))
+            actions += self.handle(api.TimerFired(timer[1]))
         self.now = until
         return actions
 
-    def ask(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
+    def request(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
         """A request arrives."""
         request = api.Request(request_id, "image", name, 3 * SECOND, group=1, size_kb=50.0)
-        return self.do(dataclasses.replace(request, **changes))
+        return self.handle(dataclasses.replace(request, **changes))
 
-    def fill(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
+    def request_missed_by_cache(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
         """A request arrives, and its cache says that it lacks the object."""
-        looked = fetches(self.ask(request_id, name, **changes))
+        looked = forwarded_attempts(self.request(request_id, name, **changes))
         assert looked
         assert looked[0].source == looked[0].cache
-        return self.end(request_id, 0, api.AttemptStatus.NOT_CACHED)
+        return self.complete_attempt(request_id, 0, api.AttemptStatus.NOT_CACHED)
 
-    def end(
+    def complete_attempt(
         self, request_id: str, attempt: int, status: api.AttemptStatus, **changes: Any
     ) -> list[api.Action]:
         """An attempt ends."""
         outcome = api.AttemptOutcome(request_id, attempt, status, 50 * MS, status is api.AttemptStatus.OK)
-        return self.do(dataclasses.replace(outcome, **changes))
+        return self.handle(dataclasses.replace(outcome, **changes))
 
 
-def fetches(actions: list[api.Action]) -> list[api.ForwardAttempt]:
+def forwarded_attempts(actions: list[api.Action]) -> list[api.ForwardAttempt]:
     """The attempts among the actions."""
     return [action for action in actions if isinstance(action, api.ForwardAttempt)]
 
 
-def finals(actions: list[api.Action]) -> list[api.Reject | api.Fail]:
+def final_responses(actions: list[api.Action]) -> list[api.Reject | api.Fail]:
     """The final answers among the actions."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
--- a/tests/routing/test_clock_errors.py
+++ b/tests/routing/test_clock_errors.py
@@ -7,7 +7,7 @@
 from olivepost import interface as api
 from olivepost.routing.capacity import MAX_LISTING_DELAY, slow_start_share
 from olivepost.units import SECOND
-from tests.helpers import ORIGIN, RouterDriver, cache, make_settings, parent
+from tests.router_harness import ORIGIN, RouterDriver, cache, make_settings, parent
 
 NOW = 1_764_576_000 * SECOND
 HOUR = 3_600 * SECOND
@@ -17,7 +17,7 @@
     """The slow start share of a cache that is listed now as started then."""
     driver = RouterDriver(make_settings(), (cache("a:1"), parent("p:1"), ORIGIN))
     driver.now = NOW
-    driver.do(api.EndpointUpdate(kind, (cache("new:1", started_at=started_at),)))
+    driver.handle(api.EndpointUpdate(kind, (cache("new:1", started_at=started_at),)))
     return slow_start_share(NOW, driver.router.state.endpoints.by_id["new:1"])
 
 
@@ -39,11 +39,11 @@
     driver = RouterDriver(make_settings(), (cache("a:1"), parent("p:1"), ORIGIN))
     driver.now = NOW
     row = cache("new:1", started_at=NOW + HOUR)
-    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
-    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
+    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
+    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
     endpoint = driver.router.state.endpoints.by_id["new:1"]
     duration = endpoint.tier.slow_start_duration
     assert slow_start_share(NOW + duration, endpoint) == 1
     driver.now = NOW + duration
-    driver.do(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (row, parent("p:1"), ORIGIN)))
+    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (row, parent("p:1"), ORIGIN)))
     assert driver.router.state.endpoints.by_id["new:1"] is endpoint  # listed again, it is the same process
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -13,7 +13,7 @@
 from olivepost import interface as api
 from olivepost.router import Router
 from olivepost.routing import selection
-from tests.helpers import (
+from tests.router_harness import (
     FLEET,
     MS,
     ORIGIN,
@@ -21,8 +21,8 @@
     START,
     RouterDriver,
     cache,
-    fetches,
-    finals,
+    final_responses,
+    forwarded_attempts,
     make_settings,
     parent,
 )
@@ -50,7 +50,7 @@
             routers[number] = Router(settings, 1000 + count)
             routers[number].handle(now, api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, COLD))
         request = api.Request(f"r{count}", "image", f"n{count}", 2 * SECOND, 50.0, 1)
-        for fetch in fetches(routers[number].handle(now, request)):
+        for fetch in forwarded_attempts(routers[number].handle(now, request)):
             for address in {fetch.cache, fetch.source} & sent.keys():
                 sent[address].append((now, WORK))
         routers[number].handle(now, api.ClientDisconnected(f"r{count}"))
@@ -108,7 +108,7 @@
         self.routers[front].handle(at, api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
 
     def do(self, front: int, now: int, actions: list[api.Action]) -> None:
-        for fetch in fetches(actions):
+        for fetch in forwarded_attempts(actions):
             if fetch.cache == self.names[0]:
                 self.sent.append((now, self.starts[front]))
             free = self.free[fetch.cache]
@@ -202,20 +202,20 @@
     monkeypatch.setattr(selection, "blake2b", counted)
     others = tuple(cache(f"e{i}:1", zone=f"zone{i % 40}") for i in range(elsewhere))
     front = RouterDriver(make_settings(), (*FLEET, *others))
-    front.fill("1", "x")
+    front.request_missed_by_cache("1", "x")
     assert len(hashed) == 5
     assert len(front.router.state.endpoints.by_id) == len(FLEET)
-    front.do(
+    front.handle(
         api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, others)
     )  # and a list line of theirs forgets no order
-    front.fill("2", "x")
+    front.request_missed_by_cache("2", "x")
     assert len(hashed) == 5
 
 
 def test_repeated_and_reordered_endpoint_list_names_each_endpoint_once() -> None:
     front, other = RouterDriver(make_settings(), (*FLEET, *reversed(FLEET))), RouterDriver(make_settings())
     for i in range(20):
-        one, two = (fetches(f.fill(str(i), f"n{i}"))[0] for f in (front, other))
+        one, two = (forwarded_attempts(f.request_missed_by_cache(str(i), f"n{i}"))[0] for f in (front, other))
         assert (one.cache, one.source) == (two.cache, two.source)
 
 
@@ -223,22 +223,22 @@
     """Every stored member refuses connections: answers come at once, then the new list is used."""
     front = RouterDriver(make_settings(allows_direct_forwarding=False))
     for i in range(30):
-        actions = front.ask(str(i), f"n{i}")
+        actions = front.request(str(i), f"n{i}")
         for number in range(6):
-            if finals(actions):
+            if final_responses(actions):
                 break
-            actions = front.end(str(i), number, api.AttemptStatus.CONNECT_FAILED)
+            actions = front.complete_attempt(str(i), number, api.AttemptStatus.CONNECT_FAILED)
         assert str(i) not in front.router.requests.pending
-    front.do(
+    front.handle(
         api.EndpointUpdate(
             api.EndpointUpdateKind.FULL, (cache("new:1", started_at=front.now), parent("p9:1"), ORIGIN)
         )
     )
-    assert {f.cache for f in fetches(front.ask("x", "y"))} <= {"new:1"}
+    assert {f.cache for f in forwarded_attempts(front.request("x", "y"))} <= {"new:1"}
 
 
 def test_cache_without_parents_fills_from_the_origin() -> None:
     gone = tuple(dataclasses.replace(m, state=api.EndpointState.REMOVED) for m in FLEET if m.kind == "parent")
     front = RouterDriver(make_settings())
-    front.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
-    assert fetches(front.fill("1"))[0].source == "origin:1"
+    front.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, gone))
+    assert forwarded_attempts(front.request_missed_by_cache("1"))[0].source == "origin:1"
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -8,7 +8,7 @@
 from olivepost.routing.initial_state import initial_state
 from olivepost.routing.selection import rendezvous_order
 from olivepost.routing_state import ClassLevels, ExpiringNameTable, NameEntry, PendingRequest
-from tests.helpers import SECOND, RouterDriver, fetches, make_settings
+from tests.router_harness import SECOND, RouterDriver, forwarded_attempts, make_settings
 
 
 def levels(level: float, first_seen_level: float) -> ClassLevels:
@@ -97,23 +97,23 @@
 def test_new_names_rank_low_at_level_zero_and_repeats_rank_top() -> None:
     driver = RouterDriver(make_settings())
     driver.router.state.levels["image"].first_seen_level = 0.0
-    ranks = [fetches(driver.ask(str(i), f"n{i}"))[0].rank for i in range(5)]
+    ranks = [forwarded_attempts(driver.request(str(i), f"n{i}"))[0].rank for i in range(5)]
     assert ranks == [RANK_LOW] * 5  # θs = 0: never lifted; and never unkept
-    assert fetches(driver.ask("again", "n1"))[0].rank == RANK_TOP
+    assert forwarded_attempts(driver.request("again", "n1"))[0].rank == RANK_TOP
 
 
 def test_new_names_rank_middle_at_the_level_ceiling() -> None:
     driver = RouterDriver(make_settings())
     driver.router.state.levels["image"].level = 1.0
-    assert fetches(driver.ask("1"))[0].rank == RANK_MIDDLE
+    assert forwarded_attempts(driver.request("1"))[0].rank == RANK_MIDDLE
 
 
 def test_expired_name_ranks_as_new() -> None:
     driver = RouterDriver(make_settings())
     driver.router.state.levels["image"].first_seen_level = 0.0
-    driver.ask("1")
-    driver.wait(61 * SECOND)
-    assert fetches(driver.ask("2"))[0].rank == RANK_LOW
+    driver.request("1")
+    driver.advance(61 * SECOND)
+    assert forwarded_attempts(driver.request("2"))[0].rank == RANK_LOW
 
 
 def test_rendezvous_order_moves_few_names_when_an_endpoint_leaves() -> None:
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from olivepost import interface as api
-from tests.helpers import MS, ORIGIN, SECOND, RouterDriver, cache, make_class, make_settings, parent
+from tests.router_harness import MS, ORIGIN, SECOND, RouterDriver, cache, make_class, make_settings, parent
 
 CLASSES = (
     make_class("safe", freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND),
@@ -80,9 +80,9 @@
         caches = tuple(cache(a, self.states[a], self.started[a], cell=CELLS[a]) for a in CACHES)
         return (*caches, *(parent(a, self.states[a], self.started[a]) for a in PARENTS), ORIGIN)
 
-    def do(self, event: api.Event) -> list[api.Action]:
+    def handle(self, event: api.Event) -> list[api.Action]:
         """Hands over one event and checks each action that it leads to."""
-        actions = super().do(event)
+        actions = super().handle(event)
         for action in actions:
             self.check(action)
         return actions
@@ -175,7 +175,7 @@
         request = api.Request(f"r{self.count}", class_name, name, timeout_ms * MS, 100.0, 1)
         self.owed[request.id] = request, self.now + request.timeout
         self.sends[request.id], self.ran[request.id] = 0, []
-        self.do(request)
+        self.handle(request)
 
     def play_outcome(self, number: int, status: api.AttemptStatus, cache_status: api.CacheStatus) -> None:
         key = sorted(self.out)[number % len(self.out)]
@@ -186,10 +186,10 @@
             self.owed.pop(key[0], None)
             self.over.add(key[0])
         is_final = status is api.AttemptStatus.OK
-        self.do(api.AttemptOutcome(key[0], key[1], status, 30 * MS, is_final, cache_status))
+        self.handle(api.AttemptOutcome(key[0], key[1], status, 30 * MS, is_final, cache_status))
 
     def play_wait(self, span_ms: int, _two: None, _three: None) -> None:
-        self.wait(span_ms * MS)
+        self.advance(span_ms * MS)
 
     def play_endpoint(self, endpoint_id: str, state: api.EndpointState, is_restarted: bool) -> None:
         self.states[endpoint_id] = state
@@ -197,31 +197,31 @@
             self.started[endpoint_id] = self.now
             self.charged.pop(endpoint_id, None)
         listed = next(m for m in self.members() if m.id == endpoint_id)
-        self.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (listed,)))
+        self.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (listed,)))
 
     def play_invalidation(self, name: str | None, age_ms: int, _three: None) -> None:
         self.purges.append((name, self.now - age_ms * MS))
-        self.do(api.Invalidation(name, 1, age_ms * MS))
+        self.handle(api.Invalidation(name, 1, age_ms * MS))
 
     def play_disconnect(self, number: int, _two: None, _three: None) -> None:
         request_id = sorted(self.owed)[number % len(self.owed)]
         self.owed.pop(request_id)
         self.over.add(request_id)
-        self.do(api.ClientDisconnected(request_id))
+        self.handle(api.ClientDisconnected(request_id))
 
     def play_hint(self, number: int, cache_id: str, is_filling: bool) -> None:
         request_id = sorted(self.owed)[number % len(self.owed)]
-        self.do(api.CacheHint(request_id, cache_id, is_filling, 300 * MS))
+        self.handle(api.CacheHint(request_id, cache_id, is_filling, 300 * MS))
 
     def play_store(self, is_available: bool, _two: None, _three: None) -> None:
-        self.do(api.StoreAvailability(is_available))
+        self.handle(api.StoreAvailability(is_available))
 
     def play_quota(self, cache_id: str, amount_ms: int, _three: None) -> None:
         key = f"cold:{cache_id}@{self.started[cache_id]}"
-        self.do(api.QuotaRequested(1, key, amount_ms * MS, self.now + SECOND))
+        self.handle(api.QuotaRequested(1, key, amount_ms * MS, self.now + SECOND))
 
     def play_full_list(self, _one: None, _two: None, _three: None) -> None:
-        self.do(api.EndpointUpdate(api.EndpointUpdateKind.FULL, self.members()))
+        self.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, self.members()))
 
 
 @settings(
@@ -232,7 +232,7 @@
     world = World(direct)
     for step in steps:
         world.play(step)
-    world.wait(5 * SECOND)
+    world.advance(5 * SECOND)
     assert not world.owed  # rule 1: every request had its one answer
     assert not world.router.requests.pending
     assert all(member.in_flight == 0 for member in world.router.state.endpoints.by_id.values())
--- a/tests/shared_store/model.py
+++ b/tests/shared_store/model.py
@@ -6,7 +6,7 @@
 
 from benchmarks.branch import Branch
 from benchmarks.sharing import settings
-from tests.helpers import SECOND
+from tests.router_harness import SECOND
 
 NAME = "000007"  # an object that no cache has at the start
 
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -9,7 +9,7 @@
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import messages as ev
 from olivepost.shared_store import scripts
-from tests.helpers import MS, SECOND
+from tests.router_harness import MS, SECOND
 from tests.shared_store.model import NAME, counted, make_branch
 
 
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -7,7 +7,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from benchmarks.branch import Branch
-from tests.helpers import MS, SECOND
+from tests.router_harness import MS, SECOND
 from tests.shared_store.model import make_branch
 
 PROXY_NUMBER = st.integers(0, 3)
--- a/tests/shared_store/test_fill_leases.py
+++ b/tests/shared_store/test_fill_leases.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from olivepost.shared_store.fill_leases import HeldLease, LeaseTable
-from tests.helpers import MS, SECOND
+from tests.router_harness import MS, SECOND
 
 
 def lease(request_id: str, fencing_number: int, expires_at: int = SECOND) -> HeldLease:
--- a/tests/shared_store/test_invalidations.py
+++ b/tests/shared_store/test_invalidations.py
@@ -9,7 +9,7 @@
 from olivepost.shared_store.messages import InvalidationReceived
 from olivepost.shared_store.records import InvalidationKey
 from olivepost.shared_store.store_health import TrustLevel
-from tests.helpers import MS, SECOND
+from tests.router_harness import MS, SECOND
 from tests.shared_store.model import NAME, counted, make_branch
 
 
--- a/tests/shared_store/test_outlier_reports.py
+++ b/tests/shared_store/test_outlier_reports.py
@@ -5,7 +5,7 @@
 import pytest
 
 from olivepost import interface as api
-from tests.helpers import MS
+from tests.router_harness import MS
 from tests.shared_store.model import make_branch
 
 
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from examples.toy_server import Coordinator, Member, entry
+from examples.toy_server import Coordinator, ToyEndpoint, listed_endpoint
 from olivepost import interface as api
 from olivepost.cli import main
 from olivepost.config import read_config
@@ -22,7 +22,7 @@
 from olivepost.shared_store.host import StoreHost
 from olivepost.shared_store.store_health import StoreHealth
 from standins.redis.server import Server
-from tests.rig import Client, toy_config
+from tests.proxy_harness import HttpClient, toy_config
 
 FILLED = "0a3a9c21e0b4d655"  # no toy cache has it
 STORE = "s"
@@ -34,10 +34,13 @@
     def __init__(self, server: Server, **sharing: Any) -> None:
         self.server = server
         self.coordinator = Coordinator()
-        self.caches = [Member("a"), Member("b")]
-        self.others = [Member("p"), Member("o")]
-        entries = [entry(cache) for cache in self.caches]
-        entries += [entry(self.others[0], "parent", "hub"), entry(self.others[1], "origin", "hub")]
+        self.caches = [ToyEndpoint("a"), ToyEndpoint("b")]
+        self.others = [ToyEndpoint("p"), ToyEndpoint("o")]
+        entries = [listed_endpoint(cache) for cache in self.caches]
+        entries += [
+            listed_endpoint(self.others[0], "parent", "hub"),
+            listed_endpoint(self.others[1], "origin", "hub"),
+        ]
         self.coordinator.add(endpoints={"version": 1, "full": True, "servers": entries})
         store = {"name": STORE, "address": "{}:{}".format(*server.address), **sharing.pop("store", {})}
         section = {"branch": "west", "stores": [store], **sharing}
@@ -93,10 +96,10 @@
         """The sum of both proxies' metric."""
         return sum(host.coordinator.counts.get(name, 0) for host in self.hosts)
 
-    def ask(self, proxy: int, name: str, **fields: Any) -> int:
+    def request(self, proxy: int, name: str, **fields: Any) -> int:
         """Sends a request to one of the proxies; returns the status."""
-        with Client(self.addresses[proxy]) as client:
-            return client.ask(name, **fields)[0]
+        with HttpClient(self.addresses[proxy]) as client:
+            return client.request(name, **fields)[0]
 
     def close(self) -> None:
         for proxy in self.proxies:
@@ -126,9 +129,9 @@
 def test_a_leased_fill_is_published_and_found_by_the_other_proxy() -> None:
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
-        assert pair.ask(0, FILLED, patience=6000) == 200
+        assert pair.request(0, FILLED, timeout_ms=6000) == 200
         assert pair.wait_until(lambda: pair.count("lease_releases_confirmed") == 1)
-        assert pair.ask(1, FILLED, patience=6000) == 200
+        assert pair.request(1, FILLED, timeout_ms=6000) == 200
         assert pair.wait_until(lambda: pair.count("hints_given") >= 1), pair.proxies[1].log.counters()
 
 
@@ -164,7 +167,7 @@
         pair.server.call(lambda: pair.server.change(fault))
         for number in range(12):
             began = time.monotonic()
-            assert pair.ask(number % 2, f"0{number:015x}", patience=2000) == 200
+            assert pair.request(number % 2, f"0{number:015x}", timeout_ms=2000) == 200
             assert time.monotonic() - began < 1.5
         assert pair.wait_for_availability(is_available=False)
         pair.server.call(lambda: pair.server.change({key: type(value)(0) for key, value in fault.items()}))
@@ -178,7 +181,7 @@
         pair.server.call(lambda: pair.server.change({"lose": True}))
         assert pair.wait_until(lambda: all(store.generation > before for store in pair.stores))
         assert pair.wait_for_availability()
-        assert pair.ask(0, FILLED, patience=6000) == 200
+        assert pair.request(0, FILLED, timeout_ms=6000) == 200
 
 
 def test_a_password_may_change_in_service(tmp_path: Path) -> None:
@@ -198,7 +201,7 @@
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
         assert pair.wait_until(pair.have_synced)
-        assert pair.ask(0, FILLED, patience=6000) == 200
+        assert pair.request(0, FILLED, timeout_ms=6000) == 200
         assert pair.wait_until(lambda: pair.count("lease_releases_confirmed") == 1)
         path = tmp_path / "operator.yaml"
         path.write_text(
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -8,7 +8,7 @@
 from olivepost.routing import capacity
 from olivepost.shared_store.quota_transfers import QuotaTransfers
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, decode_record
-from tests.helpers import MS, SECOND
+from tests.router_harness import MS, SECOND
 from tests.shared_store.model import make_branch
 
 
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -6,7 +6,17 @@
 
 from olivepost import interface as api
 from olivepost.routing import capacity, health
-from tests.helpers import FLEET, MS, SECOND, RouterDriver, cache, fetches, finals, make_class, make_settings
+from tests.router_harness import (
+    FLEET,
+    MS,
+    SECOND,
+    RouterDriver,
+    cache,
+    final_responses,
+    forwarded_attempts,
+    make_class,
+    make_settings,
+)
 
 WAIT = 10 * MS
 
@@ -14,8 +24,8 @@
 def proxy_with_store(**changes: object) -> RouterDriver:
     """Returns a proxy whose store is available."""
     proxy = RouterDriver(make_settings(**{"shared_store_timeout": WAIT, **changes}))
-    proxy.wait(5 * SECOND)
-    proxy.do(api.StoreAvailability(True))
+    proxy.advance(5 * SECOND)
+    proxy.handle(api.StoreAvailability(True))
     return proxy
 
 
@@ -25,49 +35,49 @@
 
 def test_new_name_is_looked_up_and_a_known_one_is_not() -> None:
     proxy = proxy_with_store()
-    (lookup,) = lookups(proxy.ask("1"))
+    (lookup,) = lookups(proxy.request("1"))
     assert lookup.source == ""
     assert lookup.timeout == WAIT
-    proxy.do(api.CacheHint("1"))
-    proxy.end("1", 0, api.AttemptStatus.OK, cache_status=api.CacheStatus.HIT)
-    assert not lookups(proxy.ask("2"))
+    proxy.handle(api.CacheHint("1"))
+    proxy.complete_attempt("1", 0, api.AttemptStatus.OK, cache_status=api.CacheStatus.HIT)
+    assert not lookups(proxy.request("2"))
 
 
 def test_without_a_store_nothing_is_looked_up() -> None:
     proxy = RouterDriver(make_settings(shared_store_timeout=WAIT))
-    assert fetches(proxy.ask("1"))
-    assert not lookups(proxy.ask("2", "y"))
+    assert forwarded_attempts(proxy.request("1"))
+    assert not lookups(proxy.request("2", "y"))
 
 
 def test_request_waits_two_hundredths_of_its_timeout_and_the_bound_over_all_lookups() -> None:
     proxy = proxy_with_store()
-    (lookup,) = lookups(proxy.ask("1", timeout=100 * MS))
+    (lookup,) = lookups(proxy.request("1", timeout=100 * MS))
     assert lookup.timeout == 2 * MS
     proxy = proxy_with_store()
-    proxy.ask("2", "y")
-    assert not fetches(proxy.wait(9 * MS))
-    assert fetches(proxy.wait(1 * MS))
-    (lookup,) = lookups(proxy.end("2", 0, api.AttemptStatus.NOT_CACHED))
+    proxy.request("2", "y")
+    assert not forwarded_attempts(proxy.advance(9 * MS))
+    assert forwarded_attempts(proxy.advance(1 * MS))
+    (lookup,) = lookups(proxy.complete_attempt("2", 0, api.AttemptStatus.NOT_CACHED))
     assert lookup.source
     assert lookup.timeout == 0  # all of it is spent
-    assert fetches(proxy.wait(0))
+    assert forwarded_attempts(proxy.advance(0))
 
 
 def test_late_hint_changes_nothing() -> None:
     proxy = proxy_with_store()
-    proxy.ask("1")
-    proxy.wait(WAIT)
-    assert not proxy.do(api.CacheHint("1", "c:1"))
-    assert not proxy.do(api.CacheHint("none", "c:1"))
+    proxy.request("1")
+    proxy.advance(WAIT)
+    assert not proxy.handle(api.CacheHint("1", "c:1"))
+    assert not proxy.handle(api.CacheHint("none", "c:1"))
 
 
 @pytest.mark.parametrize("address", ["a:1", "b:1", "c:1"])
 def test_cache_location_is_tried_first_and_reported_stale_on_a_miss(address: str) -> None:
     proxy = proxy_with_store()
-    proxy.ask("1")
-    (fetch,) = fetches(proxy.do(api.CacheHint("1", address)))
+    proxy.request("1")
+    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", address)))
     assert fetch.cache == fetch.source == address
-    actions = proxy.end("1", 0, api.AttemptStatus.NOT_CACHED)
+    actions = proxy.complete_attempt("1", 0, api.AttemptStatus.NOT_CACHED)
     assert [a for a in actions if isinstance(a, api.ReportStaleHint)] == [
         api.ReportStaleHint("1", "x.0", address)
     ]
@@ -77,31 +87,31 @@
 def test_location_in_a_draining_or_removed_cache_is_not_tried(state: api.EndpointState) -> None:
     """Rule 3, whatever a store says."""
     proxy = proxy_with_store()
-    proxy.ask("1")
-    proxy.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache("b:1", state),)))
-    (fetch,) = fetches(proxy.do(api.CacheHint("1", "b:1")))
+    proxy.request("1")
+    proxy.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache("b:1", state),)))
+    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))
     assert "b:1" not in (fetch.cache, fetch.source)
 
 
 @pytest.mark.parametrize("address", ["p:1", "origin:1", "nobody:1"])
 def test_hint_that_names_no_cache_is_ignored(address: str) -> None:
     proxy = proxy_with_store()
-    proxy.ask("1")
-    (fetch,) = fetches(proxy.do(api.CacheHint("1", address)))
+    proxy.request("1")
+    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", address)))
     assert fetch.cache in ("a:1", "b:1", "c:1")
 
 
 def test_location_in_an_ejected_cache_is_not_tried() -> None:
     proxy = proxy_with_store()
     health.record_failure(proxy.router.state.endpoints.by_id["b:1"], proxy.now, 1.0)
-    proxy.ask("1")
-    assert fetches(proxy.do(api.CacheHint("1", "b:1")))[0].cache != "b:1"
+    proxy.request("1")
+    assert forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))[0].cache != "b:1"
 
 
 def test_fill_in_flight_is_joined() -> None:
     proxy = proxy_with_store()
-    proxy.ask("1")
-    (fetch,) = fetches(proxy.do(api.CacheHint("1", "b:1", True, 200 * MS)))
+    proxy.request("1")
+    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1", True, 200 * MS)))
     assert fetch.cache == "b:1"
     assert fetch.source != "b:1"
     assert fetch.collapse_fills
@@ -109,32 +119,32 @@
 
 def test_fill_that_cant_be_joined_is_waited_for() -> None:
     proxy = proxy_with_store(can_collapse_fills=False)
-    proxy.ask("1")
-    assert not fetches(proxy.do(api.CacheHint("1", "b:1", True, 200 * MS)))
-    assert not fetches(proxy.wait(199 * MS))
-    (fetch,) = fetches(proxy.wait(1 * MS))
+    proxy.request("1")
+    assert not forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1", True, 200 * MS)))
+    assert not forwarded_attempts(proxy.advance(199 * MS))
+    (fetch,) = forwarded_attempts(proxy.advance(1 * MS))
     assert fetch.cache == fetch.source == "b:1"
 
 
 def test_fill_that_never_ends_delays_nobody_past_half_of_the_timeout() -> None:
     """Rule 1: half of the remaining time at most, then as without a store."""
     proxy = proxy_with_store(can_collapse_fills=False)
-    proxy.ask("1", timeout=SECOND)
-    proxy.do(api.CacheHint("1", "b:1", True, 3600 * SECOND))
-    assert fetches(proxy.wait(500 * MS))
-    assert finals(proxy.wait(SECOND))
+    proxy.request("1", timeout=SECOND)
+    proxy.handle(api.CacheHint("1", "b:1", True, 3600 * SECOND))
+    assert forwarded_attempts(proxy.advance(500 * MS))
+    assert final_responses(proxy.advance(SECOND))
     assert not proxy.router.requests.pending
 
 
 def test_fill_lease_is_released_whatever_becomes_of_the_fill() -> None:
     for status in (api.AttemptStatus.OK, api.AttemptStatus.ERROR):
         proxy = proxy_with_store()
-        proxy.ask("1")
-        proxy.do(api.CacheHint("1"))
-        proxy.end("1", 0, api.AttemptStatus.NOT_CACHED)
-        (fill,) = fetches(proxy.do(api.CacheHint("1")))
-        actions = proxy.end("1", 1, status, cache_status=api.CacheStatus.FILLED)
-        actions += proxy.do(api.ClientDisconnected("1"))
+        proxy.request("1")
+        proxy.handle(api.CacheHint("1"))
+        proxy.complete_attempt("1", 0, api.AttemptStatus.NOT_CACHED)
+        (fill,) = forwarded_attempts(proxy.handle(api.CacheHint("1")))
+        actions = proxy.complete_attempt("1", 1, status, cache_status=api.CacheStatus.FILLED)
+        actions += proxy.handle(api.ClientDisconnected("1"))
         (release,) = [a for a in actions if isinstance(a, api.ReleaseLease)]
         assert release.cache == (fill.cache if status is api.AttemptStatus.OK else "")
 
@@ -142,16 +152,16 @@
 def test_invalidation_bounds_the_age_at_a_cache_location_too() -> None:
     """Rule 5: no hint makes a copy acceptable that is older than this front's own bound."""
     proxy = proxy_with_store()
-    proxy.do(api.Invalidation(None, 1, 100 * MS))
-    proxy.ask("1")
-    (fetch,) = fetches(proxy.do(api.CacheHint("1", "b:1")))
+    proxy.handle(api.Invalidation(None, 1, 100 * MS))
+    proxy.request("1")
+    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))
     assert 0 < fetch.max_age <= 100 * MS
 
 
 def test_classes_with_a_freshness_lifetime_ask_for_the_lease_at_once() -> None:
     proxy = RouterDriver(make_settings(make_class(freshness_lifetime=8 * SECOND), shared_store_timeout=WAIT))
-    proxy.do(api.StoreAvailability(True))
-    (lookup,) = lookups(proxy.ask("1"))
+    proxy.handle(api.StoreAvailability(True))
+    (lookup,) = lookups(proxy.request("1"))
     assert lookup.source
 
 
@@ -159,7 +169,7 @@
     proxy = proxy_with_store(
         has_endpoint_weights=True, caches=api.TierSettings(4, 0.2, 20 * SECOND, 3.0), **changes
     )
-    proxy.do(
+    proxy.handle(
         api.EndpointUpdate(
             api.EndpointUpdateKind.INCREMENTAL, (cache("a:1", started_at=proxy.now, weight=8.0),)
         )
@@ -168,7 +178,7 @@
 
 
 def donated_amount(proxy: RouterDriver, key: str, most: float = 1e12, span: int = SECOND) -> float:
-    (action,) = proxy.do(api.QuotaRequested(1, key, most, proxy.now + span))
+    (action,) = proxy.handle(api.QuotaRequested(1, key, most, proxy.now + span))
     assert isinstance(action, api.DonateQuota)
     return action.amount
 
@@ -179,9 +189,9 @@
     amount = donated_amount(proxy, key)
     assert amount > 0
     assert donated_amount(proxy, key) == pytest.approx(0, abs=1)
-    proxy.wait(SECOND + proxy.router.settings.overload_window - MS)
+    proxy.advance(SECOND + proxy.router.settings.overload_window - MS)
     assert capacity.transferred(proxy.router.state, proxy.now, key, 0) == -amount
-    proxy.wait(2 * MS)
+    proxy.advance(2 * MS)
     assert capacity.transferred(proxy.router.state, proxy.now, key, 0) == 0
 
 
@@ -218,9 +228,9 @@
 def test_returned_donation_leaves_no_trace() -> None:
     proxy = proxy_with_cold_cache()
     key = f"cold:a:1@{proxy.now}"
-    (action,) = proxy.do(api.QuotaRequested(1, key, 1e12, proxy.now + SECOND))
+    (action,) = proxy.handle(api.QuotaRequested(1, key, 1e12, proxy.now + SECOND))
     assert isinstance(action, api.DonateQuota)
-    proxy.do(api.QuotaReceived(key, action.amount, action.expires_at))
+    proxy.handle(api.QuotaReceived(key, action.amount, action.expires_at))
     assert not proxy.router.state.quotas
     assert donated_amount(proxy, key) == action.amount
 
@@ -231,7 +241,7 @@
     amount = donated_amount(donor, "retry", 2.0)
     assert amount == 2.0
     assert donor.router.state.retry_balance == 8.0
-    receiver.do(api.QuotaReceived("retry", amount, receiver.now + SECOND))
+    receiver.handle(api.QuotaReceived("retry", amount, receiver.now + SECOND))
     assert receiver.router.state.retry_balance == 2.0
 
 
@@ -245,10 +255,12 @@
         ),
         FLEET,
     )
-    proxy.do(api.StoreAvailability(True))
+    proxy.handle(api.StoreAvailability(True))
     cold = tuple(cache(f"{name}:1", started_at=proxy.now) for name in "abc")
-    proxy.do(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, cold))
-    requests = [a for n in range(8) for a in proxy.ask(str(n), f"n{n}") if isinstance(a, api.RequestQuota)]
+    proxy.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, cold))
+    requests = [
+        a for n in range(8) for a in proxy.request(str(n), f"n{n}") if isinstance(a, api.RequestQuota)
+    ]
     assert requests
     assert all(request.key.startswith(("cold:", "open:")) and request.amount > 0 for request in requests)
 
@@ -256,7 +268,7 @@
 def test_reports_of_others_alone_eject_nobody() -> None:
     proxy = proxy_with_store()
     for _ in range(50):
-        proxy.do(api.OutlierReported("a:1"))
+        proxy.handle(api.OutlierReported("a:1"))
     assert health.is_available(proxy.router.state.endpoints.by_id["a:1"], proxy.now)
     assert proxy.router.state.endpoints.by_id["a:1"].failure_score < 1
-    assert not proxy.do(api.OutlierReported("nobody"))
+    assert not proxy.handle(api.OutlierReported("nobody"))
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -5,7 +5,7 @@
 import pytest
 
 from olivepost.shared_store.store_health import BreakerState
-from tests.helpers import MS, SECOND
+from tests.router_harness import MS, SECOND
 from tests.shared_store.model import NAME, counted, make_branch
 
 
--- a/tests/shared_store/test_store_health.py
+++ b/tests/shared_store/test_store_health.py
@@ -14,7 +14,7 @@
     StoreHealth,
     TrustLevel,
 )
-from tests.helpers import MS, SECOND
+from tests.router_harness import MS, SECOND
 
 
 def trusted_store() -> StoreHealth:
--- a/tests/soak/endpoints_process.py
+++ b/tests/soak/endpoints_process.py
@@ -12,7 +12,7 @@
 import time
 from typing import Any
 
-from examples.toy_server import Command, Member, entry, read_command
+from examples.toy_server import Command, ToyEndpoint, listed_endpoint, read_command
 from tests.soak.child_process import ChildProcess
 
 NANOSECONDS_PER_MS = 1_000_000
@@ -20,7 +20,7 @@
 ANSWERS_PER_FILL = 2
 
 
-class LoadMember(Member):
+class LoadMember(ToyEndpoint):
     """An endpoint that answers every fetch with the same bytes."""
 
     def __init__(self, id_: str, body: bytes) -> None:
@@ -39,27 +39,30 @@
         elif command.verb == "fetch":
             issued = str(time.time_ns() // NANOSECONDS_PER_MS)
             status = "fill" if next(self._answers) % ANSWERS_PER_FILL == 0 else "warm"
-            command.answer("HIT", self._body, why=status, entity="e1", issued=issued)
+            command.respond("HIT", self._body, why=status, entity="e1", issued=issued)
 
 
 class EndpointsProcess(ChildProcess):
-    """The stand-in endpoints; `entries` is their endpoint list."""
+    """The stand-in endpoints; `listed_endpoints` is their endpoint list."""
 
     def __init__(self, caches: int, body_bytes: int) -> None:
         super().__init__("tests.soak.endpoints_process", [str(caches), str(body_bytes)], has_pipes=True)
         assert self.process.stdout is not None
-        self.entries: list[dict[str, Any]] = json.loads(self.process.stdout.readline())
+        self.listed_endpoints: list[dict[str, Any]] = json.loads(self.process.stdout.readline())
 
 
 def main(caches: int, body_bytes: int) -> None:
     """Serves caches, a parent and an origin until standard input ends."""
     body = b"x" * body_bytes
-    members = [LoadMember(f"c{number}", body) for number in range(caches)]
+    endpoints = [LoadMember(f"c{number}", body) for number in range(caches)]
     parent = LoadMember("p0", body)
     origin = LoadMember("o0", body)
-    entries = [entry(member, weight=100) for member in members]
-    entries += [entry(parent, "parent", "hub", weight=100), entry(origin, "origin", "hub", weight=100)]
-    print(json.dumps(entries), flush=True)
+    listed_endpoints = [listed_endpoint(endpoint, weight=100) for endpoint in endpoints]
+    listed_endpoints += [
+        listed_endpoint(parent, "parent", "hub", weight=100),
+        listed_endpoint(origin, "origin", "hub", weight=100),
+    ]
+    print(json.dumps(listed_endpoints), flush=True)
     sys.stdin.read()
 
 
--- a/tests/soak/world.py
+++ b/tests/soak/environment.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from examples.toy_server import Coordinator, Server, entry, skip_headers
+from examples.toy_server import Coordinator, Server, listed_endpoint, skip_headers
 from tests.soak.oracle import Arrival, Execution, Oracle
 
 NOT_RUN_ANSWERS = ("NONE", "SHED", "LATE")
@@ -153,8 +153,8 @@
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
 
-class World:
-    """Caches, parents, origin and coordinator of one run."""
+class SoakEnvironment:
+    """The caches, parents, origin and coordinator that one run's proxy meets."""
 
     def __init__(self, seed: int, oracle: Oracle) -> None:
         self.oracle = oracle
@@ -171,8 +171,8 @@
     def _row(self, endpoint: SoakEndpoint) -> dict[str, Any]:
         kinds: dict[str, tuple[str, str]] = {"c": ("standard", "west"), "p": ("parent", "hub")}
         kind, zone = kinds.get(endpoint.id[0], ("origin", "hub"))
-        member: Any = endpoint  # `entry` reads its id and address alone
-        return entry(member, kind, zone, weight=40)
+        toy_endpoint: Any = endpoint  # `listed_endpoint` reads its id and address alone
+        return listed_endpoint(toy_endpoint, kind, zone, weight=40)
 
     def publish(self, rows: list[dict[str, Any]], is_full: bool) -> None:
         """Tells an endpoint list."""
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -17,11 +17,11 @@
 from pathlib import Path
 from typing import Any
 
-from tests.rig import toy_config
+from tests.proxy_harness import toy_config
 from tests.soak.clients import NAME_MULTIPLIER, NAMES, SoakClients
+from tests.soak.environment import SoakEnvironment
 from tests.soak.oracle import Oracle
 from tests.soak.proxy_process import KILOBYTE, ProxyProcess
-from tests.soak.world import World
 
 PLAY_S = 8.0
 KILL_AFTER_S = 3.0 + 0.7  # after SIGTERM, at the earliest: the longest deadline, and for what still comes
@@ -70,13 +70,13 @@
         )
 
 
-def soak_config(world: World, memory_mb: int, listen: str) -> dict[str, Any]:
+def soak_config(environment: SoakEnvironment, memory_mb: int, listen: str) -> dict[str, Any]:
     """The proxy's configuration: three classes, of which one must not run twice."""
     config = toy_config(
         name="soak",
         listen=listen,
-        coordinator=world.coordinator.address,
-        known=world.coordinator.listed(),
+        coordinator=environment.coordinator.address,
+        known=environment.coordinator.listed(),
         limits={"memory_mb": memory_mb, "sockets": 256},
         flow_bytes_per_s=10_000_000,
         link_bytes_per_s=40_000_000,
@@ -101,7 +101,7 @@
         self._seed = seed
         self._folder = folder
         self.oracle = Oracle(NON_IDEMPOTENT_CLASS)
-        self.world = World(seed, self.oracle)
+        self.environment = SoakEnvironment(seed, self.oracle)
         self.proxy = self._start_proxy("127.0.0.1:0")
         self._is_over = threading.Event()
 
@@ -121,7 +121,7 @@
             self._is_over.set()
             sampler.join()
             self.proxy.kill()
-            self.world.close()
+            self.environment.close()
         return self._findings()
 
     def _start_proxy(self, listen: str) -> ProxyProcess:
@@ -132,7 +132,7 @@
             "SOAK_STEP_S": str(self.options.step_s),
         }
         began_at = time.monotonic()
-        config = soak_config(self.world, self.options.memory_mb, listen)
+        config = soak_config(self.environment, self.options.memory_mb, listen)
         proxy = ProxyProcess(config, self._folder, environment, preload="tests.soak.faulty_calls").__enter__()
         if time.monotonic() - began_at > MAX_RESTART_READY_S:
             self.oracle.fault(f"the proxy took {time.monotonic() - began_at:.1f} s to start")
@@ -154,36 +154,40 @@
                 self._kill_and_restart()
 
     def _fault_an_endpoint(self) -> None:
-        for plan in self.world.plans.values():
+        for plan in self.environment.plans.values():
             plan.kind = ""
         is_common = self.draw.random() < 0.15
-        ids = list(self.world.plans) if is_common else self.draw.sample(sorted(self.world.plans), 2)
+        ids = (
+            list(self.environment.plans) if is_common else self.draw.sample(sorted(self.environment.plans), 2)
+        )
         kind = self.draw.choice(ENDPOINT_FAULTS)
         for id_ in ids:
-            self.world.plans[id_].share = self.draw.choice((0.1, 0.5, 1.0))
-            self.world.plans[id_].kind = kind
+            self.environment.plans[id_].share = self.draw.choice((0.1, 0.5, 1.0))
+            self.environment.plans[id_].kind = kind
 
     def _trouble_discovery(self) -> None:
         began_at = time.monotonic()
-        self.world.coordinator.mode = self.draw.choice(("silent", "down"))
+        self.environment.coordinator.mode = self.draw.choice(("silent", "down"))
         time.sleep(self.draw.random() * 0.4)
-        self.world.coordinator.mode = ""
+        self.environment.coordinator.mode = ""
         self.oracle.silences.append((began_at, time.monotonic()))
 
     def _republish(self) -> None:
         """Whole lists in quick succession."""
         for _ in range(self.draw.randrange(1, 20)):
-            self.world.publish(list(self.world.rows.values()), is_full=True)
+            self.environment.publish(list(self.environment.rows.values()), is_full=True)
 
     def _drain(self) -> None:
-        ready = [id_ for id_, row in self.world.rows.items() if row["state"] == "in_service" and id_ != "o0"]
+        ready = [
+            id_ for id_, row in self.environment.rows.items() if row["state"] == "in_service" and id_ != "o0"
+        ]
         if len(ready) > 3:
-            self.world.drain(self.draw.choice(ready))
+            self.environment.drain(self.draw.choice(ready))
 
     def _invalidate(self) -> None:
         for _ in range(5):
             number = min(self.draw.randrange(NAMES), self.draw.randrange(NAMES))
-            self.world.invalidate(f"{number * NAME_MULTIPLIER % 2**64:016x}")
+            self.environment.invalidate(f"{number * NAME_MULTIPLIER % 2**64:016x}")
 
     def _reload_in_series(self) -> None:
         for _ in range(self.draw.randrange(1, 6)):
--- a/tests/soak/test_memory_limit.py
+++ b/tests/soak/test_memory_limit.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.rig import toy_config
+from tests.proxy_harness import toy_config
 from tests.soak.bad_clients_process import BadClientsProcess
 from tests.soak.endpoints_process import EndpointsProcess
 from tests.soak.load_process import LoadOptions, LoadProcess
@@ -35,7 +35,7 @@
 ) -> None:
     with (
         EndpointsProcess(caches=4, body_bytes=2_000) as endpoints,
-        ProxyProcess(process_config(endpoints.entries, memory_mb), tmp_path) as proxy,
+        ProxyProcess(process_config(endpoints.listed_endpoints, memory_mb), tmp_path) as proxy,
         BadClientsProcess(proxy.address, clients=100, seed=memory_mb),
     ):
         load = LoadProcess(proxy.address, LoadOptions(memory_mb, LOAD_S, connections=12, names=5_000))
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,10 +11,10 @@
 
 import pytest
 
-from examples.toy_server import CONFIG, Coordinator, Member, body_of, tag_of
+from examples.toy_server import CONFIG, Coordinator, ToyEndpoint, body_of, tag_of
 from olivepost import __version__
 from olivepost.cli import main
-from tests.rig import NAME, WITHIN, Client, toy_config
+from tests.proxy_harness import OBJECT_NAME, WAIT_TIMEOUT_S, HttpClient, toy_config
 
 
 def test_version_and_help_are_printed(capsys: pytest.CaptureFixture[str]) -> None:
@@ -86,13 +86,13 @@
     assert done.stderr.count("\n") == 1
 
 
-def start_members(config: dict[str, Any]) -> list[Member]:
+def start_members(config: dict[str, Any]) -> list[ToyEndpoint]:
     """Starts a toy endpoint for each that the configuration lists, and lists its address."""
     listed = config["known"]["updates"][0]["endpoints"]["servers"]
-    members = [Member(item["id"]) for item in listed]
-    for item, member in zip(listed, members, strict=True):
-        item["addr"] = member.address
-    return members
+    endpoints = [ToyEndpoint(item["id"]) for item in listed]
+    for item, endpoint in zip(listed, endpoints, strict=True):
+        item["addr"] = endpoint.address
+    return endpoints
 
 
 def check_lines_of_a_rejected_request(log: IO[bytes]) -> None:
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("build", [[], ["-O"]])
 def test_the_example_serves_reloads_and_shuts_down(build: list[str], tmp_path: Path) -> None:
     config = toy_config()
-    members = start_members(config)
+    endpoints = start_members(config)
     coordinator, other = Coordinator(), Coordinator()
     coordinator.events = other.events = config["known"]["updates"]
     config["coordinator"] = coordinator.address
@@ -130,10 +130,10 @@
         started = json.loads(proxy.stdout.readline())
         assert started["event"] == "started"
         host, _, port = started["listen"].rpartition(":")
-        with Client((host, int(port))) as client:
-            assert client.ask()[2] == body_of(NAME, "3")
-            assert client.ask(If_None_Match=f'"{tag_of(NAME, "3")}"')[0] == 304
-            assert client.ask("f" * 16)[0] == 503
+        with HttpClient((host, int(port))) as client:
+            assert client.request()[2] == body_of(OBJECT_NAME, "3")
+            assert client.request(If_None_Match=f'"{tag_of(OBJECT_NAME, "3")}"')[0] == 304
+            assert client.request("f" * 16)[0] == 503
             check_lines_of_a_rejected_request(proxy.stdout)
             path.write_text("{")
             proxy.send_signal(signal.SIGHUP)
@@ -152,14 +152,14 @@
             assert fixed["event"] == "reload_needs_restart"
             assert fixed["keys"] == ["limits"]
             assert other.wait_for_poll(1)
-            assert client.ask()[2] == body_of(NAME, "3")
+            assert client.request()[2] == body_of(OBJECT_NAME, "3")
         proxy.send_signal(signal.SIGTERM)
         proxy.send_signal(signal.SIGHUP)  # also then it ends nothing
         rest = [json.loads(line) for line in proxy.stdout]
-        assert proxy.wait(WITHIN) == 0
+        assert proxy.wait(WAIT_TIMEOUT_S) == 0
         check_lines_of_a_shutdown(rest)
     finally:
         proxy.kill()
         proxy.wait()
-        for server in (*members, coordinator, other):
+        for server in (*endpoints, coordinator, other):
             server.close()
