--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -21,7 +21,7 @@
 FILE = re.compile(r".*\.(py|md|toml|json|yaml|txt)")
 SEPARATOR = re.compile(r"[\s|:-]+")
 NAME_HEADINGS = ("## Log events", "## Metrics", "### Counters", "### Invariants")
-CODE_PAGES = ("architecture", "design", "shutdown-and-cancellation", "glossary")
+CODE_PAGES = ("architecture", "capacity", "design", "shutdown-and-cancellation", "glossary")
 RENAMED_HEADING = ("## Old and new names",)
 
 
