--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 from pathlib import Path
-from typing import Any
+from typing import Any, Protocol
 
 CONFIG = Path(__file__).with_name("config.json")
 LOOPBACK = "127.0.0.1"
@@ -235,8 +235,15 @@
         pass
 
 
+class ListedServer(Protocol):
+    """What an endpoint list needs of an endpoint."""
+
+    id: str
+    address: str
+
+
 def listed_endpoint(
-    endpoint: ToyEndpoint, kind: str = "standard", zone: str = "west", **more: Any
+    endpoint: ListedServer, kind: str = "standard", zone: str = "west", **more: Any
 ) -> dict[str, Any]:
     """An endpoint as the coordinator's endpoint list has it."""
     defaults = {
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: usual ones, and such that leave, rest, flood, trickle or send half a request."""
+"""Clients of a soak: regular ones, and others that disconnect, stay idle, pipeline or write slowly."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 from tests.soak.oracle import ClientRequest, Oracle, Outcome
 
 SOCKET_TIMEOUT_S = 8.0
-RESET = b"\1\0\0\0\0\0\0\0"  # SO_LINGER: close with a reset
+RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # value of SO_LINGER
 NAMES = 400
 NAME_MULTIPLIER = 2_654_435_761
 MIN_TIMEOUT_S = 1.2
 TIMEOUT_RANGE_S = 1.3
-CLASSES = ("segment", "image", "order")  # the last one must not run twice
-RESTING_CLIENTS = 30
+CLASSES = ("segment", "image", "order")  # the last one is not idempotent
+IDLE_CLIENTS = 30
 RECONNECT_PAUSE_S = 0.05
 
 
 class SoakClients:
-    """All clients of one run; `stop` ends them once what they wait for is answered."""
+    """All clients of one run; `stop` ends them once their requests have completed or timed out."""
 
     def __init__(self, address: Address, oracle: Oracle, seed: int) -> None:
         self._address = address
@@ -33,55 +33,57 @@
         self._ids = itertools.count(1)
         self._is_stopped = threading.Event()
         self._threads: list[threading.Thread] = []
-        self._resting: list[socket.socket] = []
-
-    def start(self, usual: int, leaving: int, bad: int) -> None:
-        """Starts so many clients of each kind."""
-        kinds = [self._ask_usually] * usual + [self._ask_and_leave] * leaving + [self._misbehave] * bad
+        self._idle_sockets: list[socket.socket] = []
+
+    def start(self, regular: int, disconnecting: int, misbehaving: int) -> None:
+        """Starts a thread for each client."""
+        kinds = [
+            *itertools.repeat(self._run_regular_client, regular),
+            *itertools.repeat(self._run_disconnecting_client, disconnecting),
+            *itertools.repeat(self._run_misbehaving_client, misbehaving),
+        ]
         for number, run in enumerate(kinds):
-            draw = random.Random(self._seed * 1_000 + number)
-            thread = threading.Thread(target=run, args=(draw,), daemon=True)
+            random_source = random.Random(self._seed * 1_000 + number)
+            thread = threading.Thread(target=run, args=(random_source,), daemon=True)
             thread.start()
             self._threads.append(thread)
 
-    def rest(self, count: int = RESTING_CLIENTS) -> None:
-        """Opens connections that say nothing until the proxy ends them."""
+    def open_idle_connections(self, count: int = IDLE_CLIENTS) -> None:
+        """Opens connections that send nothing until the proxy closes them."""
         for _ in range(count):
             with contextlib.suppress(OSError):
-                self._resting.append(socket.create_connection(self._address, SOCKET_TIMEOUT_S))
+                self._idle_sockets.append(socket.create_connection(self._address, SOCKET_TIMEOUT_S))
 
     def stop(self) -> None:
-        """Ends all clients; what they have sent is answered or runs into their timeout."""
+        """Ends all clients, once each request in flight has completed or timed out."""
         self._is_stopped.set()
         for thread in self._threads:
             thread.join(SOCKET_TIMEOUT_S)
-        for sock in self._resting:
+        for sock in self._idle_sockets:
             sock.close()
 
-    def new_request(self, draw: random.Random) -> ClientRequest:
+    def new_request(self, random_source: random.Random) -> ClientRequest:
         """A request, not sent yet."""
         with self._oracle.lock:
-            id_ = f"{self._seed:04x}{next(self._ids):012x}"
-        # A few names are wanted by many.
-        number = min(draw.randrange(NAMES), draw.randrange(NAMES))
+            request_id = f"{self._seed:04x}{next(self._ids):012x}"
+        # The smaller of two draws: some names are requested more often.
+        number = min(random_source.randrange(NAMES), random_source.randrange(NAMES))
         name = f"{number * NAME_MULTIPLIER % 2**64:016x}"
-        timeout_s = MIN_TIMEOUT_S + draw.random() * TIMEOUT_RANGE_S
-        return ClientRequest(id_, name, draw.choice(CLASSES), 0.0, timeout_s)
-
-    # Usual clients.
+        timeout_s = MIN_TIMEOUT_S + random_source.random() * TIMEOUT_RANGE_S
+        return ClientRequest(request_id, name, random_source.choice(CLASSES), 0.0, timeout_s)
 
-    def _ask_usually(self, draw: random.Random) -> None:
+    def _run_regular_client(self, random_source: random.Random) -> None:
         sock: socket.socket | None = None
-        while not self._is_stopped.wait(draw.random() * 0.05):
+        while not self._is_stopped.wait(random_source.random() * 0.05):
             is_first = sock is None
             if sock is None:
                 sock = self._connect()
                 if sock is None:
                     self._is_stopped.wait(RECONNECT_PAUSE_S)
                     continue
-            request = self.new_request(draw)
+            request = self.new_request(random_source)
             request.is_first_on_connection = is_first
-            keeps_open = send_request(self._oracle, sock, request) and read_answer(sock, request)
+            keeps_open = send_request(self._oracle, sock, request) and read_response(sock, request)
             if not keeps_open:
                 sock.close()
                 sock = None
@@ -98,63 +100,61 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         return sock
 
-    # Clients that stop waiting.
-
-    def _ask_and_leave(self, draw: random.Random) -> None:
-        while not self._is_stopped.wait(draw.random() * 0.1):
+    def _run_disconnecting_client(self, random_source: random.Random) -> None:
+        while not self._is_stopped.wait(random_source.random() * 0.1):
             sock = self._connect()
             if sock is None:
                 self._is_stopped.wait(RECONNECT_PAUSE_S)
                 continue
-            request = self.new_request(draw)
+            request = self.new_request(random_source)
             send_request(self._oracle, sock, request)
-            time.sleep(draw.choice((0.0, 0.0, 0.002, 0.02, 0.2)))
-            if draw.random() < 0.5:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            request.outcome = Outcome.LEFT
+            time.sleep(random_source.choice((0.0, 0.0, 0.002, 0.02, 0.2)))
+            if random_source.random() < 0.5:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            request.outcome = Outcome.DISCONNECTED
             sock.close()
             request.ended_at = time.monotonic()
 
-    # Bad clients.
-
-    def _misbehave(self, draw: random.Random) -> None:
-        while not self._is_stopped.wait(draw.random() * 0.2):
+    def _run_misbehaving_client(self, random_source: random.Random) -> None:
+        while not self._is_stopped.wait(random_source.random() * 0.2):
             sock = self._connect()
             if sock is None:
                 self._is_stopped.wait(RECONNECT_PAUSE_S)
                 continue
             with contextlib.suppress(OSError), sock:
-                draw.choice((self._send_half, self._flood, self._trickle))(sock, draw)
-
-    def _send_half(self, sock: socket.socket, draw: random.Random) -> None:
-        text = encode_request(self.new_request(draw))
-        sock.sendall(text[: draw.randrange(1, len(text) - 1)])
-        time.sleep(draw.random() * 0.3)
-
-    def _flood(self, sock: socket.socket, draw: random.Random) -> None:
-        """Pipelines requests; the first is answered, and then the connection ends."""
-        requests = [self.new_request(draw) for _ in range(50)]
+                random_source.choice(
+                    (self._send_partial_request, self._pipeline_requests, self._write_slowly)
+                )(sock, random_source)
+
+    def _send_partial_request(self, sock: socket.socket, random_source: random.Random) -> None:
+        text = encode_request(self.new_request(random_source))
+        sock.sendall(text[: random_source.randrange(1, len(text) - 1)])
+        time.sleep(random_source.random() * 0.3)
+
+    def _pipeline_requests(self, sock: socket.socket, random_source: random.Random) -> None:
+        """Pipelines requests, and disconnects without reading."""
+        requests = [self.new_request(random_source) for _ in range(50)]
         for request in requests:
-            request.outcome = Outcome.LEFT
+            request.outcome = Outcome.DISCONNECTED
             request.ended_at = float("inf")
             self._oracle.add_request(request)
         sock.sendall(b"".join(encode_request(request) for request in requests))
-        time.sleep(draw.random() * 0.3)
+        time.sleep(random_source.random() * 0.3)
 
-    def _trickle(self, sock: socket.socket, draw: random.Random) -> None:
-        """Writes a request in small pieces, and waits for its answer."""
-        request = self.new_request(draw)
+    def _write_slowly(self, sock: socket.socket, random_source: random.Random) -> None:
+        """Writes a request in small chunks, and waits for its response."""
+        request = self.new_request(random_source)
         text = encode_request(request)
         for start in range(0, len(text) - 1, 20):
             sock.sendall(text[start : min(start + 20, len(text) - 1)])
             time.sleep(0.01)
         request.is_first_on_connection = True
         if send_request(self._oracle, sock, request, text[-1:]):
-            read_answer(sock, request)
+            read_response(sock, request)
 
 
 def encode_request(request: ClientRequest) -> bytes:
-    """A request as clients write it."""
+    """The bytes of a request."""
     method = "PUT" if request.class_name == "order" else "GET"
     return (
         f"{method} /api/v2/{request.class_name}/{request.name}/slice-0 HTTP/1.1\r\nHost: b\r\n"
@@ -163,21 +163,21 @@
 
 
 def send_request(oracle: Oracle, sock: socket.socket, request: ClientRequest, data: bytes = b"") -> bool:
-    """Sends a request, or its last bytes; false, and not owed, where the connection did not take it."""
+    """Sends a request, or its last bytes; false where the connection failed, and no response is expected."""
     request.sent_at = time.monotonic()
     oracle.add_request(request)
     try:
         sock.sendall(data or encode_request(request))
     except OSError:
-        request.outcome = Outcome.LEFT
+        request.outcome = Outcome.DISCONNECTED
         request.ended_at = time.monotonic()
         return False
     request.sent_at = time.monotonic()
     return True
 
 
-def read_answer(sock: socket.socket, request: ClientRequest) -> bool:
-    """Reads the final answer; whether the connection stays open."""
+def read_response(sock: socket.socket, request: ClientRequest) -> bool:
+    """Reads the final response; whether the connection stays open."""
     data = b""
     try:
         while b"\r\n\r\n" not in data:
@@ -189,22 +189,22 @@
         while len(body) < length:
             body += receive(sock)
     except TimeoutError:
-        return False  # it stays pending
+        return False  # the request stays pending
     except OSError:
         request.ended_at = time.monotonic()
-        # A head that came says that the answer was begun: the client can tell that it is not whole.
-        request.outcome = Outcome.ANSWERED if data else Outcome.CLOSED
+        # After a head, the client can tell that the response is incomplete.
+        request.outcome = Outcome.COMPLETED if data else Outcome.CLOSED
         return False
     request.ended_at = time.monotonic()
     request.status = int(lines[0].split()[1])
     request.etag = headers.get("etag", "").strip('"')
     request.body = body
-    request.outcome = Outcome.ANSWERED
+    request.outcome = Outcome.COMPLETED
     return headers.get("connection") != "close"
 
 
 def receive(sock: socket.socket) -> bytes:
-    """The next bytes; ConnectionError at the connection's end."""
+    """The next bytes; raises ConnectionError at end of stream."""
     data = sock.recv(65_536)
     if not data:
         raise ConnectionError("closed by the proxy")
--- a/tests/soak/endpoints_process.py
+++ b/tests/soak/endpoints_process.py
@@ -16,29 +16,28 @@
 from tests.soak.child_process import ChildProcess
 
 NANOSECONDS_PER_MS = 1_000_000
-# Every so many'th answer is a fill: below its target of hits the router remembers names for longest.
-ANSWERS_PER_FILL = 2
+RESPONSES_PER_FILL = 2  # so that hits stay below the router's target, and names live longest
 
 
-class LoadMember(ToyEndpoint):
-    """An endpoint that answers every fetch with the same bytes."""
+class FixedBodyEndpoint(ToyEndpoint):
+    """An endpoint that responds to every fetch with the same bytes."""
 
-    def __init__(self, id_: str, body: bytes) -> None:
+    def __init__(self, endpoint_id: str, body: bytes) -> None:
         self._body = body
-        self._answers = itertools.count(1)
-        super().__init__(id_)
+        self._response_numbers = itertools.count(1)
+        super().__init__(endpoint_id)
 
     def serve(self, sock: Any, lines: Any) -> None:
-        """Answers each command as it comes."""
+        """Responds to each command as it arrives."""
         while (command := read_command(sock, lines)) is not None:
-            self._answer(command)
+            self._respond(command)
 
-    def _answer(self, command: Command) -> None:
+    def _respond(self, command: Command) -> None:
         if command.verb == "alive":
             command.sock.sendall(f"{command.id} PONG\r\n".encode())
         elif command.verb == "fetch":
             issued = str(time.time_ns() // NANOSECONDS_PER_MS)
-            status = "fill" if next(self._answers) % ANSWERS_PER_FILL == 0 else "warm"
+            status = "fill" if next(self._response_numbers) % RESPONSES_PER_FILL == 0 else "warm"
             command.respond("HIT", self._body, why=status, entity="e1", issued=issued)
 
 
@@ -46,7 +45,7 @@
     """The stand-in endpoints; `listed_endpoints` is their endpoint list."""
 
     def __init__(self, caches: int, body_bytes: int) -> None:
-        super().__init__("tests.soak.endpoints_process", [str(caches), str(body_bytes)], has_pipes=True)
+        super().__init__(["-m", "tests.soak.endpoints_process", str(caches), str(body_bytes)], has_pipes=True)
         assert self.process.stdout is not None
         self.listed_endpoints: list[dict[str, Any]] = json.loads(self.process.stdout.readline())
 
@@ -54,9 +53,9 @@
 def main(caches: int, body_bytes: int) -> None:
     """Serves caches, a parent and an origin until standard input ends."""
     body = b"x" * body_bytes
-    endpoints = [LoadMember(f"c{number}", body) for number in range(caches)]
-    parent = LoadMember("p0", body)
-    origin = LoadMember("o0", body)
+    endpoints = [FixedBodyEndpoint(f"c{number}", body) for number in range(caches)]
+    parent = FixedBodyEndpoint("p0", body)
+    origin = FixedBodyEndpoint("o0", body)
     listed_endpoints = [listed_endpoint(endpoint, weight=100) for endpoint in endpoints]
     listed_endpoints += [
         listed_endpoint(parent, "parent", "hub", weight=100),
--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -1,4 +1,4 @@
-"""Endpoints and coordinator of a soak, in the test's process, with faults that a seed draws."""
+"""Endpoints and coordinator of a soak, in the test's process, with seeded faults."""
 
 from __future__ import annotations
 
@@ -12,42 +12,39 @@
 from typing import Any
 
 from examples.toy_server import Coordinator, Server, listed_endpoint, skip_headers
+from tests.soak.faults import DiscoveryMode, EndpointFault, FaultPlan
 from tests.soak.oracle import Arrival, Execution, Oracle
 
-NOT_RUN_ANSWERS = ("NONE", "SHED", "LATE")
+ENDPOINT_IDS = ("c0", "c1", "c2", "c3", "p0", "p1", "o0")  # caches, parents, the origin
 BODY_REPEATS = 40
-CARRIED_OUT_WITHIN_S = 5.5  # an invalidation everywhere, less than the settings say
-RESET = b"\1\0\0\0\0\0\0\0"  # SO_LINGER: close with a reset
-
-
-class FaultPlan:
-    """Which fault an endpoint shows now; `kind` is changed by the run, and drawn from for each command."""
-
-    def __init__(self, seed: int) -> None:
-        self.kind = ""
-        self.share = 0.0
-        self._draw = random.Random(seed)
-        self._lock = threading.Lock()
-
-    def draw(self) -> str:
-        """The fault of one command; empty: none."""
-        with self._lock:
-            return self.kind if self._draw.random() < self.share else ""
+MAX_INVALIDATION_DELAY_S = 5.5  # less than the settings' invalidation lifetime
+SILENCE_POLL_S = 0.05
+RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # value of SO_LINGER
+TRUNCATED_BYTES = 60
+STATUS_WORDS = {
+    EndpointFault.ERROR: "FAULT",
+    EndpointFault.REJECT: "SHED",
+    EndpointFault.REJECT_AS_LATE: "LATE",
+}
 
 
 class SoakEndpoint(Server):
-    """A cache, a parent or the origin: holds copies by name, each with the time at which it was generated."""
+    """A cache, a parent or the origin.
+
+    `_stored_lock` guards `_stored_ms`: the names of stored responses, each with the Unix time in ms at which
+    its response was generated.
+    """
 
-    def __init__(self, id_: str, oracle: Oracle, plan: FaultPlan) -> None:
-        self.id = id_
+    def __init__(self, endpoint_id: str, oracle: Oracle, plan: FaultPlan) -> None:
+        self.id = endpoint_id
         self._oracle = oracle
         self._plan = plan
-        self._copies: dict[str, int] = {}
-        self._copies_lock = threading.Lock()
+        self._stored_ms: dict[str, int] = {}
+        self._stored_lock = threading.Lock()
         super().__init__()
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        """Answers the commands of one connection."""
+        """Responds to the commands of one connection."""
         while True:
             first = lines.read(1)
             began_at = time.monotonic()
@@ -56,73 +53,92 @@
                 return
             words = line.decode().split()
             if words[0] == "alive":
-                if self._plan.kind != "hang":
-                    sock.sendall(f"{words[1]} PONG\r\n".encode())
+                self._respond_to_liveness_check(sock, words[1])
             elif words[0] == "fetch":
                 lines.read(int(words[3]) + 2)
                 fields = dict(item.split("=", 1) for item in words[2].split(","))
                 if not self._fetch(sock, words[1], fields, began_at):
                     return
 
-    def drop_older(self, name: str, unix_ms: int) -> None:
-        """Carries out an invalidation."""
-        with self._copies_lock:
-            if self._copies.get(name, unix_ms) < unix_ms:
-                del self._copies[name]
+    def drop_older_than(self, name: str, unix_ms: int) -> None:
+        """Drops a stored response that an invalidation concerns."""
+        with self._stored_lock:
+            if self._stored_ms.get(name, unix_ms) < unix_ms:
+                del self._stored_ms[name]
 
-    def _fetch(self, sock: socket.socket, id_: str, fields: dict[str, str], began_at: float) -> bool:
-        """Answers one command, or does not; False where the connection ends."""
+    def _respond_to_liveness_check(self, sock: socket.socket, check_id: str) -> None:
+        if self._plan.fault is not EndpointFault.HANG:
+            sock.sendall(f"{check_id} PONG\r\n".encode())
+
+    def _fetch(self, sock: socket.socket, request_id: str, fields: dict[str, str], began_at: float) -> bool:
+        """Handles one command by the plan; False where the connection is to be closed."""
         name = fields["name"]
-        arrival = Arrival(id_, self.id, fields.get("miss", self.id), name, began_at)
+        arrival = Arrival(request_id, self.id, fields.get("miss", self.id), name, began_at)
         self._oracle.add_arrival(arrival)
-        fault = self._plan.draw()
-        if fault in ("cut", "reset"):
-            if fault == "reset":
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-            else:
-                sock.sendall(self._answer(id_, name, fields)[:60])
-            return False
-        if fault == "hang":
-            return True
-        if fault in NOT_RUN_ANSWERS:
-            arrival.execution = Execution.NONE
-            sock.sendall(f"{id_} {fault} - 0\r\n\r\n".encode())
-            return True
-        answer = self._answer(id_, name, fields)
-        if answer.split(b" ", 2)[1] == b"NONE":
+        fault = self._plan.sample()
+        match fault:
+            case EndpointFault.TRUNCATE:
+                sock.sendall(self._response(request_id, name, fields)[:TRUNCATED_BYTES])
+                return False
+            case EndpointFault.RESET:
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                return False
+            case EndpointFault.HANG:
+                return True
+            case EndpointFault.REJECT | EndpointFault.REJECT_AS_LATE:
+                arrival.execution = Execution.NONE
+                sock.sendall(empty_response(request_id, STATUS_WORDS[fault]))
+                return True
+        response = self._response(request_id, name, fields)
+        if response.split(b" ", 2)[1] == b"NONE":
             arrival.execution = Execution.NONE
-        answers = {
-            "FAULT": f"{id_} FAULT - 0\r\n\r\n".encode(),
-            "garbled": b"\xff\x00 nonsense \r\n" + answer,
-            "endless": f"{id_} HIT entity=x,issued=1 3000000000\r\n".encode() + b"x" * 1_000,
-            "doubled": answer + answer,
-            "unknown": f"{'f' * 16} HIT entity=x,issued=1 3\r\nabc\r\n".encode() + answer,
-        }
-        if fault == "late":
-            # Not here: commands behind this one are to be read when they come.
-            threading.Timer(random.random(), send_if_open, (sock, answer)).start()
+        if fault is EndpointFault.DELAY:
+            # In a thread of its own: the commands behind this one are to be read when they arrive.
+            threading.Timer(random.random(), send_if_open, (sock, response)).start()
         else:
-            sock.sendall(answers.get(fault, answer))
+            sock.sendall(faulty_response(fault, request_id, response))
         return True
 
-    def _answer(self, id_: str, name: str, fields: dict[str, str]) -> bytes:
-        """The answer of an endpoint without a fault: from its copy, or a fill where a source is named."""
+    def _response(self, request_id: str, name: str, fields: dict[str, str]) -> bytes:
+        """The ordinary response: a stored one, or a filled one where the command names a source."""
         now_ms = time.time_ns() // 1_000_000
         max_age_ms = int(fields.get("within", "0"))
-        with self._copies_lock:
-            issued = self._copies.get(name)
-            is_usable = issued is not None and not (max_age_ms and now_ms - issued > max_age_ms)
+        with self._stored_lock:
+            issued_ms = self._stored_ms.get(name)
+            is_usable = issued_ms is not None and not (max_age_ms and now_ms - issued_ms > max_age_ms)
             if not is_usable and "miss" not in fields and self.id.startswith("c"):
-                return f"{id_} NONE - 0\r\n\r\n".encode()
-            if issued is None or not is_usable:
-                issued = now_ms
-                self._copies[name] = issued
-        status = "warm" if is_usable else "fill"
+                return empty_response(request_id, "NONE")
+            if issued_ms is None or not is_usable:
+                issued_ms = now_ms
+                self._stored_ms[name] = issued_ms
+        reason = "warm" if is_usable else "fill"
         body = name.encode() * BODY_REPEATS
-        head = f"{id_} HIT entity={name}-{issued},issued={issued},why={status} {len(body)}\r\n"
+        head = f"{request_id} HIT entity={name}-{issued_ms},issued={issued_ms},why={reason} {len(body)}\r\n"
         return head.encode() + body + b"\r\n"
 
 
+def empty_response(request_id: str, status_word: str) -> bytes:
+    """A response without fields and body."""
+    return f"{request_id} {status_word} - 0\r\n\r\n".encode()
+
+
+def faulty_response(fault: EndpointFault | None, request_id: str, response: bytes) -> bytes:
+    """What an endpoint with a fault sends in place of a response; without one, the response."""
+    match fault:
+        case EndpointFault.ERROR:
+            return empty_response(request_id, STATUS_WORDS[fault])
+        case EndpointFault.GARBLE:
+            return b"\xff\x00 nonsense \r\n" + response
+        case EndpointFault.ENDLESS:
+            return f"{request_id} HIT entity=x,issued=1 3000000000\r\n".encode() + b"x" * 1_000
+        case EndpointFault.DUPLICATE:
+            return response + response
+        case EndpointFault.UNKNOWN_REQUEST:
+            return f"{'f' * 16} HIT entity=x,issued=1 3\r\nabc\r\n".encode() + response
+        case _:
+            return response
+
+
 def send_if_open(sock: socket.socket, data: bytes) -> None:
     """Sends bytes, unless the connection has ended."""
     with contextlib.suppress(OSError):
@@ -130,20 +146,20 @@
 
 
 class SoakCoordinator(Coordinator):
-    """Service discovery that can fall silent or go down. `mode` is empty, `silent` or `down`."""
+    """Service discovery whose `mode` the run changes."""
 
     def __init__(self) -> None:
-        self.mode = ""
+        self.mode = DiscoveryMode.NORMAL
         super().__init__()
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        """Answers polls as the mode says."""
+        """Responds to polls as the mode says."""
         while line := lines.readline():
             skip_headers(lines)
-            if self.mode == "down":
+            if self.mode is DiscoveryMode.DOWN:
                 return
-            while self.mode == "silent":
-                time.sleep(0.05)
+            while self.mode is DiscoveryMode.SILENT:
+                time.sleep(SILENCE_POLL_S)
             query = line.split()[1].decode().partition("?")[2]
             parameters = dict(item.split("=") for item in query.split("&"))
             after = int(parameters["follow"])
@@ -161,43 +177,56 @@
         self.coordinator = SoakCoordinator()
         self.plans: dict[str, FaultPlan] = {}
         self.endpoints: list[SoakEndpoint] = []
-        for number, id_ in enumerate(("c0", "c1", "c2", "c3", "p0", "p1", "o0")):
+        for number, endpoint_id in enumerate(ENDPOINT_IDS):
             plan = FaultPlan(seed * 100 + number)
-            self.plans[id_] = plan
-            self.endpoints.append(SoakEndpoint(id_, oracle, plan))
-        self.rows = {endpoint.id: self._row(endpoint) for endpoint in self.endpoints}
+            self.plans[endpoint_id] = plan
+            self.endpoints.append(SoakEndpoint(endpoint_id, oracle, plan))
+        self.rows = {endpoint.id: endpoint_row(endpoint) for endpoint in self.endpoints}
         self.publish(list(self.rows.values()), is_full=True)
 
-    def _row(self, endpoint: SoakEndpoint) -> dict[str, Any]:
-        kinds: dict[str, tuple[str, str]] = {"c": ("standard", "west"), "p": ("parent", "hub")}
-        kind, zone = kinds.get(endpoint.id[0], ("origin", "hub"))
-        toy_endpoint: Any = endpoint  # `listed_endpoint` reads its id and address alone
-        return listed_endpoint(toy_endpoint, kind, zone, weight=40)
-
     def publish(self, rows: list[dict[str, Any]], is_full: bool) -> None:
-        """Tells an endpoint list."""
+        """Publishes an endpoint list, or changes to it."""
         version = len(self.coordinator.events) + 1
         self.coordinator.add(endpoints={"version": version, "full": is_full, "servers": rows})
 
-    def drain(self, id_: str) -> None:
-        """Tells that an endpoint drains, for good."""
-        self.rows[id_]["state"] = "terminating"
-        self.publish([self.rows[id_]], is_full=False)
-        self.oracle.drain(id_)
+    def publish_all(self) -> None:
+        """Publishes the complete endpoint list."""
+        self.publish(list(self.rows.values()), is_full=True)
+
+    def drainable_ids(self) -> list[str]:
+        """The caches and parents that are not draining."""
+        return [
+            endpoint_id
+            for endpoint_id, row in self.rows.items()
+            if row["state"] == "in_service" and endpoint_id != "o0"
+        ]
+
+    def drain(self, endpoint_id: str) -> None:
+        """Publishes that an endpoint is draining, from now to the end of the run."""
+        self.rows[endpoint_id]["state"] = "terminating"
+        self.publish([self.rows[endpoint_id]], is_full=False)
+        self.oracle.record_drain(endpoint_id)
 
     def invalidate(self, name: str) -> None:
-        """Tells that an object is invalid."""
+        """Publishes an invalidation; endpoints carry it out after random delays."""
         unix_ms = time.time_ns() // 1_000_000
         self.coordinator.add(evict={"ref": name, "unix_ms": unix_ms})
-        self.oracle.invalidate(name, unix_ms)
+        self.oracle.record_invalidation(name, unix_ms)
         for endpoint in self.endpoints:
-            delay_s = random.random() * CARRIED_OUT_WITHIN_S
-            threading.Timer(delay_s, endpoint.drop_older, (name, unix_ms)).start()
+            delay_s = random.random() * MAX_INVALIDATION_DELAY_S
+            threading.Timer(delay_s, endpoint.drop_older_than, (name, unix_ms)).start()
 
     def close(self) -> None:
-        """Ends all endpoints and the coordinator."""
+        """Closes all endpoints and the coordinator."""
         closers: list[Callable[[], None]] = [endpoint.close for endpoint in self.endpoints]
-        self.coordinator.mode = ""
+        self.coordinator.mode = DiscoveryMode.NORMAL
         for close in (*closers, self.coordinator.close):
             with contextlib.suppress(OSError):
                 close()
+
+
+def endpoint_row(endpoint: SoakEndpoint) -> dict[str, Any]:
+    """An endpoint as the coordinator lists it: its kind and zone by the first letter of its id."""
+    kinds = {"c": ("standard", "west"), "p": ("parent", "hub"), "o": ("origin", "hub")}
+    kind, zone = kinds[endpoint.id[0]]
+    return listed_endpoint(endpoint, kind, zone, weight=40)
--- /dev/null
+++ b/tests/soak/fault_injector.py
@@ -0,0 +1,106 @@
+"""Injects faults into a running soak, one after another, as its seed chooses."""
+
+from __future__ import annotations
+
+import random
+import signal
+import time
+from collections.abc import Callable
+
+from tests.soak.clients import NAME_MULTIPLIER, NAMES
+from tests.soak.environment import SoakEnvironment
+from tests.soak.faults import DiscoveryMode, EndpointFault
+from tests.soak.oracle import Oracle
+from tests.soak.proxy_process import ProxyProcess
+
+COMMON_FAULT_SHARE = 0.15  # of endpoint faults, that all endpoints show
+FAULT_SHARES = (0.1, 0.5, 1.0)  # of an endpoint's commands
+DISCOVERY_FAULTS = (DiscoveryMode.SILENT, DiscoveryMode.DOWN)
+MAX_OUTAGE_S = 0.4
+MAX_INTERVAL_S = 0.4  # between two faults
+MAX_PAUSE_S = 1.0
+MAX_RELOAD_INTERVAL_S = 0.02
+INVALIDATIONS = 5
+MIN_READY_ENDPOINTS = 3
+
+
+class FaultInjector:
+    """The faults of one run. All draws come from one random source, so that a seed always injects the same.
+
+    `proxy` is the process that runs now: it changes when the run restarts it.
+    """
+
+    def __init__(
+        self,
+        random_source: random.Random,
+        environment: SoakEnvironment,
+        oracle: Oracle,
+        proxy: Callable[[], ProxyProcess],
+    ) -> None:
+        self._random_source = random_source
+        self._environment = environment
+        self._oracle = oracle
+        self._proxy = proxy
+        self._steps: list[Callable[[], None]] = [
+            self._fault_endpoints,
+            self._fault_endpoints,
+            self._fault_endpoints,
+            self._fault_endpoints,
+            self._interrupt_discovery,
+            self._publish_repeatedly,
+            self._drain_endpoint,
+            self._invalidate_objects,
+            self._invalidate_objects,
+            self._reload_repeatedly,
+            self._pause_proxy,
+        ]
+
+    def inject_next(self) -> None:
+        """Injects one fault, then waits for a moment."""
+        self._random_source.choice(self._steps)()
+        time.sleep(self._random_source.random() * MAX_INTERVAL_S)
+
+    def _fault_endpoints(self) -> None:
+        plans = self._environment.plans
+        for plan in plans.values():
+            plan.fault = None
+        is_common = self._random_source.random() < COMMON_FAULT_SHARE
+        endpoint_ids = list(plans) if is_common else self._random_source.sample(sorted(plans), 2)
+        fault = self._random_source.choice(list(EndpointFault))
+        for endpoint_id in endpoint_ids:
+            plans[endpoint_id].share = self._random_source.choice(FAULT_SHARES)
+            plans[endpoint_id].fault = fault
+
+    def _interrupt_discovery(self) -> None:
+        began_at = time.monotonic()
+        self._environment.coordinator.mode = self._random_source.choice(DISCOVERY_FAULTS)
+        time.sleep(self._random_source.random() * MAX_OUTAGE_S)
+        self._environment.coordinator.mode = DiscoveryMode.NORMAL
+        self._oracle.discovery_outages.append((began_at, time.monotonic()))
+
+    def _publish_repeatedly(self) -> None:
+        """Complete lists in quick succession."""
+        for _ in range(self._random_source.randrange(1, 20)):
+            self._environment.publish_all()
+
+    def _drain_endpoint(self) -> None:
+        ready = self._environment.drainable_ids()
+        if len(ready) > MIN_READY_ENDPOINTS:
+            self._environment.drain(self._random_source.choice(ready))
+
+    def _invalidate_objects(self) -> None:
+        for _ in range(INVALIDATIONS):
+            number = min(self._random_source.randrange(NAMES), self._random_source.randrange(NAMES))
+            self._environment.invalidate(f"{number * NAME_MULTIPLIER % 2**64:016x}")
+
+    def _reload_repeatedly(self) -> None:
+        for _ in range(self._random_source.randrange(1, 6)):
+            self._proxy().signal(signal.SIGHUP)
+            time.sleep(self._random_source.random() * MAX_RELOAD_INTERVAL_S)
+
+    def _pause_proxy(self) -> None:
+        began_at = time.monotonic()
+        self._proxy().signal(signal.SIGSTOP)
+        time.sleep(self._random_source.random() * MAX_PAUSE_S)
+        self._proxy().signal(signal.SIGCONT)
+        self._oracle.pauses.append((began_at, time.monotonic()))
--- a/tests/soak/load_process.py
+++ b/tests/soak/load_process.py
@@ -1,6 +1,6 @@
 """Clients in a process of their own: `python -m tests.soak.load_process HOST PORT OPTIONS`.
 
-OPTIONS is the JSON of `LoadOptions`. Prints how many requests were answered, by status, as one JSON line.
+OPTIONS is the JSON of `LoadOptions`. Prints the number of responses by status as one JSON line.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from olivepost.config import Address
 from tests.soak.child_process import ChildProcess
 
-END_WITHIN_S = 60.0  # after the load's own time
+EXIT_TIMEOUT_S = 60.0  # beyond the load's duration
 RECEIVE_BYTES = 262_144
-NAME_MULTIPLIER = 2_654_435_761  # Knuth's: numbers that follow each other give names spread over all values
+NAME_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash: spreads consecutive numbers
 NAME_RANGE = 2**64
 END_OF_HEAD = b"\r\n\r\n"
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOptions:
-    """A closed-loop load: each connection asks again as soon as it has its answer."""
+    """A closed-loop load: each connection sends its next request once the response is complete."""
 
     seed: int
     duration_s: float
     connections: int
-    names: int  # that are asked for, evenly
+    names: int  # objects requested, uniformly
     class_name: str = "segment"
     timeout_ms: int = 3_000
 
@@ -41,23 +41,22 @@
 
     def __init__(self, address: Address, options: LoadOptions) -> None:
         arguments = [address.host, str(address.port), json.dumps(asdict(options))]
-        super().__init__("tests.soak.load_process", arguments, has_pipes=True)
-        self._timeout_s = options.duration_s + END_WITHIN_S
+        super().__init__(["-m", "tests.soak.load_process", *arguments], has_pipes=True)
+        self._timeout_s = options.duration_s + EXIT_TIMEOUT_S
 
-    def statuses(self) -> Counter[str]:
-        """Waits for the end of the load; answers by status."""
+    def wait_for_statuses(self) -> Counter[str]:
+        """Waits for the end of the load; returns the number of responses by status."""
         output, _ = self.process.communicate(timeout=self._timeout_s)
         return Counter(json.loads(output))
 
 
 class LoadConnection:
-    """One connection, with the request that it waits for."""
+    """One connection, with its one request in flight."""
 
     def __init__(self, address: Address) -> None:
         self.sock = socket.create_connection(address)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self._received = bytearray()
-        self._length = -1
 
     def send(self, name: int, request_id: int, options: LoadOptions) -> None:
         """Sends the next request."""
@@ -69,7 +68,10 @@
         self.sock.sendall(head.encode())
 
     def receive(self) -> str | None:
-        """The status of the answer, once it is complete; raises ConnectionError at the connection's end."""
+        """The status of the response once it is complete, None before.
+
+        Raises ConnectionError at the end of the stream.
+        """
         data = self.sock.recv(RECEIVE_BYTES)
         if not data:
             raise ConnectionError("closed by the proxy")
@@ -87,33 +89,33 @@
 
 
 def main(address: Address, options: LoadOptions) -> None:
-    """Asks on all connections until the time is over."""
-    draw = random.Random(options.seed)
+    """Keeps a request in flight on each connection until the time is over."""
+    random_source = random.Random(options.seed)
     request_id = options.seed << 40
     statuses: Counter[str] = Counter()
     selector = selectors.DefaultSelector()
 
-    def ask(connection: LoadConnection) -> None:
+    def send_request(connection: LoadConnection) -> None:
         nonlocal request_id
         request_id += 1
-        connection.send(draw.randrange(options.names), request_id, options)
+        connection.send(random_source.randrange(options.names), request_id, options)
 
     def connect() -> None:
         connection = LoadConnection(address)
         selector.register(connection.sock, selectors.EVENT_READ, connection)
-        ask(connection)
+        send_request(connection)
 
     for _ in range(options.connections):
         connect()
-    until = time.monotonic() + options.duration_s
-    while time.monotonic() < until:
+    end_at = time.monotonic() + options.duration_s
+    while time.monotonic() < end_at:
         for key, _ in selector.select(0.1):
             connection: LoadConnection = key.data
             try:
                 status = connection.receive()
                 if status is not None:
                     statuses[status] += 1
-                    ask(connection)
+                    send_request(connection)
             except OSError:
                 statuses["closed"] += 1
                 selector.unregister(connection.sock)
--- /dev/null
+++ b/tests/soak/misbehaving_clients_process.py
@@ -0,0 +1,127 @@
+"""Clients that misbehave, in a process of their own.
+
+`python -m tests.soak.misbehaving_clients_process HOST PORT CLIENTS SEED`.
+
+Each of its threads connects again and again, and does one of: pipeline requests and never read, send a
+partial head or body, send a request and disconnect at once, send a head without end, stay idle,
+read a response slowly. They go on until the process is killed.
+"""
+
+from __future__ import annotations
+
+import contextlib
+import random
+import socket
+import sys
+import threading
+import time
+from collections.abc import Callable
+
+from olivepost.config import Address
+from tests.soak.child_process import ChildProcess
+
+CONNECTION_TIMEOUT_S = 5.0
+RECONNECT_PAUSE_S = 0.02  # between two connections of one thread
+MAX_IDLE_S = 0.5  # for which a silent client stays
+PIPELINED_REQUESTS = 200
+SLOW_READS = 40
+SMALL_BUFFER_BYTES = 4_096
+
+
+class MisbehavingClientsProcess(ChildProcess):
+    """A process of misbehaving clients."""
+
+    def __init__(self, address: Address, clients: int, seed: int) -> None:
+        arguments = [address.host, str(address.port), str(clients), str(seed)]
+        super().__init__(["-m", "tests.soak.misbehaving_clients_process", *arguments])
+
+
+def request(random_source: random.Random) -> bytes:
+    """A request that could be served."""
+    return (
+        f"GET /api/v2/segment/{random_source.getrandbits(64):016x}/slice-0 HTTP/1.1\r\nHost: b\r\n"
+        f"X-Call-Id: {random_source.getrandbits(64):016x}\r\nX-Patience-Ms: 2000\r\nX-Set: 3\r\n\r\n"
+    ).encode()
+
+
+def pipeline(sock: socket.socket, random_source: random.Random) -> None:
+    """Sends many requests at once and reads no response."""
+    sock.sendall(b"".join(request(random_source) for _ in range(PIPELINED_REQUESTS)))
+    time.sleep(MAX_IDLE_S)
+
+
+def send_partial_head(sock: socket.socket, random_source: random.Random) -> None:
+    """Disconnects within a request's head."""
+    sock.sendall(request(random_source)[:60])
+    time.sleep(random_source.random() * MAX_IDLE_S)
+
+
+def send_partial_body(sock: socket.socket, random_source: random.Random) -> None:
+    """Disconnects within a request's body."""
+    sock.sendall(
+        request(random_source).replace(b"\r\n\r\n", b"\r\nContent-Length: 16000\r\n\r\n") + b"x" * 8_000
+    )
+    time.sleep(random_source.random() * MAX_IDLE_S)
+
+
+def request_and_disconnect(sock: socket.socket, random_source: random.Random) -> None:
+    """Resets or closes right behind a request."""
+    sock.sendall(request(random_source))
+    if random_source.random() < 0.5:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+
+
+def send_endless_head(sock: socket.socket, random_source: random.Random) -> None:
+    """Sends a head longer than the proxy accepts."""
+    sock.sendall(b"GET /api/v2/segment/0 HTTP/1.1\r\n" + b"X-Filler: y\r\n" * 4_000)
+    sock.recv(SMALL_BUFFER_BYTES)
+
+
+def stay_idle(sock: socket.socket, random_source: random.Random) -> None:
+    """Holds a connection without sending anything."""
+    time.sleep(random_source.random() * 2 * MAX_IDLE_S)
+
+
+def read_slowly(sock: socket.socket, random_source: random.Random) -> None:
+    """Reads a response byte by byte."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
+    sock.sendall(request(random_source))
+    for _ in range(SLOW_READS):
+        if not sock.recv(1):
+            return
+        time.sleep(RECONNECT_PAUSE_S)
+
+
+MISBEHAVIORS: list[Callable[[socket.socket, random.Random], None]] = [
+    pipeline,
+    send_partial_head,
+    send_partial_body,
+    request_and_disconnect,
+    send_endless_head,
+    stay_idle,
+    read_slowly,
+]
+
+
+def misbehave(address: Address, seed: int) -> None:
+    """Runs one client until the process ends."""
+    random_source = random.Random(seed)
+    while True:
+        with (
+            contextlib.suppress(OSError),
+            socket.create_connection(address, CONNECTION_TIMEOUT_S) as sock,
+        ):
+            random_source.choice(MISBEHAVIORS)(sock, random_source)
+        time.sleep(RECONNECT_PAUSE_S)
+
+
+def main(address: Address, clients: int, seed: int) -> None:
+    """Runs all clients until the process is killed."""
+    for number in range(clients):
+        client_seed = seed * clients + number
+        threading.Thread(target=misbehave, args=(address, client_seed), daemon=True).start()
+    threading.Event().wait()
+
+
+if __name__ == "__main__":
+    main(Address(sys.argv[1], int(sys.argv[2])), int(sys.argv[3]), int(sys.argv[4]))
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,4 +1,4 @@
-"""The oracle of a soak: records what clients, endpoints and discovery saw, and says which rule was broken.
+"""The oracle of a soak: what clients, endpoints and discovery observed, and which invariants that violates.
 
 All times are monotonic seconds of the test's process, where clients, endpoints and coordinator run.
 """
@@ -10,33 +10,33 @@
 from collections import defaultdict
 from dataclasses import dataclass, field
 from enum import Enum
+from operator import attrgetter
 
-ANSWER_SLACK_S = 0.5  # after a request's time, in which an answer only earns nothing
-LEFT_SLACK_S = 0.1  # after its client has left, for an attempt to reach an endpoint
-NOTICE_SLACK_S = 0.05  # by which each limit of the settings is longer on sockets
+RESPONSE_SLACK_S = 0.5  # after a request's deadline, within which its response may still come
+DISCONNECT_SLACK_S = 0.1  # after a client disconnected, for an attempt to reach an endpoint
+SOCKET_SLACK_S = 0.05  # added to each limit of the settings, for its way over sockets
 DRAIN_GRACE_S = 0.5
 INVALIDATION_GRACE_S = 0.3
-# What discovery has to tell counts as told so long after it was out of reach or silent, at the latest.
-DISCOVERY_BREAK_S = 2.0
-CONNECT_UNTIL_S = 0.4  # after SIGTERM, for new connections; requests on open ones come until the kill
-CLOSE_CROSSING_S = 0.05  # a request that crosses the close of its connection is sent again
-MACHINE_SLACK_S = 0.15  # for this machine's own threads to see what has come
+DISCOVERY_RECOVERY_S = 2.0  # after an outage of discovery, until the proxy must know what was published
+ACCEPT_AFTER_SIGTERM_S = 0.4  # new connections; requests on open ones may come until the kill
+CLOSE_RACE_S = 0.05  # a request may cross the close of an idle connection
+SCHEDULING_SLACK_S = 0.15  # for the test's own threads to be scheduled
 
 
 class Outcome(Enum):
     """How a request ended for its client."""
 
     PENDING = "pending"
-    ANSWERED = "answered"
+    COMPLETED = "completed"
     CLOSED = "closed by the proxy"
-    LEFT = "left by the client"
+    DISCONNECTED = "the client disconnected"
 
 
 class Execution(Enum):
-    """Whether an endpoint ran a request."""
+    """Whether an endpoint executed a request."""
 
-    POSSIBLE = "may have run"
-    NONE = "never ran"
+    POSSIBLE = "may have been executed"
+    NONE = "not executed"
 
 
 @dataclass(slots=True)
@@ -46,7 +46,7 @@
     id: str
     name: str
     class_name: str
-    sent_at: float  # its last byte
+    sent_at: float  # when its last byte was sent
     timeout_s: float
     is_first_on_connection: bool = True
     outcome: Outcome = Outcome.PENDING
@@ -58,19 +58,24 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """One command that came whole to an endpoint."""
+    """One complete command that an endpoint received."""
 
     request_id: str
     endpoint: str
     source: str
     name: str
-    began_at: float  # its first byte
+    began_at: float  # when its first byte arrived
     execution: Execution = Execution.POSSIBLE
 
+    @property
+    def label(self) -> str:
+        """What lines of text call it."""
+        return f"request {self.request_id} at {self.endpoint}"
+
 
 @dataclass
 class Oracle:
-    """All records of a run. `lock` guards them; stops are the times at which the proxy stood still."""
+    """All records of a run; `lock` guards them. `pauses` are spans in which the proxy could not run."""
 
     non_idempotent_class: str
     lock: threading.Lock = field(default_factory=threading.Lock)
@@ -78,11 +83,11 @@
     arrivals: list[Arrival] = field(default_factory=list)
     drained_at: dict[str, float] = field(default_factory=dict)
     invalidated: dict[str, list[tuple[float, int]]] = field(default_factory=lambda: defaultdict(list))
-    stops: list[tuple[float, float]] = field(default_factory=list)
-    silences: list[tuple[float, float]] = field(default_factory=list)  # of discovery
-    killed: list[float] = field(default_factory=list)
+    pauses: list[tuple[float, float]] = field(default_factory=list)
+    discovery_outages: list[tuple[float, float]] = field(default_factory=list)
+    killed_at: list[float] = field(default_factory=list)
     terminated_at: float = float("inf")
-    faults: list[str] = field(default_factory=list)  # what the run itself noticed
+    observed_faults: list[str] = field(default_factory=list)  # by the run itself
 
     def add_request(self, request: ClientRequest) -> None:
         """A client has sent a request."""
@@ -94,121 +99,146 @@
         with self.lock:
             self.arrivals.append(arrival)
 
-    def fault(self, text: str) -> None:
-        """The run has seen what must not be."""
+    def record_fault(self, text: str) -> None:
+        """The run itself observed a fault of the proxy."""
         with self.lock:
-            self.faults.append(text)
+            self.observed_faults.append(text)
 
-    def drain(self, endpoint: str) -> None:
-        """Discovery has been told that an endpoint drains."""
+    def record_drain(self, endpoint_id: str) -> None:
+        """Discovery published that an endpoint is draining."""
         with self.lock:
-            self.drained_at[endpoint] = self._told_at()
+            self.drained_at[endpoint_id] = self._notified_at()
 
-    def invalidate(self, name: str, unix_ms: int) -> None:
-        """Discovery has been told of an invalidation."""
+    def record_invalidation(self, name: str, unix_ms: int) -> None:
+        """Discovery published an invalidation."""
         with self.lock:
-            self.invalidated[name].append((self._told_at(), unix_ms))
+            self.invalidated[name].append((self._notified_at(), unix_ms))
 
     def accepts_new_connections(self) -> bool:
-        """Whether clients still connect: after SIGTERM they do so for a short time."""
-        return time.monotonic() < self.terminated_at + CONNECT_UNTIL_S
+        """Whether clients still open connections: after SIGTERM only for a short time."""
+        return time.monotonic() < self.terminated_at + ACCEPT_AFTER_SIGTERM_S
 
-    def _told_at(self) -> float:
-        """When what is published now counts as told."""
+    def _notified_at(self) -> float:
+        """When the proxy must know what is published now."""
         now = time.monotonic()
-        breaks = [end + DISCOVERY_BREAK_S for _, end in self.silences if end + DISCOVERY_BREAK_S > now]
-        return max([now, *breaks])
+        recoveries = [
+            end + DISCOVERY_RECOVERY_S
+            for _, end in self.discovery_outages
+            if end + DISCOVERY_RECOVERY_S > now
+        ]
+        return max([now, *recoveries])
 
     def violations(self) -> list[str]:
-        """Everything that broke a rule."""
-        found = list(self.faults)
+        """Every violation, as a line of text."""
+        found = list(self.observed_faults)
         for request in self.requests.values():
             found += self._violations_of(request)
         found += self._endpoint_violations()
         found += self._repeated_effects()
         return found
 
-    def _stood_still(self, begin: float, end: float) -> float:
-        return sum(max(0.0, min(end, until) - max(begin, since)) for since, until in self.stops)
+    def _paused_for(self, begin: float, end: float) -> float:
+        return sum(max(0.0, min(end, until) - max(begin, since)) for since, until in self.pauses)
 
     def _due_at(self, begin: float, end: float) -> float:
-        """The end of a span that begins then, put off by each stop within it."""
-        for since, until in sorted(self.stops):
+        """The end of a span that begins then, extended by each pause within it."""
+        for since, until in sorted(self.pauses):
             if since < end and until > begin:
                 end += until - max(since, begin)
         return end
 
     def _was_killed_within(self, begin: float, end: float) -> bool:
-        return any(begin - CLOSE_CROSSING_S <= at <= end for at in self.killed)
+        return any(begin - CLOSE_RACE_S <= at <= end for at in self.killed_at)
 
     def _violations_of(self, request: ClientRequest) -> list[str]:
-        time_s = request.timeout_s + ANSWER_SLACK_S + MACHINE_SLACK_S
-        due_at = self._due_at(request.sent_at, request.sent_at + time_s)
-        if request.outcome is Outcome.LEFT or self._was_killed_within(request.sent_at, due_at):
+        allowed_s = request.timeout_s + RESPONSE_SLACK_S + SCHEDULING_SLACK_S
+        due_at = self._due_at(request.sent_at, request.sent_at + allowed_s)
+        if self._was_killed_within(request.sent_at, due_at):
             return []
-        label = f"request {request.id}"
-        if request.outcome is Outcome.CLOSED:
-            age_s = request.ended_at - request.sent_at
-            if not request.is_first_on_connection and age_s < CLOSE_CROSSING_S:
+        match request.outcome:
+            case Outcome.DISCONNECTED:
                 return []
-            after_s = request.sent_at - self.terminated_at
-            return [
-                f"{label}: closed unanswered {age_s:.3f} s after it was sent, {after_s:.3f} s after SIGTERM"
-            ]
-        if request.outcome is Outcome.PENDING:
-            return [f"{label}: never answered"]
+            case Outcome.CLOSED:
+                return self._violations_of_closed(request)
+            case Outcome.PENDING:
+                return [f"request {request.id}: no response"]
+            case Outcome.COMPLETED:
+                return self._violations_of_completed(request, due_at)
+
+    def _violations_of_closed(self, request: ClientRequest) -> list[str]:
+        age_s = request.ended_at - request.sent_at
+        if not request.is_first_on_connection and age_s < CLOSE_RACE_S:
+            return []
+        after_s = request.sent_at - self.terminated_at
+        times = f"{age_s:.3f} s after it was sent, {after_s:.3f} s after SIGTERM"
+        return [f"request {request.id}: closed without a response {times}"]
+
+    def _violations_of_completed(self, request: ClientRequest, due_at: float) -> list[str]:
         found = []
         if request.ended_at > due_at:
-            found.append(f"{label}: answered {request.ended_at - request.sent_at:.3f} s after it was sent")
+            duration_s = request.ended_at - request.sent_at
+            found.append(f"request {request.id}: response {duration_s:.3f} s after it was sent")
         if request.status == 200:
-            found += self._violations_of_served(request, label)
+            found += self._violations_of_served(request)
         return found
 
-    def _violations_of_served(self, request: ClientRequest, label: str) -> list[str]:
-        name, _, issued = request.etag.partition("-")
+    def _violations_of_served(self, request: ClientRequest) -> list[str]:
+        label = f"request {request.id}"
+        name, _, issued_ms = request.etag.partition("-")
         if name != request.name or not request.body.startswith(name.encode()):
-            return [f"{label}: served with the bytes of '{name}', asked for '{request.name}'"]
-        for told_at, unix_ms in self.invalidated.get(request.name, []):
-            limit = told_at + INVALIDATION_GRACE_S + NOTICE_SLACK_S + MACHINE_SLACK_S
-            limit += self._stood_still(told_at, request.sent_at)
-            if request.sent_at > limit and int(issued) < unix_ms:
-                return [f"{label}: served a response {unix_ms - int(issued)} ms older than its invalidation"]
+            return [f"{label}: served with the bytes of '{name}' for '{request.name}'"]
+        for notified_at, unix_ms in self.invalidated.get(request.name, []):
+            limit = notified_at + INVALIDATION_GRACE_S + SOCKET_SLACK_S + SCHEDULING_SLACK_S
+            limit += self._paused_for(notified_at, request.sent_at)
+            if request.sent_at > limit and int(issued_ms) < unix_ms:
+                age_ms = unix_ms - int(issued_ms)
+                return [f"{label}: served a response {age_ms} ms older than its invalidation"]
         return []
 
     def _endpoint_violations(self) -> list[str]:
         found = []
         for arrival in self.arrivals:
-            label = f"request {arrival.request_id} at {arrival.endpoint}"
             request = self.requests.get(arrival.request_id)
             if request is None or request.name != arrival.name:
-                found.append(f"{label}: no client sent it")
+                found.append(f"{arrival.label}: no client sent it")
+                continue
+            found += self._violation_of_disconnect(arrival, request)
+            found += self._violations_of_draining(arrival)
+        return found
+
+    def _violation_of_disconnect(self, arrival: Arrival, request: ClientRequest) -> list[str]:
+        if request.outcome is not Outcome.DISCONNECTED:
+            return []
+        limit = request.ended_at + DISCONNECT_SLACK_S + SCHEDULING_SLACK_S
+        limit += self._paused_for(request.ended_at, arrival.began_at)
+        if arrival.began_at <= limit:
+            return []
+        after_s = arrival.began_at - request.ended_at
+        return [f"{arrival.label}: received {after_s:.3f} s after its client disconnected"]
+
+    def _violations_of_draining(self, arrival: Arrival) -> list[str]:
+        found = []
+        for endpoint_id in {arrival.endpoint, arrival.source}:
+            notified_at = self.drained_at.get(endpoint_id)
+            if notified_at is None:
                 continue
-            left_limit = request.ended_at + LEFT_SLACK_S + MACHINE_SLACK_S
-            if request.outcome is Outcome.LEFT and arrival.began_at > left_limit + self._stood_still(
-                request.ended_at, arrival.began_at
-            ):
-                found.append(
-                    f"{label}: sent {arrival.began_at - request.ended_at:.3f} s after its client left"
-                )
-            for endpoint in {arrival.endpoint, arrival.source}:
-                told_at = self.drained_at.get(endpoint)
-                grace = DRAIN_GRACE_S + NOTICE_SLACK_S + MACHINE_SLACK_S
-                if told_at is not None and arrival.began_at > told_at + grace + self._stood_still(
-                    told_at, arrival.began_at
-                ):
-                    found.append(f"{label}: {endpoint} was drained {arrival.began_at - told_at:.3f} s before")
+            limit = notified_at + DRAIN_GRACE_S + SOCKET_SLACK_S + SCHEDULING_SLACK_S
+            limit += self._paused_for(notified_at, arrival.began_at)
+            if arrival.began_at > limit:
+                after_s = arrival.began_at - notified_at
+                found.append(f"{arrival.label}: {endpoint_id} was drained {after_s:.3f} s before")
         return found
 
     def _repeated_effects(self) -> list[str]:
-        """Requests of the class that must not run twice, sent again after they may have run."""
+        """Requests of the non-idempotent class, sent again after they may have been executed."""
         found = []
         possible: set[str] = set()
-        for arrival in sorted(self.arrivals, key=lambda it: it.began_at):
+        for arrival in sorted(self.arrivals, key=attrgetter("began_at")):
             request = self.requests.get(arrival.request_id)
             if request is None or request.class_name != self.non_idempotent_class:
                 continue
             if arrival.request_id in possible:
-                found.append(f"request {arrival.request_id} at {arrival.endpoint}: may have run before")
+                found.append(f"{arrival.label}: may have been executed before")
             if arrival.execution is Execution.POSSIBLE:
                 possible.add(arrival.request_id)
         return found
--- /dev/null
+++ b/tests/soak/test_oracle.py
@@ -0,0 +1,68 @@
+"""The soak's oracle: what it accepts, and what it reports."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.soak.oracle import Arrival, ClientRequest, Execution, Oracle, Outcome
+
+
+def completed_request(request_id: str = "a", **changes: object) -> ClientRequest:
+    request = ClientRequest(
+        request_id, "n", "segment", 10.0, 1.0, outcome=Outcome.COMPLETED, ended_at=10.5, status=503
+    )
+    for name, value in changes.items():
+        setattr(request, name, value)
+    return request
+
+
+@pytest.mark.parametrize(
+    ("client_request", "message"),
+    [
+        (completed_request(), ""),
+        (completed_request(ended_at=11.9), "response 1.900 s after"),
+        (completed_request(outcome=Outcome.PENDING), "no response"),
+        (completed_request(outcome=Outcome.CLOSED), "closed without a response"),
+        (completed_request(status=200, etag="m-5", body=b"m"), "served with the bytes"),
+        (completed_request(status=200, etag="n-5", body=b"n"), "older than its invalidation"),
+        (completed_request(status=200, etag="n-7", body=b"n"), ""),
+    ],
+)
+def test_oracle_reports_responses_that_violate_an_invariant(
+    client_request: ClientRequest, message: str
+) -> None:
+    oracle = Oracle("order")
+    oracle.add_request(client_request)
+    oracle.invalidated["n"] = [(9.0, 7)]
+    found = oracle.violations()
+    assert (message in found[0]) if message else not found
+
+
+@pytest.mark.parametrize(
+    ("arrivals", "message"),
+    [
+        ([Arrival("a", "c0", "c0", "n", 10.1)], ""),
+        ([Arrival("x", "c0", "c0", "n", 10.1)], "no client sent it"),
+        ([Arrival("a", "c0", "c0", "other", 10.1)], "no client sent it"),
+        ([Arrival("a", "c0", "p0", "n", 10.9)], "was drained"),
+        ([Arrival("disconnected", "c0", "c0", "n", 11.0)], "after its client disconnected"),
+        (
+            [Arrival("once", "c0", "c0", "n", 10.1), Arrival("once", "c1", "c1", "n", 10.2)],
+            "may have been executed",
+        ),
+        (
+            [Arrival("once", "c0", "c0", "n", 10.1, Execution.NONE), Arrival("once", "c1", "c1", "n", 10.2)],
+            "",
+        ),
+    ],
+)
+def test_oracle_reports_attempts_that_violate_an_invariant(arrivals: list[Arrival], message: str) -> None:
+    oracle = Oracle("order")
+    oracle.add_request(completed_request())
+    oracle.add_request(completed_request("disconnected", outcome=Outcome.DISCONNECTED))
+    oracle.add_request(completed_request("once", class_name="order"))
+    oracle.drained_at["p0"] = 10.0
+    for arrival in arrivals:
+        oracle.add_arrival(arrival)
+    found = oracle.violations()
+    assert (message in found[0]) if message else not found
