--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -5,9 +5,12 @@
 from collections import defaultdict
 from functools import cache
 from pathlib import Path
+from typing import get_args
 
 import pytest
 
+from olivepost.interface.actions import Action
+
 ROOT = Path(__file__).parents[1]
 PAGES = sorted([*ROOT.glob("*.md"), ROOT / "examples" / "README.md", *(ROOT / "docs").rglob("*.md")])
 LINK = re.compile(r"\[[^\]]*\]\(([^)\s]+)\)")
@@ -178,6 +181,12 @@
     assert sorted(missing) == []
 
 
+def test_architecture_lists_every_action_with_its_emitter() -> None:
+    rows = table_rows(ROOT / "docs" / "architecture.md", ("## Actions",))
+    listed = [name for row in rows for name in CODE.findall(row[0])]
+    assert sorted(listed) == sorted(action.__name__ for action in get_args(Action))
+
+
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
 def test_diagrams_hold_no_semicolon(page: Path) -> None:
     """Mermaid takes a semicolon for the end of a line; such a diagram is not drawn at all."""
