--- a/olivepost/proxy/discovery/event_parser.py
+++ b/olivepost/proxy/discovery/event_parser.py
@@ -11,8 +11,6 @@
 from olivepost.proxy.upstream.line_protocol import FIELD_VALUE
 from olivepost.units import MILLISECOND, Instant
 
-NO_ADDRESS = Address("", 0)  # of an endpoint that is removed, where the coordinator gives none
-
 
 @dataclass(frozen=True, slots=True)
 class NumberedEvent:
@@ -33,8 +31,8 @@
 def parse_numbered_event(item: object, now: Instant) -> NumberedEvent:
     """Parses one element of the coordinator's `updates`.
 
-    An invalid event is returned with its error, since it must not stop those behind it; without a valid
-    index the sequence is broken, which raises a ConfigError.
+    An invalid event is returned with its error, since it must not stop the events after it. An event without
+    a valid index raises a ConfigError, since the sequence is broken.
     """
     fields = FieldReader("update", item)
     index = fields.integer("index")
@@ -45,7 +43,7 @@
 
 
 def parse_event(fields: FieldReader, now: Instant) -> DiscoveryEvent:
-    """Parses an invalidation or an endpoint update; `now` is Unix time in nanoseconds."""
+    """Parses an invalidation or an endpoint update; `now` is in Unix time."""
     if "evict" in fields.data:
         return DiscoveryEvent(_parse_invalidation(fields.section("evict"), now), [])
     return _parse_endpoint_update(fields.section("endpoints"))
@@ -75,11 +73,11 @@
 
 
 def _parse_metadata(fields: FieldReader) -> api.EndpointMetadata:
-    id_ = fields.text("id")
-    if not FIELD_VALUE.fullmatch(id_):
+    endpoint_id = fields.text("id")
+    if not FIELD_VALUE.fullmatch(endpoint_id):
         raise fields.error("id", 'must be 1 to 200 visible ASCII characters without any of " + , =')
     return api.EndpointMetadata(
-        id=id_,
+        id=endpoint_id,
         state=fields.one_of("state", ENDPOINT_STATES, "in_service"),
         kind=fields.text("kind", ""),
         zone=fields.text("zone", ""),
@@ -89,7 +87,8 @@
     )
 
 
-def _parse_address(fields: FieldReader, state: api.EndpointState) -> Address:
+def _parse_address(fields: FieldReader, state: api.EndpointState) -> Address | None:
+    """The endpoint's address; the coordinator may omit it for one that is removed."""
     if state is api.EndpointState.REMOVED and "addr" not in fields.data:
-        return NO_ADDRESS
+        return None
     return fields.address("addr")
--- a/olivepost/proxy/discovery/messages.py
+++ b/olivepost/proxy/discovery/messages.py
@@ -18,10 +18,10 @@
 
 
 class DiscoveryHeartbeat:
-    """The coordinator has answered a poll; the events of its response were posted before.
+    """The coordinator has answered a poll; the events of its response were posted before this message.
 
-    The event loop sets `is_handled`: until then no further response is asked for, so that lists in a row
-    don't pile up before a loop that is busy.
+    The event loop sets `is_handled`. No further poll is sent until then, so that endpoint lists don't queue
+    up before a busy event loop.
     """
 
     __slots__ = ("is_handled",)
--- /dev/null
+++ b/olivepost/proxy/discovery/watch_state.py
@@ -0,0 +1,138 @@
+"""The watch state: which of the coordinator's events are applied, and from which index to poll.
+
+No I/O and no thread of its own: its owner holds a lock over each call.
+"""
+
+from __future__ import annotations
+
+from olivepost import interface as api
+from olivepost.config import FieldReader
+from olivepost.proxy.clock import Clock
+from olivepost.proxy.discovery.event_parser import NumberedEvent, parse_numbered_event
+from olivepost.proxy.discovery.messages import DiscoveryEvent
+from olivepost.proxy.event_log import EventLog
+from olivepost.units import Duration
+
+# Consecutive responses with a lower index than is applied, after which the coordinator is taken to number its
+# events anew. One that only lags behind sends a lower index too, and applying its old events would undo
+# drains and invalidations.
+MAX_LAGGING_RESPONSES = 3
+INDEX_BEFORE_ALL_EVENTS = 0  # the coordinator's first event has index 1
+
+
+class WatchState:
+    """The position in the coordinator's numbered events."""
+
+    def __init__(self, clock: Clock, log: EventLog) -> None:
+        self.last_index = INDEX_BEFORE_ALL_EVENTS  # of the last event that is applied
+        self.lagging_responses = 0  # consecutive
+        self._clock = clock
+        self._log = log
+        self._has_endpoints = False  # whether an endpoint update has been applied
+        self._is_resyncing = False  # whether the next poll asks for all events
+
+    @property
+    def next_index(self) -> int:
+        """The index after which to poll."""
+        return INDEX_BEFORE_ALL_EVENTS if self._is_resyncing else self.last_index
+
+    @property
+    def is_up_to_date(self) -> bool:
+        """Whether the last response came from a coordinator that is neither behind nor has lost events."""
+        return not self._is_resyncing and self.lagging_responses == 0
+
+    def apply_stored(self, data: object) -> list[DiscoveryEvent]:
+        """Applies the events of the configuration, of any age, and returns those that are new, in order.
+
+        The ages of its invalidations by this process's clock may be wrong. Only their differences are
+        certain, and the last invalidation may have been sent just now.
+        """
+        events = self._apply(data)
+        ages = [event.change.age for event in events if isinstance(event.change, api.Invalidation)]
+        youngest_age = min(ages, default=0)
+        return [_with_age_reduced(event, youngest_age) for event in events]
+
+    def apply_polled(self, data: object) -> list[DiscoveryEvent]:
+        """Applies a poll's response and returns its new events, in order.
+
+        An invalidation counts from now on: its age by this process's clock may be wrong. Taken for older than
+        it is, it would let older responses pass; taken for younger, it costs fills of what was generated
+        since.
+        """
+        return [_with_age_zero(event) for event in self._apply(data)]
+
+    def _apply(self, data: object) -> list[DiscoveryEvent]:
+        """Advances to the response's index, or begins a resync where events before it are missing.
+
+        A ConfigError says what is wrong with a response that has no valid indices; nothing of it is applied.
+        """
+        response = FieldReader("discovery response", data)
+        response_index = response.integer("index", INDEX_BEFORE_ALL_EVENTS)
+        new_events = self._parse_new_events(response)
+        self._count_lagging_response(response_index)
+        is_renumbered = self.lagging_responses >= MAX_LAGGING_RESPONSES
+        must_resync = is_renumbered or self._has_gap_before(new_events)
+        if must_resync and not self._is_resyncing:
+            self._begin_resync(response_index)
+            return []
+        self._is_resyncing = False
+        applied = [self._restored_if_first(numbered.event) for numbered in new_events if numbered.event]
+        last_event_index = new_events[-1].index if new_events else self.last_index
+        self.last_index = max(last_event_index, response_index)
+        return applied
+
+    def _parse_new_events(self, response: FieldReader) -> list[NumberedEvent]:
+        """The response's events that are not applied yet, by index; invalid ones are logged."""
+        events: list[NumberedEvent] = []
+        for item in response.items("updates"):
+            event = parse_numbered_event(item, self._clock.now())
+            if event.error is not None:
+                self._log.increment("invalid_events")
+                self._log.event("event_invalid", index=event.index, reason=str(event.error))
+            events.append(event)
+        events.sort(key=lambda event: event.index)
+        return [event for event in events if event.index > self.last_index]
+
+    def _count_lagging_response(self, response_index: int) -> None:
+        if response_index < self.last_index:
+            self.lagging_responses += 1
+        else:
+            self.lagging_responses = 0
+
+    def _has_gap_before(self, new_events: list[NumberedEvent]) -> bool:
+        """Whether events are missing between the last one applied and the first new one."""
+        if not new_events:
+            return False
+        first = new_events[0]
+        return first.index != self.last_index + 1 and not first.is_full_update
+
+    def _begin_resync(self, response_index: int) -> None:
+        """Has the next poll ask for all events from the first."""
+        self._log.event("event_gap", last_index=self.last_index, response_index=response_index)
+        self._is_resyncing = True
+        if self.lagging_responses:
+            self.last_index = INDEX_BEFORE_ALL_EVENTS
+            self.lagging_responses = 0
+
+    def _restored_if_first(self, event: DiscoveryEvent) -> DiscoveryEvent:
+        """Marks the first endpoint update after a start, which restores a list instead of changing one."""
+        if self._has_endpoints or not isinstance(event.change, api.EndpointUpdate):
+            return event
+        self._has_endpoints = True
+        restored = api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, event.change.endpoints)
+        return DiscoveryEvent(restored, event.addresses)
+
+
+def _with_age_reduced(event: DiscoveryEvent, reduction: Duration) -> DiscoveryEvent:
+    change = event.change
+    if not isinstance(change, api.Invalidation):
+        return event
+    reduced = api.Invalidation(change.object, change.group, change.age - reduction)
+    return DiscoveryEvent(reduced, event.addresses)
+
+
+def _with_age_zero(event: DiscoveryEvent) -> DiscoveryEvent:
+    change = event.change
+    if not isinstance(change, api.Invalidation):
+        return event
+    return DiscoveryEvent(api.Invalidation(change.object, change.group, 0), event.addresses)
--- a/olivepost/proxy/upstream/endpoint_address.py
+++ b/olivepost/proxy/upstream/endpoint_address.py
@@ -14,7 +14,7 @@
     """Address of one process of an endpoint; another start of the endpoint is another process."""
 
     id: str
-    socket_address: Address
+    socket_address: Address | None  # None: not given, which only a removed endpoint may have
     started_at: Instant  # Unix nanoseconds
     state: api.EndpointState
 
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -93,8 +93,11 @@
 
     def _connect_once(self) -> socket.socket:
         limits = self._resources.limits
+        address = self._connection.address.socket_address
+        if address is None:
+            raise ConnectionError("the endpoint list has no address for it")
         return sockets.connect(
-            self._connection.address.socket_address,
+            address,
             limits.connect_timeout,
             limits.receive_poll_interval,
             limits.write_stall_timeout,
--- a/tests/proxy/discovery/test_client.py
+++ b/tests/proxy/discovery/test_client.py
@@ -1,4 +1,4 @@
-"""The watch state: events applied once and in order, gaps, renumbering, and a change of coordinator."""
+"""Discovery's client: events applied once and in order, gaps, renumbering, and a change of coordinator."""
 
 import os
 from collections.abc import Iterator
@@ -10,9 +10,10 @@
 from olivepost.config import Address
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.discovery import client as client_module
-from olivepost.proxy.discovery.client import MAX_LAGGING_RESPONSES, DiscoveryClient
+from olivepost.proxy.discovery.client import DiscoveryClient
 from olivepost.proxy.discovery.long_poll import LongPoll
 from olivepost.proxy.discovery.messages import DiscoveryEvent, DiscoveryHeartbeat
+from olivepost.proxy.discovery.watch_state import MAX_LAGGING_RESPONSES
 from olivepost.proxy.event_log import EventLog
 
 COORDINATOR = Address("127.0.0.1", 7370)
@@ -22,7 +23,7 @@
 class IdleLongPoll(LongPoll):
     """A long poll without a thread."""
 
-    def __init__(self, watch_state: DiscoveryClient, address: Address, seed: float) -> None:
+    def __init__(self, owner: DiscoveryClient, address: Address, seed: float) -> None:
         self.is_stopped = False
 
     def stop(self) -> None:
@@ -30,8 +31,8 @@
 
 
 @dataclass
-class Watch:
-    """A client under test, and what it has posted."""
+class ClientHarness:
+    """A client under test, and the messages that it has posted."""
 
     client: DiscoveryClient
     log: EventLog
@@ -60,7 +61,7 @@
 
 
 @pytest.fixture
-def watch(monkeypatch: pytest.MonkeyPatch) -> Iterator[Watch]:
+def watch(monkeypatch: pytest.MonkeyPatch) -> Iterator[ClientHarness]:
     monkeypatch.setattr(client_module, "LongPoll", IdleLongPoll)
     nowhere = os.open(os.devnull, os.O_WRONLY)
     clock = Clock()
@@ -68,62 +69,74 @@
     posted: list[DiscoveryEvent | DiscoveryHeartbeat] = []
     client = DiscoveryClient(COORDINATOR, clock, log, posted.append, 1)
     client.start({"index": 1, "updates": [full_update(1)]})
-    yield Watch(client, log, posted)
+    yield ClientHarness(client, log, posted)
     client.stop()
     log.close()
     os.close(nowhere)
 
 
-def test_first_endpoint_update_is_a_restored_one(watch: Watch) -> None:
+def test_first_endpoint_update_is_posted_as_restored(watch: ClientHarness) -> None:
     watch.receive(2, full_update(2))
+
     events = [message for message in watch.posted if isinstance(message, DiscoveryEvent)]
     updates = [event.change for event in events if isinstance(event.change, api.EndpointUpdate)]
     kinds = [update.kind for update in updates]
     assert kinds == [api.EndpointUpdateKind.RESTORED, api.EndpointUpdateKind.FULL]
 
 
-def test_events_are_applied_once_and_in_order(watch: Watch) -> None:
+def test_events_are_applied_once_and_in_order(watch: ClientHarness) -> None:
     watch.receive(3, invalidation(3), invalidation(2))
     watch.receive(4, invalidation(3), invalidation(4))
+
     assert watch.invalidated_groups() == [2, 3, 4]
     assert watch.client.next_index(watch.long_poll) == 4
     assert isinstance(watch.posted[-1], DiscoveryHeartbeat)
 
 
-def test_gap_asks_for_all_events(watch: Watch) -> None:
+def test_gap_makes_the_next_poll_request_all_events(watch: ClientHarness) -> None:
     watch.receive(4, invalidation(4))
+
     assert watch.invalidated_groups() == []
     assert watch.client.next_index(watch.long_poll) == 0
     assert not any(isinstance(message, DiscoveryHeartbeat) for message in watch.posted)
+
     watch.receive(4, invalidation(3), invalidation(4))
+
     assert watch.invalidated_groups() == [3, 4]
     assert watch.client.next_index(watch.long_poll) == 4
 
 
-def test_coordinator_that_numbers_anew_is_followed_from_its_first_event(watch: Watch) -> None:
+def test_coordinator_that_renumbers_its_events_is_followed_from_the_first(watch: ClientHarness) -> None:
     watch.receive(5, *(invalidation(index) for index in range(2, 6)))
+
     for _ in range(MAX_LAGGING_RESPONSES - 1):
         watch.receive(1)
         assert watch.client.next_index(watch.long_poll) == 5
+
     watch.receive(1)
     assert watch.client.next_index(watch.long_poll) == 0
+
     watch.receive(1, invalidation(1))
     assert watch.invalidated_groups() == [2, 3, 4, 5, 1]
 
 
-def test_invalid_event_is_counted_and_skipped(watch: Watch) -> None:
+def test_invalid_event_is_counted_and_skipped(watch: ClientHarness) -> None:
     watch.receive(3, {"index": 2, "evict": {}}, invalidation(3))
+
     assert watch.log.counters()["invalid_events"] == 1
     assert watch.invalidated_groups() == [3]
 
 
-def test_response_to_a_replaced_poll_is_dropped(watch: Watch) -> None:
+def test_response_to_a_replaced_poll_is_dropped(watch: ClientHarness) -> None:
     replaced = watch.long_poll
+
     assert watch.client.switch_coordinator(OTHER_COORDINATOR)
     assert not watch.client.switch_coordinator(OTHER_COORDINATOR)
     assert isinstance(replaced, IdleLongPoll)
     assert replaced.is_stopped
+
     watch.client.accept_response(replaced, {"index": 2, "updates": [invalidation(2)]})
+
     assert watch.invalidated_groups() == []
     assert watch.client.next_index(replaced) is None
     assert watch.client.next_index(watch.long_poll) == 1
--- a/tests/proxy/discovery/test_event_parser.py
+++ b/tests/proxy/discovery/test_event_parser.py
@@ -4,7 +4,7 @@
 
 from olivepost import interface as api
 from olivepost.config import Address
-from olivepost.proxy.discovery.event_parser import NO_ADDRESS, parse_numbered_event
+from olivepost.proxy.discovery.event_parser import parse_numbered_event
 from olivepost.units import MILLISECOND, SECOND
 
 NOW = 1_000 * SECOND
@@ -13,6 +13,7 @@
 
 def test_endpoint_update_has_metadata_and_addresses() -> None:
     parsed = parse_numbered_event({"index": 3, "endpoints": {"full": True, "servers": [SERVER]}}, NOW)
+
     assert parsed.index == 3
     assert parsed.is_full_update
     assert parsed.event is not None
@@ -29,14 +30,16 @@
 def test_removed_endpoint_needs_no_address() -> None:
     server = {"id": "a", "state": "terminated"}
     parsed = parse_numbered_event({"index": 1, "endpoints": {"servers": [server]}}, NOW)
+
     assert parsed.event is not None
-    assert parsed.event.addresses[0].socket_address == NO_ADDRESS
+    assert parsed.event.addresses[0].socket_address is None
     assert not parsed.is_full_update
 
 
 def test_invalidation_has_its_age() -> None:
     item = {"index": 2, "evict": {"ref": "n1", "unix_ms": (NOW - 3 * SECOND) // MILLISECOND}}
     parsed = parse_numbered_event(item, NOW)
+
     assert parsed.event is not None
     assert parsed.event.change == api.Invalidation("n1", None, 3 * SECOND)
 
@@ -53,6 +56,7 @@
 )
 def test_invalid_event_keeps_its_index_and_names_the_key(fields: dict[str, object], key: str) -> None:
     parsed = parse_numbered_event({"index": 7, **fields}, NOW)
+
     assert parsed.index == 7
     assert parsed.event is None
     assert parsed.error is not None
--- a/tests/proxy/discovery/test_flow_control.py
+++ b/tests/proxy/discovery/test_flow_control.py
@@ -1,4 +1,4 @@
-"""Discovery neither spins nor runs ahead of the event loop."""
+"""Discovery neither polls without pause nor ahead of the event loop."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from examples.toy_server import Coordinator
 from olivepost.proxy.discovery.long_poll import MIN_POLL_INTERVAL
-from olivepost.units import SECOND
+from olivepost.units import SECOND, Instant
 from tests.proxy_harness import running_proxy
 
 WATCHED_S = 1.0
@@ -23,37 +23,41 @@
     with running_proxy() as proxy:
         assert proxy.coordinator.wait_for_poll(1)
         before = proxy.coordinator.polls
+
         time.sleep(WATCHED_S)
+
         assert proxy.coordinator.polls - before <= WATCHED_S * SECOND / MIN_POLL_INTERVAL + 1
 
 
 def test_next_list_is_polled_once_the_last_one_is_handled() -> None:
     with running_proxy() as proxy:
-        gate = threading.Event()
-        held = threading.Event()
+        may_continue = threading.Event()
+        is_blocked = threading.Event()
         router = proxy.server.event_loop.router
         handle = router.handle
 
-        def late(now: int, event: Any) -> Any:
-            held.set()
-            gate.wait(0.5)
+        def handle_late(now: Instant, event: Any) -> Any:
+            is_blocked.set()
+            may_continue.wait(0.5)
             return handle(now, event)
 
         assert proxy.coordinator.wait_for_poll(1)
-        router.handle = late  # type: ignore[method-assign]
+        router.handle = handle_late  # type: ignore[method-assign]
         proxy.coordinator.add(endpoints={"version": 2, "full": True, "servers": proxy.listed_endpoints})
-        assert held.wait(20)
+        assert is_blocked.wait(20)
         polls = proxy.coordinator.polls
+
         for version in range(3, 8):
             proxy.coordinator.add(
                 endpoints={"version": version, "full": True, "servers": proxy.listed_endpoints}
             )
+
         assert proxy.coordinator.polls <= polls + 1
-        gate.set()
-        assert proxy.wait_until(lambda: proxy.server.discovery._last_index == 7)
+        may_continue.set()
+        assert proxy.wait_until(lambda: proxy.server.discovery._watch_state.last_index == 7)
 
 
-def test_decoded_list_of_the_start_is_not_kept() -> None:
+def test_configured_events_are_released_after_the_start() -> None:
     with running_proxy() as proxy:
         assert proxy.server.config.known_events is None
         assert len(router_endpoints(proxy)) == 4
--- a/tests/proxy/test_discovery_changes.py
+++ b/tests/proxy/test_discovery_changes.py
@@ -13,7 +13,7 @@
 from examples.toy_server import Coordinator, listed_endpoint
 from olivepost import interface as api
 from olivepost.config import read_address, read_config
-from olivepost.proxy.discovery import long_poll
+from olivepost.proxy.discovery import long_poll, poll_backoff
 from olivepost.proxy.discovery.client import DiscoveryClient
 from olivepost.proxy.discovery.messages import DiscoveryEvent, DiscoveryHeartbeat
 from olivepost.proxy.messages import StopEventLoop
@@ -186,13 +186,13 @@
                 "servers": [{**proxy.listed_endpoints[0], "state": "terminating"}],
             }
         )
-        assert proxy.wait_until(lambda: proxy.server.discovery._last_index == 2)
+        assert proxy.wait_until(lambda: proxy.server.discovery._watch_state.last_index == 2)
         lagging = Coordinator()
         lagging.events = proxy.coordinator.events[:1]
         proxy.server.discovery.switch_coordinator(read_address(lagging.address))
         assert lagging.wait_for_poll(2)
         assert lagging.follows[:2] == [2, 2]
-        assert proxy.wait_until(lambda: proxy.server.discovery._lagging_responses >= 1)
+        assert proxy.wait_until(lambda: proxy.server.discovery._watch_state.lagging_responses >= 1)
         lagging.events = list(proxy.coordinator.events)
         lagging.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         purges = proxy.server.event_loop._router.state.invalidations
@@ -243,7 +243,7 @@
 def test_drain_during_silent_polls_is_applied_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """The open poll gets no response, nor the next one; the cache drains meanwhile and stays up."""
     monkeypatch.setattr(long_poll, "POLL_WAIT", 100 * MS)
-    monkeypatch.setattr(long_poll, "FIRST_RESPONSE_TIMEOUT", 100 * MS)
+    monkeypatch.setattr(poll_backoff, "FIRST_RESPONSE_TIMEOUT", 100 * MS)
     with running_proxy() as proxy, proxy.connect() as client:
         other = SilentCoordinator(2)
         other.events = list(proxy.coordinator.events)
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -310,10 +310,15 @@
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
         assert proxy.coordinator.wait_for_poll(1)
-        follower = proxy.server.discovery._long_poll
+        long_poll = proxy.server.discovery._long_poll
         links = [link for server in proxy.server.upstream._endpoints.values() for link in server.connections]
-        assert follower is not None
+        assert long_poll is not None
+        assert long_poll._connection is not None
         assert links
-        for sock in (only_connection(proxy)._sock, follower._sock, *(link._sock for link in links)):
+        for sock in (
+            only_connection(proxy)._sock,
+            long_poll._connection.sock,
+            *(link._sock for link in links),
+        ):
             assert sock is not None
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
