--- a/olivepost/config/__init__.py
+++ b/olivepost/config/__init__.py
@@ -5,14 +5,14 @@
 """
 
 from olivepost.config.fields import Address, ConfigError, FieldReader, read_address
-from olivepost.config.limits import MAX_OBJECT_SIZE, SMALL_BODY_SIZE, ResourceLimits
+from olivepost.config.limits import MAX_OBJECT_BYTES, SMALL_BODY_BYTES, ResourceLimits
 from olivepost.config.loader import ProxyConfig, keys_needing_restart, load, read_config
 from olivepost.config.router_settings import ENDPOINT_STATES, read_settings
 
 __all__ = [
     "ENDPOINT_STATES",
-    "MAX_OBJECT_SIZE",
-    "SMALL_BODY_SIZE",
+    "MAX_OBJECT_BYTES",
+    "SMALL_BODY_BYTES",
     "Address",
     "ConfigError",
     "FieldReader",
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -24,11 +24,11 @@
 DEFAULT_CONNECT_TIMEOUT: Duration = 400 * MILLISECOND
 
 # Sizes of messages.
-MAX_OBJECT_SIZE = 240_000  # bytes: the platform's largest object
-SMALL_BODY_SIZE = 16_384  # bytes of a request's body that any connection may hold without a reservation
+MAX_OBJECT_BYTES = 240_000  # bytes: the platform's largest object
+SMALL_BODY_BYTES = 16_384  # bytes of a request's body that any connection may hold without a reservation
 
 # Buffers are smaller where memory is short, since each connection holds one.
-BUFFER_SIZE = 16_384  # bytes
+BUFFER_BYTES = 16_384  # bytes
 FULL_BUFFER_MEMORY_MB = 128  # from here on buffers have their full size
 HALF_BUFFER_MEMORY_MB = 48  # from here on half of it, below a quarter
 
@@ -40,19 +40,23 @@
 
 # Connections.
 CLIENTS_PER_UPSTREAM = Share(3, 2)  # client connections that fit into memory for each upstream one
-CLIENT_SOCKETS = Share(15, 32)  # of the descriptors: usual clients hold a third, others may have the rest
-UPSTREAM_SOCKETS = Share(3, 8)  # of the descriptors; what is left serves the listener, discovery and files
-ENDPOINT_SOCKETS = Share(1, 16)  # of the descriptors, to one endpoint
+CLIENT_SOCKETS_SHARE = Share(
+    15, 32
+)  # of the descriptors: usual clients hold a third, others may have the rest
+UPSTREAM_SOCKETS_SHARE = Share(
+    3, 8
+)  # of the descriptors; what is left serves the listener, discovery and files
+ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # of the descriptors, to one endpoint
 MAX_CLIENT_CONNECTIONS = 4_096
 # A bound of 4 left requests without a connection (never sent) whenever responses took long at full load.
 MIN_CONNECTIONS_PER_ENDPOINT = 3
 SPARE_CONNECTIONS_PER_ENDPOINT = 2  # beyond those that carry one request of each client connection
 
 # Bodies.
-LARGE_BODY_MEMORY = Share(1, 5)  # of the memory for bodies, where a class writes
-MIN_LARGE_BODY_BYTES = 2 * MAX_OBJECT_SIZE
+LARGE_BODY_MEMORY_SHARE = Share(1, 5)  # of the memory for bodies, where a class writes
+MIN_LARGE_BODY_BYTES = 2 * MAX_OBJECT_BYTES
 LARGE_BODY_COPIES = 2  # a large body may be held twice, for a moment
-CACHE_BUFFERS = Share(2, 3)  # of the body buffers
+CACHE_BUFFERS_SHARE = Share(2, 3)  # of the body buffers
 MIN_BODY_BUFFERS = 64  # nothing can be served with fewer
 MAX_BODY_BUFFERS = 8_192
 
@@ -74,13 +78,13 @@
     # Buffers for bodies; a pool of their own, so that peers that hold bodies can't stop the proxy reading.
     body_buffers: int
     cache_buffers: int  # of the body buffers, those that the response cache may hold
-    buffer_size: int
+    buffer_bytes: int
     large_body_bytes: int  # of all request bodies beyond the small ones; 0 where no class writes
-    max_request_body: int  # an object's size where a class writes
-    max_head_size: int = 8_192  # of a request's line and headers
-    small_body_size: int = SMALL_BODY_SIZE  # that any connection may hold
-    max_response_body: int = MAX_OBJECT_SIZE
-    stack_size: int = 262_144  # of each thread
+    max_request_body_bytes: int  # an object's size where a class writes
+    max_head_bytes: int = 8_192  # of a request's line and headers
+    small_body_bytes: int = SMALL_BODY_BYTES  # that any connection may hold
+    max_response_body_bytes: int = MAX_OBJECT_BYTES
+    stack_bytes: int = 262_144  # of each thread
     max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # in flight on one upstream connection
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
     upstream_idle_timeout: Duration = DEFAULT_UPSTREAM_IDLE_TIMEOUT
@@ -97,7 +101,7 @@
     response_timeout: Duration = 2 * SECOND
     # A connection with pending requests and no byte received for so long gets a liveness check, and is closed
     # if that is not answered in time: the check is cheap, and endpoints stand still for less.
-    liveness_check_after: int = 200 * MILLISECOND
+    liveness_check_delay: Duration = 200 * MILLISECOND
     liveness_check_timeout: Duration = 200 * MILLISECOND
     receive_poll_interval: Duration = 50 * MILLISECOND  # how often a silent upstream connection is checked
     # Threads that write responses: none of them blocks, and more only wake each other at full load.
@@ -143,10 +147,10 @@
 
 def derive_limits(platform: PlatformLimits) -> ResourceLimits:
     """Shares out memory and descriptors."""
-    buffer_size = choose_buffer_size(platform.memory_mb)
+    buffer_bytes = choose_buffer_bytes(platform.memory_mb)
     budget = MemoryBudget.of_limit(platform.memory_mb)
-    connections = plan_connections(budget.connections, buffer_size, platform.max_sockets)
-    bodies = plan_bodies(budget.bodies, buffer_size, platform.has_writes)
+    connections = plan_connections(budget.connections, buffer_bytes, platform.max_sockets)
+    bodies = plan_bodies(budget.bodies, buffer_bytes, platform.has_writes)
     return ResourceLimits(
         memory_mb=platform.memory_mb,
         memory=budget,
@@ -158,38 +162,38 @@
         max_upstream_connections=connections.upstream,
         read_buffers=connections.total,
         body_buffers=bodies.buffers,
-        cache_buffers=CACHE_BUFFERS.of(bodies.buffers),
-        buffer_size=buffer_size,
+        cache_buffers=CACHE_BUFFERS_SHARE.of(bodies.buffers),
+        buffer_bytes=buffer_bytes,
         large_body_bytes=bodies.large_body_bytes,
-        max_request_body=MAX_OBJECT_SIZE if platform.has_writes else SMALL_BODY_SIZE,
+        max_request_body_bytes=MAX_OBJECT_BYTES if platform.has_writes else SMALL_BODY_BYTES,
         max_requests_per_connection=platform.requests_per_connection,
         connect_timeout=platform.connect_timeout,
         upstream_idle_timeout=platform.upstream_idle_timeout,
     )
 
 
-def choose_buffer_size(memory_mb: int) -> int:
+def choose_buffer_bytes(memory_mb: int) -> int:
     """Bytes of one buffer."""
     if memory_mb >= FULL_BUFFER_MEMORY_MB:
-        return BUFFER_SIZE
+        return BUFFER_BYTES
     if memory_mb >= HALF_BUFFER_MEMORY_MB:
-        return BUFFER_SIZE // 2
-    return BUFFER_SIZE // 4
+        return BUFFER_BYTES // 2
+    return BUFFER_BYTES // 4
 
 
-def plan_connections(available_bytes: int, buffer_size: int, max_sockets: int) -> ConnectionPlan:
+def plan_connections(available_bytes: int, buffer_bytes: int, max_sockets: int) -> ConnectionPlan:
     """Shares out the connections that memory and descriptors allow; what clients leave upstream may use."""
-    client_bytes = CLIENT_CONNECTION_BYTES + buffer_size
-    upstream_bytes = UPSTREAM_CONNECTION_BYTES + buffer_size
+    client_bytes = CLIENT_CONNECTION_BYTES + buffer_bytes
+    upstream_bytes = UPSTREAM_CONNECTION_BYTES + buffer_bytes
     group_bytes = (
         CLIENTS_PER_UPSTREAM.numerator * client_bytes + CLIENTS_PER_UPSTREAM.denominator * upstream_bytes
     )
     groups = available_bytes // group_bytes
     client = min(
-        MAX_CLIENT_CONNECTIONS, CLIENT_SOCKETS.of(max_sockets), groups * CLIENTS_PER_UPSTREAM.numerator
+        MAX_CLIENT_CONNECTIONS, CLIENT_SOCKETS_SHARE.of(max_sockets), groups * CLIENTS_PER_UPSTREAM.numerator
     )
     upstream = min(
-        UPSTREAM_SOCKETS.of(max_sockets), (available_bytes - client * client_bytes) // upstream_bytes
+        UPSTREAM_SOCKETS_SHARE.of(max_sockets), (available_bytes - client * client_bytes) // upstream_bytes
     )
     return ConnectionPlan(client, upstream)
 
@@ -198,16 +202,16 @@
     """Connections to one endpoint: enough for one request of each client, within a share of descriptors."""
     for_all_clients = -(-clients // requests_per_connection)  # rounded up
     wanted = for_all_clients + SPARE_CONNECTIONS_PER_ENDPOINT
-    return max(MIN_CONNECTIONS_PER_ENDPOINT, min(ENDPOINT_SOCKETS.of(max_sockets), wanted))
+    return max(MIN_CONNECTIONS_PER_ENDPOINT, min(ENDPOINT_SOCKETS_SHARE.of(max_sockets), wanted))
 
 
-def plan_bodies(available_bytes: int, buffer_size: int, has_writes: bool) -> BodyPlan:
+def plan_bodies(available_bytes: int, buffer_bytes: int, has_writes: bool) -> BodyPlan:
     """Shares out the memory for bodies among large request bodies and the body buffers."""
     large_body_bytes = 0
     if has_writes:
-        large_body_bytes = max(MIN_LARGE_BODY_BYTES, LARGE_BODY_MEMORY.of(available_bytes))
+        large_body_bytes = max(MIN_LARGE_BODY_BYTES, LARGE_BODY_MEMORY_SHARE.of(available_bytes))
     remaining_bytes = available_bytes - LARGE_BODY_COPIES * large_body_bytes
-    buffers = min(MAX_BODY_BUFFERS, remaining_bytes // (buffer_size + BUFFER_OVERHEAD_BYTES))
+    buffers = min(MAX_BODY_BUFFERS, remaining_bytes // (buffer_bytes + BUFFER_OVERHEAD_BYTES))
     return BodyPlan(max(MIN_BODY_BUFFERS, buffers), large_body_bytes)
 
 
--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -27,7 +27,7 @@
 
 # What stays free: the allocator's fragments, what is on its way between two owners, and what comes in until
 # the process has noticed that it is close to its limit.
-USABLE = Share(9, 10)
+USABLE_SHARE = Share(9, 10)
 # The program before its first connection, with the mapped files of the interpreter: measured 21.9 MB.
 PROGRAM_BYTES = 22 * BYTES_PER_MB
 MIN_SPARE_BYTES = 4 * BYTES_PER_MB  # with less no useful number of connections fits
@@ -37,18 +37,18 @@
 INVALIDATION_BYTES = 320
 BUFFER_OVERHEAD_BYTES = 1_024  # of a body's buffer: its view, and the body and cache entry that hold it
 # A poll's response is held as received and decoded, several times its size, until its events are handled.
-DISCOVERY_RESPONSE = Share(1, 32)  # of the limit, for the body of one response
+DISCOVERY_RESPONSE_SHARE = Share(1, 32)  # of the limit, for the body of one response
 MIN_DISCOVERY_RESPONSE_BYTES = 2 * BYTES_PER_MB  # the platform's longest endpoint lists have half a megabyte
 
 # Shares of what the program leaves of the usable memory. They sum to one.
-CONNECTIONS = Share(42, 100)
-BODIES = Share(28, 100)
-NAMES = Share(11, 100)
-REQUESTS = Share(7, 100)
-ENDPOINTS = Share(5, 100)
-ROUTES = Share(4, 100)
-INVALIDATIONS = Share(1, 100)
-LOG = Share(2, 100)
+CONNECTIONS_SHARE = Share(42, 100)
+BODIES_SHARE = Share(28, 100)
+NAMES_SHARE = Share(11, 100)
+REQUESTS_SHARE = Share(7, 100)
+ENDPOINTS_SHARE = Share(5, 100)
+ROUTES_SHARE = Share(4, 100)
+INVALIDATIONS_SHARE = Share(1, 100)
+LOG_SHARE = Share(2, 100)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
     @property
     def max_discovery_response(self) -> int:
         """Bytes that a poll's response may have."""
-        return max(MIN_DISCOVERY_RESPONSE_BYTES, DISCOVERY_RESPONSE.of(self.limit))
+        return max(MIN_DISCOVERY_RESPONSE_BYTES, DISCOVERY_RESPONSE_SHARE.of(self.limit))
 
     @property
     def total(self) -> int:
@@ -91,16 +91,16 @@
     def of_limit(cls, memory_mb: int) -> MemoryBudget:
         """Shares out the platform's limit."""
         limit = memory_mb * BYTES_PER_MB
-        spare = max(MIN_SPARE_BYTES, USABLE.of(limit) - PROGRAM_BYTES)
+        spare = max(MIN_SPARE_BYTES, USABLE_SHARE.of(limit) - PROGRAM_BYTES)
         return cls(
             limit=limit,
             program=PROGRAM_BYTES,
-            connections=CONNECTIONS.of(spare),
-            bodies=BODIES.of(spare),
-            names=NAMES.of(spare),
-            requests=REQUESTS.of(spare),
-            endpoints=ENDPOINTS.of(spare),
-            routes=ROUTES.of(spare),
-            invalidations=INVALIDATIONS.of(spare),
-            log=LOG.of(spare),
+            connections=CONNECTIONS_SHARE.of(spare),
+            bodies=BODIES_SHARE.of(spare),
+            names=NAMES_SHARE.of(spare),
+            requests=REQUESTS_SHARE.of(spare),
+            endpoints=ENDPOINTS_SHARE.of(spare),
+            routes=ROUTES_SHARE.of(spare),
+            invalidations=INVALIDATIONS_SHARE.of(spare),
+            log=LOG_SHARE.of(spare),
         )
--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -74,7 +74,7 @@
         with contextlib.suppress(OSError):
             sockets.configure(self._sock, 0, limits.write_stall_timeout)
         with contextlib.suppress(OSError):
-            sockets.set_send_buffer(self._sock, limits.max_response_body)
+            sockets.set_send_buffer(self._sock, limits.max_response_body_bytes)
 
     def _read(self, view: memoryview) -> None:
         """Waits for bytes without the lock, and receives them with it.
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -57,7 +57,7 @@
         self._context = context
         self._sock = sock
         self._lock = threading.Lock()
-        self._parser = RequestParser(context.limits.max_head_size, context.limits.max_request_body)
+        self._parser = RequestParser(context.limits.max_head_bytes, context.limits.max_request_body_bytes)
         self._body_reservation = LargeBodyReservation(context.large_bodies)
         self._exchange: Exchange | None = None
         self._keeps_alive = True  # as the request in hand asks
--- a/olivepost/proxy/downstream/context.py
+++ b/olivepost/proxy/downstream/context.py
@@ -31,4 +31,4 @@
     large_bodies: LargeBodyBudget = field(init=False)
 
     def __post_init__(self) -> None:
-        self.large_bodies = LargeBodyBudget(self.limits.large_body_bytes, self.limits.small_body_size)
+        self.large_bodies = LargeBodyBudget(self.limits.large_body_bytes, self.limits.small_body_bytes)
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -72,8 +72,8 @@
         self.clock = Clock()
         self.log = EventLog(self.clock, config.name, limits.memory.log, log_descriptor)
         # Apart from each other, so that bodies which clients hold can't keep sockets from being read.
-        self.body_buffers = BufferPool(limits.body_buffers, limits.buffer_size)
-        self.read_buffers = BufferPool(limits.read_buffers, limits.buffer_size)
+        self.body_buffers = BufferPool(limits.body_buffers, limits.buffer_bytes)
+        self.read_buffers = BufferPool(limits.read_buffers, limits.buffer_bytes)
         self.response_cache = ResponseCache(limits.cache_buffers)
         events = EventQueue(self.clock)
         self.upstream = UpstreamPool(
@@ -212,7 +212,7 @@
     operator: OperatorSettings | None,
 ) -> int:
     """Runs a proxy until SIGTERM or SIGINT; SIGHUP reloads its configuration. Returns the exit code."""
-    threading.stack_size(config.limits.stack_size)
+    threading.stack_size(config.limits.stack_bytes)
     try:
         proxy = ProxyServer(config, STDOUT, operator, source, signals.wait)
         proxy.start()
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -51,4 +51,4 @@
 
     def is_check_due(self, now: Instant, waiting_since: Instant) -> bool:
         """Whether the connection has been silent too long for the request that waits longest."""
-        return now - max(waiting_since, self.last_received_at) > self.limits.liveness_check_after
+        return now - max(waiting_since, self.last_received_at) > self.limits.liveness_check_delay
--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -27,7 +27,7 @@
         self._connection = connection
         self._resources = connection.resources
         self._liveness = connection.liveness
-        self._parser = ResponseParser(connection.resources.limits.max_response_body)
+        self._parser = ResponseParser(connection.resources.limits.max_response_body_bytes)
         self._line: ResponseLine | None = None  # of the response in progress
         self._request: UpstreamRequest | None = None  # that it answers; None: it is dropped
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -32,7 +32,7 @@
     assert limits.connect_timeout == 400 * MILLISECOND
     assert limits.upstream_idle_timeout == 30 * SECOND
     assert limits.max_client_connections >= 1024 // 3
-    assert limits.body_buffers * limits.buffer_size <= 192 * BYTES_PER_MB // 2
+    assert limits.body_buffers * limits.buffer_bytes <= 192 * BYTES_PER_MB // 2
     assert limits.cache_buffers < limits.body_buffers
     requests_per_endpoint = limits.max_connections_per_endpoint * limits.max_requests_per_connection
     assert requests_per_endpoint >= limits.max_client_connections
@@ -68,21 +68,21 @@
 @pytest.mark.parametrize(("memory_mb", "sockets"), [(32, 256), (64, 256), (192, 1024), (2048, 4096)])
 def test_proxy_fits_into_the_memory_and_descriptors_it_is_given(memory_mb: int, sockets: int) -> None:
     limits = read_config(toy_config(limits={"memory_mb": memory_mb, "sockets": sockets}), {}).limits
-    buffer_bytes = (limits.read_buffers + limits.body_buffers) * limits.buffer_size
+    buffer_bytes = (limits.read_buffers + limits.body_buffers) * limits.buffer_bytes
     threads = limits.max_client_connections + 2 * limits.max_upstream_connections
     stack_bytes = threads * 24 * 1024  # the part of each thread's stack that is touched
     assert 22 * BYTES_PER_MB + buffer_bytes + stack_bytes < memory_mb * BYTES_PER_MB
     assert limits.max_client_connections + limits.max_upstream_connections + 16 < sockets
     assert limits.max_client_connections >= 32
     assert limits.cache_buffers < limits.body_buffers
-    assert limits.body_buffers * limits.buffer_size >= 240_000
+    assert limits.body_buffers * limits.buffer_bytes >= 240_000
 
 
 def test_unknown_keys_are_skipped_and_missing_limits_have_defaults() -> None:
     config = read_config(toy_config(limits={"sockets": 256, "of_tomorrow": 1}, of_tomorrow=[]), {})
     assert config.limits.max_sockets == 256
     assert config.limits.memory_mb == 192
-    assert config.limits.buffer_size == 16_384
+    assert config.limits.buffer_bytes == 16_384
     assert config.limits.max_client_connections < 256 // 2
 
 
--- a/tests/config/test_memory_budget.py
+++ b/tests/config/test_memory_budget.py
@@ -24,8 +24,8 @@
     classes = len(config["settings"]["classes"])
     config["settings"]["family-info"]["pass-on"] = [has_writes] * classes
     limits = read_config(config, {}).limits
-    client_bytes = limits.max_client_connections * (CLIENT_CONNECTION_BYTES + limits.buffer_size)
-    upstream_bytes = limits.max_upstream_connections * (UPSTREAM_CONNECTION_BYTES + limits.buffer_size)
+    client_bytes = limits.max_client_connections * (CLIENT_CONNECTION_BYTES + limits.buffer_bytes)
+    upstream_bytes = limits.max_upstream_connections * (UPSTREAM_CONNECTION_BYTES + limits.buffer_bytes)
     assert client_bytes + upstream_bytes <= limits.memory.connections
-    buffer_bytes = limits.body_buffers * (limits.buffer_size + BUFFER_OVERHEAD_BYTES)
+    buffer_bytes = limits.body_buffers * (limits.buffer_bytes + BUFFER_OVERHEAD_BYTES)
     assert buffer_bytes + limits.large_body_bytes <= limits.memory.bodies
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -99,7 +99,7 @@
                     respond_normally(endpoint, waiting)
 
     with (
-        running_proxy(reply, bounds={"liveness_check_after": 100_000_000}) as proxy,
+        running_proxy(reply, bounds={"liveness_check_delay": 100_000_000}) as proxy,
         proxy.connect() as client,
     ):
         assert client.request(timeout_ms=15_000)[2] == body_of(OBJECT_NAME, "3")
--- a/tests/proxy/test_upstream_rules.py
+++ b/tests/proxy/test_upstream_rules.py
@@ -32,9 +32,9 @@
     read_buffers=16,
     body_buffers=16,
     cache_buffers=0,
-    buffer_size=4_096,
+    buffer_bytes=4_096,
     large_body_bytes=0,
-    max_request_body=65_536,
+    max_request_body_bytes=65_536,
 )
 
 
@@ -140,7 +140,7 @@
 
 def test_liveness_check_is_due_after_a_silence_with_a_waiting_request() -> None:
     liveness = LivenessMonitor(LIMITS, last_received_at=START)
-    now = START + LIMITS.liveness_check_after + 1
+    now = START + LIMITS.liveness_check_delay + 1
     assert liveness.is_check_due(now, START)
     assert not liveness.is_check_due(now, waiting_since=now)
 
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from examples.toy_server import Command, ToyEndpoint, respond_normally
-from olivepost.config import MAX_OBJECT_SIZE, SMALL_BODY_SIZE, read_config
+from olivepost.config import MAX_OBJECT_BYTES, SMALL_BODY_BYTES, read_config
 from olivepost.proxy.downstream.body_budget import LargeBodyBudget, LargeBodyReservation
 from tests.proxy_harness import (
     OBJECT_NAME,
@@ -94,7 +94,7 @@
 def test_platform_classes_reject_writes() -> None:
     """Request bodies stay small there, and no memory is reserved for large ones."""
     limits = read_config(toy_config(), {}).limits
-    assert limits.max_request_body == SMALL_BODY_SIZE
+    assert limits.max_request_body_bytes == SMALL_BODY_BYTES
     assert limits.large_body_bytes == 0
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(put_request())
@@ -110,27 +110,27 @@
         gate.wait(WAIT_TIMEOUT_S)
         serve_writes(endpoint, command)
 
-    largest_body = b"y" * MAX_OBJECT_SIZE
+    largest_body = b"y" * MAX_OBJECT_BYTES
     with running_proxy(
-        reply, settings=write_settings("read_like"), bounds={"large_body_bytes": 2 * MAX_OBJECT_SIZE}
+        reply, settings=write_settings("read_like"), bounds={"large_body_bytes": 2 * MAX_OBJECT_BYTES}
     ) as proxy:
         first, leaving, late = proxy.connect(), proxy.connect(), proxy.connect()
         first.send(put_request(largest_body))
-        leaving.send(put_request(largest_body, "0" * 16)[: -MAX_OBJECT_SIZE // 2])
-        assert proxy.wait_until(lambda: reserved_bytes(proxy) == 2 * MAX_OBJECT_SIZE)
-        late.send(put_request(largest_body, "1" * 16)[:-MAX_OBJECT_SIZE])
+        leaving.send(put_request(largest_body, "0" * 16)[: -MAX_OBJECT_BYTES // 2])
+        assert proxy.wait_until(lambda: reserved_bytes(proxy) == 2 * MAX_OBJECT_BYTES)
+        late.send(put_request(largest_body, "1" * 16)[:-MAX_OBJECT_BYTES])
         assert late.read_response()[0] == 503
         assert late.is_closed_by_proxy()
         leaving.sock.close()
-        assert proxy.wait_until(lambda: reserved_bytes(proxy) == MAX_OBJECT_SIZE)
+        assert proxy.wait_until(lambda: reserved_bytes(proxy) == MAX_OBJECT_BYTES)
         gate.set()
         assert first.read_response()[0] == 200
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 0)
         first.send(put_request(largest_body))
         assert first.read_response()[0] == 200
         assert [len(command.body) for command in proxy.wait_for_fetches(2) if command.body] == [
-            MAX_OBJECT_SIZE,
-            MAX_OBJECT_SIZE,
+            MAX_OBJECT_BYTES,
+            MAX_OBJECT_BYTES,
         ]
         for client in (first, late):
             client.sock.close()
@@ -156,7 +156,7 @@
         running_proxy(serve_writes, settings=write_settings(), bounds={"large_body_bytes": 0}) as proxy,
         proxy.connect() as client,
     ):
-        client.send(put_request(b"x" * SMALL_BODY_SIZE))
+        client.send(put_request(b"x" * SMALL_BODY_BYTES))
         assert client.read_response()[0] == 200
 
 
