--- a/olivepost/config/__init__.py
+++ b/olivepost/config/__init__.py
@@ -1,4 +1,4 @@
-"""Configuration: the platform's JSON read into typed settings and resource limits, every fault by its key.
+"""Configuration: the platform's JSON read into typed settings and resource limits, with errors by key.
 
 `load` reads the configuration of a proxy process; `read_settings` reads the router settings alone, also for
 the simulator's adapter.
--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -9,7 +9,7 @@
 
 from olivepost.units import Duration
 
-MAX_DURATION: Duration = 1 << 62  # longer ones would overflow 64 bits as soon as a time is added
+MAX_DURATION: Duration = 1 << 62  # an instant plus a longer one would overflow 64 bits
 MAX_OCTET = 255
 MAX_PORT = 65_535
 IPV4_ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
@@ -20,17 +20,20 @@
 class ConfigError(Exception):
     """A configuration cannot be used.
 
-    `where` names the object that holds the fault and `key` its field; either is empty where the fault is
-    not in an object's field. `reason` says what is wrong and what is allowed.
+    `where` names the object that holds the fault and `key` its field; None where the fault is not in an
+    object, or not in one field of it. `reason` says what is wrong and what is allowed.
     """
 
-    def __init__(self, reason: str, *, where: str = "", key: str = "") -> None:
+    def __init__(self, reason: str, *, where: str | None = None, key: str | None = None) -> None:
         self.reason = reason
         self.where = where
         self.key = key
-        quoted_key = f"'{key}'" if key else ""
-        subject = ": ".join(part for part in (where, quoted_key) if part)
-        super().__init__(f"{subject} {reason}" if subject else reason)
+        super().__init__(self._message())
+
+    def _message(self) -> str:
+        quoted_key = None if self.key is None else f"'{self.key}'"
+        subject = ": ".join(part for part in (self.where, quoted_key) if part is not None)
+        return f"{subject} {self.reason}" if subject else self.reason
 
 
 class Address(NamedTuple):
@@ -57,8 +60,8 @@
 class FieldReader:
     """Typed access to the fields of one JSON object.
 
-    A null counts as missing. A field that is missing without a default, or of another type than asked for,
-    raises a ConfigError that names the object and the field. Immutable, so any thread may use it.
+    A null counts as missing. A ConfigError that names the object and the field is raised for a field that is
+    missing without a default, or of another type than expected. Immutable, so any thread may use it.
     """
 
     def __init__(self, where: str, data: object) -> None:
@@ -90,14 +93,16 @@
         """The elements of a list, unchecked; none where it is missing."""
         return list(self._get(key, (list,), "a list", []))
 
-    def element(self, key: str, index: int) -> FieldReader:
+    def element(self, key: str, index: int | None) -> FieldReader:
         """One element of a list, as an object whose only field has the list's name.
 
-        The object is empty where the list is shorter, so that the field's default applies.
+        The object is empty where the list is shorter or `index` is None, so that the field's default applies.
         """
         values = self.items(key)
-        fields = {key: values[index]} if 0 <= index < len(values) else {}
-        return FieldReader(f"{self.where}.{key}[{index}]", fields)
+        where = f"{self.where}.{key}[{index}]"
+        if index is None or not 0 <= index < len(values):
+            return FieldReader(where, {})
+        return FieldReader(where, {key: values[index]})
 
     def section(self, key: str) -> FieldReader:
         """A nested object; an empty one where it is missing."""
@@ -118,7 +123,7 @@
         return value
 
     def duration(self, key: str, default: Duration | None = None, minimum: Duration = 0) -> Duration:
-        """Whole nanoseconds, `minimum` at least."""
+        """A span in whole nanoseconds, `minimum` at least."""
         value = self.integer(key, default)
         if not minimum <= value <= MAX_DURATION:
             raise self.error(key, f"must be from {minimum} to {MAX_DURATION} ns, not {value}")
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -1,4 +1,7 @@
-"""Resource limits of a proxy process, derived from the memory and descriptors that the platform allows."""
+"""Resource limits of a proxy process, derived from the memory and descriptors that the platform allows.
+
+`docs/capacity.md` says how each value was sized and what it costs.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from olivepost.config.memory_budget import BUFFER_OVERHEAD_BYTES, BYTES_PER_KB, MemoryBudget, Share
 from olivepost.units import MILLISECOND, SECOND, Duration
 
-# What the keys may hold and what holds where they are missing.
+# Values that the configuration's keys may have, and the defaults of missing ones.
 MIN_MEMORY_MB = 16
 MAX_MEMORY_MB = 1 << 20
 DEFAULT_MEMORY_MB = 192
@@ -23,95 +26,89 @@
 MAX_CONNECT_TIMEOUT: Duration = 60 * SECOND
 DEFAULT_CONNECT_TIMEOUT: Duration = 400 * MILLISECOND
 
-# Sizes of messages.
-MAX_OBJECT_BYTES = 240_000  # bytes: the platform's largest object
-SMALL_BODY_BYTES = 16_384  # bytes of a request's body that any connection may hold without a reservation
-
-# Buffers are smaller where memory is short, since each connection holds one.
-BUFFER_BYTES = 16_384  # bytes
-FULL_BUFFER_MEMORY_MB = 128  # from here on buffers have their full size
-HALF_BUFFER_MEMORY_MB = 48  # from here on half of it, below a quarter
+# Messages.
+MAX_OBJECT_BYTES = 240_000  # the platform's largest object
+SMALL_BODY_BYTES = 16_384  # of a request's body that needs no reservation
 
-# Bytes of a connection beside its buffer to read into. A client's: the touched part of one thread's stack,
-# the parser with a small body, and its request (measured: 20 KB with one request, 35 KB after many).
-CLIENT_CONNECTION_BYTES = 36 * BYTES_PER_KB
-# An upstream one: two threads, the ids of past requests and the requests that are pending on it.
-UPSTREAM_CONNECTION_BYTES = 64 * BYTES_PER_KB
+# Buffers.
+BUFFER_BYTES = 16_384  # full size; less where memory is short, since each connection holds a buffer
+FULL_BUFFER_MEMORY_MB = 128  # the least memory with buffers of full size
+HALF_BUFFER_MEMORY_MB = 48  # the least memory with buffers of half the size; below it they have a quarter
 
 # Connections.
-CLIENTS_PER_UPSTREAM = Share(3, 2)  # client connections that fit into memory for each upstream one
-CLIENT_SOCKETS_SHARE = Share(
-    15, 32
-)  # of the descriptors: usual clients hold a third, others may have the rest
-UPSTREAM_SOCKETS_SHARE = Share(
-    3, 8
-)  # of the descriptors; what is left serves the listener, discovery and files
+CLIENT_CONNECTION_BYTES = 36 * BYTES_PER_KB  # a thread, the parser and a request, without the read buffer
+UPSTREAM_CONNECTION_BYTES = 64 * BYTES_PER_KB  # two threads and pending requests, without the read buffer
+CLIENTS_PER_UPSTREAM = Share(3, 2)  # client connections that fit into memory for each upstream connection
+CLIENT_SOCKETS_SHARE = Share(15, 32)  # of the descriptors
+UPSTREAM_SOCKETS_SHARE = Share(3, 8)  # of the descriptors; the rest is for listener, discovery and files
 ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # of the descriptors, to one endpoint
 MAX_CLIENT_CONNECTIONS = 4_096
-# A bound of 4 left requests without a connection (never sent) whenever responses took long at full load.
 MIN_CONNECTIONS_PER_ENDPOINT = 3
 SPARE_CONNECTIONS_PER_ENDPOINT = 2  # beyond those that carry one request of each client connection
 
 # Bodies.
 LARGE_BODY_MEMORY_SHARE = Share(1, 5)  # of the memory for bodies, where a class writes
 MIN_LARGE_BODY_BYTES = 2 * MAX_OBJECT_BYTES
-LARGE_BODY_COPIES = 2  # a large body may be held twice, for a moment
+LARGE_BODY_COPIES = 2  # a large body may be held twice for a moment
 CACHE_BUFFERS_SHARE = Share(2, 3)  # of the body buffers
-MIN_BODY_BUFFERS = 64  # nothing can be served with fewer
+MIN_BODY_BUFFERS = 64
 MAX_BODY_BUFFERS = 8_192
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """Limits of one proxy process: sizes in bytes, durations in nanoseconds unless named otherwise."""
+    """Limits of one proxy process."""
 
+    # Memory and descriptors
     memory_mb: int
     memory: MemoryBudget
     max_sockets: int
-    # Open client connections; at the cap the one that has been idle longest is closed for a new one.
-    max_client_connections: int
-    # To one endpoint: as many as carry one request of each client connection.
-    max_connections_per_endpoint: int
-    # Those that are closing count too, so that descriptors are left for clients.
-    max_upstream_connections: int
+
+    # Connections
+    max_client_connections: int  # open; at the cap the connection idle longest is closed for a new one
+    max_connections_per_endpoint: int  # as many as carry one request of each client connection
+    max_upstream_connections: int  # with those that are closing, so that descriptors are left for clients
+
+    # Buffers
     read_buffers: int  # buffers to receive into, one for each client and upstream connection
-    # Buffers for bodies; a pool of their own, so that peers that hold bodies can't stop the proxy reading.
-    body_buffers: int
+    body_buffers: int  # a pool of their own, so that clients that hold bodies can't stop the proxy reading
     cache_buffers: int  # of the body buffers, those that the response cache may hold
     buffer_bytes: int
-    large_body_bytes: int  # of all request bodies beyond the small ones; 0 where no class writes
+
+    # Messages
+    large_body_bytes: int  # of all request bodies beyond the small ones together; 0 where no class writes
     max_request_body_bytes: int  # an object's size where a class writes
     max_head_bytes: int = 8_192  # of a request's line and headers
     small_body_bytes: int = SMALL_BODY_BYTES  # that any connection may hold
     max_response_body_bytes: int = MAX_OBJECT_BYTES
-    stack_bytes: int = 262_144  # of each thread
-    max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # in flight on one upstream connection
+
+    # Client connections
+    first_request_timeout: Duration = 2 * SECOND  # from connecting to a complete request
+    keepalive_timeout: Duration = 5 * SECOND  # from a response to the next complete request
+    write_stall_timeout: Duration = 2 * SECOND  # without a byte accepted by a client or an endpoint
+    slow_client_timeout: Duration = 10 * SECOND  # at most, to write a complete response
+
+    # Upstream connections
+    max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # in flight
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
     upstream_idle_timeout: Duration = DEFAULT_UPSTREAM_IDLE_TIMEOUT
-    # From connecting to a complete request; a client that can't send one is closed in time.
-    first_request_timeout: Duration = 2 * SECOND
-    # From a response to the next complete request; the platform's clients keep connections for 4 s.
-    keepalive_timeout: Duration = 5 * SECOND
-    write_stall_timeout: Duration = 2 * SECOND  # a peer that takes no byte for so long is closed
-    # For a complete response to be written, where its request's deadline is later still.
-    slow_client_timeout: Duration = 10 * SECOND
-    # An endpoint writes a response in one go once it has it: a pause of this length within one, or one that
-    # takes longer than this in all, means a stalled connection. Hurts where endpoints stand still.
-    response_pause_timeout: Duration = 200 * MILLISECOND
-    response_timeout: Duration = 2 * SECOND
-    # A connection with pending requests and no byte received for so long gets a liveness check, and is closed
-    # if that is not answered in time: the check is cheap, and endpoints stand still for less.
-    liveness_check_delay: Duration = 200 * MILLISECOND
-    liveness_check_timeout: Duration = 200 * MILLISECOND
-    receive_poll_interval: Duration = 50 * MILLISECOND  # how often a silent upstream connection is checked
-    # Threads that write responses: none of them blocks, and more only wake each other at full load.
-    writer_threads: int = 1
-    backlog: int = 512
+    response_pause_timeout: Duration = 200 * MILLISECOND  # within a response; a longer one means a stall
+    response_timeout: Duration = 2 * SECOND  # for a whole response, from its first byte
+    liveness_check_delay: Duration = 200 * MILLISECOND  # without a byte while requests are pending
+    liveness_check_timeout: Duration = (
+        200 * MILLISECOND
+    )  # to the endpoint's reply; then the connection closes
+    receive_poll_interval: Duration = 50 * MILLISECOND  # how often a connection without a byte is checked
+
+    # Threads and listener
+    stack_bytes: int = 262_144  # of each thread
+    writer_threads: int = 1  # none of them blocks
+    backlog: int = 512  # connections that the kernel accepts ahead
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformLimits:
-    """What the platform allows the process, as its configuration says; durations in nanoseconds."""
+    """What the platform allows the process, as its configuration says."""
 
     memory_mb: int
     max_sockets: int
@@ -122,7 +119,7 @@
 
 
 class ConnectionPlan(NamedTuple):
-    """How the places for connections are shared out."""
+    """How many connections of each kind the process may have."""
 
     client: int
     upstream: int
@@ -134,7 +131,7 @@
 
 
 class BodyPlan(NamedTuple):
-    """How the memory for bodies is shared out."""
+    """How the memory for bodies is divided."""
 
     buffers: int
     large_body_bytes: int
@@ -146,7 +143,7 @@
 
 
 def derive_limits(platform: PlatformLimits) -> ResourceLimits:
-    """Shares out memory and descriptors."""
+    """Divides memory and descriptors among connections, buffers and bodies."""
     buffer_bytes = choose_buffer_bytes(platform.memory_mb)
     budget = MemoryBudget.of_limit(platform.memory_mb)
     connections = plan_connections(budget.connections, buffer_bytes, platform.max_sockets)
@@ -173,7 +170,7 @@
 
 
 def choose_buffer_bytes(memory_mb: int) -> int:
-    """Bytes of one buffer."""
+    """The size of one buffer: the less memory there is, the smaller."""
     if memory_mb >= FULL_BUFFER_MEMORY_MB:
         return BUFFER_BYTES
     if memory_mb >= HALF_BUFFER_MEMORY_MB:
@@ -182,7 +179,7 @@
 
 
 def plan_connections(available_bytes: int, buffer_bytes: int, max_sockets: int) -> ConnectionPlan:
-    """Shares out the connections that memory and descriptors allow; what clients leave upstream may use."""
+    """Divides what memory and descriptors allow; upstream connections may use what clients leave."""
     client_bytes = CLIENT_CONNECTION_BYTES + buffer_bytes
     upstream_bytes = UPSTREAM_CONNECTION_BYTES + buffer_bytes
     group_bytes = (
@@ -206,7 +203,7 @@
 
 
 def plan_bodies(available_bytes: int, buffer_bytes: int, has_writes: bool) -> BodyPlan:
-    """Shares out the memory for bodies among large request bodies and the body buffers."""
+    """Divides the memory for bodies between large request bodies and the body buffers."""
     large_body_bytes = 0
     if has_writes:
         large_body_bytes = max(MIN_LARGE_BODY_BYTES, LARGE_BODY_MEMORY_SHARE.of(available_bytes))
@@ -235,5 +232,5 @@
 
 
 def _read_bound(fields: FieldReader, key: str, maximum: int, default: int) -> int:
-    """A whole bound; the default where the key is missing, or 0: the platform then names no bound."""
+    """A whole bound; the default where the key is missing or 0, by which the platform sets no bound."""
     return int(fields.number_within(key, 0, maximum, default)) or default
--- a/olivepost/config/loader.py
+++ b/olivepost/config/loader.py
@@ -20,18 +20,14 @@
 NAME_VARIABLE = "BALANCER_NAME"
 DEFAULT_NAME = "front"
 
-# What a proxy with a full core may need from a request's last byte to its routing, and from the router's
-# final response to the client's last byte. The router gives up so long before a deadline; without it a burst
-# of connections made final responses come too late. Hurts responses in the last tenth of a second, which are
-# late anyhow.
+# The time before a deadline in which a proxy with a full core can still deliver the router's final response.
 MAX_DEADLINE_MARGIN: Duration = 100 * MILLISECOND
-# Where a class's whole deadline is short, the margin is this part of it: a proxy must not give up most of it.
-DEADLINES_PER_MARGIN = 8
+DEADLINES_PER_MARGIN = 8  # the margin is at most this fraction of the shortest deadline
 
 MAX_BYTES_PER_S = 1e15
 CLASS_NAME = re.compile(r"[!#-*\-.0-9:-<>-~]{0,200}", re.ASCII)  # what a request's target and field can hold
 
-# Fields of ProxyConfig that a running proxy can't take over, and the keys that they are read from.
+# Fields of ProxyConfig that a running proxy can't change, and the keys that they are read from.
 RESTART_KEYS = {
     "name": "name",
     "listen": "listen",
@@ -50,10 +46,10 @@
     listen: Address
     seed: int
     coordinator: Address
-    known_events: object  # the coordinator's events up to the start, decoded but unchecked; None: none known
+    known_events: object | None  # the coordinator's events up to the start, decoded but unchecked
     settings: api.Settings
     limits: ResourceLimits
-    transfer_bytes_per_s: float  # bytes a second of one transfer on the proxy's own link; 0: unknown
+    transfer_bytes_per_s: float | None  # of one transfer on the proxy's own link; None: unknown
 
 
 def load(environment: Mapping[str, str], path: str | None = None) -> ProxyConfig:
@@ -75,11 +71,11 @@
 
 
 def read_config(data: object, environment: Mapping[str, str]) -> ProxyConfig:
-    """Checks a decoded configuration; the variables win over the file's `name` and `listen`."""
+    """Checks a decoded configuration; the variables take precedence over its `name` and `listen`."""
     configuration = FieldReader("configuration", data)
     listen = _read_listen(configuration, environment)
     settings = read_settings(configuration.data.get("settings"))
-    transfer_bytes_per_s = configuration.number_within("flow_bytes_per_s", 0, MAX_BYTES_PER_S, 0)
+    transfer_bytes_per_s = configuration.number_within("flow_bytes_per_s", 0, MAX_BYTES_PER_S, 0) or None
     link_bytes_per_s = configuration.number_within("link_bytes_per_s", 0, MAX_BYTES_PER_S, 0)
     _check_class_names(settings)
     settings = replace(
@@ -100,7 +96,7 @@
 
 
 def keys_needing_restart(old: ProxyConfig, new: ProxyConfig) -> list[str]:
-    """The keys whose values differ and that a running proxy can't take over."""
+    """The keys whose values differ and that a running proxy can't change."""
     return [key for field, key in RESTART_KEYS.items() if getattr(old, field) != getattr(new, field)]
 
 
@@ -129,7 +125,7 @@
 
 
 def _compute_deadline_margin(settings: api.Settings) -> Duration:
-    """Nanoseconds before a deadline in which a final response must go out."""
+    """How long before a request's deadline the router gives its final response at the latest."""
     shortest_deadline = min(spec.deadline for spec in settings.classes.values())
     return min(MAX_DEADLINE_MARGIN, shortest_deadline // DEADLINES_PER_MARGIN)
 
--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -1,8 +1,8 @@
-"""The memory budget: what each owner of memory in the process may take, in bytes that add up.
+"""The memory budget: how many bytes each owner of memory in the process may use.
 
 The platform ends a process over its limit. So every owner has a bound that follows from the limit, and all
-bounds together with the program stay below the usable part of it. `olivepost/proxy/memory_account.py` shows
-what each owner holds.
+bounds together with the program stay below the usable part of it. `olivepost/proxy/memory_account.py`
+estimates what each owner uses; `docs/capacity.md` says how each value was sized.
 """
 
 from __future__ import annotations
@@ -25,22 +25,19 @@
 BYTES_PER_KB = 1_024
 BYTES_PER_MB = 1_048_576
 
-# What stays free: the allocator's fragments, what is on its way between two owners, and what comes in until
-# the process has noticed that it is close to its limit.
-USABLE_SHARE = Share(9, 10)
-# The program before its first connection, with the mapped files of the interpreter: measured 21.9 MB.
-PROGRAM_BYTES = 22 * BYTES_PER_MB
-MIN_SPARE_BYTES = 4 * BYTES_PER_MB  # with less no useful number of connections fits
+# The whole process.
+USABLE_SHARE = Share(9, 10)  # of the limit; the rest is for fragments of the allocator and objects in transit
+PROGRAM_BYTES = 22 * BYTES_PER_MB  # before the first connection, with the interpreter's mapped files
+MIN_SPARE_BYTES = 4 * BYTES_PER_MB  # planned for the owners even where the limit leaves less
 
-# What one entry of a table takes, measured.
+# One entry or message.
 NAME_BYTES = 360
 INVALIDATION_BYTES = 320
 BUFFER_OVERHEAD_BYTES = 1_024  # of a body's buffer: its view, and the body and cache entry that hold it
-# A poll's response is held as received and decoded, several times its size, until its events are handled.
-DISCOVERY_RESPONSE_SHARE = Share(1, 32)  # of the limit, for the body of one response
-MIN_DISCOVERY_RESPONSE_BYTES = 2 * BYTES_PER_MB  # the platform's longest endpoint lists have half a megabyte
+DISCOVERY_RESPONSE_SHARE = Share(1, 32)  # of the limit, for the body of one response before it is decoded
+MIN_DISCOVERY_RESPONSE_BYTES = 2 * BYTES_PER_MB
 
-# Shares of what the program leaves of the usable memory. They sum to one.
+# The owners: shares of the usable memory beyond the program. They sum to one.
 CONNECTIONS_SHARE = Share(42, 100)
 BODIES_SHARE = Share(28, 100)
 NAMES_SHARE = Share(11, 100)
@@ -53,13 +50,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryBudget:
-    """Bytes that each owner may take."""
+    """Bytes that each owner may use."""
 
     limit: int  # of the platform, for the whole process
     program: int
     connections: int  # threads, buffers to read into, parsers, requests of client and upstream connections
     bodies: int  # request and response bodies, and the response cache
-    names: int  # names that the router remembers
+    names: int  # the router's table of names
     requests: int  # pending requests, attempts and timers
     endpoints: int  # the endpoint list, as the router and the connection pool have it
     routes: int  # orders of endpoints that the router has computed
@@ -68,17 +65,17 @@
 
     @property
     def max_names(self) -> int:
-        """Names that fit."""
+        """How many names the router may keep."""
         return max(1, self.names // NAME_BYTES)
 
     @property
     def max_invalidations(self) -> int:
-        """Invalidations that fit."""
+        """How many invalidations the router may keep."""
         return max(1, self.invalidations // INVALIDATION_BYTES)
 
     @property
     def max_discovery_response(self) -> int:
-        """Bytes that a poll's response may have."""
+        """Bytes that the body of a poll's response may have."""
         return max(MIN_DISCOVERY_RESPONSE_BYTES, DISCOVERY_RESPONSE_SHARE.of(self.limit))
 
     @property
@@ -89,7 +86,7 @@
 
     @classmethod
     def of_limit(cls, memory_mb: int) -> MemoryBudget:
-        """Shares out the platform's limit."""
+        """Divides the platform's limit among the owners."""
         limit = memory_mb * BYTES_PER_MB
         spare = max(MIN_SPARE_BYTES, USABLE_SHARE.of(limit) - PROGRAM_BYTES)
         return cls(
--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -1,7 +1,6 @@
 """Router settings: the platform's JSON, key by key, to `olivepost.interface.Settings`.
 
-The keys are the platform's and documented in `docs/proxy.md`. Keys that are not read here are skipped, so
-that a newer platform can add some.
+`docs/proxy.md` documents the platform's keys. Unknown keys are skipped: a newer platform may add some.
 """
 
 from __future__ import annotations
@@ -14,6 +13,7 @@
 MAX_MULTIPLE = 1e6  # of a capacity or a latency objective
 MAX_WEIGHT = 1e12  # of a class's priority
 MAX_TRANSFER_RATE_KB_PER_S = 1e12
+NO_KIND_INDEX = -1  # as the platform writes it
 
 IDEMPOTENCIES = {
     "read_like": api.Idempotency.IDEMPOTENT,
@@ -32,12 +32,12 @@
     """Where the proxy runs, among how many."""
 
     zone: str
-    zone_index: int  # within the platform's list of zones; -1 where it isn't listed
+    zone_index: int | None  # within the platform's list of zones; None where it isn't listed
     proxies: int  # in all zones
 
 
 class TierKinds(NamedTuple):
-    """The kinds by which endpoints of the upper tiers are known; empty where there is no such tier."""
+    """The kinds that mark endpoints of the upper tiers; empty where there is no such tier."""
 
     parent: str
     origin: str
@@ -82,7 +82,7 @@
 def _read_location(info: FieldReader) -> ProxyLocation:
     zones = info.items("failure-domains")
     zone = info.text("zone")
-    zone_index = zones.index(zone) if zone in zones else -1
+    zone_index = zones.index(zone) if zone in zones else None
     return ProxyLocation(zone, zone_index, info.integer("siblings", 1))
 
 
@@ -119,8 +119,8 @@
 
 
 def _read_tier_kinds(info: FieldReader, family: FieldReader) -> TierKinds:
-    parent_index = family.integer("parent-kind", -1)
-    origin_index = family.integer("store-kind", -1)
+    parent_index = family.integer("parent-kind", NO_KIND_INDEX)
+    origin_index = family.integer("store-kind", NO_KIND_INDEX)
     return TierKinds(
         parent=info.element("kinds", parent_index).text("kinds", ""),
         origin=info.element("kinds", origin_index).text("kinds", ""),
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -46,6 +46,6 @@
     clock: Clock
     log: EventLog
     response_cache: ResponseCache
-    transfer_bytes_per_s: float  # of one transfer on the proxy's own network link; 0: no response cache
+    transfer_bytes_per_s: float | None  # of one transfer on the proxy's own link; None: no response cache
     upstream: UpstreamPool
     shared_store: SharedStore | None
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -64,12 +64,13 @@
 
     def _cache_entry(self, now: Instant, exchange: Exchange) -> CacheEntry | None:
         """The proxy's cached response, where it has a cache and is up to date with service discovery."""
-        if not self._transfer_bytes_per_s or now - self.discovery_heard_at >= DISCOVERY_VALID_FOR:
+        if self._transfer_bytes_per_s is None or now - self.discovery_heard_at >= DISCOVERY_VALID_FOR:
             return None
         return self._response_cache.get(exchange)
 
     def _cached_response(self, now: Instant, entry: CacheEntry) -> api.CachedResponse:
         age = max(0, now - entry.generated_at)
+        assert self._transfer_bytes_per_s is not None  # else there is no response cache
         transfer_time = int(entry.body.length / self._transfer_bytes_per_s * 1e9)
         return api.CachedResponse(age, transfer_time)
 
--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,6 +1,5 @@
 """Configuration of a proxy process: values, defaults, derived limits, errors that name the faulty key."""
 
-import json
 from pathlib import Path
 from typing import Any
 
@@ -18,16 +17,19 @@
 
 def test_example_file_is_read() -> None:
     config = load({}, str(CONFIG))
+
     assert config.name == "example"
     assert config.listen == ("127.0.0.1", 8080)
     assert config.coordinator == ("127.0.0.1", 7370)
     assert config.seed == 0x8C1F30D27A5BE964
     assert config.settings.classes["image"].idempotency is api.Idempotency.IDEMPOTENT
-    assert config.settings.local_transfer_capacity == 0 == config.transfer_bytes_per_s
+    assert config.settings.local_transfer_capacity == 0
+    assert config.transfer_bytes_per_s is None
 
 
 def test_example_file_gives_limits_for_its_machine() -> None:
     limits = load({}, str(CONFIG)).limits
+
     assert limits.max_requests_per_connection == 32
     assert limits.connect_timeout == 400 * MILLISECOND
     assert limits.upstream_idle_timeout == 30 * SECOND
@@ -38,21 +40,26 @@
     assert requests_per_endpoint >= limits.max_client_connections
 
 
-def test_local_link_is_counted_in_transfers() -> None:
+def test_capacity_of_the_local_link_is_counted_in_transfers() -> None:
     config = read_config(toy_config(flow_bytes_per_s=1000, link_bytes_per_s=4500.0), {})
+
     assert config.settings.local_transfer_capacity == 4.5
     assert config.transfer_bytes_per_s == 1000
 
 
-def test_deadline_margin_leaves_time_for_a_busy_proxy() -> None:
+def test_deadline_margin_has_its_maximum_where_deadlines_are_long() -> None:
     config = read_config(toy_config(), {})
+
     assert config.settings.deadline_margin == MAX_DEADLINE_MARGIN
 
 
 def test_longer_configured_deadline_margin_is_kept() -> None:
-    slow = toy_config()
-    slow["settings"]["tick"] = 2 * MAX_DEADLINE_MARGIN
-    assert read_config(slow, {}).settings.deadline_margin == 2 * MAX_DEADLINE_MARGIN
+    configuration = toy_config()
+    configuration["settings"]["tick"] = 2 * MAX_DEADLINE_MARGIN
+
+    settings = read_config(configuration, {}).settings
+
+    assert settings.deadline_margin == 2 * MAX_DEADLINE_MARGIN
 
 
 def test_environment_takes_precedence_over_the_file() -> None:
@@ -61,13 +68,16 @@
         "BALANCER_LISTEN": "127.0.0.9:81",
         "BALANCER_CONFIG": str(CONFIG),
     }
+
     config = load(environment)
+
     assert (config.name, config.listen) == ("n3", ("127.0.0.9", 81))
 
 
 @pytest.mark.parametrize(("memory_mb", "sockets"), [(32, 256), (64, 256), (192, 1024), (2048, 4096)])
-def test_proxy_fits_into_the_memory_and_descriptors_it_is_given(memory_mb: int, sockets: int) -> None:
+def test_limits_fit_into_the_configured_memory_and_descriptors(memory_mb: int, sockets: int) -> None:
     limits = read_config(toy_config(limits={"memory_mb": memory_mb, "sockets": sockets}), {}).limits
+
     buffer_bytes = (limits.read_buffers + limits.body_buffers) * limits.buffer_bytes
     threads = limits.max_client_connections + 2 * limits.max_upstream_connections
     stack_bytes = threads * 24 * 1024  # the part of each thread's stack that is touched
@@ -80,6 +90,7 @@
 
 def test_unknown_keys_are_skipped_and_missing_limits_have_defaults() -> None:
     config = read_config(toy_config(limits={"sockets": 256, "of_tomorrow": 1}, of_tomorrow=[]), {})
+
     assert config.limits.max_sockets == 256
     assert config.limits.memory_mb == 192
     assert config.limits.buffer_bytes == 16_384
@@ -140,7 +151,7 @@
     assert key in (raised.value.key, raised.value.where)
 
 
-def test_error_says_where_and_what_is_allowed() -> None:
+def test_error_has_the_object_and_what_is_allowed() -> None:
     changes = {"settings": {"zone": "x", "classes": [{**READ_CLASS, "effect": "odd"}]}}
     with pytest.raises(ConfigError) as raised:
         read_config(toy_config(**changes), {})
@@ -162,13 +173,12 @@
         load({"BALANCER_CONFIG": str(tmp_path / "none.json")})
 
 
-def test_file_that_is_no_json_object_is_rejected(tmp_path: Path) -> None:
+@pytest.mark.parametrize(("text", "message"), [("[1]", "must be an object"), ("{", "not JSON")])
+def test_file_that_is_not_a_json_object_is_rejected(tmp_path: Path, text: str, message: str) -> None:
     path = tmp_path / "odd.json"
-    path.write_text(json.dumps([1]))
-    with pytest.raises(ConfigError, match="must be an object"):
-        load({}, str(path))
-    path.write_text("{")
-    with pytest.raises(ConfigError, match="not JSON"):
+    path.write_text(text)
+
+    with pytest.raises(ConfigError, match=message):
         load({}, str(path))
 
 
@@ -179,7 +189,9 @@
     """With thirty classes, of which one has no weight, and a whole number that has a decimal point."""
     classes = [{**READ_CLASS, "name": f"c{number}", "gain": number, "aim": 0} for number in range(30)]
     settings = {"zone": "x", "classes": classes, "limits": limits, "contract": {"fall": 2e9}}
+
     config = read_config(toy_config(settings=settings), {})
+
     assert len(config.settings.classes) == 30
     assert config.settings.max_attempts == 1
     assert config.settings.overload_window == 2 * SECOND
@@ -190,5 +202,7 @@
 @pytest.mark.parametrize("deadline_ms", [40, 200, 5_000])
 def test_deadline_margin_is_at_most_an_eighth_of_the_deadline(deadline_ms: int) -> None:
     spec = {**READ_CLASS, "deadline": deadline_ms * MILLISECOND}
+
     config = read_config(toy_config(settings={"zone": "x", "classes": [spec]}), {})
+
     assert 0 < config.settings.deadline_margin <= deadline_ms * MILLISECOND // 8
