--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -9,14 +9,12 @@
 import time
 from functools import partial
 
-from olivepost import interface as api
 from olivepost.config import Address
 from olivepost.proxy import sockets
 from olivepost.proxy.downstream.connection import DownstreamConnection
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.downstream.response_writer import ResponseWriters
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
-from olivepost.routing import memory_pressure
 from olivepost.units import MILLISECOND, Duration
 
 ACCEPT_STOP_TIMEOUT_S = 1.0  # seconds that the accept thread has to take what the kernel has accepted
@@ -109,14 +107,11 @@
             raise
         return listener
 
-    def give_way(self, level: api.MemoryPressureLevel) -> None:
-        """Follows a level of memory use: idle connections are closed, and fewer may be open."""
-        limit = memory_pressure.connection_limit(level, self.context.limits.max_client_connections)
+    def limit_connections(self, limit: int) -> None:
+        """Lets no further connection in while so many are open, as memory pressure asks for."""
         self._connection_limit = limit
-        if level >= api.MemoryPressureLevel.CLOSE_IDLE:
-            self._evict_idle()
 
-    def _evict_idle(self, needed: DownstreamConnection | None = None) -> None:
+    def evict_idle(self, needed: DownstreamConnection | None = None) -> None:
         """Ends a few connections without a request in flight, the longest idle first, but not `needed`."""
         for connection in self._eviction_candidates()[:MAX_EVICTIONS_AT_ONCE]:
             is_unused = connection is not needed and not connection.has_pending_response
@@ -246,7 +241,7 @@
                 _thread.start_new_thread(connection.run, ())
             except RuntimeError:
                 self.context.log.increment("threads_short")
-                self._evict_idle(needed=connection)
+                self.evict_idle(needed=connection)
                 time.sleep(READER_START_PAUSE_S)
             else:
                 return True
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -4,7 +4,7 @@
 
 import queue
 import threading
-from typing import TYPE_CHECKING, NamedTuple
+from typing import NamedTuple, Protocol
 
 from olivepost.proxy.downstream.connection_lifecycle import CloseReason
 from olivepost.proxy.event_log import EventLog
@@ -13,9 +13,6 @@
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 from olivepost.units import MILLISECOND
 
-if TYPE_CHECKING:
-    from olivepost.proxy.downstream.connection import DownstreamConnection
-
 
 def encode_response(response: Response, closes: bool) -> list[bytes | memoryview]:
     """The head and the body of a final response; `closes` announces that the connection ends after it."""
@@ -32,10 +29,26 @@
     return [response_head(502, 0, headers, closes)]
 
 
+class ClientConnection(Protocol):
+    """The connection that a response is written to, as the writer threads see it."""
+
+    def write(self, exchange: Exchange, response: Response, /) -> list[memoryview]:
+        """Writes the response without waiting; returns what the socket did not take."""
+
+    def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview], /) -> None:
+        """Writes the rest, waiting for the client to read."""
+
+    def abandon_response(self, exchange: Exchange, response: Response, /) -> None:
+        """Cuts off a response that no thread can finish."""
+
+    def abort(self, reason: CloseReason, /) -> None:
+        """Shuts down the socket at once."""
+
+
 class WriteJob(NamedTuple):
     """One response to be written to its client."""
 
-    connection: DownstreamConnection
+    connection: ClientConnection
     exchange: Exchange
     response: Response
 
@@ -53,7 +66,7 @@
         for _ in range(count):
             start_thread(self._run, "writer", START_TIMEOUT_S)
 
-    def submit(self, connection: DownstreamConnection, exchange: Exchange, response: Response) -> None:
+    def submit(self, connection: ClientConnection, exchange: Exchange, response: Response) -> None:
         """Queues a response; any thread may call it."""
         self._jobs.put(WriteJob(connection, exchange, response))
 
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -3,13 +3,10 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import TYPE_CHECKING
 
 from olivepost.config.limits import CLIENT_CONNECTION_BYTES, UPSTREAM_CONNECTION_BYTES
 from olivepost.config.memory_budget import INVALIDATION_BYTES, NAME_BYTES
-
-if TYPE_CHECKING:
-    from olivepost.proxy.server import ProxyServer
+from olivepost.proxy.parts import ProxyParts
 
 PENDING_REQUEST_BYTES = 3_072  # with its exchange, its attempts and their records
 TIMER_BYTES = 220
@@ -24,25 +21,25 @@
     allowed: int
 
 
-def memory_account(proxy: ProxyServer) -> dict[str, OwnerAccount]:
+def memory_account(parts: ProxyParts) -> dict[str, OwnerAccount]:
     """All owners' accounts. Any thread may call it: it reads counts only."""
-    budget = proxy.config.limits.memory
-    loop = proxy.event_loop
+    budget = parts.config.limits.memory
+    loop = parts.event_loop
     state = loop.router.state
     connections = (
-        proxy.downstream.open_count * CLIENT_CONNECTION_BYTES
-        + proxy.upstream.connection_count * UPSTREAM_CONNECTION_BYTES
-        + proxy.read_buffers.touched_bytes
+        parts.downstream.open_count * CLIENT_CONNECTION_BYTES
+        + parts.upstream.connection_count * UPSTREAM_CONNECTION_BYTES
+        + parts.read_buffers.touched_bytes
     )
-    bodies = proxy.body_buffers.touched_bytes + proxy.downstream.context.large_bodies.reserved_bytes
+    bodies = parts.body_buffers.touched_bytes + parts.downstream.context.large_bodies.reserved_bytes
     requests = loop.pending_count * PENDING_REQUEST_BYTES + loop.timer_count * TIMER_BYTES
     return {
         "connections": OwnerAccount(connections, budget.connections),
         "bodies": OwnerAccount(bodies, budget.bodies),
         "names": OwnerAccount(len(state.names) * NAME_BYTES, budget.names),
         "requests": OwnerAccount(requests, budget.requests),
-        "endpoints": OwnerAccount(proxy.upstream.endpoint_count * ENDPOINT_BYTES, budget.endpoints),
+        "endpoints": OwnerAccount(parts.upstream.endpoint_count * ENDPOINT_BYTES, budget.endpoints),
         "routes": OwnerAccount(state.orders.used_bytes, budget.routes),
         "invalidations": OwnerAccount(len(state.invalidations) * INVALIDATION_BYTES, budget.invalidations),
-        "log": OwnerAccount(proxy.log.waiting_bytes, budget.log),
+        "log": OwnerAccount(parts.log.waiting_bytes, budget.log),
     }
--- /dev/null
+++ b/olivepost/proxy/memory_shedding.py
@@ -0,0 +1,42 @@
+"""Frees memory at each level of memory pressure: tells every owner of memory what the level asks of it."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from olivepost import interface as api
+from olivepost.proxy.buffers import BufferPool
+from olivepost.proxy.downstream.listener import DownstreamServer
+from olivepost.proxy.messages import MemoryPressureReport
+from olivepost.routing import memory_pressure
+
+
+class MemoryShedder:
+    """Carries out a level of memory pressure; the levels are decided in `routing.memory_pressure`.
+
+    Only the main thread calls it, through the memory monitor. What the event loop's thread owns (response
+    cache, upstream connections, names) is freed there, by the report that is posted.
+    """
+
+    def __init__(
+        self,
+        post: Callable[[MemoryPressureReport], None],
+        downstream: DownstreamServer,
+        max_client_connections: int,
+        buffer_pools: Sequence[BufferPool],
+    ) -> None:
+        self._post = post
+        self._downstream = downstream
+        self._max_client_connections = max_client_connections
+        self._buffer_pools = buffer_pools
+
+    def shed(self, level: api.MemoryPressureLevel) -> None:
+        """Frees what the level asks for; called again for as long as the process is at a level."""
+        self._post(MemoryPressureReport(level))
+        limit = memory_pressure.connection_limit(level, self._max_client_connections)
+        self._downstream.limit_connections(limit)
+        if level >= api.MemoryPressureLevel.CLOSE_IDLE:
+            self._downstream.evict_idle()
+        if level >= api.MemoryPressureLevel.EVICT_CACHE:
+            for pool in self._buffer_pools:
+                pool.trim()
--- a/olivepost/proxy/metrics.py
+++ b/olivepost/proxy/metrics.py
@@ -4,46 +4,43 @@
 
 import os
 from pathlib import Path
-from typing import TYPE_CHECKING
 
 from olivepost.proxy import invariants
 from olivepost.proxy.memory_account import memory_account
-
-if TYPE_CHECKING:
-    from olivepost.proxy.server import ProxyServer
+from olivepost.proxy.parts import ProxyParts
 
 PROCESS_STATUS = Path("/proc/self/status")
 DESCRIPTORS = Path("/proc/self/fd")
 STATUS_FIELDS = {"VmRSS:": "memory_kb", "VmHWM:": "peak_memory_kb", "Threads:": "threads"}
 
 
-def collect_metrics(proxy: ProxyServer) -> dict[str, object]:
+def collect_metrics(parts: ProxyParts) -> dict[str, object]:
     """The metrics since the last call (queue delays) or since the start (all others)."""
-    delays = proxy.event_loop.take_queue_delays()
+    delays = parts.event_loop.take_queue_delays()
     user_cpu_s, system_cpu_s, *_ = os.times()
     metrics: dict[str, object] = {
-        "pending_requests": proxy.event_loop.pending_count,
-        "connections": proxy.downstream.open_count,
-        "peak_connections": proxy.downstream.peak_count,
+        "pending_requests": parts.event_loop.pending_count,
+        "connections": parts.downstream.open_count,
+        "peak_connections": parts.downstream.peak_count,
         "events": delays.count,
-        "event_counts": proxy.event_loop.event_counts(),
+        "event_counts": parts.event_loop.event_counts(),
         "queue_delay_ms": delays.percentiles_ms(),
         "cpu_s": [round(user_cpu_s, 1), round(system_cpu_s, 1)],
         "descriptors": count_descriptors(),
         **read_process_status(),
         "memory_by_owner": {
-            owner: [account.used, account.allowed] for owner, account in memory_account(proxy).items()
+            owner: [account.used, account.allowed] for owner, account in memory_account(parts).items()
         },
-        "memory_level": proxy.memory_monitor.level.name.lower(),
-        "body_buffers": proxy.body_buffers.in_use,
-        "peak_body_buffers": proxy.body_buffers.peak,
-        "read_buffers": proxy.read_buffers.in_use,
-        "cached_responses": len(proxy.response_cache),
+        "memory_level": parts.memory_monitor.level.name.lower(),
+        "body_buffers": parts.body_buffers.in_use,
+        "peak_body_buffers": parts.body_buffers.peak,
+        "read_buffers": parts.read_buffers.in_use,
+        "cached_responses": len(parts.response_cache),
         "invariant_violations": invariants.violations(),
-        "counters": proxy.log.counters(),
+        "counters": parts.log.counters(),
     }
-    if proxy.shared_store is not None:
-        metrics["shared_store"] = proxy.shared_store.metrics()
+    if parts.shared_store is not None:
+        metrics["shared_store"] = parts.shared_store.metrics()
     return metrics
 
 
--- a/tests/proxy/discovery/test_flow_control.py
+++ b/tests/proxy/discovery/test_flow_control.py
@@ -31,7 +31,7 @@
     with running_proxy() as proxy:
         gate = threading.Event()
         held = threading.Event()
-        router = proxy.server.event_loop.router
+        router = proxy.parts.event_loop.router
         handle = router.handle
 
         def late(now: int, event: Any) -> Any:
@@ -50,14 +50,14 @@
             )
         assert proxy.coordinator.polls <= polls + 1
         gate.set()
-        assert proxy.wait_until(lambda: proxy.server.discovery._last_index == 7)
+        assert proxy.wait_until(lambda: proxy.parts.discovery._last_index == 7)
 
 
 def test_decoded_list_of_the_start_is_not_kept() -> None:
     with running_proxy() as proxy:
-        assert proxy.server.config.known_events is None
+        assert proxy.parts.config.known_events is None
         assert len(router_endpoints(proxy)) == 4
 
 
 def router_endpoints(proxy: Any) -> list[str]:
-    return list(proxy.server.event_loop.router.state.endpoints.by_id)
+    return list(proxy.parts.event_loop.router.state.endpoints.by_id)
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -38,8 +38,8 @@
 
 def only_connection(proxy: ProxyHarness) -> DownstreamConnection:
     """The one connection that is open."""
-    assert proxy.wait_until(lambda: proxy.server.downstream.open_count == 1)
-    (connection,) = proxy.server.downstream._connections
+    assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 1)
+    (connection,) = proxy.parts.downstream._connections
     return connection
 
 
@@ -99,6 +99,5 @@
 
 def cache_a_is_draining(proxy: ProxyHarness) -> bool:
     return (
-        proxy.server.event_loop._router.state.endpoints.by_id["a"].metadata.state
-        is api.EndpointState.DRAINING
+        proxy.parts.event_loop._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
     )
--- a/tests/proxy/test_cached_responses.py
+++ b/tests/proxy/test_cached_responses.py
@@ -17,7 +17,7 @@
 
 def request_until_cached(proxy: ProxyHarness, client: HttpClient) -> None:
     """The first response is for a new name, the second is stored, the third comes from the cache."""
-    assert proxy.wait_until(lambda: proxy.server.event_loop._lifecycle.discovery_heard_at)
+    assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_heard_at)
     for _ in range(3):
         assert client.request()[2] == body_of(OBJECT_NAME, "3")
     assert proxy.counter("cached_responses_served") == 1
@@ -37,7 +37,7 @@
     with running_proxy(**CACHE_CONFIG) as proxy, proxy.connect() as client:
         request_until_cached(proxy, client)
         proxy.coordinator.add(evict={"shard": 17, "unix_ms": time.time_ns() // 1_000_000 + 1})
-        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 0)
+        assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
         assert client.request()[0] == 200
         assert len(proxy.wait_for_fetches(3)) == 3
 
@@ -47,7 +47,7 @@
         request_until_cached(proxy, client)
         proxy.coordinator.close()
         assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 2)
-        proxy.server.event_loop._lifecycle.discovery_heard_at -= DISCOVERY_VALID_FOR
+        proxy.parts.event_loop._lifecycle.discovery_heard_at -= DISCOVERY_VALID_FOR
         assert client.request()[0] == 200
         assert proxy.counter("cached_responses_served") == 1
 
@@ -67,28 +67,28 @@
     with running_proxy(reply, **CACHE_CONFIG) as proxy, proxy.connect() as client:
         request_repeatedly(proxy, client)
         proxy.coordinator.add(evict={"shard": 17, "unix_ms": time.time_ns() // 1_000_000 + clock_error_ms})
-        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 0)
+        assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
 
 
 def test_response_that_was_under_way_at_its_invalidation_is_not_stored() -> None:
     held = DelayedReplies()
     with running_proxy(held, **CACHE_CONFIG) as proxy, proxy.connect() as client:
-        assert proxy.wait_until(lambda: proxy.server.event_loop._lifecycle.discovery_heard_at)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_heard_at)
         held.gate.set()
         assert client.request()[0] == 200
         held.gate.clear()
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches(2)
         proxy.coordinator.add(evict={"shard": 17, "unix_ms": time.time_ns() // 1_000_000})
-        assert proxy.wait_until(lambda: len(proxy.server.event_loop.router.state.invalidations) == 1)
+        assert proxy.wait_until(lambda: len(proxy.parts.event_loop.router.state.invalidations) == 1)
         held.gate.set()
         assert client.read_response()[0] == 200
-        assert len(proxy.server.response_cache) == 0
+        assert len(proxy.parts.response_cache) == 0
 
 
 def request_repeatedly(proxy: ProxyHarness, client: HttpClient) -> None:
     """Asks until a response is stored."""
-    assert proxy.wait_until(lambda: proxy.server.event_loop._lifecycle.discovery_heard_at)
+    assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_heard_at)
     for _ in range(2):
         assert client.request()[0] == 200
-    assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 1)
+    assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 1)
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -22,8 +22,8 @@
         with proxy.connect() as client:
             client.send(client.encode_request())
             command = proxy.wait_for_fetches()[0]
-            assert proxy.server.event_loop.pending_count == 1
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0)
+            assert proxy.parts.event_loop.pending_count == 1
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         assert proxy.wait_until(lambda: any(cache.received("abort") for cache in proxy.caches))
         assert [it.id for cache in proxy.caches for it in cache.received("abort")] == [command.id]
 
@@ -69,9 +69,9 @@
     with running_proxy() as proxy:
         client = proxy.connect()
         client.send(HttpClient.encode_request(timeout_ms=3000))
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 1)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 1)
         assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
-        (connection,) = proxy.server.downstream._connections
+        (connection,) = proxy.parts.downstream._connections
         leave(client.sock)
         assert proxy.wait_until(connection.is_closed_by_client)
         delayed_connects.gate.set()
@@ -81,8 +81,8 @@
         client.sock.close()
         with proxy.connect() as other:  # the upstream connection goes on
             assert other.request(part=7)[0] == 200
-        assert proxy.server.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
-        assert proxy.server.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
+        assert proxy.parts.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
+        assert proxy.parts.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
 
 
 def test_attempts_of_many_disconnected_clients_are_aborted() -> None:
@@ -97,11 +97,11 @@
         sent = {command.id for command in proxy.wait_for_fetches(6)}
         for client in leaving:
             client.sock.close()
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         assert proxy.wait_until(
             lambda: {it.id for cache in proxy.caches for it in cache.received("abort")} == sent
         )
         assert not any(
             endpoint.failure_score
-            for endpoint in proxy.server.event_loop._router.state.endpoints.by_id.values()
+            for endpoint in proxy.parts.event_loop._router.state.endpoints.by_id.values()
         )
--- a/tests/proxy/test_client_limits.py
+++ b/tests/proxy/test_client_limits.py
@@ -44,31 +44,31 @@
         except ConnectionResetError:
             pass
         assert got < 240_000
-        assert proxy.wait_until(lambda: proxy.server.downstream.open_count == 0)
+        assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 0)
         sock.close()
 
 
 def test_exhausted_body_buffers_leave_the_proxy_responsive() -> None:
     """Requests are still rejected in time, and no endpoint's failure score rises."""
     with running_proxy() as proxy, proxy.connect() as client:
-        taken = proxy.server.body_buffers.acquire(proxy.server.config.limits.body_buffers)
+        taken = proxy.parts.body_buffers.acquire(proxy.parts.config.limits.body_buffers)
         assert taken is not None
         assert client.request(timeout_ms=15_000)[0] == 503
         assert proxy.counter("pool_empty") >= 1
         assert not any(
             endpoint.failure_score
-            for endpoint in proxy.server.event_loop._router.state.endpoints.by_id.values()
+            for endpoint in proxy.parts.event_loop._router.state.endpoints.by_id.values()
         )
         with proxy.connect() as other:
             other.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert other.read_response()[0] == 200
-        proxy.server.body_buffers.release(taken)
+        proxy.parts.body_buffers.release(taken)
         assert client.request()[0] == 200
 
 
 def test_at_the_connection_limit_the_longest_idle_is_evicted() -> None:
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
-        cap = proxy.server.config.limits.max_client_connections
+        cap = proxy.parts.config.limits.max_client_connections
         clients = [proxy.connect() for _ in range(cap)]
         for client in clients:
             assert client.request()[0] == 200
@@ -77,7 +77,7 @@
             assert late.request()[0] == 200
         assert clients[1].is_closed_by_proxy()
         assert clients[0].request()[0] == 200
-        assert proxy.server.downstream.open_count <= cap
+        assert proxy.parts.downstream.open_count <= cap
         for client in clients:
             client.sock.close()
 
@@ -86,7 +86,7 @@
     with running_proxy(
         limits={"sockets": 64, "memory_mb": 64}, bounds={"first_request_timeout": 60 * 10**9}
     ) as proxy:
-        cap = proxy.server.config.limits.max_client_connections
+        cap = proxy.parts.config.limits.max_client_connections
         with proxy.connect() as usual:
             assert usual.request()[0] == 200
             quiet = [proxy.connect() for _ in range(2 * cap)]
@@ -105,10 +105,10 @@
         respond_normally(endpoint, command)
 
     with running_proxy(reply, limits={"sockets": 64, "memory_mb": 64}) as proxy:
-        clients = [proxy.connect() for _ in range(proxy.server.config.limits.max_client_connections)]
+        clients = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
         for client in clients:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == len(clients))
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == len(clients))
         with proxy.connect() as late:
             late.send(HttpClient.encode_request())
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
@@ -164,7 +164,7 @@
         client.send(HttpClient.encode_request(Content_Length="60000000"))
         with pytest.raises(ConnectionError):
             send_endlessly(client)
-        assert proxy.wait_until(lambda: proxy.server.downstream.open_count == 0)
+        assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 0)
 
 
 def test_client_that_never_closes_is_closed() -> None:
@@ -172,7 +172,7 @@
         client.send(b"nonsense\r\n\r\n")
         assert client.read_response()[0] == 400
         assert client.is_closed_by_proxy()
-        assert proxy.wait_until(lambda: proxy.server.downstream.open_count == 0)
+        assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 0)
 
 
 def test_idle_client_that_then_writes_slowly_has_time_for_its_request() -> None:
@@ -182,7 +182,7 @@
         rests = connection.deadline
         client.send(request[:20])
         assert proxy.wait_until(lambda: not connection._parser.is_idle)
-        assert proxy.wait_until(lambda: proxy.server.clock.now() > rests + 200 * MS)
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > rests + 200 * MS)
         client.send(request[20:])
         assert client.read_response()[0] == 200
 
@@ -190,13 +190,13 @@
 def test_client_that_was_just_served_is_not_evicted() -> None:
     """A reset could overtake the response; at the limit another is evicted, or none yet."""
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
-        cap = proxy.server.config.limits.max_client_connections
+        cap = proxy.parts.config.limits.max_client_connections
         held = [proxy.connect() for _ in range(cap)]
         for client in held:
             assert client.request()[0] == 200
-        now = proxy.server.clock.now()
-        proxy.server.downstream.context.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
-        for connection in proxy.server.downstream._connections:
+        now = proxy.parts.clock.now()
+        proxy.parts.downstream.context.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
+        for connection in proxy.parts.downstream._connections:
             connection.idle_since = now
         with proxy.connect() as late:
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
@@ -222,7 +222,7 @@
         monkeypatch.setattr(threading.Thread, "start", short)
         sock = request_with_small_receive_buffer(proxy)
         assert proxy.wait_until(lambda: proxy.counter("threads_short") == 1)
-        assert proxy.wait_until(lambda: proxy.server.body_buffers.in_use == 0)
+        assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use == 0)
         sock.close()
 
 
@@ -232,11 +232,11 @@
         assert proxy.coordinator.wait_for_poll(1)
         proxy.coordinator.close()
         assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 1)
-        idle = [proxy.connect() for _ in range(3 * proxy.server.config.limits.max_client_connections)]
+        idle = [proxy.connect() for _ in range(3 * proxy.parts.config.limits.max_client_connections)]
         for piece in range(6):
             with proxy.connect() as client:
                 assert client.request(part=piece)[0] == 200
-        assert proxy.server.downstream.peak_count <= proxy.server.config.limits.max_client_connections
+        assert proxy.parts.downstream.peak_count <= proxy.parts.config.limits.max_client_connections
         again = Coordinator(int(proxy.coordinator.address.rpartition(":")[2]))
         again.events = list(proxy.coordinator.events)
         again.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
@@ -249,7 +249,7 @@
 def test_flood_of_idle_clients_is_taken_as_fast_as_places_come_free() -> None:
     """A place that an evicted client leaves goes to the next one at once, not at the next look."""
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
-        flood = [proxy.connect() for _ in range(10 * proxy.server.config.limits.max_client_connections)]
+        flood = [proxy.connect() for _ in range(10 * proxy.parts.config.limits.max_client_connections)]
         began_at = time.monotonic()
         with proxy.connect() as client:
             assert client.request(timeout_ms=15_000)[0] == 200
--- a/tests/proxy/test_discovery_changes.py
+++ b/tests/proxy/test_discovery_changes.py
@@ -31,8 +31,8 @@
                 "servers": [{**proxy.listed_endpoints[0], "state": "terminating"}],
             }
         )
-        placed = proxy.server.event_loop._router.state.endpoints.by_id
-        assert proxy.wait_until(lambda: placed is not proxy.server.event_loop._router.state.endpoints.by_id)
+        placed = proxy.parts.event_loop._router.state.endpoints.by_id
+        assert proxy.wait_until(lambda: placed is not proxy.parts.event_loop._router.state.endpoints.by_id)
         for piece in range(20):
             assert client.request(part=piece)[0] == 200
         assert proxy.caches[0].received() == []
@@ -56,7 +56,7 @@
                 ],
             }
         )
-        assert proxy.wait_until(lambda: "new" in proxy.server.event_loop._router.state.endpoints.by_id)
+        assert proxy.wait_until(lambda: "new" in proxy.parts.event_loop._router.state.endpoints.by_id)
         for piece in range(12):
             assert client.request(part=piece)[0] == 200
         assert len(old.connections) == 2
@@ -75,7 +75,7 @@
             evict={"ref": OBJECT_NAME, "unix_ms": time.time_ns() // 1_000_000 + clock_error_ms}
         )
         proxy.coordinator.add(evict={"shard": 18, "unix_ms": time.time_ns() // 1_000_000})
-        purges = proxy.server.event_loop._router.state.invalidations
+        purges = proxy.parts.event_loop._router.state.invalidations
         assert proxy.wait_until(lambda: len(purges) == 2)
         assert client.request()[0] == 200
         assert client.request("1" * 16)[0] == 200
@@ -100,7 +100,7 @@
                 {"index": 6, "endpoints": whole},
             ]
             proxy.coordinator._change.notify_all()
-        assert proxy.wait_until(lambda: "a" not in proxy.server.event_loop._router.state.endpoints.by_id)
+        assert proxy.wait_until(lambda: "a" not in proxy.parts.event_loop._router.state.endpoints.by_id)
         assert client.request()[0] == 200
 
 
@@ -109,7 +109,7 @@
         proxy.coordinator.add(endpoints={"servers": [{"id": "x y", "addr": "127.0.0.1:1"}]})
         proxy.coordinator.add(evict={})
         proxy.coordinator.add(evict={"ref": OBJECT_NAME, "unix_ms": time.time_ns() // 1_000_000})
-        assert proxy.wait_until(lambda: len(proxy.server.event_loop._router.state.invalidations) == 1)
+        assert proxy.wait_until(lambda: len(proxy.parts.event_loop._router.state.invalidations) == 1)
         assert proxy.counter("invalid_events") == 2
         assert client.request()[0] == 200
 
@@ -126,12 +126,12 @@
     with running_proxy() as proxy:
         other = Coordinator()
         proxy.coordinator.add(evict={"shard": 1, "unix_ms": time.time_ns() // 1_000_000})
-        purges = proxy.server.event_loop._router.state.invalidations
+        purges = proxy.parts.event_loop._router.state.invalidations
         assert proxy.wait_until(lambda: len(purges) == 1)
         other.events = list(proxy.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        assert proxy.server.discovery.switch_coordinator(read_address(other.address))
-        assert not proxy.server.discovery.switch_coordinator(read_address(other.address))
+        assert proxy.parts.discovery.switch_coordinator(read_address(other.address))
+        assert not proxy.parts.discovery.switch_coordinator(read_address(other.address))
         proxy.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # to nobody
         assert proxy.wait_until(lambda: len(purges) == 2)
         assert other.wait_for_poll(2)
@@ -167,8 +167,8 @@
         other.events = list(proxy.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         began = time.monotonic()
-        proxy.server.discovery.switch_coordinator(read_address(other.address))
-        purges = proxy.server.event_loop._router.state.invalidations
+        proxy.parts.discovery.switch_coordinator(read_address(other.address))
+        purges = proxy.parts.event_loop._router.state.invalidations
         assert proxy.wait_until(lambda: ("group", 2) in purges._times)
         assert other.stopped
         assert time.monotonic() - began >= 1
@@ -186,19 +186,19 @@
                 "servers": [{**proxy.listed_endpoints[0], "state": "terminating"}],
             }
         )
-        assert proxy.wait_until(lambda: proxy.server.discovery._last_index == 2)
+        assert proxy.wait_until(lambda: proxy.parts.discovery._last_index == 2)
         lagging = Coordinator()
         lagging.events = proxy.coordinator.events[:1]
-        proxy.server.discovery.switch_coordinator(read_address(lagging.address))
+        proxy.parts.discovery.switch_coordinator(read_address(lagging.address))
         assert lagging.wait_for_poll(2)
         assert lagging.follows[:2] == [2, 2]
-        assert proxy.wait_until(lambda: proxy.server.discovery._lagging_responses >= 1)
+        assert proxy.wait_until(lambda: proxy.parts.discovery._lagging_responses >= 1)
         lagging.events = list(proxy.coordinator.events)
         lagging.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        purges = proxy.server.event_loop._router.state.invalidations
+        purges = proxy.parts.event_loop._router.state.invalidations
         assert proxy.wait_until(lambda: ("group", 2) in purges._times)
         assert (
-            proxy.server.event_loop._router.state.endpoints.by_id["a"].metadata.state
+            proxy.parts.event_loop._router.state.endpoints.by_id["a"].metadata.state
             is api.EndpointState.DRAINING
         )
         assert 0 not in lagging.follows
@@ -233,7 +233,7 @@
         other = BytewiseCoordinator()
         other.events = list(proxy.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
-        proxy.server.discovery.switch_coordinator(read_address(other.address))
+        proxy.parts.discovery.switch_coordinator(read_address(other.address))
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
         assert client.request()[0] == 200
         assert proxy.caches[0].received() == []
@@ -247,7 +247,7 @@
     with running_proxy() as proxy, proxy.connect() as client:
         other = SilentCoordinator(2)
         other.events = list(proxy.coordinator.events)
-        proxy.server.discovery.switch_coordinator(read_address(other.address))
+        proxy.parts.discovery.switch_coordinator(read_address(other.address))
         assert other.wait_for_poll(1)
         other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
@@ -268,7 +268,7 @@
         other = Coordinator()
         other.events = list(proxy.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
-        moved = dataclasses.replace(proxy.server.config, coordinator=read_address(other.address))
+        moved = dataclasses.replace(proxy.parts.config, coordinator=read_address(other.address))
         proxy.server._source = ConfigurationSource(lambda: moved, lambda: None)
         proxy.server.reload()
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
@@ -288,11 +288,11 @@
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert client.read_response()[0] == 200
             assert client.request()[0] == 200
-        proxy.discovery.stop()
-        proxy.downstream.stop_accepting()
-        proxy.downstream.stop_watching()
-        proxy.event_loop.post(StopEventLoop())
-        proxy.log.close(WAIT_TIMEOUT_S)
+        proxy.parts.discovery.stop()
+        proxy.parts.downstream.stop_accepting()
+        proxy.parts.downstream.stop_watching()
+        proxy.parts.event_loop.post(StopEventLoop())
+        proxy.parts.log.close(WAIT_TIMEOUT_S)
         os.close(nowhere)
 
 
@@ -314,7 +314,7 @@
 
     with running_proxy() as proxy:
         nowhere = read_address("127.0.0.1:9")
-        client = DiscoveryClient(nowhere, proxy.server.clock, proxy.server.log, post, seed=1)
+        client = DiscoveryClient(nowhere, proxy.parts.clock, proxy.parts.log, post, seed=1)
         client.start({"index": 2, "updates": updates})
         client.stop()
     assert len(ages) == 2
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -22,7 +22,7 @@
         assert client.request()[0] == 200
         connection, hang_up = idle_connection(proxy), sockets.shutdown
         before, sent, posted = len(proxy.wait_for_fetches()), list[bytes](), list[Any]()
-        proxy.server.downstream.context.post = posted.append
+        proxy.parts.downstream.context.post = posted.append
 
         def crossed(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
             if sock is connection._sock and not sent:
@@ -37,7 +37,7 @@
         assert sent
         assert client.is_closed_by_proxy()
         client.sock.close()
-        assert proxy.wait_until(lambda: proxy.server.downstream.open_count == 0)
+        assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 0)
         monkeypatch.setattr(sockets, "shutdown", hang_up)
         assert not posted
         assert len(proxy.wait_for_fetches()) == before
--- a/tests/proxy/test_error_isolation.py
+++ b/tests/proxy/test_error_isolation.py
@@ -29,14 +29,14 @@
 
 def test_error_in_the_event_loop_fails_only_that_request(monkeypatch: pytest.MonkeyPatch) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        handle = proxy.server.event_loop._router.handle
+        handle = proxy.parts.event_loop._router.handle
 
         def odd(now: int, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request) and event.part == 13:
                 raise RuntimeError("unforeseen")
             return handle(now, event)
 
-        monkeypatch.setattr(proxy.server.event_loop._router, "handle", odd)
+        monkeypatch.setattr(proxy.parts.event_loop._router, "handle", odd)
         assert client.request(part=13)[0] == 502
         assert client.request()[0] == 200
         assert proxy.counter("event_loop_error") == 1
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -89,9 +89,9 @@
 
 def press(proxy: ProxyHarness, share: float) -> None:
     """Has the proxy find so much of its memory in use, as its main thread does."""
-    limit = proxy.server.config.limits.memory.limit
-    proxy.server.memory_monitor.read_resident_bytes = lambda: int(share * limit)
-    proxy.server.memory_monitor.check()
+    limit = proxy.parts.config.limits.memory.limit
+    proxy.parts.memory_monitor.read_resident_bytes = lambda: int(share * limit)
+    proxy.parts.memory_monitor.check()
 
 
 def test_own_cache_gives_way_first() -> None:
@@ -101,16 +101,16 @@
     ):
         for piece in (0, 1, 2, 3) * 2:  # the second response of a name is stored
             assert client.request(part=piece)[0] == 200
-        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 4)
+        assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 4)
         press(proxy, 0.81)
-        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 2)
+        assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 2)
         press(proxy, 0.81)
         press(proxy, 0.81)
-        assert proxy.wait_until(lambda: len(proxy.server.response_cache) == 0)
+        assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
         assert client.request()[0] == 200  # requests and connections go on
-        assert proxy.wait_until(lambda: proxy.server.body_buffers.in_use <= 60)
+        assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use <= 60)
         press(proxy, 0.81)
-        assert proxy.wait_until(lambda: proxy.server.body_buffers.touched_bytes < 300_000)
+        assert proxy.wait_until(lambda: proxy.parts.body_buffers.touched_bytes < 300_000)
 
 
 def test_idle_connections_are_closed_under_pressure_and_busy_ones_kept() -> None:
@@ -147,7 +147,7 @@
     with running_proxy() as proxy, proxy.connect() as client:
         for piece in range(8):
             client.request(part=piece)
-        names = proxy.server.event_loop.router.state.names
+        names = proxy.parts.event_loop.router.state.names
         capacity = names.capacity
         names.capacity = 8
         press(proxy, 0.88)
@@ -157,17 +157,18 @@
         names.capacity = capacity
         press(proxy, 0.5)
         assert client.request(part=21)[0] == 200
-        assert proxy.wait_until(lambda: len(names) > 4 or proxy.server.memory_monitor.level is Level.NONE)
+        assert proxy.wait_until(lambda: len(names) > 4 or proxy.parts.memory_monitor.level is Level.NONE)
 
 
 def test_client_over_the_lowered_connection_limit_waits_for_a_place() -> None:
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
-        half = proxy.server.config.limits.max_client_connections // 2
+        half = proxy.parts.config.limits.max_client_connections // 2
         clients = [proxy.connect() for _ in range(half + 2)]
         for client in clients:
             assert client.request()[0] == 200
         press(proxy, 0.91)
-        proxy.server.downstream.give_way(Level.LIMIT_CONNECTIONS)
+        proxy.parts.downstream.limit_connections(half)
+        proxy.parts.downstream.evict_idle()
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             assert late.read_response()[0] == 200
@@ -178,7 +179,7 @@
 def test_account_names_every_owner_within_what_it_may_take() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
-        account = memory_account(proxy.server)
+        account = memory_account(proxy.parts)
     assert set(account) >= {"connections", "bodies", "names", "requests", "endpoints", "routes", "log"}
     assert all(owner.used <= owner.allowed for owner in account.values())
     assert account["names"].used > 0
--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -77,6 +77,6 @@
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
-        counts = proxy.server.event_loop.event_counts()
+        counts = proxy.parts.event_loop.event_counts()
     assert counts["RequestReceived"] == 1
     assert counts["UpstreamCompleted"] >= 1
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -25,7 +25,7 @@
         assert 1 <= int(fields["ttl"]) <= 1500
         assert "within" not in fields
         assert "miss" not in fields
-        assert proxy.server.event_loop.pending_count == 0
+        assert proxy.parts.event_loop.pending_count == 0
 
 
 def test_cache_miss_is_filled_from_the_parent() -> None:
@@ -82,7 +82,7 @@
             for at in range(0, len(data), 7):
                 client.send(data[at : at + 7])
             assert client.read_response()[2] == body_of(OBJECT_NAME, str(piece))
-        assert proxy.server.downstream.open_count == 1
+        assert proxy.parts.downstream.open_count == 1
 
 
 def test_pipelined_requests_are_not_served() -> None:
@@ -105,7 +105,7 @@
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
         assert client.read_response()[0] == 200
-        proxy.server.downstream.drain()
+        proxy.parts.downstream.drain()
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
         status, headers, _ = client.read_response()
         assert status == 503
@@ -155,7 +155,7 @@
 def test_timeout_beyond_the_deadline_is_accepted() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request(timeout_ms=999_999_999)[0] == 200
-        assert proxy.server.event_loop.pending_count == 0
+        assert proxy.parts.event_loop.pending_count == 0
 
 
 def test_duplicate_request_id_fails_and_the_first_request_is_served() -> None:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -45,7 +45,7 @@
         proxy.wait_for_fetches()
         ending = threading.Thread(target=proxy.server.shut_down)
         ending.start()
-        assert proxy.wait_until(lambda: proxy.server.downstream.is_draining)
+        assert proxy.wait_until(lambda: proxy.parts.downstream.is_draining)
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             gate.set()
@@ -59,7 +59,7 @@
         idle.sock.close()
         ending.join(WAIT_TIMEOUT_S)
         assert not ending.is_alive()
-        assert proxy.server.downstream.open_count == 0
+        assert proxy.parts.downstream.open_count == 0
 
 
 def test_connections_accepted_by_the_kernel_are_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -76,8 +76,8 @@
         waiting = [proxy.connect() for _ in range(5)]
         for client in waiting:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
-        proxy.server.downstream.drain()
-        stopping = threading.Thread(target=proxy.server.downstream.stop_accepting)
+        proxy.parts.downstream.drain()
+        stopping = threading.Thread(target=proxy.parts.downstream.stop_accepting)
         stopping.start()
         gate.set()
         for client in waiting:
@@ -93,12 +93,12 @@
 def test_connection_with_an_unread_request_is_not_closed_as_idle() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
-        (connection,) = proxy.server.downstream._connections
+        (connection,) = proxy.parts.downstream._connections
         with connection._lock:  # its reader has to wait
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: not connection.has_nothing_unread)
-            proxy.server.downstream.drain()
-            closing = threading.Thread(target=proxy.server.downstream.close_idle)
+            proxy.parts.downstream.drain()
+            closing = threading.Thread(target=proxy.parts.downstream.close_idle)
             closing.start()
         closing.join(WAIT_TIMEOUT_S)
         status, headers, _ = client.read_response()
@@ -109,7 +109,7 @@
     with running_proxy() as proxy:
         client = proxy.connect()
         assert client.request()[0] == 200
-        proxy.server.downstream.stop_accepting()
+        proxy.parts.downstream.stop_accepting()
         again = ProxyHarness(listen=f"127.0.0.1:{proxy.address[1]}")
         with again.connect() as other:
             assert other.request()[0] == 200
@@ -122,9 +122,9 @@
 
 def start_shutdown(proxy: ProxyHarness) -> tuple[threading.Thread, int]:
     """Starts the shutdown as SIGTERM does; returns its thread and its time."""
-    thread, at = threading.Thread(target=proxy.server.shut_down), proxy.server.clock.now()
+    thread, at = threading.Thread(target=proxy.server.shut_down), proxy.parts.clock.now()
     thread.start()
-    assert proxy.wait_until(lambda: proxy.server.downstream.is_draining)
+    assert proxy.wait_until(lambda: proxy.parts.downstream.is_draining)
     return thread, at
 
 
@@ -137,9 +137,9 @@
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             assert (client.read_response()[0], late.read_response()[0]) == (503, 503)
-            assert proxy.server.clock.now() < began + KILLED_AFTER
+            assert proxy.parts.clock.now() < began + KILLED_AFTER
         ending.join(WAIT_TIMEOUT_S)
-        assert proxy.server.event_loop.pending_count == 0
+        assert proxy.parts.event_loop.pending_count == 0
 
 
 @pytest.mark.usefixtures("short_shutdown")
@@ -148,11 +148,11 @@
 ) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 1)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 1)
         assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
         ending, began = start_shutdown(proxy)
         assert client.read_response()[0] == 503
-        assert proxy.server.clock.now() < began + KILLED_AFTER
+        assert proxy.parts.clock.now() < began + KILLED_AFTER
         ending.join(WAIT_TIMEOUT_S)
         delayed_connects.gate.set()
         assert no_attempt_was_sent(proxy)
@@ -170,10 +170,10 @@
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         ending, began = start_shutdown(proxy)
         assert proxy.wait_until(
-            lambda: proxy.server.clock.now() > began + 600 * MS
+            lambda: proxy.parts.clock.now() > began + 600 * MS
         )  # past the clients' time to close
         gate.set()
         assert client.read_response()[0] == 200
@@ -188,15 +188,15 @@
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     held = DelayedReplies()
     with running_proxy(held, limits={"sockets": 64, "memory_mb": 64}) as proxy:
-        busy = [proxy.connect() for _ in range(proxy.server.config.limits.max_client_connections)]
+        busy = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
         for client in busy:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == len(busy))
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == len(busy))
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
             ending, began = start_shutdown(proxy)
-            assert proxy.wait_until(lambda: proxy.server.clock.now() > began + 200 * MS)
+            assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 200 * MS)
             held.gate.set()
             for client in busy:
                 assert client.read_response()[0] in (200, 503)
@@ -227,11 +227,11 @@
     with running_proxy(reply_with_large_body) as proxy:
         sock = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
         assert proxy.wait_until(
-            lambda: proxy.counter("slow_clients") == 1 and proxy.server.event_loop.pending_count == 0
+            lambda: proxy.counter("slow_clients") == 1 and proxy.parts.event_loop.pending_count == 0
         )
         ending, began = start_shutdown(proxy)
         # Past the times to accept and to close: a pending response is waited for all the same.
-        assert proxy.wait_until(lambda: proxy.server.clock.now() > began + 400 * MS)
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 400 * MS)
         assert ending.is_alive()
         got = b""
         while piece := sock.recv(65_536):
@@ -250,7 +250,7 @@
         connection = only_connection(proxy)
         assert proxy.wait_until(lambda: not connection._parser.is_idle)
         ending, began = start_shutdown(proxy)
-        assert proxy.wait_until(lambda: proxy.server.clock.now() > began + 400 * MS)
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 400 * MS)
         client.send(request[30:])
         status, headers, body = client.read_response()
         assert (status, headers["connection"], body) == (200, "close", body_of(OBJECT_NAME, "3"))
@@ -278,4 +278,4 @@
         assert client.read_response()[0] == 200
         client.sock.close()
         ending.join(WAIT_TIMEOUT_S)
-        assert proxy.server.downstream.open_count == 0
+        assert proxy.parts.downstream.open_count == 0
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -56,13 +56,13 @@
 
 def test_unforeseen_error_does_not_end_the_accept_thread(monkeypatch: pytest.MonkeyPatch) -> None:
     with running_proxy() as proxy:
-        start = failing(proxy.server.downstream._start_connection, MemoryError(), 1)
-        monkeypatch.setattr(proxy.server.downstream, "_start_connection", start)
+        start = failing(proxy.parts.downstream._start_connection, MemoryError(), 1)
+        monkeypatch.setattr(proxy.parts.downstream, "_start_connection", start)
         lost = proxy.connect()
         assert proxy.wait_until(lambda: proxy.counter("accept_error") == 1)
         assert lost.is_closed_by_proxy()
-        free = proxy.server.downstream._slots._value
-        assert free == proxy.server.config.limits.max_client_connections
+        free = proxy.parts.downstream._slots._value
+        assert free == proxy.parts.config.limits.max_client_connections
         with proxy.connect() as client:
             assert client.request()[0] == 200
         lost.sock.close()
@@ -128,7 +128,7 @@
 
 
 def failure_scores(proxy: ProxyHarness) -> list[float]:
-    endpoints = proxy.server.event_loop.router.state.endpoints.by_id.values()
+    endpoints = proxy.parts.event_loop.router.state.endpoints.by_id.values()
     return [endpoint.failure_score for endpoint in endpoints]
 
 
@@ -202,19 +202,19 @@
     with running_proxy() as proxy, running_proxy() as other:
         assert proxy.coordinator.wait_for_poll(1)
         host, _, port = other.coordinator.address.rpartition(":")
-        address = type(proxy.server.config.coordinator)(host, int(port))
+        address = type(proxy.parts.config.coordinator)(host, int(port))
         with monkeypatch.context() as patch:
             patch.setattr(long_poll, "start_thread", start)
             with pytest.raises(RuntimeError):
-                proxy.server.discovery.switch_coordinator(address)
+                proxy.parts.discovery.switch_coordinator(address)
         polls = proxy.coordinator.polls
         assert proxy.coordinator.wait_for_poll(polls + 1)  # the old poll goes on
-        assert proxy.server.discovery.switch_coordinator(address)  # and the next reload moves it
+        assert proxy.parts.discovery.switch_coordinator(address)  # and the next reload moves it
 
 
 def test_event_loop_outlives_errors_outside_of_events(monkeypatch: pytest.MonkeyPatch) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        loop = proxy.server.event_loop
+        loop = proxy.parts.event_loop
         monkeypatch.setattr(loop, "_fire_due", failing(loop._fire_due, MemoryError(), 3))
         for piece in range(5):
             assert client.request(part=piece)[0] == 200
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -12,6 +12,7 @@
 from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally
 from olivepost import interface as api
 from olivepost.proxy import sockets
+from olivepost.proxy.upstream.connection import UpstreamConnection
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.units import SECOND
 from tests.proxy.fakes import (
@@ -172,18 +173,18 @@
         running_proxy(settings=settings_with_idempotency("idempotency_key", window=5 * SECOND)) as proxy,
         proxy.connect() as client,
     ):
-        send = proxy.server.upstream.forward
+        send = proxy.parts.upstream.forward
 
         def sent(request: UpstreamRequest) -> None:
-            proxy.server.upstream.forward = send  # type: ignore[method-assign]
-            request.start_before = proxy.server.clock.now() + 50 * MS  # as the router sets it for a retry
+            proxy.parts.upstream.forward = send  # type: ignore[method-assign]
+            request.start_before = proxy.parts.clock.now() + 50 * MS  # as the router sets it for a retry
             send(request)
 
-        proxy.server.upstream.forward = sent  # type: ignore[method-assign]
+        proxy.parts.upstream.forward = sent  # type: ignore[method-assign]
         client.send(HttpClient.encode_request(timeout_ms=3000))
         assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
-        past = proxy.server.clock.now() + 60 * MS
-        assert proxy.wait_until(lambda: proxy.server.clock.now() > past)
+        past = proxy.parts.clock.now() + 60 * MS
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > past)
         delayed_connects.gate.set()
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
         assert client.read_response()[0] == 200  # it was not executed: another attempt may be
@@ -217,7 +218,7 @@
     slow, delayed_aborts.resets = SlowFirstCache(), resets
     with running_proxy(slow, settings=settings_without_hedged_requests()) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
-        pending = proxy.server.event_loop._pending.by_id
+        pending = proxy.parts.event_loop._pending.by_id
         assert proxy.wait_until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
         assert {endpoint.id for endpoint in proxy.caches if endpoint.received()} == {slow.first}
         delayed_aborts.gate.set()
@@ -230,7 +231,7 @@
     slow = SlowFirstCache()
     with running_proxy(slow, settings=settings_without_hedged_requests()) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
-        pending = proxy.server.event_loop._pending.by_id
+        pending = proxy.parts.event_loop._pending.by_id
         assert proxy.wait_until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
         other = next(endpoint for endpoint in proxy.caches if endpoint.id != slow.first)
         rows = [{**row, "state": "terminating"} for row in proxy.listed_endpoints if row["id"] == other.id]
@@ -256,14 +257,15 @@
         running_proxy(reply, settings=settings_without_hedged_requests()) as proxy,
         proxy.connect() as client,
     ):
-        tools, ended = proxy.server.upstream._resources, list[bool]()
+        tools, ended = proxy.parts.upstream._resources, list[bool]()
         post = tools.post
 
         def noted(event: Any) -> None:
             if isinstance(event, UpstreamCompleted) and event.status is api.AttemptStatus.CONNECTION_LOST:
-                assert event.request.connection is not None
-                assert event.request.connection._sock is not None
-                ended.append(sockets.is_closed_by_peer(event.request.connection._sock))
+                connection = event.request.connection
+                assert isinstance(connection, UpstreamConnection)
+                assert connection._sock is not None
+                ended.append(sockets.is_closed_by_peer(connection._sock))
             post(event)
 
         tools.post = noted
@@ -277,15 +279,15 @@
         call = forwarded_request(proxy, client)
         draining = [
             dataclasses.replace(server.address, state=api.EndpointState.DRAINING)
-            for server in proxy.server.upstream._endpoints.values()
+            for server in proxy.parts.upstream._endpoints.values()
         ]
         before = len(proxy.wait_for_fetches())
         call.is_rerouted = True
         told: list[Any] = []
-        tools = proxy.server.upstream._resources
+        tools = proxy.parts.upstream._resources
         post, tools.post = tools.post, told.append
-        proxy.server.upstream.update(draining, False)
-        proxy.server.upstream.forward(call)
+        proxy.parts.upstream.update(draining, False)
+        proxy.parts.upstream.forward(call)
         tools.post = post
         assert [it.status for it in told] == [api.AttemptStatus.CONNECT_FAILED]
         assert len(proxy.wait_for_fetches()) == before
@@ -294,15 +296,15 @@
 def forwarded_request(proxy: ProxyHarness, client: HttpClient) -> UpstreamRequest:
     """A request that a connection has sent."""
     kept: list[UpstreamRequest] = []
-    send = proxy.server.upstream.forward
+    send = proxy.parts.upstream.forward
 
     def noted(request: UpstreamRequest) -> None:
         kept.append(request)
         send(request)
 
-    proxy.server.upstream.forward = noted  # type: ignore[method-assign]
+    proxy.parts.upstream.forward = noted  # type: ignore[method-assign]
     assert client.request(part=9)[0] == 200
-    proxy.server.upstream.forward = send  # type: ignore[method-assign]
+    proxy.parts.upstream.forward = send  # type: ignore[method-assign]
     return kept[0]
 
 
@@ -310,8 +312,8 @@
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
         assert proxy.coordinator.wait_for_poll(1)
-        follower = proxy.server.discovery._long_poll
-        links = [link for server in proxy.server.upstream._endpoints.values() for link in server.connections]
+        follower = proxy.parts.discovery._long_poll
+        links = [link for server in proxy.parts.upstream._endpoints.values() for link in server.connections]
         assert follower is not None
         assert links
         for sock in (only_connection(proxy)._sock, follower._sock, *(link._sock for link in links)):
--- a/tests/proxy/test_upstream_failures.py
+++ b/tests/proxy/test_upstream_failures.py
@@ -157,9 +157,9 @@
         with proxy.connect() as client:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             proxy.wait_for_fetches()
-            assert proxy.wait_until(lambda: proxy.server.body_buffers.in_use > 15)
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0)
-        assert proxy.wait_until(lambda: proxy.server.body_buffers.in_use < 10)
+            assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use > 15)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
+        assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use < 10)
         over.set()
 
 
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -145,10 +145,11 @@
         read = read_config(config, {})
         limits = replace(read.limits, **(bounds or {}))
         self.server = ProxyServer(replace(read, limits=limits), self._devnull)
+        self.parts = self.server.parts
         # This process holds the tests as well: its memory says nothing of the proxy's.
-        self.server.memory_monitor.read_resident_bytes = lambda: 0
+        self.parts.memory_monitor.read_resident_bytes = lambda: 0
         self.attempt_outcomes: list[api.AttemptOutcome] = []
-        self._record_outcomes(self.server.event_loop._router)
+        self._record_outcomes(self.parts.event_loop._router)
         self.address = self.server.start()
 
     def _record_outcomes(self, router: Router) -> None:
@@ -193,18 +194,18 @@
 
     def counter(self, name: str) -> int:
         """A counter of the proxy's event log."""
-        return self.server.log.counters().get(name, 0)
+        return self.parts.log.counters().get(name, 0)
 
     def close(self) -> None:
         """Closes everything at once, without a graceful shutdown."""
-        self.server.discovery.stop()
-        self.server.downstream.stop_accepting()
-        self.server.downstream.stop_watching()
-        self.server.upstream.close()
-        self.server.event_loop.post(StopEventLoop())
+        self.parts.discovery.stop()
+        self.parts.downstream.stop_accepting()
+        self.parts.downstream.stop_watching()
+        self.parts.upstream.close()
+        self.parts.event_loop.post(StopEventLoop())
         for server in (*self.endpoints, self.coordinator):
             server.close()
-        self.server.log.close(WAIT_TIMEOUT_S)
+        self.parts.log.close(WAIT_TIMEOUT_S)
         os.close(self._devnull)
 
 
@@ -225,10 +226,10 @@
     proxy = ProxyHarness(reply, bounds, **changes)
     try:
         yield proxy
-        assert proxy.wait_until(lambda: proxy.server.event_loop.pending_count == 0), (
+        assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0), (
             "a request is still pending"
         )
     finally:
         proxy.close()
-    assert proxy.wait_until(lambda: proxy.server.body_buffers.in_use == 0), "a body buffer is still in use"
-    assert proxy.wait_until(lambda: proxy.server.read_buffers.in_use == 0), "a read buffer is still in use"
+    assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use == 0), "a body buffer is still in use"
+    assert proxy.wait_until(lambda: proxy.parts.read_buffers.in_use == 0), "a read buffer is still in use"
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -58,7 +58,7 @@
 
     @property
     def hosts(self) -> list[StoreHost]:
-        hosts = [proxy.shared_store for proxy in self.proxies if proxy.shared_store]
+        hosts = [proxy.parts.shared_store for proxy in self.proxies if proxy.parts.shared_store]
         assert len(hosts) == len(self.proxies)
         return hosts
 
@@ -75,7 +75,7 @@
 
     @staticmethod
     def has_available_store(proxy: ProxyServer) -> bool:
-        return proxy.event_loop._router.state.is_store_available
+        return proxy.parts.event_loop._router.state.is_store_available
 
     def have_synced(self) -> bool:
         """Whether each proxy has had its first sync under the store's present generation confirmed.
@@ -103,14 +103,14 @@
 
     def close(self) -> None:
         for proxy in self.proxies:
-            proxy.discovery.stop()
-            proxy.downstream.stop_accepting()
-            if proxy.shared_store:
-                proxy.shared_store.close()
-            proxy.downstream.stop_watching()
-            proxy.upstream.close()
-            proxy.event_loop.post(StopEventLoop())
-            proxy.log.close(5.0)
+            proxy.parts.discovery.stop()
+            proxy.parts.downstream.stop_accepting()
+            if proxy.parts.shared_store:
+                proxy.parts.shared_store.close()
+            proxy.parts.downstream.stop_watching()
+            proxy.parts.upstream.close()
+            proxy.parts.event_loop.post(StopEventLoop())
+            proxy.parts.log.close(5.0)
         for server in (*self.caches, *self.others, self.coordinator):
             server.close()
         os.close(self._devnull)
@@ -132,7 +132,7 @@
         assert pair.request(0, FILLED, timeout_ms=6000) == 200
         assert pair.wait_until(lambda: pair.count("lease_releases_confirmed") == 1)
         assert pair.request(1, FILLED, timeout_ms=6000) == 200
-        assert pair.wait_until(lambda: pair.count("hints_given") >= 1), pair.proxies[1].log.counters()
+        assert pair.wait_until(lambda: pair.count("hints_given") >= 1), pair.proxies[1].parts.log.counters()
 
 
 def test_an_invalidation_reaches_the_other_proxy_through_the_store() -> None:
@@ -140,7 +140,7 @@
         assert pair.wait_for_availability()
         pair.hosts[0].invalidate(api.Invalidation("x", None, 0), time.time_ns())
         assert pair.wait_until(lambda: pair.count("invalidations_received") == 1)
-        router = pair.proxies[1].event_loop._router
+        router = pair.proxies[1].parts.event_loop._router
         assert pair.wait_until(
             lambda: router.state.invalidations.latest(api.Request("i", "image", "x", 1, group=1)) > 0
         )
