--- a/tests/proxy/discovery/test_flow_control.py
+++ b/tests/proxy/discovery/test_flow_control.py
@@ -33,7 +33,7 @@
     with running_proxy() as proxy:
         may_continue = threading.Event()
         is_blocked = threading.Event()
-        router = proxy.server.event_loop.router
+        router = proxy.parts.event_loop.router
         handle = router.handle
 
         def handle_late(now: Instant, event: Any) -> Any:
@@ -54,14 +54,14 @@
 
         assert proxy.coordinator.polls <= polls + 1
         may_continue.set()
-        assert proxy.wait_until(lambda: proxy.server.discovery._watch_state.last_index == 7)
+        assert proxy.wait_until(lambda: proxy.parts.discovery._watch_state.last_index == 7)
 
 
 def test_configured_events_are_released_after_the_start() -> None:
     with running_proxy() as proxy:
-        assert proxy.server.config.known_events is None
+        assert proxy.parts.config.known_events is None
         assert len(router_endpoints(proxy)) == 4
 
 
 def router_endpoints(proxy: Any) -> list[str]:
-    return list(proxy.server.event_loop.router.state.endpoints.by_id)
+    return list(proxy.parts.event_loop.router.state.endpoints.by_id)
