--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -42,7 +42,7 @@
     response = _response(request, line, clock, completed_at)
     if response is not None:
         status = api.AttemptStatus.OK
-    elif request.lacks_buffers:
+    elif request.is_missing_buffers:
         status = api.AttemptStatus.CANCELLED  # the proxy's own want: it says nothing of the endpoint
     elif line.status in FAILURE_STATUSES:
         status = FAILURE_STATUSES[line.status]
--- /dev/null
+++ b/olivepost/proxy/upstream/connection_context.py
@@ -0,0 +1,65 @@
+"""What the writer and reader threads of one upstream connection use, and how either of them ends it."""
+
+from __future__ import annotations
+
+import socket
+
+from olivepost.proxy import sockets
+from olivepost.proxy.upstream.completion import events_of_loss
+from olivepost.proxy.upstream.connection_state import ConnectionState
+from olivepost.proxy.upstream.endpoint_address import EndpointAddress
+from olivepost.proxy.upstream.liveness import LivenessMonitor
+from olivepost.proxy.upstream.request import UpstreamAborted
+from olivepost.proxy.upstream.resources import UpstreamResources
+
+
+class ConnectionContext:
+    """The parts of one connection.
+
+    The writer thread alone sets `sock` and `is_closed`; the reader thread alone writes `liveness`. Both may
+    call the methods.
+    """
+
+    def __init__(self, resources: UpstreamResources, address: EndpointAddress) -> None:
+        self.resources = resources
+        self.address = address
+        self.state = ConnectionState(resources.limits.max_requests_per_connection)
+        self.liveness = LivenessMonitor(resources.limits)
+        self.sock: socket.socket | None = None  # None until it is connected
+        self.is_closed = False  # whether its descriptor is free
+
+    def record_loss(self, reason: str) -> None:
+        """Logs why the connection is lost, unless it is closing already."""
+        if self.state.is_closing:
+            return
+        log = self.resources.log
+        log.increment("upstream_connections_lost")
+        log.event(
+            "upstream_connection_lost",
+            endpoint=self.address.id,
+            reason=reason,
+            open_requests=self.state.pending_count,
+        )
+
+    def confirm_abort(self, aborted: UpstreamAborted) -> None:
+        """Reports, once and where that is awaited, that an abort is written or its connection has ended."""
+        if self.state.take_awaited_abort(aborted):
+            self.resources.post(aborted)
+
+    def end(self, *, is_local_failure: bool = False) -> None:
+        """Ends the connection, and reports once the outcome of each request that was pending on it.
+
+        With `is_local_failure` the cause is this process or its machine, and the endpoint is not at fault.
+
+        The socket is shut down before anything is reported: the event loop may forward a reported request
+        again at once, and two attempts of an exchange must not be in flight together.
+        """
+        unfinished = self.state.close()
+        if self.sock is not None:
+            sockets.shutdown(self.sock)
+        for aborted in unfinished.aborts:
+            self.confirm_abort(aborted)
+        lost_at = self.resources.clock.now()
+        was_connected = self.sock is not None
+        for event in events_of_loss(unfinished.requests, lost_at, was_connected, is_local_failure):
+            self.resources.post(event)
--- /dev/null
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -0,0 +1,228 @@
+"""The requests that are pending on one upstream connection, and the lock that orders all changes to them."""
+
+from __future__ import annotations
+
+import queue
+import threading
+from dataclasses import dataclass
+from enum import Enum
+
+from olivepost.proxy import invariants
+from olivepost.proxy.buffers import PooledBody
+from olivepost.proxy.upstream.request import (
+    AbortableConnection,
+    RequestFilter,
+    RequestStage,
+    UpstreamAborted,
+    UpstreamRequest,
+)
+from olivepost.units import Instant
+
+MAX_PAST_REQUESTS = 256  # ids of written requests whose responses may still arrive
+
+
+class WriterSignal(Enum):
+    """What the writer thread is asked for besides requests and aborts."""
+
+    DRAIN = "drain"  # close once nothing is pending
+    CHECK_LIVENESS = "check liveness"
+
+
+class WriteStart(Enum):
+    """Whether a request that reached the writer is to be written."""
+
+    STARTED = "started"
+    WITHDRAWN = "withdrawn"  # taken back or aborted while it waited
+    TOO_LATE = "too late"  # past its `start_before`
+
+
+class UnmatchedResponse(Enum):
+    """Why a response belongs to no pending request; the values are names of counters."""
+
+    DUPLICATE = "duplicate_responses"  # its request was written here and has ended
+    UNKNOWN = "unmatched_responses"  # no such request was written here
+
+
+@dataclass(frozen=True, slots=True)
+class UnfinishedWork:
+    """What was still pending on a connection when it ended."""
+
+    requests: list[UpstreamRequest]
+    aborts: list[UpstreamAborted]  # whose confirmation is awaited
+
+
+class ConnectionState:
+    """State that the event loop, the writer thread and the reader thread of one connection share.
+
+    `_lock` guards `_pending`, `_past_ids`, `_awaited_aborts`, changes of `is_closing`, and of the pending
+    requests the fields `connection`, `stage`, `body` and `is_missing_buffers`. Under it, aborts enter
+    `outbox` in the order in which their requests end. `pending_count`, `can_accept` and `is_closing` are read
+    without it, and may be out of date.
+
+    No method does I/O, waits for another thread's work, or reports to the event loop.
+    """
+
+    def __init__(self, max_requests: int) -> None:
+        self.outbox: queue.SimpleQueue[UpstreamRequest | UpstreamAborted | WriterSignal] = queue.SimpleQueue()
+        self.is_closing = False
+        self._max_requests = max_requests
+        self._lock = threading.Lock()
+        self._pending: dict[str, UpstreamRequest] = {}
+        self._past_ids: dict[str, None] = {}  # of requests that were written here, oldest first
+        self._awaited_aborts: list[UpstreamAborted] = []  # to be reported, and not written yet
+
+    @property
+    def pending_count(self) -> int:
+        """How many requests are pending."""
+        return len(self._pending)
+
+    # Called by the event loop.
+
+    def can_accept(self, request_id: str) -> bool:
+        """Whether a request with this id can be sent here.
+
+        Not where the id was used before: a late response to it would be taken for the new request's.
+        """
+        return (
+            len(self._pending) < self._max_requests
+            and request_id not in self._pending
+            and request_id not in self._past_ids
+        )
+
+    def add(self, request: UpstreamRequest, connection: AbortableConnection) -> bool:
+        """Makes a request pending and hands it to the writer; False where the connection is closing."""
+        with self._lock:
+            if self.is_closing:
+                return False
+            request.connection = connection
+            request.stage = RequestStage.QUEUED
+            self._pending[request.exchange.id] = request
+            invariants.check(len(self._pending) <= self._max_requests, "open_requests_within_limit")
+        self.outbox.put(request)
+        return True
+
+    def abort(self, request: UpstreamRequest, is_awaited: bool) -> bool:
+        """Ends a request that is given up; returns whether an awaited abort will be confirmed.
+
+        A request that is not being written yet never will be; one that is, is followed by an abort.
+        """
+        with self._lock:
+            if self._pending.get(request.exchange.id) is not request:
+                return False
+            was_writing = request.stage is RequestStage.WRITING
+            self._remove(request)
+            request.discard_body()
+            if not was_writing:
+                return False
+            aborted = UpstreamAborted(request)
+            if is_awaited:
+                self._awaited_aborts.append(aborted)
+            self.outbox.put(aborted)
+        return is_awaited
+
+    def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
+        """Takes back the matching requests that are not being written yet."""
+        with self._lock:
+            queued = [request for request in self._pending.values() if request.stage is RequestStage.QUEUED]
+            withdrawn = [request for request in queued if matches(request)]
+            for request in withdrawn:
+                self._remove(request)
+        return withdrawn
+
+    # Called by the writer thread.
+
+    def start_writing(self, request: UpstreamRequest, now: Instant) -> WriteStart:
+        """Marks a request as being written, unless it was withdrawn or is too late."""
+        with self._lock:
+            is_pending = self._pending.get(request.exchange.id) is request
+            if not is_pending or request.stage is not RequestStage.QUEUED:
+                return WriteStart.WITHDRAWN
+            if 0 < request.start_before < now:
+                self._remove(request)
+                return WriteStart.TOO_LATE
+            request.stage = RequestStage.WRITING
+            return WriteStart.STARTED
+
+    def take_awaited_abort(self, aborted: UpstreamAborted) -> bool:
+        """Whether this abort is to be reported now; True only once for each."""
+        with self._lock:
+            if aborted not in self._awaited_aborts:
+                return False
+            self._awaited_aborts.remove(aborted)
+            return True
+
+    def close_if_unused(self) -> None:
+        """Marks the connection as closing where nothing is pending on it."""
+        with self._lock:
+            if not self._pending:
+                self.is_closing = True
+
+    # Called by the reader thread.
+
+    def waiting_since(self, now: Instant) -> Instant:
+        """When the started request that has waited longest was forwarded; `now` where none waits."""
+        with self._lock:
+            started = [request.forwarded_at for request in self._pending.values() if request.is_started]
+        return min(started, default=now)
+
+    def find_written(self, request_id: str) -> UpstreamRequest | UnmatchedResponse:
+        """The pending request that a response belongs to, or why there is none."""
+        with self._lock:
+            request = self._pending.get(request_id)
+            if request is not None and request.stage is RequestStage.WRITING:
+                return request
+            is_past = request_id in self._past_ids
+        return UnmatchedResponse.DUPLICATE if is_past else UnmatchedResponse.UNKNOWN
+
+    def attach_body(self, request: UpstreamRequest, body: PooledBody) -> bool:
+        """Gives a request the buffers for its response's body; False where the request has ended."""
+        with self._lock:
+            if self._pending.get(request.exchange.id) is not request:
+                return False
+            request.body = body
+            return True
+
+    def mark_missing_buffers(self, request: UpstreamRequest) -> None:
+        """Notes that no buffers came free for the body of a request's response."""
+        with self._lock:
+            request.is_missing_buffers = True
+
+    def append_body(self, request: UpstreamRequest, chunk: memoryview) -> None:
+        """Appends a chunk of a response's body, unless its request has ended."""
+        with self._lock:
+            if request.stage is not RequestStage.DONE and request.body is not None:
+                request.body.append(chunk)
+
+    def complete(self, request: UpstreamRequest) -> bool:
+        """Ends a request whose response is complete; False where it has ended already."""
+        with self._lock:
+            if request.stage is RequestStage.DONE:
+                return False
+            self._remove(request)
+            return True
+
+    # Called by the writer thread and the reader thread.
+
+    def close(self) -> UnfinishedWork:
+        """Marks the connection as closing and ends all requests.
+
+        A second call returns no requests; an abort is returned until it has been reported.
+        """
+        with self._lock:
+            self.is_closing = True
+            unfinished = UnfinishedWork(list(self._pending.values()), list(self._awaited_aborts))
+            self._pending = {}
+            self._past_ids.clear()
+            for request in unfinished.requests:
+                request.stage = RequestStage.DONE
+        return unfinished
+
+    def _remove(self, request: UpstreamRequest) -> None:
+        """Ends a pending request; the caller holds the lock."""
+        del self._pending[request.exchange.id]
+        if request.stage is RequestStage.WRITING:
+            self._past_ids[request.exchange.id] = None
+            if len(self._past_ids) > MAX_PAST_REQUESTS:
+                oldest_id = next(iter(self._past_ids))
+                del self._past_ids[oldest_id]
+        request.stage = RequestStage.DONE
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -16,6 +16,7 @@
 MAX_LENGTH_DIGITS = 9  # of a body's length: no endpoint sends a body of a gigabyte
 MAX_REPORTED_SIZE = 80  # bytes of a rejected line that an error carries
 LINE_END = b"\r\n"
+LIVENESS_STATUS = "PONG"  # of the response to a liveness check
 NO_BODY = -1  # length of a response that has neither a body nor the CR LF behind one
 IN_LINE = -1  # remaining bytes of a body while the parser reads a line
 
@@ -74,12 +75,12 @@
     if not PRINTABLE_ASCII.fullmatch(line):
         raise LineProtocolError("a line with bytes outside printable ASCII", line[:MAX_REPORTED_SIZE])
     words = line.decode("ascii").split(" ")
-    if len(words) == 2 and words[1] == "PONG":
+    if len(words) == 2 and words[1] == LIVENESS_STATUS:
         words += ["-", ""]
     if len(words) != 4 or not words[0] or not words[1]:
         raise LineProtocolError("a line that is not a response", line[:MAX_REPORTED_SIZE])
     request_id, status, field_list, length = words
-    has_body = bool(length) or status != "PONG"
+    has_body = bool(length) or status != LIVENESS_STATUS
     body_length = _parse_body_length(length, max_body_size) if has_body else NO_BODY
     return ResponseLine(request_id, status, parse_fields(field_list), body_length)
 
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -1,4 +1,4 @@
-"""Liveness of an upstream connection: when a response has stalled, and when to ask for a sign of life."""
+"""Liveness of an upstream connection: when a response has stalled, and when a liveness check is due."""
 
 from __future__ import annotations
 
@@ -8,8 +8,7 @@
 from olivepost.proxy.upstream.errors import EndpointUnresponsiveError
 from olivepost.units import MILLISECOND, Duration, Instant
 
-# A connection without a byte for so long and with nothing open may have been closed by its endpoint.
-IDLE_CHECK_AFTER: Duration = 50 * MILLISECOND
+IDLE_CHECK_AFTER: Duration = 50 * MILLISECOND  # without a byte, the endpoint may have closed the connection
 
 
 @dataclass(slots=True)
@@ -20,35 +19,42 @@
     """
 
     limits: ResourceLimits
-    last_received_at: int = 0
-    response_started_at: Instant = 0  # when the first byte of the response in progress came; 0: none is
-    check_sent_at: int = 0  # when a liveness check was sent with no byte received since; 0: none was
+    last_received_at: Instant = 0
+    response_started_at: Instant | None = None  # first byte of the response in progress
+    check_sent_at: Instant | None = None  # of a liveness check that no byte has followed
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the rest of a response or the answer to a liveness check is still to come."""
-        return bool(self.response_started_at or self.check_sent_at)
+        """Whether the rest of a response or the reply to a liveness check is still to come."""
+        return self.response_started_at is not None or self.check_sent_at is not None
 
     def is_idle(self, now: Instant) -> bool:
-        """Whether nothing has come for so long that the endpoint may have closed the connection."""
+        """Whether no byte has been received for so long that the endpoint may have closed the connection."""
         return now - self.last_received_at > IDLE_CHECK_AFTER
 
     def record_received(self, now: Instant) -> None:
-        """Note that bytes have come."""
+        """Notes that bytes have been received."""
         self.last_received_at = now
-        self.check_sent_at = 0
+        self.check_sent_at = None
+
+    def record_progress(self, *, is_between_responses: bool) -> None:
+        """Notes, once the received bytes are parsed, whether a response is in progress."""
+        if is_between_responses:
+            self.response_started_at = None
+        elif self.response_started_at is None:
+            self.response_started_at = self.last_received_at
 
     def check_progress(self, now: Instant) -> None:
-        """Raise EndpointUnresponsiveError where a response stalls, trickles, or a liveness check fails."""
+        """Raises EndpointUnresponsiveError where a response stalls or takes too long, or a check fails."""
         limits = self.limits
-        if self.response_started_at:
+        if self.response_started_at is not None:
             if now - self.last_received_at > limits.response_pause_timeout:
                 raise EndpointUnresponsiveError("a response did not go on", limits.response_pause_timeout)
             if now - self.response_started_at > limits.response_timeout:
                 raise EndpointUnresponsiveError("a response was not complete", limits.response_timeout)
-        if self.check_sent_at and now - self.check_sent_at > limits.liveness_check_timeout:
+        if self.check_sent_at is not None and now - self.check_sent_at > limits.liveness_check_timeout:
             raise EndpointUnresponsiveError("no answer to 'alive'", limits.liveness_check_timeout)
 
     def is_check_due(self, now: Instant, waiting_since: Instant) -> bool:
-        """Whether the connection has been silent too long for the request that waits longest."""
+        """Whether no byte has been received for too long while a request waits."""
         return now - max(waiting_since, self.last_received_at) > self.limits.liveness_check_after
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -10,7 +10,6 @@
 from olivepost.proxy.upstream.endpoint_address import EndpointAddress
 from olivepost.proxy.upstream.request import RequestFilter, UpstreamCompleted, UpstreamRequest
 from olivepost.proxy.upstream.resources import UpstreamResources
-from olivepost.proxy.upstream.writer import ConnectionWriter
 
 
 @dataclass(slots=True)
@@ -127,7 +126,7 @@
             return
         connection = UpstreamConnection(self._resources, endpoint.address)
         try:
-            ConnectionWriter(connection).start()
+            connection.start()
         except RuntimeError:
             self._resources.log.increment("threads_short")
             self._report(request, api.AttemptStatus.NOT_SENT)
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -5,16 +5,13 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from olivepost import interface as api
 from olivepost.proxy.buffers import PooledBody
 from olivepost.proxy.exchange import Exchange, Response
 from olivepost.units import Instant
 
-if TYPE_CHECKING:
-    from olivepost.proxy.upstream.connection import UpstreamConnection
-
 
 class RequestStage(Enum):
     """How far an upstream request has come on its connection."""
@@ -24,12 +21,19 @@
     DONE = "done"
 
 
+class AbortableConnection(Protocol):
+    """The connection that a request was given to, as the event loop sees it."""
+
+    def abort(self, request: UpstreamRequest, is_awaited: bool = False, /) -> bool:
+        """Gives the request up; returns whether an `UpstreamAborted` will follow."""
+
+
 @dataclass(slots=True, eq=False)
 class UpstreamRequest:
     """One attempt of an exchange on its way to an endpoint.
 
     The event loop creates it. While pending on a connection, that connection's lock guards `connection`,
-    `stage`, `body` and `lacks_buffers`; `is_started` belongs to the connection's writer thread.
+    `stage`, `body` and `is_missing_buffers`; `is_started` belongs to the connection's writer thread.
     """
 
     exchange: Exchange
@@ -42,9 +46,9 @@
     stage: RequestStage = RequestStage.QUEUED
     is_started: bool = False  # its first byte has been written
     is_rerouted: bool = False  # it was on a connection that was lost before its first byte was written
-    connection: UpstreamConnection | None = None
+    connection: AbortableConnection | None = None
     body: PooledBody | None = None  # of the response
-    lacks_buffers: bool = False  # no buffers came free for the body of its response
+    is_missing_buffers: bool = False  # no buffers came free for the body of its response
     timer_id: int = 0  # of the event loop's timer for its timeout
 
     def discard_body(self) -> None:
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -12,6 +12,7 @@
 from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally
 from olivepost import interface as api
 from olivepost.proxy import sockets
+from olivepost.proxy.upstream.connection import UpstreamConnection
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.units import SECOND
 from tests.proxy.fakes import (
@@ -261,9 +262,10 @@
 
         def noted(event: Any) -> None:
             if isinstance(event, UpstreamCompleted) and event.status is api.AttemptStatus.CONNECTION_LOST:
-                assert event.request.connection is not None
-                assert event.request.connection._sock is not None
-                ended.append(sockets.is_closed_by_peer(event.request.connection._sock))
+                assert isinstance(event.request.connection, UpstreamConnection)
+                sock = event.request.connection._context.sock
+                assert sock is not None
+                ended.append(sockets.is_closed_by_peer(sock))
             post(event)
 
         tools.post = noted
@@ -314,6 +316,6 @@
         links = [link for server in proxy.server.upstream._endpoints.values() for link in server.connections]
         assert follower is not None
         assert links
-        for sock in (only_connection(proxy)._sock, follower._sock, *(link._sock for link in links)):
+        for sock in (only_connection(proxy)._sock, follower._sock, *(link._context.sock for link in links)):
             assert sock is not None
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/proxy/test_upstream_rules.py
+++ b/tests/proxy/test_upstream_rules.py
@@ -174,7 +174,7 @@
 
 def test_response_without_buffers_for_its_body_is_no_fault_of_the_endpoint(log: EventLog) -> None:
     request = request_with()
-    request.lacks_buffers = True
+    request.is_missing_buffers = True
     completed = completed_from_response(request, line("HIT"), ClockAt(START), log)
     assert completed.status is api.AttemptStatus.CANCELLED
 
