--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -33,7 +33,7 @@
     """One attempt of an exchange on its way to an endpoint.
 
     The event loop creates it. While pending on a connection, that connection's lock guards `connection`,
-    `stage`, `body` and `lacks_buffers`; `is_started` belongs to the connection's writer thread.
+    `stage`, `body` and `is_missing_buffers`; `is_started` belongs to the connection's writer thread.
     """
 
     exchange: Exchange
@@ -48,7 +48,7 @@
     is_rerouted: bool = False  # it was on a connection that was lost before its first byte was written
     connection: AbortableConnection | None = None
     body: PooledBody | None = None  # of the response
-    lacks_buffers: bool = False  # no buffers came free for the body of its response
+    is_missing_buffers: bool = False  # no buffers came free for the body of its response
     timer_id: int = 0  # of the event loop's timer for its timeout
 
     def discard_body(self) -> None:
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -262,10 +262,10 @@
 
         def noted(event: Any) -> None:
             if isinstance(event, UpstreamCompleted) and event.status is api.AttemptStatus.CONNECTION_LOST:
-                connection = event.request.connection
-                assert isinstance(connection, UpstreamConnection)
-                assert connection._sock is not None
-                ended.append(sockets.is_closed_by_peer(connection._sock))
+                assert isinstance(event.request.connection, UpstreamConnection)
+                sock = event.request.connection._context.sock
+                assert sock is not None
+                ended.append(sockets.is_closed_by_peer(sock))
             post(event)
 
         tools.post = noted
@@ -320,7 +320,7 @@
         for sock in (
             only_connection(proxy)._sock,
             long_poll._connection.sock,
-            *(link._sock for link in links),
+            *(link._context.sock for link in links),
         ):
             assert sock is not None
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
