--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -1,8 +1,7 @@
 """Router settings: the platform's JSON, key by key, to `olivepost.interface.Settings`.
 
-The keys are the platform's and documented in `docs/proxy.md`; where one says 0 or an empty string for a value
-that is not set, the settings have None. Keys that are not read here are skipped, so
-that a newer platform can add some.
+`docs/proxy.md` documents the platform's keys. Unknown keys are skipped: a newer platform may add some.
+Where one says 0 or an empty string for a value that is not set, the settings have None.
 """
 
 from __future__ import annotations
@@ -15,6 +14,7 @@
 MAX_MULTIPLE = 1e6  # of a capacity or a latency objective
 MAX_WEIGHT = 1e12  # of a class's priority
 MAX_TRANSFER_RATE_KB_PER_S = 1e12
+NO_KIND_INDEX = -1  # as the platform writes it
 
 IDEMPOTENCIES = {
     "read_like": api.Idempotency.IDEMPOTENT,
@@ -33,12 +33,12 @@
     """Where the proxy runs, among how many."""
 
     zone: str
-    zone_index: int  # within the platform's list of zones; -1 where it isn't listed
+    zone_index: int | None  # within the platform's list of zones; None where it isn't listed
     proxies: int  # in all zones
 
 
 class TierKinds(NamedTuple):
-    """The kinds by which endpoints of the upper tiers are known; None where there is no such tier."""
+    """The kinds that mark endpoints of the upper tiers; None where there is no such tier."""
 
     parent: str | None
     origin: str | None
@@ -84,7 +84,7 @@
 def _read_location(info: FieldReader) -> ProxyLocation:
     zones = info.items("failure-domains")
     zone = info.text("zone")
-    zone_index = zones.index(zone) if zone in zones else -1
+    zone_index = zones.index(zone) if zone in zones else None
     return ProxyLocation(zone, zone_index, info.integer("siblings", 1))
 
 
@@ -121,8 +121,8 @@
 
 
 def _read_tier_kinds(info: FieldReader, family: FieldReader) -> TierKinds:
-    parent_index = family.integer("parent-kind", -1)
-    origin_index = family.integer("store-kind", -1)
+    parent_index = family.integer("parent-kind", NO_KIND_INDEX)
+    origin_index = family.integer("store-kind", NO_KIND_INDEX)
     return TierKinds(
         parent=info.element("kinds", parent_index).text("kinds", "") or None,
         origin=info.element("kinds", origin_index).text("kinds", "") or None,
