--- a/benchmarks/branch/budget_audit.py
+++ b/benchmarks/branch/budget_audit.py
@@ -34,20 +34,22 @@
     """How many of a cold cache's two quotas, slow start budget and concurrency, are exceeded now."""
     budget = QuotaSums()
     concurrency = QuotaSums()
-    process = f"{name}@{cache.started}"
+    started_at = cache.started or None
+    slow_start_key = api.QuotaKey(api.QuotaKind.SLOW_START, name, started_at)
+    concurrency_key = api.QuotaKey(api.QuotaKind.CONCURRENCY, name, started_at)
     for proxy in proxies:
         state = proxy.router.state
         local_now = proxy.clock(now)
         endpoint = state.endpoints.by_id.get(name)
-        if endpoint is None or (endpoint.metadata.started_at or 0) != cache.started:
+        if endpoint is None or endpoint.metadata.started_at != started_at:
             continue
         window = state.settings.overload_window
         share = capacity.slow_start_share(local_now - window, endpoint)
         budget_per_link = state.settings.caches.overload_multiple * share * window
         part = budget_per_link * capacity.certain_link(state, endpoint)
-        budget = budget.add(part, capacity.transferred(state, local_now, f"cold:{process}", part))
+        budget = budget.add(part, capacity.transferred(state, local_now, slow_start_key, part))
         part = capacity.concurrency_part(state, local_now, endpoint)
-        concurrency = concurrency.add(part, capacity.transferred(state, local_now, f"open:{process}", part))
+        concurrency = concurrency.add(part, capacity.transferred(state, local_now, concurrency_key, part))
     return int(budget.is_exceeded()) + int(concurrency.is_exceeded())
 
 
--- a/olivepost/interface/__init__.py
+++ b/olivepost/interface/__init__.py
@@ -50,6 +50,7 @@
     StoreAvailability,
     TimerFired,
 )
+from olivepost.interface.quota import RETRY_QUOTA, QuotaKey, QuotaKind
 from olivepost.interface.settings import (
     ClassSettings,
     DeduplicationScope,
@@ -62,6 +63,7 @@
     "CACHE_FILLS",
     "CACHE_HITS",
     "NOT_EXECUTED",
+    "RETRY_QUOTA",
     "SOURCE_FAILURES",
     "Action",
     "AttemptOutcome",
@@ -88,6 +90,8 @@
     "MemoryPressure",
     "MemoryPressureLevel",
     "OutlierReported",
+    "QuotaKey",
+    "QuotaKind",
     "QuotaReceived",
     "QuotaRequested",
     "Reject",
--- a/olivepost/interface/actions.py
+++ b/olivepost/interface/actions.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
+from olivepost.interface.quota import QuotaKey
 from olivepost.units import Duration, Instant
 
 
@@ -122,9 +123,9 @@
 
 @dataclass(slots=True)
 class RequestQuota:
-    """So much of a quota was lacking just now: `cold:ENDPOINT@START`, `open:ENDPOINT@START` or `retry`."""
+    """So much of a quota was lacking just now."""
 
-    key: str
+    key: QuotaKey
     amount: float
 
 
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 from enum import Enum, IntEnum
 
+from olivepost.interface.quota import QuotaKey
 from olivepost.units import Duration, Instant
 
 
@@ -186,7 +187,7 @@
     """Another proxy lacks quota: donate up to `max_amount` of the own part until the transfer expires."""
 
     transfer_id: int
-    key: str
+    key: QuotaKey
     max_amount: float
     expires_at: Instant
 
@@ -195,7 +196,7 @@
 class QuotaReceived:
     """Another proxy has donated quota until the transfer expires."""
 
-    key: str
+    key: QuotaKey
     amount: float
     expires_at: Instant
 
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -11,7 +11,6 @@
 from olivepost.routing import capacity, health, memory_pressure, retries
 from olivepost.routing.initial_state import initial_state
 from olivepost.routing_state import QuotaTransfer, TimerCallback, TimerTable
-from olivepost.routing_state.quota_keys import RETRY_KEY, endpoint_id_of
 from olivepost.units import Duration, Instant
 
 
@@ -65,18 +64,19 @@
                 health.record_outlier_report(self.state.endpoints.by_id[event.endpoint_id])
 
     def _donate_quota(self, now: Instant, event: api.QuotaRequested) -> None:
-        if event.key == RETRY_KEY:
+        if event.key == api.RETRY_QUOTA:
             donation = capacity.donate(self.state, now, event, retries.quota_part(self.state))
             self.state.retry_balance -= donation.amount
         else:
-            endpoint = self.state.endpoints.by_id.get(endpoint_id_of(event.key))
+            endpoint_id = event.key.endpoint_id
+            endpoint = None if endpoint_id is None else self.state.endpoints.by_id.get(endpoint_id)
             part = capacity.quota_part(self.state, now, event.key, endpoint)
             donation = capacity.donate(self.state, now, event, part)
         self.state.actions.append(donation)
 
     def _receive_quota(self, now: Instant, event: api.QuotaReceived) -> None:
         """Quota that another proxy has donated, or this proxy's own that comes back."""
-        if event.key == RETRY_KEY:
+        if event.key == api.RETRY_QUOTA:
             self.state.retry_balance += event.amount
         self.state.quotas.record(now, QuotaTransfer(event.expires_at, event.key, event.amount))
 
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -78,7 +78,7 @@
     return max(MIN_LINK_TRANSFERS, weight) / endpoint.tier.proxies
 
 
-def transferred(state: RoutingState, now: Instant, key: str, part: float) -> float:
+def transferred(state: RoutingState, now: Instant, key: api.QuotaKey, part: float) -> float:
     """What transfers add to a part, or take off it; what may still be donated of an earlier process is."""
     balance = state.quotas.balance(now, key)
     return balance - DONATED_SHARE * part if _may_have_forgotten_donations(state, now) else balance
@@ -92,7 +92,7 @@
     return now < first_listed_at + MAX_TRANSFER_DURATION + state.settings.overload_window
 
 
-def quota_part(state: RoutingState, now: Instant, key: str, endpoint: Endpoint | None) -> QuotaPart:
+def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey, endpoint: Endpoint | None) -> QuotaPart:
     """This proxy's part of an endpoint's quota, by configuration alone: what was observed may shrink."""
     if endpoint is not None and key == concurrency_key(endpoint):
         return QuotaPart(concurrency_part(state, now, endpoint), float(endpoint.in_flight))
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -2,7 +2,6 @@
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, QuotaPart, RoutingState
-from olivepost.routing_state.quota_keys import RETRY_KEY
 from olivepost.units import SECOND, Duration, Instant
 
 RETRIES_PER_REQUEST = 0.2  # earned by each request, so that faults don't feed themselves
@@ -26,7 +25,7 @@
 def request_quota(state: RoutingState, cost: int) -> None:
     """Tells other proxies, where there is a shared store, that the budget is short."""
     if state.is_store_available and state.retry_balance < cost:
-        state.actions.append(api.RequestQuota(RETRY_KEY, 1.0))
+        state.actions.append(api.RequestQuota(api.RETRY_QUOTA, 1.0))
 
 
 def quota_part(state: RoutingState) -> QuotaPart:
--- a/olivepost/routing_state/quota_keys.py
+++ b/olivepost/routing_state/quota_keys.py
@@ -1,24 +1,16 @@
-"""The names of quotas, as the shared store has them."""
+"""The quotas of an endpoint's present process."""
 
 from __future__ import annotations
 
+from olivepost.interface import QuotaKey, QuotaKind
 from olivepost.routing_state.endpoint import Endpoint
 
-RETRY_KEY = "retry"
 
+def slow_start_key(endpoint: Endpoint) -> QuotaKey:
+    """The slow start budget of an endpoint."""
+    return QuotaKey(QuotaKind.SLOW_START, endpoint.metadata.id, endpoint.metadata.started_at)
 
-def slow_start_key(endpoint: Endpoint) -> str:
-    """The slow start budget of one process of an endpoint."""
-    return f"cold:{endpoint.metadata.id}@{endpoint.metadata.started_at or 0}"
 
-
-def concurrency_key(endpoint: Endpoint) -> str:
-    """The concurrency of one process of an endpoint."""
-    return f"open:{endpoint.metadata.id}@{endpoint.metadata.started_at or 0}"
-
-
-def endpoint_id_of(key: str) -> str:
-    """The endpoint that a quota's key names."""
-    _, _, process = key.partition(":")
-    endpoint_id, _, _ = process.rpartition("@")
-    return endpoint_id
+def concurrency_key(endpoint: Endpoint) -> QuotaKey:
+    """The concurrency of an endpoint."""
+    return QuotaKey(QuotaKind.CONCURRENCY, endpoint.metadata.id, endpoint.metadata.started_at)
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -5,6 +5,7 @@
 import math
 from dataclasses import dataclass
 
+from olivepost.interface import QuotaKey
 from olivepost.units import Duration, Instant
 
 
@@ -13,7 +14,7 @@
     """An amount received (above 0) or donated (below 0) until it expires."""
 
     expires_at: Instant
-    key: str
+    key: QuotaKey
     amount: float
 
 
@@ -35,7 +36,7 @@
     def __len__(self) -> int:
         return len(self._transfers)
 
-    def balance(self, now: Instant, key: str, max_amount: float = math.inf) -> float:
+    def balance(self, now: Instant, key: QuotaKey, max_amount: float = math.inf) -> float:
         """The sum of a quota's transfers, each counted with at most `max_amount`."""
         current = (item for item in self._transfers if item.key == key and item.expires_at > now)
         return sum(min(item.amount, max_amount) for item in current)
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -11,6 +11,7 @@
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.malformed_records import MalformedRecords
 from olivepost.shared_store.messages import GrantQuota, ReplyWord
+from olivepost.shared_store.quota_keys import encode_quota_key, parse_quota_key
 from olivepost.shared_store.quota_transfers import Donation, QuotaTransfers
 from olivepost.shared_store.records import (
     QuotaGrant,
@@ -65,7 +66,7 @@
     def record_shortage(self, now: Instant, event: api.RequestQuota) -> None:
         """Notes that the router lacked an amount of a quota."""
         if self._context.terms.quota_transfers_enabled:
-            self._transfers.record_shortage(now, event.key, event.amount)
+            self._transfers.record_shortage(now, encode_quota_key(event.key), event.amount)
 
     def open_requests(self, now: Instant, store: StoreHealth) -> tuple[tuple[str, bytes], ...]:
         """Returns this proxy's requests that belong to a store, each a field and its record."""
@@ -84,13 +85,16 @@
         for row in rows:
             self._malformed.skip_errors(_keep_oldest, oldest, row)
         for requested in oldest.values():
-            transfer_id = self._context.next_ticket()
             request = requested.request
+            key = parse_quota_key(request.key)
+            if key is None:  # of a version that shares more quotas: nothing of it can be donated here
+                continue
+            transfer_id = self._context.next_ticket()
             donation = self._transfers.offer(now, transfer_id, requested.field, request)
             if donation is not None:
                 self._donating[transfer_id] = store
                 self._context.notify_router(
-                    api.QuotaRequested(transfer_id, request.key, request.amount, donation.expires_at)
+                    api.QuotaRequested(transfer_id, key, request.amount, donation.expires_at)
                 )
 
     def donate(self, now: Instant, event: api.DonateQuota) -> None:
@@ -126,14 +130,19 @@
         self._transfers.close(request.nonce)
         if values[0] == ReplyWord.NOT_REQUESTED and now < donation.expires_at:
             self._context.counts["quota_grants_returned"] += 1
-            self._context.notify_router(api.QuotaReceived(request.key, donation.amount, donation.expires_at))
+            self._notify_received(request.key, donation.amount, donation.expires_at)
 
     def receive_grant(self, now: Instant, row: object) -> None:
         """Passes a grant on to the router; raises `RecordError` where it counts for nothing."""
         grant = decode_record(QuotaGrant, row)
         amount, expires_at = self._transfers.receive(now, grant)
         self._context.counts["quota_grants_received"] += 1
-        self._context.notify_router(api.QuotaReceived(grant.key, amount, expires_at))
+        self._notify_received(grant.key, amount, expires_at)
+
+    def _notify_received(self, key_text: str, amount: float, expires_at: Instant) -> None:
+        key = parse_quota_key(key_text)
+        if key is not None:
+            self._context.notify_router(api.QuotaReceived(key, amount, expires_at))
 
 
 def _keep_oldest(oldest: dict[str, RequestedQuota], row: object) -> None:
--- /dev/null
+++ b/olivepost/shared_store/quota_keys.py
@@ -0,0 +1,32 @@
+"""Quota keys as records have them: `cold:ENDPOINT@START`, `open:ENDPOINT@START` and `retry`. No I/O."""
+
+from __future__ import annotations
+
+from olivepost.interface import RETRY_QUOTA, QuotaKey, QuotaKind
+
+RETRY_TEXT = "retry"
+PREFIXES = {QuotaKind.SLOW_START: "cold", QuotaKind.CONCURRENCY: "open"}
+KINDS = {prefix: kind for kind, prefix in PREFIXES.items()}
+
+
+def encode_quota_key(key: QuotaKey) -> str:
+    """Returns a key as it stands in the store; a start of 0 says that it is not known."""
+    if key.kind is QuotaKind.RETRY:
+        return RETRY_TEXT
+    return f"{PREFIXES[key.kind]}:{key.endpoint_id}@{key.started_at or 0}"
+
+
+def parse_quota_key(text: str) -> QuotaKey | None:
+    """Returns the key that a record names; None where this version knows no such quota.
+
+    Only the form that `encode_quota_key` gives is a key, so that each quota has one text.
+    """
+    if text == RETRY_TEXT:
+        return RETRY_QUOTA
+    prefix, _, process = text.partition(":")
+    endpoint_id, _, start = process.rpartition("@")
+    kind = KINDS.get(prefix)
+    if kind is None or not start.removeprefix("-").isdecimal():
+        return None
+    key = QuotaKey(kind, endpoint_id, int(start) or None)
+    return key if encode_quota_key(key) == text else None
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -225,7 +225,7 @@
         self.handle(api.StoreAvailability(is_available))
 
     def play_quota(self, cache_id: str, amount_ms: int, _three: None) -> None:
-        key = f"cold:{cache_id}@{self.started[cache_id]}"
+        key = api.QuotaKey(api.QuotaKind.SLOW_START, cache_id, self.started[cache_id])
         self.handle(api.QuotaRequested(1, key, amount_ms * MS, self.now + SECOND))
 
     def play_full_list(self, _one: None, _two: None, _three: None) -> None:
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -180,7 +180,12 @@
     return proxy
 
 
-def donated_amount(proxy: RouterDriver, key: str, most: float = 1e12, span: int = SECOND) -> float:
+def slow_start_key(proxy: RouterDriver) -> api.QuotaKey:
+    """The key of the cold cache, which has started just now."""
+    return api.QuotaKey(api.QuotaKind.SLOW_START, "a:1", proxy.now)
+
+
+def donated_amount(proxy: RouterDriver, key: api.QuotaKey, most: float = 1e12, span: int = SECOND) -> float:
     (action,) = proxy.handle(api.QuotaRequested(1, key, most, proxy.now + span))
     assert isinstance(action, api.DonateQuota)
     return action.amount
@@ -188,7 +193,7 @@
 
 def test_part_is_donated_once_and_comes_back_a_window_after_the_transfer_expired() -> None:
     proxy = proxy_with_cold_cache()
-    key = f"cold:a:1@{proxy.now}"
+    key = slow_start_key(proxy)
     amount = donated_amount(proxy, key)
     assert amount > 0
     assert donated_amount(proxy, key) == pytest.approx(0, abs=1)
@@ -201,7 +206,7 @@
 def test_quota_that_was_used_is_not_donated() -> None:
     """Rule 4 over windows that begin before the transfer."""
     proxy, other = proxy_with_cold_cache(), proxy_with_cold_cache()
-    key = f"cold:a:1@{proxy.now}"
+    key = slow_start_key(proxy)
     endpoint = proxy.router.state.endpoints.by_id["a:1"]
     part = (
         3.0
@@ -213,24 +218,35 @@
     assert donated_amount(proxy, key) < 0.11 * part < donated_amount(other, key)
 
 
-@pytest.mark.parametrize("key", ["cold:a:1@1", "cold:zz@0", "riddle", "", "cold:", "open:b:1@7", "open:@0"])
-def test_nothing_is_donated_of_an_unknown_quota(key: str) -> None:
+@pytest.mark.parametrize(
+    "key",
+    [
+        api.QuotaKey(api.QuotaKind.SLOW_START, "a:1", 1),
+        api.QuotaKey(api.QuotaKind.SLOW_START, "zz"),
+        api.QuotaKey(api.QuotaKind.SLOW_START),
+        api.QuotaKey(api.QuotaKind.SLOW_START, ""),
+        api.QuotaKey(api.QuotaKind.CONCURRENCY),
+        api.QuotaKey(api.QuotaKind.CONCURRENCY, "b:1", 7),
+        api.QuotaKey(api.QuotaKind.CONCURRENCY, ""),
+    ],
+)
+def test_nothing_is_donated_of_an_unknown_quota(key: api.QuotaKey) -> None:
     assert donated_amount(proxy_with_cold_cache(), key) == 0
 
 
 def test_transfer_longer_than_the_longest_is_rejected() -> None:
     proxy = proxy_with_cold_cache()
-    assert donated_amount(proxy, f"cold:a:1@{proxy.now}", span=3 * SECOND) == 0
+    assert donated_amount(proxy, slow_start_key(proxy), span=3 * SECOND) == 0
 
 
 def test_proxy_that_has_just_started_donates_nothing() -> None:
     proxy = RouterDriver(make_settings(shared_store_timeout=WAIT))
-    assert donated_amount(proxy, "retry") == 0
+    assert donated_amount(proxy, api.RETRY_QUOTA) == 0
 
 
 def test_returned_donation_leaves_no_trace() -> None:
     proxy = proxy_with_cold_cache()
-    key = f"cold:a:1@{proxy.now}"
+    key = slow_start_key(proxy)
     (action,) = proxy.handle(api.QuotaRequested(1, key, 1e12, proxy.now + SECOND))
     assert isinstance(action, api.DonateQuota)
     proxy.handle(api.QuotaReceived(key, action.amount, action.expires_at))
@@ -241,10 +257,10 @@
 def test_retry_quota_moves_from_one_proxy_to_the_other() -> None:
     donor, receiver = proxy_with_store(), proxy_with_store()
     receiver.router.state.retry_balance = 0.0
-    amount = donated_amount(donor, "retry", 2.0)
+    amount = donated_amount(donor, api.RETRY_QUOTA, 2.0)
     assert amount == 2.0
     assert donor.router.state.retry_balance == 8.0
-    receiver.handle(api.QuotaReceived("retry", amount, receiver.now + SECOND))
+    receiver.handle(api.QuotaReceived(api.RETRY_QUOTA, amount, receiver.now + SECOND))
     assert receiver.router.state.retry_balance == 2.0
 
 
@@ -265,7 +281,8 @@
         a for n in range(8) for a in proxy.request(str(n), f"n{n}") if isinstance(a, api.RequestQuota)
     ]
     assert requests
-    assert all(request.key.startswith(("cold:", "open:")) and request.amount > 0 for request in requests)
+    assert all(request.key.kind is not api.QuotaKind.RETRY for request in requests)
+    assert all(request.amount > 0 for request in requests)
 
 
 def test_reports_of_others_alone_eject_nobody() -> None:
