--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -2,16 +2,34 @@
 
 It asks the decisions of olivepost/routing and carries out what they say; none is taken here, and no tuned
 value stands here. Settings, events and actions stand in olivepost/interface. No clock, no I/O.
+
+Which decision leads to which action (all are emitted here or by `RequestLifecycle`):
+
+| decision | action |
+| --- | --- |
+| `selection.select_route`, `admission.is_too_expensive`, `retries.allows_attempt` | ForwardAttempt |
+| `invalidation.reserve_cached_transfer` | ServeCachedResponse |
+| `invalidation.should_store` | StoreResponse |
+| `outcomes.record_silence` with `retries.may_abandon_attempt`; the end of a request | CancelAttempt |
+| `retries.final_response` | Reject, Fail |
+| `hints.should_look_up` | LookUpHint, and ReleaseLease at the end of the request |
+| a lookup's miss in the hinted cache | ReportStaleHint |
+| `selection.select_route`, `retries.budget_shortage` | RequestQuota |
+| `capacity.donate_quota` | DonateQuota |
+| `outcomes.record_silence`, `record_failed_attempt`, `record_unconfirmed_fault` | ReportOutlier |
+| `retries.subscription_delay` | SetTimer, then Subscribe |
+| a request's deadline, `outcomes.silence_timeout`, `hints.lookup_timeout`, `hints.fill_delay` | SetTimer |
 """
 
 from __future__ import annotations
 
 from olivepost import interface as api
+from olivepost.action_emitter import ActionEmitter
 from olivepost.request_lifecycle import RequestLifecycle
 from olivepost.routing import capacity, health, memory_pressure, retries
 from olivepost.routing.initial_state import initial_state
-from olivepost.routing_state import QuotaTransfer, TimerCallback, TimerTable
-from olivepost.units import Duration, Instant
+from olivepost.routing_state import QuotaTransfer, TimerTable
+from olivepost.units import Instant
 
 
 class Router:
@@ -21,11 +39,11 @@
         self.settings = settings
         self.state = initial_state(settings, seed)
         self.timers = TimerTable()
-        self.requests = RequestLifecycle(self.state, self.timers)
+        self._actions = ActionEmitter(self.state, self.timers)
+        self.requests = RequestLifecycle(self.state, self.timers, self._actions)
 
     def handle(self, now: Instant, event: api.Event) -> list[api.Action]:
         """Takes one event and returns what to do, in order."""
-        self.state.actions = []
         match event:
             case api.Request():
                 self.requests.arrive(now, event)
@@ -42,12 +60,12 @@
             case api.ClientDisconnected():
                 self.requests.forget(now, event.request_id)
             case api.MemoryPressure():
-                memory_pressure.apply(self.state, event.level)
+                memory_pressure.apply_level(self.state, event.level)
             case api.Shutdown():
                 self.requests.give_up_all(now)
             case _:
                 self._handle_store_event(now, event)
-        return self.state.actions
+        return self._actions.take()
 
     def _handle_store_event(self, now: Instant, event: api.Event) -> None:
         match event:
@@ -64,39 +82,35 @@
                 health.record_outlier_report(self.state.endpoints.by_id[event.endpoint_id])
 
     def _donate_quota(self, now: Instant, event: api.QuotaRequested) -> None:
+        """Gives up a part of a quota for the proxy that requested it; emits 0 where none can be spared."""
         if event.key == api.RETRY_QUOTA:
-            donation = capacity.donate(self.state, now, event, retries.quota_part(self.state))
+            donation = capacity.donate_quota(self.state, now, event, retries.quota_part(self.state))
             self.state.retry_balance -= donation.amount
         else:
-            endpoint_id = event.key.endpoint_id
-            endpoint = None if endpoint_id is None else self.state.endpoints.by_id.get(endpoint_id)
-            part = capacity.quota_part(self.state, now, event.key, endpoint)
-            donation = capacity.donate(self.state, now, event, part)
-        self.state.actions.append(donation)
+            part = capacity.quota_part(self.state, now, event.key)
+            donation = capacity.donate_quota(self.state, now, event, part)
+        self._actions.emit(donation)
 
     def _receive_quota(self, now: Instant, event: api.QuotaReceived) -> None:
-        """Quota that another proxy has donated, or this proxy's own that comes back."""
+        """Records quota that another proxy has donated, or this proxy's own donation that is returned."""
         if event.key == api.RETRY_QUOTA:
             self.state.retry_balance += event.amount
         self.state.quotas.record(now, QuotaTransfer(event.expires_at, event.key, event.amount))
 
     def _update_endpoints(self, now: Instant, event: api.EndpointUpdate) -> None:
-        """Rule 3: what drains or is removed is neither a cache nor a source from here on."""
+        """The draining invariant: no attempt goes to a draining or removed endpoint from here on."""
         self.state.endpoints.update(now, event, self.settings)
         if not self.settings.subscribes_to_endpoints:
             return
         if event.kind is api.EndpointUpdateKind.RESTORED:
-            self._set_timer(0, self._subscribe)
+            self._actions.set_timer(0, self._subscribe)
         elif event.kind is api.EndpointUpdateKind.FAILED:
-            self._set_timer(retries.subscription_delay(self.settings), self._subscribe)
+            self._actions.set_timer(retries.subscription_delay(self.settings), self._subscribe)
 
     def _subscribe(self, _now: Instant) -> None:
-        self.state.actions.append(api.Subscribe())
+        self._actions.emit(api.Subscribe())
 
     def _fire_timer(self, now: Instant, timer_id: int) -> None:
         callback = self.timers.pop(timer_id)
         if callback is not None:
             callback(now)
-
-    def _set_timer(self, delay: Duration, callback: TimerCallback) -> None:
-        self.state.actions.append(api.SetTimer(delay, self.timers.add(callback)))
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -2,7 +2,7 @@
 
 from olivepost import interface as api
 from olivepost.routing import memory_pressure
-from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RoutingState
+from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RankedName, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
 MAX_LIFETIME: Duration = 60 * SECOND  # L
@@ -39,12 +39,10 @@
     levels.first_seen_level = min(1.0, max(0.0, levels.first_seen_level + first_seen_step))
 
 
-def rank_request(
-    state: RoutingState, now: Instant, name: str, request: api.Request
-) -> tuple[int, Duration | None]:
-    """Ranks a request and resets its name's timer; the rank, and what remained of that timer."""
+def rank_and_renew_name(state: RoutingState, now: Instant, name: str, request: api.Request) -> RankedName:
+    """Ranks a request and renews the lifetime of its name."""
     if state.settings.classes[request.class_name].is_uncacheable or request.is_write:
-        return UNRANKED, None
+        return RankedName(UNRANKED, None)
     levels = state.levels[request.class_name]
     remaining = state.names.remaining(now, name)
     is_lifted = state.random.random() * lifetime(levels) < first_seen_lifetime(levels)
@@ -56,7 +54,7 @@
         rank = RANK_LOW
     if remaining is not None or memory_pressure.accepts_new_names(state):
         state.names.put(name, NameEntry(now + int(lifetime(levels)), rank, request.size_kb or 1.0))
-    return rank, remaining
+    return RankedName(rank, remaining)
 
 
 def top_rank_has_capacity(state: RoutingState, name: str) -> bool:
--- a/olivepost/routing/admission.py
+++ b/olivepost/routing/admission.py
@@ -17,11 +17,28 @@
     overload.level = min(LEVEL_CEILING, max(0.0, level))
 
 
-def is_too_expensive(state: RoutingState, pending: PendingRequest, overload: OverloadLevel) -> bool:
-    """Whether a request of such work for its priority weight is rejected now; unknown sizes by chance."""
+def record_arrival(state: RoutingState, is_full: bool) -> None:
+    """A request has come, and found all caches full or not."""
+    record_sample(state.arrivals, ARRIVAL_STEP, ARRIVAL_TARGET, is_full)
+
+
+def record_fill(state: RoutingState, is_late: bool) -> None:
+    """A fill has ended, in time or late; a rejected one counts as late."""
+    record_sample(state.fills, FILL_STEP, FILL_TARGET, is_late)
+
+
+def record_cost(state: RoutingState, pending: PendingRequest, overload: OverloadLevel) -> float:
+    """Adds a request's cost, its work for its priority weight, to the mean; returns the cost."""
     work = state.work_of(pending.request, pending.request_class)
     cost = work / (pending.request_class.priority_weight or 1.0)
     overload.mean_cost += (cost - overload.mean_cost) * (COST_STEP if overload.mean_cost else 1.0)
+    return cost
+
+
+def is_too_expensive(
+    state: RoutingState, pending: PendingRequest, overload: OverloadLevel, cost: float
+) -> bool:
+    """Whether a request of this cost is rejected now; one of unknown size by chance."""
     if pending.request.size_kb is None:
         cost *= state.random.expovariate(1.0)
     return cost * overload.level > COST_CUTOFF * (1 - overload.level) * overload.mean_cost
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -92,11 +92,14 @@
     return now < first_listed_at + MAX_TRANSFER_DURATION + state.settings.overload_window
 
 
-def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey, endpoint: Endpoint | None) -> QuotaPart:
+def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey) -> QuotaPart:
     """This proxy's part of an endpoint's quota, by configuration alone: what was observed may shrink."""
-    if endpoint is not None and key == concurrency_key(endpoint):
+    endpoint = None if key.endpoint_id is None else state.endpoints.by_id.get(key.endpoint_id)
+    if endpoint is None:
+        return QuotaPart(0.0, 0.0)
+    if key == concurrency_key(endpoint):
         return QuotaPart(concurrency_part(state, now, endpoint), float(endpoint.in_flight))
-    if endpoint is None or key != slow_start_key(endpoint):
+    if key != slow_start_key(endpoint):
         return QuotaPart(0.0, 0.0)
     window = state.settings.overload_window
     share = slow_start_share(now - window, endpoint)
@@ -106,10 +109,10 @@
     return QuotaPart(part, endpoint.work.total(now), return_delay=window)
 
 
-def donate(
+def donate_quota(
     state: RoutingState, now: Instant, request: api.QuotaRequested, part: QuotaPart
 ) -> api.DonateQuota:
-    """Gives up what can be spared of a part."""
+    """Gives up what can be spared of a part, until the transfer has expired."""
     amount = 0.0
     is_timely = now < request.expires_at <= now + MAX_TRANSFER_DURATION
     if is_timely and not _may_have_forgotten_donations(state, now):
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -56,7 +56,7 @@
     return until is None or (now >= until and not endpoint.has_trial_in_flight)
 
 
-def silence_weight(slow_share: float) -> float:
+def silence_score(slow_share: float) -> float:
     """What one silence adds to a failure score: less, the more good responses take as long."""
     return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(DEAD_ODDS)
 
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -31,10 +31,11 @@
     return limit if bound is None else min(limit, bound)
 
 
-def serve_cached(state: RoutingState, now: Instant, request: api.Request) -> bool:
-    """Departure: whether the proxy's own cached response is served; if so its transfer begins.
+def reserve_cached_transfer(state: RoutingState, now: Instant, request: api.Request) -> bool:
+    """Begins the transfer of the proxy's own cached response; False where it may not be served.
 
-    It is fresh, younger than any invalidation, even one long carried out, and the own link has capacity.
+    Extension of f-TTL: it must be fresh and younger than any invalidation, and the proxy's link must have
+    capacity.
     """
     state.transfer_ends = [end for end in state.transfer_ends if end > now]
     cached = request.cached_response
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -40,8 +40,8 @@
     return max(1, int(CONNECTION_SHARE * max_connections))
 
 
-def apply(state: RoutingState, level: api.MemoryPressureLevel) -> None:
-    """The process has reached a level: what routing itself holds gives way."""
+def apply_level(state: RoutingState, level: api.MemoryPressureLevel) -> None:
+    """Takes over the process's level, and sheds names and orders once it reaches FREEZE_NAMES."""
     is_new = state.memory_pressure < api.MemoryPressureLevel.FREEZE_NAMES <= level
     state.memory_pressure = level
     if is_new:
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -1,19 +1,27 @@
-"""What is learnt from how attempts end: health, lateness, work, levels, and which endpoint is at fault."""
+"""What attempts' outcomes change: endpoint health, late shares, mean work, TTL levels, attributed faults."""
 
 from olivepost import interface as api
 from olivepost.routing import adaptive_ttl, admission, health
-from olivepost.routing_state import Attempt, PendingRequest, PossibleFault, Role, RoutingState
+from olivepost.routing_state import (
+    Attempt,
+    Ejection,
+    PendingRequest,
+    PossibleFault,
+    Role,
+    RoutingState,
+    SilenceCheck,
+)
 from olivepost.units import SECOND, Duration, Instant
 
-OBJECTIVE_TIMEOUT_FACTOR = 0.5  # times the latency objective, and
-WORK_TIMEOUT_FACTOR = 1.5  # times the work: in flight for longer, an attempt is checked for silence,
-MIN_SILENCE_TIMEOUT: Duration = SECOND // 100  # but not before this
-SHARE_STEP = 0.05  # of a followed share towards each sample
+OBJECTIVE_TIMEOUT_FACTOR = 0.5  # of the latency objective, in the silence timeout
+WORK_TIMEOUT_FACTOR = 1.5  # of the request's work, in the silence timeout
+MIN_SILENCE_TIMEOUT: Duration = SECOND // 100
+SHARE_STEP = 0.05  # weight of a new sample in the slow share and the request fault share
 INITIAL_SLOW_SHARE = 0.1
-CACHE_REJECTED = 0.2  # what each failure adds to the score of the endpoint at fault
-SOURCE_REJECTED = 0.35
-FILL_FAILED = 0.25
-ATTEMPT_FAILED = 0.5
+CACHE_REJECTED_SCORE = 0.2  # added to the failure score of the endpoint at fault
+SOURCE_REJECTED_SCORE = 0.35
+FILL_FAILED_SCORE = 0.25
+ATTEMPT_FAILED_SCORE = 0.5
 
 
 def silence_timeout(state: RoutingState, pending: PendingRequest) -> Duration:
@@ -26,7 +34,7 @@
 def record_response(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
 ) -> None:
-    """Learns from a response: health, lateness, the work done, and the class's levels."""
+    """Records a response: health, lateness, the work done, and the class's levels."""
     request_class = pending.request_class
     is_hit = outcome.cache_status in api.CACHE_HITS
     is_filled = outcome.cache_status in api.CACHE_FILLS
@@ -36,21 +44,26 @@
         _record_success(state, now, attempt.source_or_cache, Role.PARENT, work)
     if is_hit and pending.request.size_kb is None and not outcome.is_not_modified:
         state.class_work.add(request_class.name, float(outcome.elapsed))
-    allowed = silence_timeout(state, pending)
-    state.slow_share.add(outcome.elapsed > allowed)
+    timeout = silence_timeout(state, pending)
+    state.slow_share.add(outcome.elapsed > timeout)
     pending.storing_cache = attempt.cache if is_hit or is_filled else None
     if pending.storing_cache is None:
         return
-    if outcome.elapsed < 2 * allowed:  # else it was recorded while it was in flight
-        objective = request_class.latency_objective
-        work = state.own_work(pending.request) or objective
-        is_late = outcome.elapsed > objective + request_class.latency_objective_stretch * work
-        record_lateness(state, attempt.cache if is_hit else attempt.source_or_cache, is_late)
+    if outcome.elapsed < 2 * timeout:  # a later one was recorded as late by its silence check
+        endpoint_id = attempt.cache if is_hit else attempt.source_or_cache
+        record_lateness(state, endpoint_id, _is_late(state, pending, outcome))
     if pending.rank:
         adaptive_ttl.learn_from_response(state, pending, is_hit)
 
 
+def _is_late(state: RoutingState, pending: PendingRequest, outcome: api.AttemptOutcome) -> bool:
+    objective = pending.request_class.latency_objective
+    work = state.own_work(pending.request) or objective
+    return outcome.elapsed > objective + pending.request_class.latency_objective_stretch * work
+
+
 def _record_success(state: RoutingState, now: Instant, endpoint_id: str, role: Role, work: float) -> None:
+    """Records a success and, of an endpoint that started long ago, the work that one of its role does."""
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
         return
@@ -60,95 +73,133 @@
 
 
 def record_lateness(state: RoutingState, endpoint_id: str, is_late: bool) -> None:
-    """Late hits speak of the cache, late fills of the source and of the ways to it."""
+    """Records whether a response was late: of hits at the cache, of fills at the source."""
     endpoint = state.endpoints.by_id.get(endpoint_id)
-    if endpoint is not None:
-        health.record_lateness(endpoint, is_late)
-        if endpoint.role is not Role.CACHE:
-            admission.record_sample(state.fills, admission.FILL_STEP, admission.FILL_TARGET, is_late)
+    if endpoint is None:
+        return
+    health.record_lateness(endpoint, is_late)
+    if endpoint.role is not Role.CACHE:
+        admission.record_fill(state, is_late)
 
 
-def record_silence(state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt) -> bool:
-    """An attempt is past its silence timeout; whether its cache, silent all the while, is ejected now."""
+def record_silence(
+    state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt
+) -> SilenceCheck:
+    """Records that an attempt is past its silence timeout: a failure of its cache, if that was silent."""
     if 2 * attempt.silence_timeout <= now - attempt.sent_at < 3 * attempt.silence_timeout:
         record_lateness(state, attempt.source_or_cache, True)
     cache = state.endpoints.by_id.get(attempt.cache)
     if cache is None or cache.has_succeeded_since(attempt.sent_at):
-        return False
-    charge(state, now, pending, attempt.cache, health.silence_weight(state.slow_share.value))
-    return cache.ejected_until is not None
+        return SilenceCheck(is_cache_ejected=False)
+    score = health.silence_score(state.slow_share.value)
+    ejection = record_failure(state, now, pending, attempt.cache, score)
+    return SilenceCheck(cache.ejected_until is not None, ejection)
 
 
 def record_failed_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
-) -> None:
-    """Charges a failure to the cache, its source, or nobody; a cache heard from is not the silent one."""
-    cache = state.endpoints.by_id.get(attempt.cache)
-    has_answered = cache is not None and cache.has_succeeded_since(attempt.sent_at)
-    has_answered = has_answered or attempt.cache == pending.missed_cache
-    is_unexplained = has_answered and not state.settings.reports_failure_causes
+) -> Ejection | None:
+    """Attributes a failure to the cache, its source, or no endpoint, and records it."""
+    source = attempt.source_or_cache
+    has_responded = _has_cache_responded(state, pending, attempt)
     match outcome.status:
-        case api.AttemptStatus.NOT_CACHED if attempt.source is None and cache is not None:
-            health.record_success(cache, now)
         case api.AttemptStatus.NOT_CACHED:
-            pending.avoided.add(attempt.source_or_cache)
-        case api.AttemptStatus.REJECTED if outcome.cache_status in api.SOURCE_FAILURES or is_unexplained:
-            charge(state, now, pending, attempt.source_or_cache, SOURCE_REJECTED)
-            record_lateness(
-                state, attempt.source_or_cache, True
-            )  # a rejected fill is no better than a late one
-        case api.AttemptStatus.REJECTED if outcome.cache_status is not api.CacheStatus.ORIGIN_FAILED:
-            charge(state, now, pending, attempt.cache, CACHE_REJECTED)
-        case api.AttemptStatus.ERROR if has_answered:
-            _add_fault(state, pending, attempt, PossibleFault(attempt.source_or_cache, FILL_FAILED))
+            _record_miss(state, now, pending, attempt)
+        case api.AttemptStatus.REJECTED:
+            return _record_rejection(state, now, pending, attempt, outcome)
+        case api.AttemptStatus.ERROR if has_responded:
+            _record_possible_fault(state, pending, attempt, PossibleFault(source, FILL_FAILED_SCORE))
         case api.AttemptStatus.ERROR:
-            _add_fault(state, pending, attempt, PossibleFault(attempt.cache, ATTEMPT_FAILED))
-        # One connection's end is one piece of evidence, however many attempts were on it.
-        case api.AttemptStatus.TIMED_OUT if has_answered:
-            charge(
-                state, now, pending, attempt.source_or_cache, 0.0 if outcome.is_repeated_loss else FILL_FAILED
-            )
+            fault = PossibleFault(attempt.cache, ATTEMPT_FAILED_SCORE)
+            _record_possible_fault(state, pending, attempt, fault)
+        # The end of a connection counts once, however many attempts were on it.
+        case api.AttemptStatus.TIMED_OUT if has_responded:
+            score = 0.0 if outcome.is_repeated_loss else FILL_FAILED_SCORE
+            return record_failure(state, now, pending, source, score)
         case (
             api.AttemptStatus.TIMED_OUT | api.AttemptStatus.CONNECT_FAILED | api.AttemptStatus.CONNECTION_LOST
         ):
-            charge(state, now, pending, attempt.cache, 0.0 if outcome.is_repeated_loss else ATTEMPT_FAILED)
+            score = 0.0 if outcome.is_repeated_loss else ATTEMPT_FAILED_SCORE
+            return record_failure(state, now, pending, attempt.cache, score)
+    return None
 
 
-def charge(
-    state: RoutingState, now: Instant, pending: PendingRequest, endpoint_id: str, weight: float
-) -> None:
+def _has_cache_responded(state: RoutingState, pending: PendingRequest, attempt: Attempt) -> bool:
+    """Whether the cache has responded since the attempt was sent, or to this request before."""
+    if attempt.cache == pending.missed_cache:
+        return True
+    cache = state.endpoints.by_id.get(attempt.cache)
+    return cache is not None and cache.has_succeeded_since(attempt.sent_at)
+
+
+def _record_miss(state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt) -> None:
+    cache = state.endpoints.by_id.get(attempt.cache)
+    if attempt.source is None and cache is not None:
+        health.record_success(cache, now)
+    else:
+        pending.avoided.add(attempt.source_or_cache)
+
+
+def _record_rejection(
+    state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
+) -> Ejection | None:
+    """Attributes a rejection to the source where the cache says so, or may not say so and has responded."""
+    is_source_fault = outcome.cache_status in api.SOURCE_FAILURES
+    if not state.settings.reports_failure_causes:
+        is_source_fault = is_source_fault or _has_cache_responded(state, pending, attempt)
+    if is_source_fault:
+        ejection = record_failure(state, now, pending, attempt.source_or_cache, SOURCE_REJECTED_SCORE)
+        record_lateness(state, attempt.source_or_cache, True)  # a rejected fill counts as a late one
+        return ejection
+    if outcome.cache_status is api.CacheStatus.ORIGIN_FAILED:
+        return None
+    return record_failure(state, now, pending, attempt.cache, CACHE_REJECTED_SCORE)
+
+
+def record_failure(
+    state: RoutingState, now: Instant, pending: PendingRequest, endpoint_id: str, score: float
+) -> Ejection | None:
     """Adds to an endpoint's failure score; the request avoids it from here on."""
     pending.avoided.add(endpoint_id)
     endpoint = state.endpoints.by_id.get(endpoint_id)
-    if endpoint is None or not weight:
-        return
-    health.record_failure(endpoint, now, weight)
+    if endpoint is None or not score:
+        return None
+    health.record_failure(endpoint, now, score)
     is_ejected = endpoint.ejected_until is not None and endpoint.ejected_until > now
-    if state.is_store_available and is_ejected:
-        state.actions.append(api.ReportOutlier(endpoint_id))
+    return Ejection(endpoint_id) if is_ejected else None
 
 
-def _add_fault(state: RoutingState, pending: PendingRequest, attempt: Attempt, fault: PossibleFault) -> None:
-    """An error may be the request's own fault: a second endpoint's word decides, and ends the request.
+def _record_possible_fault(
+    state: RoutingState, pending: PendingRequest, attempt: Attempt, fault: PossibleFault
+) -> None:
+    """Records an error that may be the endpoint's fault or the request's own.
 
-    While most errors are such, a new name gets no second attempt.
+    The request is retried once on another endpoint; a second error is attributed to the request.
     """
     pending.avoided.add(fault.endpoint_id)
     if attempt.cache != pending.missed_cache:
         pending.avoided.add(attempt.cache)
-    is_over = pending.possible_fault is not None
-    if is_over:
+    if pending.possible_fault is not None:
         state.request_fault_share.add(1.0)
-    elif pending.name_remaining is None:
-        is_over = state.random.random() < state.request_fault_share.value
-    pending.possible_fault = None if is_over else fault
-    if is_over:
+        is_request_fault = True
+    else:
+        is_request_fault = _is_presumed_request_fault(state, pending)
+    pending.possible_fault = None if is_request_fault else fault
+    if is_request_fault:
         pending.is_retryable = False
 
 
-def confirm_fault(state: RoutingState, now: Instant, pending: PendingRequest) -> None:
-    """The request is over and no second endpoint failed it: its one error counts."""
-    if pending.possible_fault is not None:
-        weight = pending.possible_fault.weight * (1 - state.request_fault_share.value)
-        charge(state, now, pending, pending.possible_fault.endpoint_id, weight)
-        state.request_fault_share.add(0.0)
+def _is_presumed_request_fault(state: RoutingState, pending: PendingRequest) -> bool:
+    """Whether a first error is attributed to the request: of a new name, as often as second errors show."""
+    return pending.name_remaining is None and state.random.random() < state.request_fault_share.value
+
+
+def record_unconfirmed_fault(state: RoutingState, now: Instant, pending: PendingRequest) -> Ejection | None:
+    """A request is over, and its one error was not repeated elsewhere: the endpoint's score rises."""
+    fault = pending.possible_fault
+    if fault is None:
+        return None
+    score = fault.score * (1 - state.request_fault_share.value)
+    ejection = record_failure(state, now, pending, fault.endpoint_id, score)
+    state.request_fault_share.add(0.0)
+    return ejection
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -1,7 +1,7 @@
 """What bounds retries: a budget for the whole proxy, deadlines, and idempotency for each request."""
 
 from olivepost import interface as api
-from olivepost.routing_state import PendingRequest, QuotaPart, RoutingState
+from olivepost.routing_state import PendingRequest, QuotaPart, QuotaShortage, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
 RETRIES_PER_REQUEST = 0.2  # earned by each request, so that faults don't feed themselves
@@ -16,16 +16,17 @@
     return settings.subscription_timeout // SUBSCRIPTIONS_IN_TIME
 
 
-def earn(state: RoutingState) -> None:
-    """A request has come; under overload it earns less."""
+def earn_retries(state: RoutingState) -> None:
+    """Adds what a request that has come earns to the retry budget: less under overload."""
     earned = RETRIES_PER_REQUEST * (1 - state.arrivals.level)
     state.retry_balance = min(MAX_RETRIES, state.retry_balance + earned)
 
 
-def request_quota(state: RoutingState, cost: int) -> None:
-    """Tells other proxies, where there is a shared store, that the budget is short."""
+def budget_shortage(state: RoutingState, cost: int) -> tuple[QuotaShortage, ...]:
+    """What other proxies are to be asked for, where the retry budget lacks an attempt's cost."""
     if state.is_store_available and state.retry_balance < cost:
-        state.actions.append(api.RequestQuota(api.RETRY_QUOTA, 1.0))
+        return (QuotaShortage(api.RETRY_QUOTA, 1.0),)
+    return ()
 
 
 def quota_part(state: RoutingState) -> QuotaPart:
@@ -34,7 +35,7 @@
 
 
 def cost_of(pending: PendingRequest, outcome: api.AttemptOutcome) -> int:
-    """What a retry draws on the budget: a connection's end pays once, a second word on an error nothing."""
+    """What a retry costs: one for all attempts that a connection's end lost, none to confirm an error."""
     return 0 if outcome.is_repeated_loss or pending.possible_fault is not None else 1
 
 
@@ -94,21 +95,25 @@
     state: RoutingState, pending: PendingRequest, reason: api.GiveUpReason
 ) -> api.Reject | api.Fail:
     """The final response of a request that is given up: a rejection where trying again is harmless."""
+    retry_after = random_retry_after(state)
+    if is_client_retry_harmless(pending):
+        return api.Reject(pending.request.id, retry_after, reason)
+    return api.Fail(pending.request.id, reason)
+
+
+def is_client_retry_harmless(pending: PendingRequest) -> bool:
+    """Whether the client may send the request again: no endpoint has it, or repeats have no effect."""
     request_class = pending.request_class
-    is_keyed = request_class.idempotency is api.Idempotency.WITH_KEY
-    is_harmless = request_class.idempotency is api.Idempotency.IDEMPOTENT
-    is_harmless |= is_keyed and request_class.deduplication_scope is api.DeduplicationScope.ALL
-    is_harmless |= not (pending.executed or pending.in_flight)
-    retry_after = draw_retry_after(state)
-    if not is_harmless:
-        return api.Fail(pending.request.id, reason)
-    return api.Reject(pending.request.id, retry_after, reason)
-
-
-def draw_retry_after(state: RoutingState) -> Duration | None:
-    """When a rejected client may come back, spread by chance; None: it gets no advice."""
+    if request_class.idempotency is api.Idempotency.IDEMPOTENT or not (pending.executed or pending.in_flight):
+        return True
+    is_deduplicated = request_class.idempotency is api.Idempotency.WITH_KEY
+    return is_deduplicated and request_class.deduplication_scope is api.DeduplicationScope.ALL
+
+
+def random_retry_after(state: RoutingState) -> Duration | None:
+    """The Retry-After of a rejection, spread so that clients don't return at once; None: there is none."""
     if not state.settings.supports_retry_after:
         return None
-    drawn = int(MEAN_RETRY_AFTER * (0.5 + state.random.random()))
-    retry_after = min(state.settings.max_retry_after, drawn)
+    spread = int(MEAN_RETRY_AFTER * (0.5 + state.random.random()))
+    retry_after = min(state.settings.max_retry_after, spread)
     return retry_after if retry_after > 0 else None
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -1,32 +1,40 @@
-"""Endpoint selection: rendezvous hashing over the listed endpoints, past those that can't take more."""
+"""Endpoint selection: rendezvous hashing over the ready endpoints, past those that are at a limit."""
 
 from hashlib import blake2b
 from zlib import crc32
 
-from olivepost import interface as api
 from olivepost.routing import capacity, health
-from olivepost.routing_state import Endpoint, PendingRequest, Role, Route, RoutingState
+from olivepost.routing_state import (
+    Endpoint,
+    PendingRequest,
+    QuotaShortage,
+    Role,
+    Route,
+    RoutingState,
+    Selection,
+)
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 from olivepost.units import Instant
 
-# Computed orders, where the host names no bound; what one takes beside its references, and for each of these.
-MAX_ORDER_BYTES = 8_388_608
-ORDER_ENTRY_BYTES = 320
-ORDER_REFERENCE_BYTES = 8
-SHED_FROM = 0.2  # late share beyond the best peer's, from which an endpoint sheds names,
-SHED_RANGE = 0.4  # over which it would shed all,
-MAX_SHED_SHARE = 0.9  # and what it sheds at most
+MAX_ORDER_BYTES = 8_388_608  # of computed orders, where the host sets no bound
+ORDER_ENTRY_BYTES = 320  # of one order beside its references
+ORDER_REFERENCE_BYTES = 8  # of each endpoint in an order
+LATE_SHARE_TOLERANCE = 0.2  # above the lowest late share of the candidates
+LATE_SHARE_SHEDDING_RANGE = 0.4  # from the tolerance up to shedding every name
+MAX_SHED_SHARE = 0.9  # of an endpoint's names
 
 
 def rendezvous_order(name: str, endpoint_ids: tuple[str, ...]) -> tuple[str, ...]:
     """The endpoints for a name by their hashes, its home first."""
-    return tuple(
-        sorted(endpoint_ids, key=lambda it: blake2b(f"{it} {name}".encode(), digest_size=8).digest())
-    )
 
+    def rank(endpoint_id: str) -> bytes:
+        return blake2b(f"{endpoint_id} {name}".encode(), digest_size=8).digest()
 
-def _order(state: RoutingState, name: str, role: Role) -> tuple[str, ...]:
-    """The order of a tier's ready endpoints for a name, computed once in a while."""
+    return tuple(sorted(endpoint_ids, key=rank))
+
+
+def _cached_order(state: RoutingState, name: str, role: Role) -> tuple[str, ...]:
+    """The order of a tier's ready endpoints for a name; computed where it is not cached."""
     endpoint_ids = state.endpoints.caches if role is Role.CACHE else state.endpoints.parents
     order = state.orders.get(role, endpoint_ids, name)
     if order is None:
@@ -37,7 +45,7 @@
 
 def all_caches_full(state: RoutingState, now: Instant, name: str) -> bool:
     """Whether every available cache has reached its concurrency limit."""
-    for endpoint_id in _order(state, name, Role.CACHE):
+    for endpoint_id in _cached_order(state, name, Role.CACHE):
         endpoint = state.endpoints.by_id[endpoint_id]
         if health.is_available(endpoint, now) and _is_below_limit(state, now, endpoint):
             return False
@@ -45,79 +53,110 @@
 
 
 def _is_below_limit(state: RoutingState, now: Instant, endpoint: Endpoint) -> bool:
+    if endpoint.in_flight == 0:  # every limit allows one attempt
+        return True
     return endpoint.in_flight + 1 <= capacity.concurrency_limit(state, now, endpoint)
 
 
-def _select_cache(state: RoutingState, now: Instant, pending: PendingRequest) -> str | None:
-    """The cache for an attempt: the hint's, past its concurrency limit, since a hit or a join is no fill."""
-    hint = pending.hint
-    if hint is not None and hint.cache in state.endpoints.caches:
-        endpoint = state.endpoints.by_id[hint.cache]
-        work = state.mean_work(pending.request_class)
-        is_able = health.is_available(endpoint, now)
-        is_able = is_able and capacity.has_slow_start_budget(state, now, endpoint, work)
-        if is_able and hint.cache not in pending.avoided:
-            return hint.cache
-    return _select(state, now, Role.CACHE, pending)
-
-
 def select_route(state: RoutingState, now: Instant, pending: PendingRequest) -> Route:
-    """The cache of an attempt and the source of its fill."""
-    cache = _select_cache(state, now, pending)
+    """The cache of the next attempt and the source of its fill, with the quotas to be requested for them."""
+    cache, shortages = _select_cache(state, now, pending)
     if cache is not None and _is_lookup_only(state, now, pending, cache):
-        return Route(cache, None)
-    source = _select(state, now, Role.PARENT, pending) or state.endpoints.origin
+        return Route(cache, None, shortages)
+    parent, parent_shortages = _select_endpoint(state, now, Role.PARENT, pending)
+    shortages += parent_shortages
+    origin = state.endpoints.origin
+    source = parent or origin
     if cache is None and state.settings.allows_direct_forwarding and source is not None:
-        origin = state.endpoints.origin
-        return Route(source, origin if origin != source else None)  # departure: straight to a parent
-    return Route(cache, source)
+        # Extension of f-TTL: where no cache may be used, the attempt goes straight to a parent.
+        return Route(source, origin if origin != source else None, shortages)
+    return Route(cache, source, shortages)
+
+
+def _select_cache(state: RoutingState, now: Instant, pending: PendingRequest) -> Selection:
+    """The hinted cache, even above its concurrency limit since it need not fill, or the selected one."""
+    hint = pending.hint
+    if hint is not None and hint.cache is not None and hint.cache in state.endpoints.caches:
+        endpoint = state.endpoints.by_id[hint.cache]
+        work = state.mean_work(pending.request_class)
+        is_available = health.is_available(endpoint, now)
+        has_budget = is_available and capacity.has_slow_start_budget(state, now, endpoint, work)
+        if has_budget and hint.cache not in pending.avoided:
+            return Selection(hint.cache)
+    return _select_endpoint(state, now, Role.CACHE, pending)
 
 
 def _is_lookup_only(state: RoutingState, now: Instant, pending: PendingRequest, cache: str) -> bool:
-    """Departure: a cache is first asked for what it has.
+    """Whether a cache is asked for what it has before a source is named for a fill.
 
-    Many proxies share a location, so a name new here may well be cached there; a miss is known before a
-    source is named, and silence is the cache's own.
+    Extension of f-TTL: a name that is new to this proxy may be cached by others' requests, and without a
+    source silence is the cache's own.
     """
     hint = pending.hint
     if hint is not None and hint.is_filling and hint.cache == cache:
-        return not state.settings.can_collapse_fills  # else the fill is joined
+        return not state.settings.can_collapse_fills  # else this attempt joins the fill
     is_always_fresh = pending.request_class.freshness_lifetime is None
     if not pending.rank or not is_always_fresh or pending.missed_cache == cache:
         return False
-    is_warm = capacity.slow_start_share(now, state.endpoints.by_id[cache]) >= 1
-    has_attempts_left = pending.is_retryable and pending.attempt_count + 1 < state.settings.max_attempts
-    return is_warm and has_attempts_left
+    if not pending.is_retryable or pending.attempt_count + 1 >= state.settings.max_attempts:
+        return False
+    return capacity.slow_start_share(now, state.endpoints.by_id[cache]) >= 1
+
 
+def _select_endpoint(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> Selection:
+    """The first endpoint of a tier within all its limits.
 
-def _select(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> str | None:
-    """The first available endpoint below its limits; with none, the first that may be used at all."""
-    order = _order(state, pending.name, role)
+    Where there is none, the others count no more, one after another: late share, concurrency limit, ejection,
+    failures of this request. The slow start budget always counts.
+    """
+    order = _cached_order(state, pending.name, role)
     if not order:
-        return None
+        return Selection(None)
     work = state.mean_work(pending.request_class)
     by_id = state.endpoints.by_id
     home = by_id[order[0]]
-    is_free = home.late_share <= SHED_FROM and health.is_available(home, now)
-    is_free = is_free and order[0] not in pending.avoided and _is_below_limit(state, now, home)
-    if is_free and capacity.has_slow_start_budget(state, now, home, work):
-        return order[0]  # as below, in a fraction of the time
-    usable = [it for it in order if capacity.has_slow_start_budget(state, now, by_id[it], work)]
-    fresh = [it for it in usable if it not in pending.avoided]
-    available = [it for it in fresh if health.is_available(by_id[it], now)]
-    free = [it for it in available if _is_below_limit(state, now, by_id[it])]
-    if state.is_store_available and order[0] in available and order[0] not in free:
-        state.actions.append(api.RequestQuota(concurrency_key(home), 1.0))
-    elif state.is_store_available and order[0] not in usable:
-        state.actions.append(api.RequestQuota(slow_start_key(home), work))
-    prompt = _without_shed_names(state, free, pending.name)
-    return next(iter(prompt or free or available or fresh or usable), None)
+    if _is_unrestricted(state, now, pending, home) and capacity.has_slow_start_budget(state, now, home, work):
+        return Selection(order[0])  # the result of the rest, in a fraction of its time
+    usable = [
+        endpoint_id
+        for endpoint_id in order
+        if capacity.has_slow_start_budget(state, now, by_id[endpoint_id], work)
+    ]
+    unfailed = [endpoint_id for endpoint_id in usable if endpoint_id not in pending.avoided]
+    available = [endpoint_id for endpoint_id in unfailed if health.is_available(by_id[endpoint_id], now)]
+    below_limit = [
+        endpoint_id for endpoint_id in available if _is_below_limit(state, now, by_id[endpoint_id])
+    ]
+    shortages: tuple[QuotaShortage, ...] = ()
+    if state.is_store_available:
+        if order[0] in available and order[0] not in below_limit:
+            shortages = (QuotaShortage(concurrency_key(home), 1.0),)
+        elif order[0] not in usable:
+            shortages = (QuotaShortage(slow_start_key(home), work),)
+    prompt = _without_shed_names(state, below_limit, pending.name)
+    candidates = prompt or below_limit or available or unfailed or usable
+    return Selection(candidates[0] if candidates else None, shortages)
+
+
+def _is_unrestricted(state: RoutingState, now: Instant, pending: PendingRequest, home: Endpoint) -> bool:
+    """Whether a name's home is within every limit but the slow start budget, and sheds no name."""
+    if home.late_share > LATE_SHARE_TOLERANCE or home.metadata.id in pending.avoided:
+        return False
+    return health.is_available(home, now) and _is_below_limit(state, now, home)
 
 
 def _without_shed_names(state: RoutingState, endpoint_ids: list[str], name: str) -> list[str]:
-    """Leaves out endpoints that are late more often than their best peer, by degrees: a hash's share."""
-    late_shares = {it: state.endpoints.by_id[it].late_share for it in endpoint_ids}
-    tolerated = min(late_shares.values(), default=0.0) + SHED_FROM
-    hash_share = crc32(name.encode()) / 2**32
-    shed = {it: min(MAX_SHED_SHARE, (late - tolerated) / SHED_RANGE) for it, late in late_shares.items()}
-    return [it for it in endpoint_ids if shed[it] <= hash_share]
+    """Leaves out the endpoints that shed this name, since they are late more often than the best of them.
+
+    The share of names that an endpoint sheds grows with its late share; a name's hash decides for it.
+    """
+    late_shares = [state.endpoints.by_id[endpoint_id].late_share for endpoint_id in endpoint_ids]
+    tolerated = min(late_shares, default=0.0) + LATE_SHARE_TOLERANCE
+    if max(late_shares, default=0.0) <= tolerated:
+        return endpoint_ids
+    name_share = crc32(name.encode()) / 2**32
+    return [
+        endpoint_id
+        for endpoint_id, late_share in zip(endpoint_ids, late_shares, strict=True)
+        if min(MAX_SHED_SHARE, (late_share - tolerated) / LATE_SHARE_SHEDDING_RANGE) <= name_share
+    ]
--- a/olivepost/routing_state/__init__.py
+++ b/olivepost/routing_state/__init__.py
@@ -1,7 +1,7 @@
 """Data that routing keeps between events. Nothing here decides or holds a tuned value."""
 
 from olivepost.routing_state.averages import DecayingRate, MovingAverage, MovingAverages
-from olivepost.routing_state.endpoint import Endpoint, Role
+from olivepost.routing_state.endpoint import Ejection, Endpoint, Role
 from olivepost.routing_state.endpoint_table import EndpointTable
 from olivepost.routing_state.invalidation_table import InvalidationTable
 from olivepost.routing_state.levels import ClassLevels, OverloadLevel
@@ -13,9 +13,11 @@
     HintWait,
     PendingRequest,
     PossibleFault,
-    Route,
+    RankedName,
+    SilenceCheck,
 )
-from olivepost.routing_state.quota_ledger import QuotaLedger, QuotaPart, QuotaTransfer
+from olivepost.routing_state.quota_ledger import QuotaLedger, QuotaPart, QuotaShortage, QuotaTransfer
+from olivepost.routing_state.route import Route, Selection
 from olivepost.routing_state.routing_state import RoutingState, Tuning
 from olivepost.routing_state.sliding_window import SlidingWindowSum
 from olivepost.routing_state.timer_table import TimerCallback, TimerTable
@@ -24,6 +26,7 @@
     "Attempt",
     "ClassLevels",
     "DecayingRate",
+    "Ejection",
     "Endpoint",
     "EndpointTable",
     "ExecutedAttempt",
@@ -39,10 +42,14 @@
     "PossibleFault",
     "QuotaLedger",
     "QuotaPart",
+    "QuotaShortage",
     "QuotaTransfer",
+    "RankedName",
     "Role",
     "Route",
     "RoutingState",
+    "Selection",
+    "SilenceCheck",
     "SlidingWindowSum",
     "TimerCallback",
     "TimerTable",
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 from enum import IntEnum, auto
+from typing import NamedTuple
 
 from olivepost import interface as api
 from olivepost.routing_state.sliding_window import SlidingWindowSum
@@ -19,6 +20,12 @@
     OTHER_ZONE = auto()
 
 
+class Ejection(NamedTuple):
+    """An endpoint that is ejected once a failure of it has been recorded."""
+
+    endpoint_id: str
+
+
 @dataclass(slots=True)
 class Endpoint:
     """A cache, parent or origin: its metadata, its health, and the work that was sent to it lately."""
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -6,6 +6,7 @@
 
 from olivepost import interface as api
 from olivepost.routing_state.endpoint import Endpoint, Role
+from olivepost.routing_state.pending_request import Attempt
 from olivepost.routing_state.sliding_window import SlidingWindowSum
 from olivepost.units import Duration, Instant
 
@@ -86,17 +87,17 @@
         ready = (it for it in self.by_id.values() if it.metadata.state is api.EndpointState.READY)
         return tuple(sorted(endpoint.metadata.id for endpoint in ready if endpoint.role is role))
 
-    def open_attempt(self, now: Instant, endpoint_ids: tuple[str, ...], work: float) -> None:
+    def open_attempt(self, now: Instant, attempt: Attempt, work: float) -> None:
         """Counts an attempt at its endpoints; at an ejected one it is the half-open trial."""
-        for endpoint_id in dict.fromkeys(endpoint_ids):
+        for endpoint_id in attempt.endpoint_ids:
             endpoint = self.by_id[endpoint_id]
             endpoint.in_flight += 1
             endpoint.work.add(now, work)
             endpoint.has_trial_in_flight = endpoint.ejected_until is not None
 
-    def close_attempt(self, endpoint_ids: tuple[str, ...]) -> None:
-        """An attempt at these endpoints is no longer in flight."""
-        for endpoint_id in dict.fromkeys(endpoint_ids):
+    def close_attempt(self, attempt: Attempt) -> None:
+        """An attempt is no longer in flight at its endpoints."""
+        for endpoint_id in attempt.endpoint_ids:
             endpoint = self.by_id.get(endpoint_id)
             if endpoint is not None:
                 endpoint.in_flight = max(0, endpoint.in_flight - 1)
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -6,14 +6,22 @@
 from typing import NamedTuple
 
 from olivepost import interface as api
+from olivepost.routing_state.endpoint import Ejection
 from olivepost.units import Duration, Instant
 
 
-class Route(NamedTuple):
-    """Where an attempt goes; no cache: nowhere. No source: a miss is not filled."""
+class RankedName(NamedTuple):
+    """The rank of a request, and the lifetime that its name had left; None: the name was not known."""
 
-    cache: str | None
-    source: str | None
+    rank: int
+    name_remaining: Duration | None
+
+
+class SilenceCheck(NamedTuple):
+    """What an attempt past its silence timeout says of its cache."""
+
+    is_cache_ejected: bool
+    ejection: Ejection | None = None  # by this check, to be reported
 
 
 @dataclass(slots=True)
@@ -26,6 +34,11 @@
     sent_at: Instant
     silence_timeout: Duration  # after each such time without a response it is checked for silence
 
+    @property
+    def endpoint_ids(self) -> tuple[str, ...]:
+        """The endpoints that the attempt occupies, each once."""
+        return (self.cache,) if self.source is None else (self.cache, self.source)
+
     @property
     def source_or_cache(self) -> str:
         """Where its response comes from on a miss: the cache itself where nothing is filled."""
@@ -45,7 +58,7 @@
     """Whom a request's only error so far is charged to, unless a second endpoint fails it too."""
 
     endpoint_id: str
-    weight: float
+    score: float
 
 
 @dataclass(slots=True, eq=False)
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -4,6 +4,7 @@
 
 import math
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from olivepost.interface import QuotaKey
 from olivepost.units import Duration, Instant
@@ -27,6 +28,13 @@
     return_delay: Duration = 0  # after a donation's end, before the donor may use the amount again
 
 
+class QuotaShortage(NamedTuple):
+    """So much of a quota was lacking when an attempt was to be made."""
+
+    key: QuotaKey
+    amount: float
+
+
 class QuotaLedger:
     """Transfers that have not expired, in the order in which they were made."""
 
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -40,7 +40,6 @@
     """The state of one router, which alone may change it. Not thread-safe."""
 
     __slots__ = (
-        "actions",
         "arrivals",
         "class_work",
         "endpoints",
@@ -64,7 +63,6 @@
     def __init__(self, settings: api.Settings, seed: int, tuning: Tuning) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.actions: list[api.Action] = []  # of the event in hand, in order
         self.endpoints = EndpointTable(
             settings.overload_window, tuning.initial_late_share, tuning.max_listing_delay
         )
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -129,12 +129,11 @@
     def is_too_expensive(size_kb: float) -> bool:
         request = api.Request("1", "image", "x", SECOND, size_kb=size_kb)
         pending = PendingRequest(request, state.settings.classes["image"], "x.0", 0, RANK_LOW, None)
-        return admission.is_too_expensive(state, pending, state.arrivals)
+        cost = admission.record_cost(state, pending, state.arrivals)
+        return admission.is_too_expensive(state, pending, state.arrivals, cost)
 
     def record(is_overloaded: bool) -> None:
-        admission.record_sample(
-            state.arrivals, admission.ARRIVAL_STEP, admission.ARRIVAL_TARGET, is_overloaded
-        )
+        admission.record_arrival(state, is_overloaded)
 
     assert not is_too_expensive(100.0)
     for _ in range(100):
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -13,6 +13,7 @@
 MECHANICS = [
     ROOT / "olivepost" / "router.py",
     ROOT / "olivepost" / "request_lifecycle.py",
+    ROOT / "olivepost" / "action_emitter.py",
     *(ROOT / "olivepost" / "routing_state").glob("*.py"),
 ]
 ALLOWED_PACKAGES = ("olivepost.routing", "olivepost.routing_state", "olivepost.units")
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -615,7 +615,7 @@
     home = forwarded_attempts(driver.request("0"))[0].cache
     for index in range(2):
         driver.request(f"f{index}")
-        outcomes.charge(
+        outcomes.record_failure(
             driver.router.state, driver.now, driver.router.requests.pending[f"f{index}"], home, 1.0
         )
     assert not health.is_available(driver.router.state.endpoints.by_id[home], driver.now)
