--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -3,19 +3,47 @@
 from __future__ import annotations
 
 import random
+from collections.abc import Iterator
+from contextlib import ExitStack
 
 import pytest
 
+from tests.soak.child_process import ChildProcess
 from tests.soak.options import SoakOptions
-from tests.soak.run import play
 
 SEEDS = (3, 21, 38, 43)
+RUN_TIMEOUT_S = 90.0
+
+
+class SoakRunProcess(ChildProcess):
+    """One seed's run in a process of its own."""
+
+    def __init__(self, seed: int) -> None:
+        super().__init__(["-m", "tests.soak.run", str(seed)], has_pipes=True)
+
+    def wait(self) -> str:
+        """Waits for the end of the run; returns what it printed."""
+        output, _ = self.process.communicate(timeout=RUN_TIMEOUT_S)
+        return str(output, "utf-8")
+
+    @property
+    def exit_code(self) -> int | None:
+        """The exit code; None while the process runs."""
+        return self.process.returncode
+
+
+@pytest.fixture(scope="module")
+def soak_runs() -> Iterator[dict[int, SoakRunProcess]]:
+    """All seeds, played side by side."""
+    with ExitStack() as stack:
+        yield {seed: stack.enter_context(SoakRunProcess(seed)) for seed in SEEDS}
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_proxy_keeps_all_invariants_among_faults(seed: int) -> None:
-    found = play(seed)
-    assert not found, "\n".join([f"play it alone: python -m tests.soak.run {seed}", *found[:8]])
+def test_proxy_keeps_all_invariants_among_faults(soak_runs: dict[int, SoakRunProcess], seed: int) -> None:
+    output = soak_runs[seed].wait()
+    assert soak_runs[seed].exit_code == 0, f"play it alone: python -m tests.soak.run {seed}\n{output}"
+    assert f"seed {seed}: kept" in output
 
 
 def test_suite_seeds_cover_memory_limits_failing_calls_and_clock_errors() -> None:
