--- /dev/null
+++ b/olivepost/proxy/downstream/deadline_watch.py
@@ -0,0 +1,44 @@
+"""Closes client connections whose deadline has passed."""
+
+from __future__ import annotations
+
+import threading
+
+from olivepost.proxy.downstream.connection_set import ConnectionSet
+from olivepost.proxy.downstream.context import DownstreamContext
+from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
+
+DEADLINE_CHECK_INTERVAL_S = 0.1  # by which a connection may outlive its deadline
+
+
+class DeadlineWatch:
+    """The deadline thread; it runs from `start` until `stopped` is set, and decides on no deadline itself."""
+
+    def __init__(
+        self, context: DownstreamContext, connections: ConnectionSet, stopped: threading.Event
+    ) -> None:
+        self._context = context
+        self._connections = connections
+        self._stopped = stopped
+
+    def start(self) -> None:
+        """Starts the thread; raises RuntimeError where the system has none in time."""
+        start_thread(self._run, "deadlines", START_TIMEOUT_S)
+
+    def _run(self) -> None:
+        while not self._stopped.wait(DEADLINE_CHECK_INTERVAL_S):
+            try:
+                self._expire_connections()
+            except Exception:  # the top of a thread: the deadlines of all connections depend on it
+                self._context.log.exception("deadline_error")
+
+    def _expire_connections(self) -> None:
+        log = self._context.log
+        now = self._context.clock.now()
+        overdue = [connection for connection in self._connections.snapshot() if connection.is_overdue(now)]
+        for connection in overdue:
+            log.increment("connection_deadlines_exceeded")
+            try:
+                connection.expire()
+            except Exception:  # a fault in one connection must not keep the others open
+                log.exception("downstream_connection_error")
--- /dev/null
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -0,0 +1,85 @@
+"""The client side as a whole: its listener, admission, connections and deadline watch."""
+
+from __future__ import annotations
+
+import threading
+
+from olivepost.config import Address
+from olivepost.proxy.downstream.connection_admission import ConnectionAdmission
+from olivepost.proxy.downstream.connection_set import ConnectionSet
+from olivepost.proxy.downstream.context import DownstreamContext
+from olivepost.proxy.downstream.deadline_watch import DeadlineWatch
+from olivepost.proxy.downstream.eviction import ConnectionEvictor
+from olivepost.proxy.downstream.listener import ACCEPT_STOP_TIMEOUT_S, Listener
+
+
+class DownstreamServer:
+    """Owns the parts of the client side; the main thread starts and stops them.
+
+    Counts and flags may be read by any thread. What the parts share is `connections`, which has a lock of its
+    own, and `_stopped`, which ends the deadline thread and a wait for a slot.
+    """
+
+    def __init__(self, context: DownstreamContext) -> None:
+        self.context = context
+        self.connections = ConnectionSet()
+        self._stopped = threading.Event()
+        self._evictor = ConnectionEvictor(context, self.connections)
+        self.admission = ConnectionAdmission(context, self.connections, self._evictor, self._stopped)
+        self._listener = Listener(context.log, context.limits.backlog, self.admission.admit)
+        self._deadline_watch = DeadlineWatch(context, self.connections, self._stopped)
+
+    @property
+    def open_count(self) -> int:
+        """Connections that are open."""
+        return len(self.connections)
+
+    @property
+    def peak_count(self) -> int:
+        """The most connections that were open at the same time."""
+        return self.connections.peak_count
+
+    @property
+    def is_draining(self) -> bool:
+        """Whether the graceful shutdown has begun."""
+        return self.context.is_draining
+
+    @property
+    def has_pending_responses(self) -> bool:
+        """Whether a client waits for the rest of a response, or has sent a part of a request."""
+        return any(connection.has_pending_response for connection in self.connections.snapshot())
+
+    def listen(self, address: Address) -> Address:
+        """Binds and starts to accept; returns the bound address; raises OSError."""
+        bound = self._listener.listen(address)
+        self._deadline_watch.start()
+        return bound
+
+    # Memory pressure: the main thread calls these with what `MemoryShedder` makes of a level.
+
+    def limit_connections(self, limit: int) -> None:
+        """Admits no further connection while so many are open."""
+        self.admission.connection_limit = limit
+
+    def evict_idle(self) -> None:
+        """Closes a few connections without a pending response, those without any request first."""
+        self._evictor.evict_idle()
+
+    # The graceful shutdown, in this order.
+
+    def drain(self) -> None:
+        """Begins the graceful shutdown: every response from now on ends its connection."""
+        self.context.is_draining = True
+
+    def close_idle(self) -> None:
+        """Half-closes connections without a request in flight; waits for writers that hold their locks."""
+        for connection in self.connections.snapshot():
+            connection.close_if_idle()
+
+    def stop_accepting(self, timeout_s: float = ACCEPT_STOP_TIMEOUT_S) -> None:
+        """Closes the listener once all that the kernel has accepted is taken; waits up to the timeout."""
+        self._listener.stop(timeout_s)
+
+    def stop_watching(self) -> None:
+        """Ends the deadline thread, and a wait for a slot."""
+        self._stopped.set()
--- /dev/null
+++ b/olivepost/proxy/downstream/response_delivery.py
@@ -0,0 +1,96 @@
+"""Writes the final responses of one client's connection."""
+
+from __future__ import annotations
+
+import socket
+
+from olivepost.proxy import sockets
+from olivepost.proxy.downstream.connection_lifecycle import CloseReason, ConnectionLifecycle
+from olivepost.proxy.downstream.context import DownstreamContext
+from olivepost.proxy.downstream.response_encoding import encode_response
+from olivepost.proxy.exchange import Exchange, Response
+from olivepost.units import Instant
+
+
+class ResponseDelivery:
+    """The responses of one connection; `ResponseWriters` calls it, on a writer or a slow writer thread.
+
+    A response is released once it is written, once the write has failed, or where its exchange was abandoned
+    before. The lock of the connection's lifecycle guards `_closes_after_response` too.
+    """
+
+    def __init__(self, context: DownstreamContext, lifecycle: ConnectionLifecycle) -> None:
+        self._context = context
+        self._lifecycle = lifecycle
+        self._closes_after_response = False  # as the response in hand announces
+
+    def write(self, exchange: Exchange, response: Response) -> list[memoryview]:
+        """Writes the final response without waiting; returns what the socket did not take."""
+        lifecycle = self._lifecycle
+        with lifecycle.lock:
+            if self._release_if_abandoned(exchange, response):
+                return []
+            self._closes_after_response = not lifecycle.stays_open
+            buffers = encode_response(response, self._closes_after_response)
+            try:
+                unsent = sockets.send_buffers(lifecycle.sock, buffers, socket.MSG_DONTWAIT)
+            except OSError:
+                lifecycle.abort(CloseReason.WRITE_FAILED)
+                unsent = []
+            if unsent:
+                lifecycle.deadline = self._write_deadline(exchange)
+            else:
+                self._complete(response)
+            return unsent
+
+    def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview]) -> None:
+        """Writes the rest, waiting for the client to read, up to the write stall timeout for each part."""
+        lifecycle = self._lifecycle
+        with lifecycle.lock:
+            if self._release_if_abandoned(exchange, response):
+                return
+            lifecycle.is_write_blocked = True
+            try:
+                sockets.send_buffers(lifecycle.sock, unsent)
+            except OSError:
+                lifecycle.abort(CloseReason.WRITE_FAILED)
+            lifecycle.is_write_blocked = False
+            self._complete(response)
+
+    def abandon_response(self, exchange: Exchange, response: Response) -> None:
+        """Cuts off a response that no thread can finish."""
+        with self._lifecycle.lock:
+            if not self._release_if_abandoned(exchange, response):
+                self._lifecycle.abort(CloseReason.WRITE_FAILED)
+                self._complete(response)
+
+    def abort(self, reason: CloseReason) -> None:
+        """Shuts down the socket at once, without the lock."""
+        self._lifecycle.abort(reason)
+
+    # With the lock held.
+
+    def _release_if_abandoned(self, exchange: Exchange, response: Response) -> bool:
+        """Releases the response of an exchange that the connection no longer has; returns whether it did."""
+        if self._lifecycle.exchange is exchange and not self._lifecycle.is_closed:
+            return False
+        response.release()
+        return True
+
+    def _write_deadline(self, exchange: Exchange) -> Instant:
+        """When a slow client must have read its response."""
+        now = self._context.clock.now()
+        limits = self._context.limits
+        request_deadline = exchange.received_at + exchange.timeout
+        return min(max(request_deadline, now + limits.write_stall_timeout), now + limits.slow_client_timeout)
+
+    def _complete(self, response: Response) -> None:
+        """After a response: the connection becomes idle, or closes."""
+        response.release()
+        lifecycle = self._lifecycle
+        self._context.log.increment(response.kind.value)
+        lifecycle.exchange = None
+        if self._closes_after_response or not lifecycle.keeps_alive:
+            lifecycle.half_close(CloseReason.AFTER_RESPONSE)
+        else:
+            lifecycle.become_idle()
--- /dev/null
+++ b/olivepost/proxy/downstream/response_encoding.py
@@ -0,0 +1,22 @@
+"""Encoding of final responses as HTTP/1.1, without I/O."""
+
+from __future__ import annotations
+
+from olivepost.proxy.exchange import Response, ResponseKind
+from olivepost.proxy.http1 import response_head
+from olivepost.units import MILLISECOND
+
+
+def encode_response(response: Response, closes: bool) -> list[bytes | memoryview]:
+    """The head and the body of a final response; `closes` announces that the connection ends after it."""
+    headers = {"ETag": f'"{response.etag}"'} if response.etag else {}
+    if response.kind is ResponseKind.SERVED and response.body is not None:
+        head = response_head(200, response.body.length, headers, closes)
+        return [head, *response.body.parts()]
+    if response.kind is ResponseKind.NOT_MODIFIED:
+        return [response_head(304, None, headers, closes)]
+    if response.kind is ResponseKind.REJECTED:
+        if response.retry_after > 0:
+            headers["X-Come-Back-Ms"] = str(max(1, response.retry_after // MILLISECOND))
+        return [response_head(503, 0, headers, closes)]
+    return [response_head(502, 0, headers, closes)]
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -1,4 +1,4 @@
-"""Encoding of final responses, and the threads that write them."""
+"""The threads that write responses to clients."""
 
 from __future__ import annotations
 
@@ -8,28 +8,11 @@
 
 from olivepost.proxy.downstream.connection_lifecycle import CloseReason
 from olivepost.proxy.event_log import EventLog
-from olivepost.proxy.exchange import Exchange, Response, ResponseKind
-from olivepost.proxy.http1 import response_head
+from olivepost.proxy.exchange import Exchange, Response
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
-from olivepost.units import MILLISECOND
 
 
-def encode_response(response: Response, closes: bool) -> list[bytes | memoryview]:
-    """The head and the body of a final response; `closes` announces that the connection ends after it."""
-    headers = {"ETag": f'"{response.etag}"'} if response.etag else {}
-    if response.kind is ResponseKind.SERVED and response.body is not None:
-        head = response_head(200, response.body.length, headers, closes)
-        return [head, *response.body.parts()]
-    if response.kind is ResponseKind.NOT_MODIFIED:
-        return [response_head(304, None, headers, closes)]
-    if response.kind is ResponseKind.REJECTED:
-        if response.retry_after > 0:
-            headers["X-Come-Back-Ms"] = str(max(1, response.retry_after // MILLISECOND))
-        return [response_head(503, 0, headers, closes)]
-    return [response_head(502, 0, headers, closes)]
-
-
-class ClientConnection(Protocol):
+class ResponseTarget(Protocol):
     """The connection that a response is written to, as the writer threads see it."""
 
     def write(self, exchange: Exchange, response: Response, /) -> list[memoryview]:
@@ -48,7 +31,7 @@
 class WriteJob(NamedTuple):
     """One response to be written to its client."""
 
-    connection: ClientConnection
+    target: ResponseTarget
     exchange: Exchange
     response: Response
 
@@ -56,8 +39,9 @@
 class ResponseWriters:
     """A few threads that write responses without waiting for a client.
 
-    What a socket does not take at once is finished by a thread of its own, so that a client that reads
-    slowly delays no other and the event loop never starts a thread.
+    What a socket does not take at once is written by a thread of its own, so that a client that reads slowly
+    delays no other and the event loop never starts a thread. Any thread may call `submit`. The threads are
+    daemons and run until the process exits.
     """
 
     def __init__(self, count: int, log: EventLog) -> None:
@@ -66,32 +50,33 @@
         for _ in range(count):
             start_thread(self._run, "writer", START_TIMEOUT_S)
 
-    def submit(self, connection: ClientConnection, exchange: Exchange, response: Response) -> None:
-        """Queues a response; any thread may call it."""
-        self._jobs.put(WriteJob(connection, exchange, response))
+    def submit(self, target: ResponseTarget, exchange: Exchange, response: Response) -> None:
+        """Queues a response; never waits."""
+        self._jobs.put(WriteJob(target, exchange, response))
 
     def _run(self) -> None:
         log = self._log
         while True:
             job = self._jobs.get()
             try:
-                unsent = job.connection.write(job.exchange, job.response)
+                unsent = job.target.write(job.exchange, job.response)
                 if unsent:
                     self._start_slow_writer(job, unsent)
-            except RuntimeError:  # no thread can be started: the client can tell that its response is cut
+            except RuntimeError:  # no thread can be started: the client can tell that its response is cut off
                 log.increment("threads_short")
-                job.connection.abandon_response(job.exchange, job.response)
-            except Exception:  # a fault in one connection must not end the writer of all
+                job.target.abandon_response(job.exchange, job.response)
+            except Exception:  # the top of a thread: a fault in one connection must not end the writer of all
                 log.exception("response_writer_error")
-                job.connection.abort(CloseReason.ERROR)
+                job.target.abort(CloseReason.ERROR)
 
     def _start_slow_writer(self, job: WriteJob, unsent: list[memoryview]) -> None:
+        """Starts the thread that finishes a response; raises RuntimeError where the system has none."""
         self._log.increment("slow_clients")
         threading.Thread(target=self._finish, args=(job, unsent), name="slow-writer", daemon=True).start()
 
     def _finish(self, job: WriteJob, unsent: list[memoryview]) -> None:
         log = self._log
         try:
-            job.connection.finish_writing(job.exchange, job.response, unsent)
+            job.target.finish_writing(job.exchange, job.response, unsent)
         except Exception:  # the top of a thread: a fault is logged with its trace
             log.exception("response_writer_error")
--- a/olivepost/proxy/memory_shedding.py
+++ b/olivepost/proxy/memory_shedding.py
@@ -6,7 +6,7 @@
 
 from olivepost import interface as api
 from olivepost.proxy.buffers import BufferPool
-from olivepost.proxy.downstream.listener import DownstreamServer
+from olivepost.proxy.downstream.downstream_server import DownstreamServer
 from olivepost.proxy.messages import MemoryPressureReport
 from olivepost.routing import memory_pressure
 
--- a/olivepost/proxy/parts.py
+++ b/olivepost/proxy/parts.py
@@ -9,7 +9,7 @@
 from olivepost.proxy.buffers import BufferPool
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.discovery.client import DiscoveryClient
-from olivepost.proxy.downstream.listener import DownstreamServer
+from olivepost.proxy.downstream.downstream_server import DownstreamServer
 from olivepost.proxy.event_log import EventLog
 from olivepost.proxy.event_loop import EventLoop
 from olivepost.proxy.memory_monitor import MemoryMonitor
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -11,7 +11,7 @@
 from examples.toy_server import Command, ToyEndpoint, respond_normally
 from olivepost import interface as api
 from olivepost.proxy import sockets
-from olivepost.proxy.downstream.connection import DownstreamConnection
+from olivepost.proxy.downstream.connection_lifecycle import ConnectionLifecycle
 from olivepost.proxy.upstream.writer import ConnectionWriter
 from tests.proxy_harness import WAIT_TIMEOUT_S, ProxyHarness, toy_config
 
@@ -36,17 +36,17 @@
         respond_normally(endpoint, command)
 
 
-def only_connection(proxy: ProxyHarness) -> DownstreamConnection:
+def only_connection(proxy: ProxyHarness) -> ConnectionLifecycle:
     """The one connection that is open."""
     assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 1)
-    (connection,) = proxy.parts.downstream._connections
+    (connection,) = proxy.parts.downstream.connections.snapshot()
     return connection
 
 
-def idle_connection(proxy: ProxyHarness) -> DownstreamConnection:
+def idle_connection(proxy: ProxyHarness) -> ConnectionLifecycle:
     """The one connection, once its response is written and its writer is done with it."""
     connection = only_connection(proxy)
-    assert proxy.wait_until(lambda: connection.is_idle and not connection._lock.locked())
+    assert proxy.wait_until(lambda: connection.is_idle and not connection.lock.locked())
     return connection
 
 
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -71,7 +71,7 @@
         client.send(HttpClient.encode_request(timeout_ms=3000))
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 1)
         assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
-        (connection,) = proxy.parts.downstream._connections
+        (connection,) = proxy.parts.downstream.connections.snapshot()
         leave(client.sock)
         assert proxy.wait_until(connection.is_closed_by_client)
         delayed_connects.gate.set()
--- a/tests/proxy/test_client_limits.py
+++ b/tests/proxy/test_client_limits.py
@@ -8,7 +8,7 @@
 import pytest
 
 from examples.toy_server import Command, Coordinator, ToyEndpoint, respond_normally
-from olivepost.proxy.downstream.listener import SLOT_RETRY_INTERVAL_S
+from olivepost.proxy.downstream.connection_admission import SLOT_RETRY_INTERVAL_S
 from tests.proxy.fakes import MS, cache_a_is_draining, draining_entries, idle_connection
 from tests.proxy_harness import (
     WAIT_TIMEOUT_S,
@@ -180,8 +180,9 @@
         assert client.request()[0] == 200
         connection, request = idle_connection(proxy), HttpClient.encode_request()
         rests = connection.deadline
+        assert rests is not None
         client.send(request[:20])
-        assert proxy.wait_until(lambda: not connection._parser.is_idle)
+        assert proxy.wait_until(lambda: not connection.parser.is_idle)
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > rests + 200 * MS)
         client.send(request[20:])
         assert client.read_response()[0] == 200
@@ -196,7 +197,7 @@
             assert client.request()[0] == 200
         now = proxy.parts.clock.now()
         proxy.parts.downstream.context.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
-        for connection in proxy.parts.downstream._connections:
+        for connection in proxy.parts.downstream.connections.snapshot():
             connection.idle_since = now
         with proxy.connect() as late:
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -25,14 +25,14 @@
         proxy.parts.downstream.context.post = posted.append
 
         def crossed(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
-            if sock is connection._sock and not sent:
+            if sock is connection.sock and not sent:
                 sent.append(HttpClient.encode_request())
                 client.send(sent[0])
                 proxy.wait_until(lambda: not sockets.has_nothing_unread(sock))
             hang_up(sock, how)
 
         monkeypatch.setattr(sockets, "shutdown", crossed)
-        connection.deadline = 1 if end == "expire" else 0
+        connection.deadline = 1 if end == "expire" else None
         getattr(connection, end)()
         assert sent
         assert client.is_closed_by_proxy()
@@ -79,7 +79,7 @@
         assert client.request()[0] == 200
         connection = idle_connection(proxy)
         connection.deadline = 1
-        with connection._lock:
+        with connection.lock:
             connection.expire()
-        connection.deadline = 0
+        connection.deadline = None
         assert client.request()[0] == 200
--- a/tests/proxy/test_error_isolation.py
+++ b/tests/proxy/test_error_isolation.py
@@ -7,19 +7,19 @@
 import pytest
 
 from olivepost import interface as api
-from olivepost.proxy.downstream.connection import DownstreamConnection
+from olivepost.proxy.downstream.request_reader import RequestReader
 from tests.proxy_harness import running_proxy
 
 
 def test_error_in_one_connection_closes_only_that(monkeypatch: pytest.MonkeyPatch) -> None:
-    route = DownstreamConnection._route
+    route = RequestReader._route
 
-    def odd(self: DownstreamConnection, message: Any, at: int) -> None:
+    def odd(self: RequestReader, message: Any, at: int) -> None:
         if message.start_line.target == "/fault":
             raise RuntimeError("unforeseen")
         route(self, message, at)
 
-    monkeypatch.setattr(DownstreamConnection, "_route", odd)
+    monkeypatch.setattr(RequestReader, "_route", odd)
     with running_proxy() as proxy, proxy.connect() as bad, proxy.connect() as good:
         bad.send(b"GET /fault HTTP/1.1\r\n\r\n")
         assert bad.is_closed_by_proxy()
--- a/tests/proxy/test_routes.py
+++ b/tests/proxy/test_routes.py
@@ -7,7 +7,7 @@
 import pytest
 
 from olivepost.proxy.buffers import BufferPool, PooledBody
-from olivepost.proxy.downstream.response_writer import encode_response
+from olivepost.proxy.downstream.response_encoding import encode_response
 from olivepost.proxy.downstream.routes import build_exchange, is_health_check
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
 from olivepost.proxy.http1 import HttpError, Message, RequestLine
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -10,8 +10,8 @@
 
 from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally
 from olivepost.proxy import shutdown
-from olivepost.proxy.downstream.connection import DownstreamConnection
-from olivepost.proxy.downstream.listener import DownstreamServer
+from olivepost.proxy.downstream.connection_admission import ConnectionAdmission
+from olivepost.proxy.downstream.response_delivery import ResponseDelivery
 from olivepost.proxy.signals import SignalRequest, wait_without_signals
 from tests.proxy.fakes import (
     MS,
@@ -64,15 +64,15 @@
 
 def test_connections_accepted_by_the_kernel_are_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy proxy has requests that wait to be read, and connections that wait to be accepted."""
-    gate, start = threading.Event(), DownstreamServer._start_connection
+    gate, start = threading.Event(), ConnectionAdmission._start_connection
 
-    def late(self: DownstreamServer, sock: socket.socket) -> None:
+    def late(self: ConnectionAdmission, sock: socket.socket) -> None:
         gate.wait(WAIT_TIMEOUT_S)
         start(self, sock)
 
     with running_proxy() as proxy, proxy.connect() as idle:
         assert idle.request()[0] == 200
-        monkeypatch.setattr(DownstreamServer, "_start_connection", late)
+        monkeypatch.setattr(ConnectionAdmission, "_start_connection", late)
         waiting = [proxy.connect() for _ in range(5)]
         for client in waiting:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
@@ -93,8 +93,8 @@
 def test_connection_with_an_unread_request_is_not_closed_as_idle() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
-        (connection,) = proxy.parts.downstream._connections
-        with connection._lock:  # its reader has to wait
+        (connection,) = proxy.parts.downstream.connections.snapshot()
+        with connection.lock:  # its reader has to wait
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: not connection.has_nothing_unread)
             proxy.parts.downstream.drain()
@@ -160,13 +160,13 @@
 
 @pytest.mark.usefixtures("short_shutdown")
 def test_queued_response_is_written_before_exit(monkeypatch: pytest.MonkeyPatch) -> None:
-    gate, write = threading.Event(), DownstreamConnection.write
+    gate, write = threading.Event(), ResponseDelivery.write
 
-    def late(self: DownstreamConnection, *args: Any) -> Any:
+    def late(self: ResponseDelivery, *args: Any) -> Any:
         gate.wait(WAIT_TIMEOUT_S)
         return write(self, *args)
 
-    monkeypatch.setattr(DownstreamConnection, "write", late)
+    monkeypatch.setattr(ResponseDelivery, "write", late)
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
@@ -248,7 +248,7 @@
         request = HttpClient.encode_request(timeout_ms=15_000)
         client.send(request[:30])
         connection = only_connection(proxy)
-        assert proxy.wait_until(lambda: not connection._parser.is_idle)
+        assert proxy.wait_until(lambda: not connection.parser.is_idle)
         ending, began = start_shutdown(proxy)
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 400 * MS)
         client.send(request[30:])
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -56,12 +56,12 @@
 
 def test_unforeseen_error_does_not_end_the_accept_thread(monkeypatch: pytest.MonkeyPatch) -> None:
     with running_proxy() as proxy:
-        start = failing(proxy.parts.downstream._start_connection, MemoryError(), 1)
-        monkeypatch.setattr(proxy.parts.downstream, "_start_connection", start)
+        start = failing(proxy.parts.downstream.admission._start_connection, MemoryError(), 1)
+        monkeypatch.setattr(proxy.parts.downstream.admission, "_start_connection", start)
         lost = proxy.connect()
         assert proxy.wait_until(lambda: proxy.counter("accept_error") == 1)
         assert lost.is_closed_by_proxy()
-        free = proxy.parts.downstream._slots._value
+        free = proxy.parts.downstream.admission._slots._value
         assert free == proxy.parts.config.limits.max_client_connections
         with proxy.connect() as client:
             assert client.request()[0] == 200
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -316,6 +316,6 @@
         links = [link for server in proxy.parts.upstream._endpoints.values() for link in server.connections]
         assert follower is not None
         assert links
-        for sock in (only_connection(proxy)._sock, follower._sock, *(link._sock for link in links)):
+        for sock in (only_connection(proxy).sock, follower._sock, *(link._sock for link in links)):
             assert sock is not None
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
