--- a/olivepost/shared_store/commands.py
+++ b/olivepost/shared_store/commands.py
@@ -1,4 +1,4 @@
-"""Commands that wait for a store's reply: their tickets, their bound, and what each counts for its store."""
+"""Commands whose reply is pending: their tickets, their number, and their successes and failures."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 ReplyValues = tuple[object, ...]
 
-ReplyHandler = Callable[[int, ReplyValues | None], None]
-"""Takes the time and the values of a reply; None where no reply came that counts."""
+ReplyHandler = Callable[[Instant, ReplyValues | None], None]
+"""Handles the values of a reply at a time; None where no reply came that counts."""
 
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command that waits for its reply; `generation` and `confirmed_serial` are as when it was sent."""
+    """A command whose reply is pending; `generation` and `confirmed_serial` are as when it was sent."""
 
     store: StoreHealth
     operation: StoreOperation
@@ -28,7 +28,7 @@
     generation: int
     confirmed_serial: int
     on_reply: ReplyHandler
-    is_overdue: bool = False  # and has been counted as a failure
+    has_failed: bool = False  # its failure is recorded
 
 
 class CommandTracker:
@@ -54,21 +54,23 @@
         if len(self._pending) >= MAX_PENDING_COMMANDS:
             self._context.counts["commands_dropped"] += 1
             return False
-        ticket = self._context.next_ticket()
+        ticket = self._context.issue_ticket()
         self._pending[ticket] = PendingCommand(
             store, operation, now, store.generation, store.confirmed_serial, on_reply
         )
-        self._context.actions.append(StoreCommand(ticket, store.name, operation, is_urgent))
+        self._context.send_command(StoreCommand(ticket, store.name, operation, is_urgent))
         return True
 
     def complete(self, now: Instant, ticket: int) -> PendingCommand | None:
-        """Takes out the command that was replied to; None where it is not pending, as for a second reply."""
+        """Removes and returns the command of a reply; None where it is not pending, as for a second reply."""
         command = self._pending.pop(ticket, None)
         if command is None:
             self._context.counts["replies_unmatched"] += 1
             return None
-        if not command.is_overdue:
-            command.store.record_reply(now, now - command.sent_at <= self._context.terms.reply_timeout)
+        if self._is_late(now, command):
+            self._record_failure(now, command)
+        elif not command.has_failed:
+            command.store.breaker.record_success(now)
         return command
 
     def fail(self, now: Instant, ticket: int) -> None:
@@ -77,16 +79,20 @@
         if command is None:
             return
         self._context.counts["replies_lost"] += 1
-        if not command.is_overdue:
-            command.store.record_reply(now, False)
+        self._record_failure(now, command)
         command.on_reply(now, None)
 
-    def count_overdue(self, now: Instant) -> None:
-        """Counts commands without a reply in time as failures, once each.
-
-        The wait for their end would keep a silent store in use.
-        """
+    def record_overdue(self, now: Instant) -> None:
+        """Records commands without a reply in time as failures: their end may come much later."""
         for command in self._pending.values():
-            if not command.is_overdue and now - command.sent_at > self._context.terms.reply_timeout:
-                command.is_overdue = True
-                command.store.record_reply(now, False)
+            if self._is_late(now, command):
+                self._record_failure(now, command)
+
+    def _is_late(self, now: Instant, command: PendingCommand) -> bool:
+        return now - command.sent_at > self._context.terms.reply_timeout
+
+    def _record_failure(self, now: Instant, command: PendingCommand) -> None:
+        """Records a command's failure, once."""
+        if not command.has_failed:
+            command.has_failed = True
+            command.store.breaker.record_failure(now)
--- a/olivepost/shared_store/context.py
+++ b/olivepost/shared_store/context.py
@@ -1,4 +1,7 @@
-"""What all parts of the store coordinator share: terms, stores, endpoints, counters, the event's actions."""
+"""What all parts of the store coordinator share: terms, stores, endpoints, counters, the event's actions.
+
+This is the one place where the coordinator emits actions.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,9 @@
 
 from olivepost import interface as api
 from olivepost.routing.selection import rendezvous_order
+from olivepost.shared_store.circuit_breaker import CircuitBreaker
 from olivepost.shared_store.endpoints import EndpointDirectory
-from olivepost.shared_store.messages import Action, LogEvent, NotifyRouter, SharingTerms
+from olivepost.shared_store.messages import Action, LogEvent, NotifyRouter, SharingTerms, StoreCommand
 from olivepost.shared_store.store_health import StoreHealth
 
 
@@ -17,7 +21,8 @@
 class CoordinatorContext:
     """State that belongs to no single part. Used by the coordinator's thread only.
 
-    `counts` is since the start, by metric name. `actions` are those of the event that is being handled.
+    `counts` are since the start, by metric name. `actions` are those of the event that is being handled, in
+    the order in which they were emitted.
     """
 
     terms: SharingTerms
@@ -30,11 +35,11 @@
     @classmethod
     def create(cls, terms: SharingTerms, seed: int) -> CoordinatorContext:
         """Returns a context whose stores are all untrusted; `seed` is of the backoffs' jitter."""
-        rng = random.Random(seed)
-        stores = {
-            name: StoreHealth(name, rng, terms.min_trial_delay, terms.max_trial_delay)
-            for name in terms.stores
-        }
+        random_source = random.Random(seed)
+        stores: dict[str, StoreHealth] = {}
+        for name in terms.stores:
+            breaker = CircuitBreaker(random_source, terms.min_trial_delay, terms.max_trial_delay)
+            stores[name] = StoreHealth(name, breaker)
         return cls(terms, stores)
 
     def store_of(self, name: str) -> StoreHealth:
@@ -44,11 +49,15 @@
         """
         return self.stores[rendezvous_order(name, self.terms.stores)[0]]
 
-    def next_ticket(self) -> int:
+    def issue_ticket(self) -> int:
         """Returns a number that no command and no quota transfer has had."""
         self._last_ticket += 1
         return self._last_ticket
 
+    def send_command(self, command: StoreCommand) -> None:
+        """Adds a command for a store to the actions."""
+        self.actions.append(command)
+
     def notify_router(self, event: api.Event) -> None:
         """Adds an event for the router to the actions."""
         self.actions.append(NotifyRouter(event))
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -1,8 +1,8 @@
-"""Decides what this proxy sends to the shared stores, which replies it trusts, and what its router hears of.
+"""Decides what this proxy sends to the shared stores, which replies count, and what its router learns.
 
 `StoreCoordinator(terms, seed).handle(now, event)` returns actions: no clock, no I/O, no threads. This module
-only dispatches; each decision stands in a module of its own. Nothing in them extends a deadline, an age or a
-quota by itself, whatever the stores do.
+only dispatches; each decision stands in a module of its own. None of them extends a deadline, an age or a
+quota, whatever the stores do.
 """
 
 from __future__ import annotations
@@ -72,7 +72,7 @@
         self._report_availability()
         return actions
 
-    def _event_handlers(self) -> dict[type, Callable[[int, Any], None]]:
+    def _event_handlers(self) -> dict[type, Callable[[Instant, Any], None]]:
         """Returns for each type of event the method that handles it, with the time and the event."""
         return {
             LookupRequested: self._lookups.look_up,
@@ -106,7 +106,7 @@
         self.commands.fail(now, event.ticket)
 
     def _handle_tick(self, now: Instant, _event: Tick) -> None:
-        self.commands.count_overdue(now)
+        self.commands.record_overdue(now)
         self.counts["leases_expired"] += self.leases.drop_expired(now)
         self._sync.sync_if_due(now)
         self._malformed.report_if_due(now)
@@ -126,5 +126,6 @@
             return
         self._is_available = is_available
         self._context.notify_router(api.StoreAvailability(is_available))
-        states = {name: [store.breaker.value, store.trust.value] for name, store in self.stores.items()}
-        self._context.log("store_available" if is_available else "store_unavailable", {"stores": states})
+        event_name = "store_available" if is_available else "store_unavailable"
+        states = {name: [store.breaker.state.value, store.trust.value] for name, store in self.stores.items()}
+        self._context.log(event_name, {"stores": states})
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -9,11 +9,11 @@
 from dataclasses import dataclass, field
 from heapq import heappop, heappush
 
+from olivepost.shared_store.circuit_breaker import BreakerState
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.messages import LeaseReleased, PublishLocation, ReplyWord
 from olivepost.shared_store.records import CacheLocation, encode_record
-from olivepost.shared_store.store_health import BreakerState
 from olivepost.units import MILLISECOND, Instant
 
 MAX_LEASES = 8_192  # held at once; twice the commands that may be pending
@@ -101,7 +101,7 @@
             self._context.counts["leases_expired"] += 1
             return True
         store = self._context.stores[lease.store]
-        if store.generation == lease.generation and store.breaker is not BreakerState.OPEN:
+        if store.generation == lease.generation and store.breaker.state is not BreakerState.OPEN:
             operation = self._publication(lease, event)
             self._commands.send(now, store, operation, self._on_released)
         return True
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -1,4 +1,7 @@
-"""Generations of the stores: adopts new ones, advances them where a store lost state, publishes again."""
+"""Generations of the stores: adopts a later one, and advances it where a store has lost state.
+
+After either, all invalidations are published again before the store is trusted.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,12 @@
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.invalidations import KnownInvalidations
-from olivepost.shared_store.messages import AdvanceGeneration, InvalidationChunk, PublishInvalidations
+from olivepost.shared_store.messages import (
+    NO_GENERATION,
+    AdvanceGeneration,
+    InvalidationChunk,
+    PublishInvalidations,
+)
 from olivepost.shared_store.store_health import ReplyVerdict, StoreHealth, TrustLevel
 from olivepost.units import Instant
 
@@ -25,7 +33,7 @@
     def handle_verdict(
         self, now: Instant, store: StoreHealth, verdict: ReplyVerdict, generation: int
     ) -> None:
-        """Does what a reply that does not count asks for; `generation` is the one that it carries."""
+        """Reacts to a reply that does not count; `generation` is the one that the reply carries."""
         self._context.counts[f"replies_{verdict.value}"] += 1
         if verdict is ReplyVerdict.MOVED:
             self._adopt(now, store, generation)
@@ -33,7 +41,7 @@
             self._advance(now, store, generation)
 
     def _advance(self, now: Instant, store: StoreHealth, found: int) -> None:
-        """Requests a new generation: what the store has, and what it lost, must count for no proxy."""
+        """Requests a new generation, so that what the store has left counts for no proxy."""
         store.trust = TrustLevel.NONE
         if store.is_advancing:
             return
@@ -45,7 +53,7 @@
 
     def _on_advanced(self, store: StoreHealth, now: Instant, values: ReplyValues | None) -> None:
         store.is_advancing = False
-        generation = values[0] if values else 0
+        generation = values[0] if values else NO_GENERATION
         if isinstance(generation, int) and generation > store.generation:
             self._adopt(now, store, generation)
 
@@ -77,5 +85,8 @@
     ) -> None:
         if values is None:
             return  # the next sync tries again
-        if store.trust is TrustLevel.RESTORING and not store.confirm_published(chunk):
+        if store.trust is not TrustLevel.RESTORING:
+            return
+        store.confirm_published(chunk)
+        if store.trust is TrustLevel.RESTORING:
             self.publish_next_chunk(now, store)
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -107,7 +107,7 @@
         """Returns counters since the start, and the state of each store."""
         stores = {
             name: {
-                "circuit_breaker": store.breaker.value,
+                "circuit_breaker": store.breaker.state.value,
                 "trust": store.trust.value,
                 "generation": store.generation,
             }
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -1,7 +1,7 @@
 """Invalidations that this proxy knows, from the platform and other proxies, and their exchange by stores.
 
-Of each key the latest time counts. Their number is bounded: what is dropped raises a floor, and no cache
-location from before the floor is used. No clock, no I/O.
+Of each key the latest time counts. Their number is bounded: a dropped invalidation raises a floor, and no
+cache location generated up to the floor is used. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -11,15 +11,21 @@
 from olivepost import interface as api
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
-from olivepost.shared_store.messages import InvalidationChunk, InvalidationReceived, PublishInvalidations
+from olivepost.shared_store.messages import (
+    InvalidationChunk,
+    InvalidationReceived,
+    InvalidationRow,
+    PublishInvalidations,
+)
 from olivepost.shared_store.records import InvalidationKey, RecordError, parse_integer
 from olivepost.shared_store.store_health import StoreHealth, TrustLevel
 from olivepost.units import MILLISECOND, Instant
 
-MAX_INVALIDATIONS = 4_096  # that are remembered, half of what a store keeps
-CHUNK_SIZE = 256  # invalidations in one operation, so that none keeps a store busy for long
-MAX_CLOCK_LEAD_MS = 10_000  # by which another proxy's clock may be ahead of this one
+MAX_INVALIDATIONS = 4_096  # remembered
+CHUNK_SIZE = 256  # invalidations in one operation; a longer one would keep the store busy
+MAX_CLOCK_LEAD_MS = 10_000  # of another proxy's clock before this one
 ROW_LENGTH = 3  # number, key, Unix millisecond
+EPOCH_MS = 0  # the start of Unix time, before any response was generated
 
 
 class KnownInvalidations:
@@ -27,15 +33,15 @@
 
     def __init__(self) -> None:
         self._times: dict[InvalidationKey, int] = {}
-        self.floor_ms = 0  # the latest time that was dropped since there were too many
+        self.floor_ms = EPOCH_MS  # the latest time of a dropped invalidation
 
     def __len__(self) -> int:
         return len(self._times)
 
     def add(self, key: InvalidationKey, at_ms: int) -> bool:
-        """Adds an invalidation; returns whether it is later than what was known of its key."""
-        known = self._times.get(key, -1)
-        if at_ms <= known:
+        """Adds an invalidation; returns whether it is later than the known one of its key."""
+        known_ms = self._times.get(key)
+        if at_ms < EPOCH_MS or (known_ms is not None and at_ms <= known_ms):
             return False
         self._times.pop(key, None)
         self._times[key] = at_ms
@@ -44,21 +50,22 @@
             self.floor_ms = max(self.floor_ms, self._times.pop(oldest))
         return True
 
-    def last_ms(self, object_: str, group: int | None) -> int:
-        """Returns when an object or its group was last invalidated.
+    def last_ms(self, object_name: str, group: int | None) -> int:
+        """Returns when an object or its group was last invalidated, at least the floor.
 
         Where the group is unknown, an invalidation of any group counts.
         """
-        times = [self.floor_ms, self._times.get(InvalidationKey(object_, None), 0)]
+        times = [self.floor_ms, self._times.get(InvalidationKey(object_name, None), EPOCH_MS)]
         if group is None:
             times.extend(at_ms for key, at_ms in self._times.items() if key.object is None)
         else:
-            times.append(self._times.get(InvalidationKey(None, group), 0))
+            times.append(self._times.get(InvalidationKey(None, group), EPOCH_MS))
         return max(times)
 
     def chunks(self) -> list[InvalidationChunk]:
         """Returns all invalidations, the earliest first, as they are published to a store."""
-        rows = sorted(((key.text(), at_ms) for key, at_ms in self._times.items()), key=lambda row: row[1])
+        rows = [InvalidationRow(key.text(), at_ms) for key, at_ms in self._times.items()]
+        rows.sort(key=lambda row: row.at_ms)
         return [tuple(rows[start : start + CHUNK_SIZE]) for start in range(0, len(rows), CHUNK_SIZE)]
 
 
@@ -73,13 +80,14 @@
         self._known = known
 
     def publish(self, now: Instant, event: InvalidationReceived) -> None:
-        """Publishes an invalidation that the platform sent to every store that is in use."""
-        object_ = event.invalidation.object
-        key = InvalidationKey(object_, None if object_ else event.invalidation.group)
-        if not self._known.add(key, event.at_ms) or not self._context.terms.invalidations_enabled:
+        """Publishes an invalidation of the platform to every store that is in use."""
+        object_name = event.invalidation.object
+        key = InvalidationKey(object_name, None if object_name else event.invalidation.group)
+        is_new = self._known.add(key, event.at_ms)
+        if not is_new or not self._context.terms.invalidations_enabled:
             return
         for store in self._context.stores.values():
-            chunk = ((key.text(), event.at_ms),)
+            chunk = (InvalidationRow(key.text(), event.at_ms),)
             if store.accepts_publications:
                 operation = PublishInvalidations(store.generation, chunk)
                 on_reply = partial(self._on_published, store, store.generation)
@@ -90,23 +98,25 @@
     def _on_published(
         self, store: StoreHealth, generation: int, _now: Instant, values: ReplyValues | None
     ) -> None:
-        """Publishes all again where one was not confirmed: no store may be trusted that lacks it."""
+        """Publishes all again where one was not confirmed: a store that lacks one must not be trusted."""
         if values is None and store.trust is TrustLevel.TRUSTED and generation == store.generation:
             self._context.counts["invalidations_unconfirmed"] += 1
             store.trust = TrustLevel.RESTORING
             store.unpublished.extend(self._known.chunks())
 
     def receive(self, now: Instant, store: StoreHealth, row: object) -> None:
-        """Reads an invalidation of another proxy; raises `RecordError` where the row is malformed."""
+        """Adds an invalidation of another proxy; raises `RecordError` where the row is malformed."""
         if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[1], bytes):
             raise RecordError("an invalidation of another form", "number, key and Unix millisecond")
         number = parse_integer(row[0])
-        # One of the far future would make every hint on its key useless for good.
+        # An invalidation of the far future would make every hint on its key useless for good.
         at_ms = min(parse_integer(row[2]), now // MILLISECOND + MAX_CLOCK_LEAD_MS)
-        store.cursor = max(store.cursor, number)
+        store.last_invalidation = max(store.last_invalidation, number)
         key = InvalidationKey.read(row[1])
-        if self._known.add(key, at_ms) and self._context.terms.invalidations_enabled:
-            self._context.counts["invalidations_received"] += 1
-            # Ahead of this clock counts as now: no response that is cached anywhere is younger.
-            age = max(0, now - at_ms * MILLISECOND)
-            self._context.notify_router(api.Invalidation(key.object, key.group, age))
+        is_new = self._known.add(key, at_ms)
+        if not is_new or not self._context.terms.invalidations_enabled:
+            return
+        self._context.counts["invalidations_received"] += 1
+        # A time ahead of this clock counts as now: no response that is cached anywhere is younger.
+        age = max(0, now - at_ms * MILLISECOND)
+        self._context.notify_router(api.Invalidation(key.object, key.group, age))
--- a/olivepost/shared_store/malformed_records.py
+++ b/olivepost/shared_store/malformed_records.py
@@ -1,4 +1,4 @@
-"""Counts what in a store can't be used, and writes a summary to the log; nothing else is lost by it."""
+"""Counts stored records that can't be used, and writes a summary to the log."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
     def __init__(self, context: CoordinatorContext) -> None:
         self._context = context
         self._reasons: Counter[str] = Counter()
-        self._reported_at = 0
+        self._reported_at: Instant | None = None
 
     def skip_errors(self, read: Callable[..., None], *arguments: object) -> None:
-        """Calls `read`, which reads one row of a reply; a `RecordError` is counted and the row skipped."""
+        """Calls `read`, which reads one row of a reply; a `RecordError` is counted, its row skipped."""
         try:
             read(*arguments)
         except RecordError as error:
@@ -38,7 +38,9 @@
 
     def report_if_due(self, now: Instant) -> None:
         """Writes the reasons since the last report to the log, once an interval."""
-        if not self._reasons or now - self._reported_at < REPORT_INTERVAL:
+        if not self._reasons:
+            return
+        if self._reported_at is not None and now - self._reported_at < REPORT_INTERVAL:
             return
         self._context.log("store_records_malformed", dict(self._reasons))
         self._reasons.clear()
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -8,6 +8,7 @@
 
 from dataclasses import dataclass, field
 from enum import Enum
+from typing import NamedTuple
 
 from olivepost import interface as api
 from olivepost.units import Duration
@@ -15,7 +16,16 @@
 # Store operations. Each carries the generation that the proxy has adopted; a store of another generation
 # does nothing but return its own.
 
-InvalidationRow = tuple[str, int]  # the key's text, and the Unix millisecond of the invalidation
+NO_GENERATION = 0  # as scripts return it for a store that has none; generations are numbered from 1
+
+
+class InvalidationRow(NamedTuple):
+    """An invalidation as a store keeps it: the key's text, and its Unix millisecond."""
+
+    key: str
+    at_ms: int
+
+
 InvalidationChunk = tuple[InvalidationRow, ...]  # rows that are published by one operation
 
 
@@ -99,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvanceGeneration:
-    """Sets a generation above `minimum`, if the store is still at `expected` (0: it has none)."""
+    """Sets a generation above `minimum`, if the store is still at `expected` (or at `NO_GENERATION`)."""
 
     expected: int
     minimum: int
@@ -154,8 +164,8 @@
 class StoreReply:
     """A store's reply to the command of a ticket.
 
-    `generation` is the store's (0: it has none), `serial` the last heartbeat of this process that it had
-    before the command (0: none).
+    `generation` is the store's, `serial` the number of the last heartbeat of this process that it had before
+    the command; heartbeats are numbered from 1.
     """
 
     ticket: int
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -84,7 +84,7 @@
         for row in rows:
             self._malformed.skip_errors(_keep_oldest, oldest, row)
         for requested in oldest.values():
-            transfer_id = self._context.next_ticket()
+            transfer_id = self._context.issue_ticket()
             request = requested.request
             donation = self._transfers.offer(now, transfer_id, requested.field, request)
             if donation is not None:
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -6,6 +6,7 @@
 from typing import NamedTuple
 
 from olivepost import interface as api
+from olivepost.shared_store.circuit_breaker import BreakerState
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.generations import GenerationManager
@@ -17,7 +18,22 @@
 from olivepost.shared_store.store_health import StoreHealth, TrustLevel
 from olivepost.units import Instant
 
-REPLY_PARTS = 4  # invalidations, quota requests, quota grants, outlier reports
+Rows = list[object] | tuple[object, ...]
+
+
+class SyncReply(NamedTuple):
+    """What other proxies left in a store, row by row, still to be checked."""
+
+    invalidations: Rows = ()
+    quota_requests: Rows = ()
+    quota_grants: Rows = ()
+    outlier_reports: Rows = ()
+
+    @classmethod
+    def read(cls, values: ReplyValues) -> SyncReply:
+        """Returns the parts of a reply; one that is missing or no list counts as empty."""
+        parts = [part if isinstance(part, (list, tuple)) else () for part in values]
+        return cls(*parts[: len(cls._fields)])
 
 
 class Exchanges(NamedTuple):
@@ -47,24 +63,35 @@
         self._quotas = exchanges.quotas
         self._outliers = exchanges.outliers
         self._in_flight: set[str] = set()  # names of stores whose sync waits for its reply
-        self._next_sync = dict.fromkeys(context.stores, 0)
+        self._next_sync: dict[str, Instant] = {}  # by store; a store is missing before its first sync
 
     def sync_if_due(self, now: Instant) -> None:
-        """Sends a sync to each store whose interval is over, and whose breaker allows it."""
-        for name, store in self._context.stores.items():
-            if now >= self._next_sync[name] and name not in self._in_flight and store.allows_sync(now):
+        """Sends a sync to each store whose interval is over, unless its circuit breaker stays open."""
+        for store in self._context.stores.values():
+            if not self._is_due(now, store):
+                continue
+            store.breaker.begin_trial_if_due(now)
+            if store.breaker.state is not BreakerState.OPEN:
                 self._sync(now, store)
 
+    def _is_due(self, now: Instant, store: StoreHealth) -> bool:
+        if store.name in self._in_flight:
+            return False
+        next_sync = self._next_sync.get(store.name)
+        return next_sync is None or now >= next_sync
+
     def _sync(self, now: Instant, store: StoreHealth) -> None:
         terms = self._context.terms
         self._next_sync[store.name] = now + terms.sync_interval
         requests: tuple[tuple[str, bytes], ...] = ()
-        suspects: tuple[str, ...] = ()
+        outliers: tuple[str, ...] = ()
         if store.trust is TrustLevel.TRUSTED:
             requests = self._quotas.open_requests(now, store)
-            suspects = self._outliers.own(now) if terms.outlier_reports_enabled else ()
-        operation = SyncOperation(store.generation, store.next_serial(), store.cursor, requests, suspects)
-        on_reply = partial(self._on_synced, store, operation.serial)
+            if terms.outlier_reports_enabled:
+                outliers = self._outliers.active_own(now)
+        serial = store.issue_serial()
+        operation = SyncOperation(store.generation, serial, store.last_invalidation, requests, outliers)
+        on_reply = partial(self._on_synced, store, serial)
         if self._commands.send(now, store, operation, on_reply):
             self._in_flight.add(store.name)
 
@@ -79,23 +106,23 @@
             self._read_parts(now, store, values)
 
     def _read_parts(self, now: Instant, store: StoreHealth, values: ReplyValues) -> None:
-        """Reads what others left in the store, each row by itself; malformed ones are skipped."""
-        missing = ((),) * max(0, REPLY_PARTS - len(values))
-        parts = [part if isinstance(part, (list, tuple)) else () for part in (*values, *missing)]
-        invalidations, requests, grants, reports = parts[:REPLY_PARTS]
-        for row in invalidations:
+        """Reads what other proxies left in the store, each row by itself; malformed ones are skipped."""
+        reply = SyncReply.read(values)
+        for row in reply.invalidations:
             self._malformed.skip_errors(self._invalidations.receive, now, store, row)
-        self._quotas.receive_requests(now, store, requests)
-        for row in grants:
+        self._quotas.receive_requests(now, store, reply.quota_requests)
+        for row in reply.quota_grants:
             self._malformed.skip_errors(self._quotas.receive_grant, now, row)
-        for row in reports:
+        for row in reply.outlier_reports:
             self._malformed.skip_errors(self._receive_outlier_report, now, row)
 
     def _receive_outlier_report(self, now: Instant, row: object) -> None:
         terms = self._context.terms
-        incarnation, endpoint_id = parse_outlier_report(row)
-        if endpoint_id not in self._context.endpoints or incarnation == terms.incarnation:
+        report = parse_outlier_report(row)
+        is_listed = report.endpoint_id in self._context.endpoints
+        if not is_listed or report.incarnation == terms.incarnation or not terms.outlier_reports_enabled:
             return
-        if terms.outlier_reports_enabled and self._outliers.add(now, endpoint_id, incarnation):
+        self._outliers.add(now, report)
+        if self._outliers.notify_if_due(now, report.endpoint_id):
             self._context.counts["outlier_reports_received"] += 1
-            self._context.notify_router(api.OutlierReported(endpoint_id))
+            self._context.notify_router(api.OutlierReported(report.endpoint_id))
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from olivepost.shared_store.store_health import BreakerState
+from olivepost.shared_store.circuit_breaker import BreakerState
 from tests.router_harness import MS, SECOND
 from tests.shared_store.model import NAME, counted, make_branch
 
@@ -31,7 +31,7 @@
     branch.run(4 * SECOND)
     assert branch.counts.lookups == before
     assert all(
-        proxy.coordinator and proxy.coordinator.stores["s0"].breaker is not BreakerState.CLOSED
+        proxy.coordinator and proxy.coordinator.stores["s0"].breaker.state is not BreakerState.CLOSED
         for proxy in branch.proxies
     )
     branch.run(5 * SECOND)
--- a/tests/shared_store/test_store_health.py
+++ b/tests/shared_store/test_store_health.py
@@ -6,54 +6,108 @@
 
 import pytest
 
-from olivepost.shared_store.messages import StoreReply
-from olivepost.shared_store.store_health import (
-    MAX_CONSECUTIVE_FAILURES,
-    BreakerState,
-    ReplyVerdict,
-    StoreHealth,
-    TrustLevel,
-)
+from olivepost.shared_store.circuit_breaker import MAX_CONSECUTIVE_FAILURES, BreakerState, CircuitBreaker
+from olivepost.shared_store.messages import NO_GENERATION, InvalidationRow, StoreReply
+from olivepost.shared_store.store_health import ReplyVerdict, StoreHealth, TrustLevel
 from tests.router_harness import MS, SECOND
 
 
 def trusted_store() -> StoreHealth:
-    store = StoreHealth("s", random.Random(1), 100 * MS, SECOND, breaker=BreakerState.CLOSED)
+    store = StoreHealth("s", CircuitBreaker(random.Random(1), 100 * MS, SECOND))
+    store.breaker.state = BreakerState.CLOSED
     store.adopt(7, [])
     store.confirm_published(())
     return store
 
 
-def test_breaker_opens_tries_with_growing_backoff_and_closes() -> None:
-    store, now, pauses = trusted_store(), 0, []
+def test_breaker_opens_after_consecutive_failures() -> None:
+    store = trusted_store()
+
     for _ in range(MAX_CONSECUTIVE_FAILURES):
         assert store.is_available
-        store.record_reply(now, False)
+        store.breaker.record_failure(0)
+
+    assert not store.is_available
+
+
+def test_failed_trials_lengthen_the_backoff_and_successful_ones_close_the_breaker() -> None:
+    store = trusted_store()
+    breaker = store.breaker
+    now = 0
+    pauses = []
+    for _ in range(MAX_CONSECUTIVE_FAILURES):
+        breaker.record_failure(now)
+
     for _ in range(6):
-        assert not store.allows_sync(store.retry_at - 1)
-        pauses.append(store.retry_at - now)
-        now = store.retry_at
-        assert store.allows_sync(now)
+        assert breaker.retry_at is not None
+        breaker.begin_trial_if_due(breaker.retry_at - 1)
+        assert not store.accepts_publications
+        pauses.append(breaker.retry_at - now)
+        now = breaker.retry_at
+        breaker.begin_trial_if_due(now)
+        assert store.accepts_publications
         assert not store.is_available
-        store.record_reply(now, False)
+        breaker.record_failure(now)
     assert pauses[0] <= 100 * MS < pauses[3]
     assert max(pauses) <= SECOND
-    now = store.retry_at
-    assert store.allows_sync(now)
-    store.record_reply(now, True)
+
+    assert breaker.retry_at is not None
+    now = breaker.retry_at
+    breaker.begin_trial_if_due(now)
+    assert store.accepts_publications
+    breaker.record_success(now)
     assert not store.is_available
-    store.record_reply(now, True)
+    breaker.record_success(now)
     assert store.is_available
 
 
-def test_one_late_reply_in_three_keeps_the_breaker_closed_and_two_open_it() -> None:
+@pytest.mark.parametrize(
+    ("replies_in_time", "state"),
+    [((False, True, True), BreakerState.CLOSED), ((True, False, False), BreakerState.OPEN)],
+    ids=["one late reply in three", "two late replies in three"],
+)
+def test_breaker_opens_where_most_of_the_recent_replies_are_late(
+    replies_in_time: tuple[bool, ...], state: BreakerState
+) -> None:
+    breaker = trusted_store().breaker
+
+    for number in range(60):
+        if replies_in_time[number % 3]:
+            breaker.record_success(0)
+        else:
+            breaker.record_failure(0)
+
+    assert breaker.state is state
+
+
+def test_breaker_opens_once_the_recent_replies_turn_from_mostly_in_time_to_mostly_late() -> None:
     store = trusted_store()
     for number in range(60):
-        store.record_reply(0, number % 3 > 0)
+        record = store.breaker.record_success if number % 3 else store.breaker.record_failure
+        record(0)
     assert store.is_available
+
     for number in range(60):
-        store.record_reply(0, number % 3 == 0)
-    assert store.breaker is BreakerState.OPEN
+        record = store.breaker.record_failure if number % 3 else store.breaker.record_success
+        record(0)
+
+    assert store.breaker.state is BreakerState.OPEN
+
+
+def test_reply_in_time_that_completes_the_recent_replies_may_open_the_breaker() -> None:
+    store = trusted_store()
+    breaker = store.breaker
+    late_of_19 = [True, True, False] * 6 + [True]
+    for is_late in late_of_19:
+        if is_late:
+            breaker.record_failure(0)
+        else:
+            breaker.record_success(0)
+    assert store.is_available
+
+    breaker.record_success(0)
+
+    assert breaker.state is BreakerState.OPEN
 
 
 @pytest.mark.parametrize(
@@ -63,19 +117,27 @@
         (StoreReply(1, 7, 4), ReplyVerdict.ROLLED_BACK),
         (StoreReply(1, 6, 9), ReplyVerdict.ROLLED_BACK),
         (StoreReply(1, 8, 0), ReplyVerdict.MOVED),
-        (StoreReply(1, 0, 0), ReplyVerdict.EMPTY),
+        (StoreReply(1, NO_GENERATION, 0), ReplyVerdict.EMPTY),
     ],
 )
-def test_reply_tells_whether_its_store_lost_state_or_moved(reply: StoreReply, verdict: ReplyVerdict) -> None:
+def test_reply_shows_whether_its_store_lost_state_or_moved(reply: StoreReply, verdict: ReplyVerdict) -> None:
     assert trusted_store().judge_reply(reply, 7, 5) is verdict
 
 
 def test_store_that_lost_state_is_not_trusted_for_later_serials() -> None:
-    """Guards against a snapshot: the sync that finds it out leaves a new serial there."""
+    """After a snapshot, the sync that notices it leaves a new serial there."""
     store = trusted_store()
     store.trust = TrustLevel.NONE
+
     assert store.judge_reply(StoreReply(1, 7, 99), 7, 5) is ReplyVerdict.ROLLED_BACK
-    store.adopt(8, [(("g:1", 5),)])
+
+
+def test_store_of_a_new_generation_is_available_once_its_invalidations_are_confirmed() -> None:
+    store = trusted_store()
+
+    store.adopt(8, [(InvalidationRow("g:1", 5),)])
     assert not store.is_available
-    assert store.confirm_published(store.unpublished[0])
+    store.confirm_published(store.unpublished[0])
+
+    assert store.trust is TrustLevel.TRUSTED
     assert store.is_available
