--- a/olivepost/shared_store/__init__.py
+++ b/olivepost/shared_store/__init__.py
@@ -1,10 +1,13 @@
-"""What the proxies of one location exchange through shared stores; nothing there is more than a hint.
+"""What the proxies of one location exchange through shared stores.
 
-Exchanged are fill leases, cache locations, invalidations, quota transfers and outlier reports.
+Exchanged are fill leases, cache locations, invalidations, quota transfers and outlier reports. All of them
+are hints: no deadline, age bound or quota rests on a store.
 
 The decision part does no I/O and has no clock: `coordinator` dispatches to `lookups`, `fill_leases`,
 `invalidations`, `generations`, `quota_exchange` (over `quota_transfers`), `outlier_reports` and `sync`.
-`store_health` decides whether a store is used and trusted, `commands` tracks what waits for a reply,
-`messages` has the types, `records` the stored form. `host` owns the threads and the client library, `scripts`
-what a store runs, `settings` the operator's keys, `inspect` the command-line tool.
+`circuit_breaker` decides whether a store is used, `store_health` whether it is trusted, and `commands` tracks
+pending replies. `messages` has the types, `records` the stored form.
+
+`host` owns the threads, `store_worker` a connection, `client` the client library, `scripts` and `lua` the
+scripts. `settings` has the operator's keys, `inspect` the commands `olivepost sharing`.
 """
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -23,11 +23,11 @@
 from olivepost.units import SECOND
 
 PROTOCOL_VERSION = 3  # RESP3
-DEFAULT_CONNECTIONS = 2  # one for a command within another's scan
+DEFAULT_CONNECTIONS = 2  # a scan and a command within it
 
 
 class PasswordFile(CredentialProvider):
-    """Reads the password from its file at each connection, so that it may change in service."""
+    """Reads the password from its file at each connection, so that it may change while the proxy runs."""
 
     def __init__(self, user: str | None, path: Path) -> None:
         self._user = user
@@ -42,12 +42,12 @@
         return (self._user, password) if self._user else (password,)
 
 
-def connect(
+def create_client(
     settings: SharedStoreSettings, store: StoreSettings, connections: int = DEFAULT_CONNECTIONS
 ) -> redis.Redis:
     """Returns a client with a connection pool of its own; it connects with the first command.
 
-    It never repeats a command: one whose reply was lost may have run, and would grant quota twice.
+    It never repeats a command: one whose reply was lost may have run, and a repeat would grant quota twice.
     """
     host, port = store.address
     return redis.Redis(
@@ -87,31 +87,38 @@
     return {"credential_provider": PasswordFile(store.user, store.password_file)}
 
 
-def run(
+def run_operations(
     client: redis.Redis,
     operations: Sequence[StoreOperation],
     prefix: str,
-    process: str,
-    transaction: bool,
+    incarnation: str,
+    *,
+    is_transaction: bool,
 ) -> list[object]:
     """Runs operations in one round trip; returns each one's reply, or the exception that it raised.
 
     Raises redis.RedisError or OSError where the round trip failed: any of the operations may have run then.
     """
-    calls = [encode_operation(operation, prefix, process) for operation in operations]
-    replies = _execute(client, calls, transaction)
-    missing = [at for at, reply in enumerate(replies) if isinstance(reply, redis.exceptions.NoScriptError)]
-    if missing:  # the store has restarted; these calls have certainly not run
-        for text in SCRIPT_TEXTS.values():
-            client.script_load(text)
-        repeated = _execute(client, [calls[at] for at in missing], transaction)
-        for at, reply in zip(missing, repeated, strict=True):
-            replies[at] = reply
+    calls = [encode_operation(operation, prefix, incarnation) for operation in operations]
+    replies = _execute(client, calls, is_transaction)
+    not_run = [
+        index for index, reply in enumerate(replies) if isinstance(reply, redis.exceptions.NoScriptError)
+    ]
+    if not_run:  # the store has restarted and lost its scripts
+        _load_scripts(client)
+        repeated = _execute(client, [calls[index] for index in not_run], is_transaction)
+        for index, reply in zip(not_run, repeated, strict=True):
+            replies[index] = reply
     return replies
 
 
-def _execute(client: redis.Redis, calls: Sequence[ScriptCall], transaction: bool) -> list[object]:
-    pipeline: Any = client.pipeline(transaction=transaction)
+def _load_scripts(client: redis.Redis) -> None:
+    for text in SCRIPT_TEXTS.values():
+        client.script_load(text)
+
+
+def _execute(client: redis.Redis, calls: Sequence[ScriptCall], is_transaction: bool) -> list[object]:
+    pipeline: Any = client.pipeline(transaction=is_transaction)
     for call in calls:
         pipeline.execute_command("EVALSHA", DIGESTS[call.name], 1, call.key, *call.arguments)
     return list(pipeline.execute(raise_on_error=False))
--- a/olivepost/shared_store/fault_log.py
+++ b/olivepost/shared_store/fault_log.py
@@ -6,12 +6,12 @@
 
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.event_log import EventLog
-from olivepost.units import SECOND, Duration
+from olivepost.units import SECOND, Duration, Instant
 
 LOG_INTERVAL: Duration = 10 * SECOND  # between two lines of one kind
 MAX_REASON_LENGTH = 160  # characters in the log
-KIND_LENGTH = 40  # characters of a reason that make its kind: what follows differs with each fault
-MAX_KINDS = 64  # that are remembered; beyond them all are forgotten, at the price of a line sooner
+KIND_LENGTH = 40  # characters of a reason that make its kind; the rest differs with each fault
+MAX_KINDS = 64  # remembered; beyond them all are forgotten, and each may be logged again at once
 
 
 class FaultLog:
@@ -24,19 +24,21 @@
         self._clock = clock
         self._log = log
         self._lock = threading.Lock()
-        self._logged_at: dict[str, int] = {}  # by kind
+        self._logged_at: dict[str, Instant] = {}  # by kind
 
     def record(self, fault: Exception) -> None:
-        """Counts a fault, and logs it unless its kind has been logged lately."""
+        """Counts a fault, and logs it unless its kind has been logged within the interval."""
         self._log.increment("store_faults")
         reason = f"{type(fault).__name__}: {fault}"[:MAX_REASON_LENGTH]
-        if self._is_due(reason[:KIND_LENGTH]):
+        if self._begin_interval(reason[:KIND_LENGTH]):
             self._log.event("store_fault", why=reason)
 
-    def _is_due(self, kind: str) -> bool:
+    def _begin_interval(self, kind: str) -> bool:
+        """Begins an interval in which a kind is not logged again; False where one is running."""
         now = self._clock.now()
         with self._lock:
-            if now - self._logged_at.get(kind, 0) < LOG_INTERVAL:
+            logged_at = self._logged_at.get(kind)
+            if logged_at is not None and now - logged_at < LOG_INTERVAL:
                 return False
             if len(self._logged_at) > MAX_KINDS:
                 self._logged_at.clear()
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -1,6 +1,6 @@
-"""The commands `olivepost sharing ...`: read stores by their keys, or delete what they hold.
+"""The commands `olivepost sharing ...`: read stores by their keys, or delete their records.
 
-For operators at a terminal, apart from any running proxy. The rows' keys are what `--json` prints.
+For operators at a terminal, apart from any running proxy. `--json` prints the rows with their keys as here.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
 MAX_KEYS = 100_000  # read by one command
-SCAN_COUNT = 1_000  # keys that the server looks at in one step of a scan
-OPERATOR_PROCESS = "operator"  # what the scripts get as the calling process
+SCAN_COUNT = 1_000  # keys that the server examines in one step of a scan
+OPERATOR_INCARNATION = "operator"  # the calling process, for the scripts
 ENVELOPE_FIELDS = ("type", "v")  # of every stored record: its tag and its version
 
 Row = dict[str, object]
@@ -49,7 +49,7 @@
 
 
 class StoreContentError(Exception):
-    """A store holds what no proxy would have put there; `key` is where."""
+    """The value of `key` in a store is not one that proxies write."""
 
     def __init__(self, key: str, value: bytes) -> None:
         super().__init__(f"{key} must be a whole number, not {value[:40]!r}")
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """What a command found: rows, and a row for each store that could not be used."""
+    """The result of a command: its rows, and a row for each store that could not be used."""
 
     verb: Verb
     rows: list[Row] = field(default_factory=list)
@@ -67,13 +67,16 @@
 
 
 def run(settings: SharedStoreSettings, verb: Verb, names: list[str], store_name: str | None) -> Report:
-    """Runs a command on one store, or on all; `names` are what `forget` deletes, none: everything."""
+    """Runs a command on one store, or on all where `store_name` is None.
+
+    `names` are those that `forget` deletes; without any it deletes everything.
+    """
     report = Report(verb)
     for store in settings.stores:
         if store_name and store.name != store_name:
             continue
         try:
-            with client.connect(settings, store) as connection:
+            with client.create_client(settings, store) as connection:
                 rows = StoreInspector(settings, store, connection).run(verb, names)
         except (redis.RedisError, OSError, StoreContentError) as error:
             report.faults.append({"store": store.name, "fault": f"{type(error).__name__}: {error}"})
@@ -99,7 +102,7 @@
     def __init__(self, settings: SharedStoreSettings, store: StoreSettings, connection: Any) -> None:
         self._settings = settings
         self._store = store
-        self._connection = connection  # a redis.Redis, whose replies are typed as sync or async
+        self._connection = connection  # a redis.Redis; its stubs type replies as either sync or async
         self._generation = self._read_generation()
         self._prefix = f"{settings.key_prefix}:{self._generation}:"
 
@@ -162,8 +165,8 @@
         times = self._connection.hgetall(f"{self._prefix}purges")
         for key, at_ms in sorted(times.items(), key=lambda item: item[1]):
             try:
-                what = InvalidationKey.read(key)
-                yield {"object": what.object, "group": what.group, "at_ms": int(at_ms)}
+                invalidated = InvalidationKey.read(key)
+                yield {"object": invalidated.object, "group": invalidated.group, "at_ms": int(at_ms)}
             except (RecordError, ValueError) as error:
                 yield {"odd": str(error)}
 
@@ -183,7 +186,9 @@
         """Makes everything in the store unreachable."""
         operation = AdvanceGeneration(self._generation, self._generation)
         prefix = self._settings.key_prefix
-        (reply,) = client.run(self._connection, [operation], prefix, OPERATOR_PROCESS, transaction=False)
+        (reply,) = client.run_operations(
+            self._connection, [operation], prefix, OPERATOR_INCARNATION, is_transaction=False
+        )
         if isinstance(reply, Exception):
             raise reply
         values: Any = reply
--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -214,7 +214,7 @@
 )
 
 # ARGV from 4: the quota request's field, its nonce, the process that made it, the amount, the grant's
-# record. Replies 'handed', or 'not wanted' where the request is gone, met or renewed with another nonce.
+# record. Replies 'handed', or 'not wanted' where the request was removed, met or renewed with another nonce.
 GRANT_QUOTA = (
     _PROLOGUE
     + f"""
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -1,7 +1,7 @@
 """The records that a shared store keeps, byte for byte: their fields, checksum and limits.
 
 A record is the CRC-32C of its JSON in eight hexadecimal digits, a space, and the JSON. Anything else (another
-version, a wrong type, too many bytes, a flipped bit) raises `RecordError`: the reader skips it, nobody
+version, a wrong type, too many bytes, a flipped bit) raises `RecordError`: the reader skips it, and nothing
 repairs it. Field names and tags are stored names: an attribute with another name carries the stored one as
 `name`.
 """
@@ -17,20 +17,20 @@
 from olivepost.units import Duration, Instant
 
 RECORD_VERSION = 1  # raised when a field changes its meaning; other versions are skipped
-MAX_RECORD_BYTES = 1_024  # several times the longest record of ordinary names
-MAX_INTEGER_DIGITS = 18  # the longest decimal that surely fits into 64 bits
-MAX_OBJECT_LENGTH = 256  # of an object's name in an invalidation, in characters
+MAX_RECORD_BYTES = 1_024
+MAX_INTEGER_DIGITS = 18  # every decimal of this length fits into 64 bits
+MAX_OBJECT_LENGTH = 256  # characters of an object's name in an invalidation
 MAX_GROUP_DIGITS = 9  # of a group's number in an invalidation
 
 
 class RecordError(Exception):
     """A stored record or a part of a store's reply that can't be used.
 
-    `problem` says what is wrong, `allowed` what would have been accepted (empty: the problem names it).
+    `problem` says what is wrong, `allowed` what would have been accepted; None: the problem says it.
     """
 
-    def __init__(self, problem: str, allowed: str = "") -> None:
-        super().__init__(f"{problem}; allowed: {allowed}" if allowed else problem)
+    def __init__(self, problem: str, allowed: str | None = None) -> None:
+        super().__init__(problem if allowed is None else f"{problem}; allowed: {allowed}")
         self.problem = problem
         self.allowed = allowed
 
@@ -44,7 +44,7 @@
 class FillLease(StoredRecord, frozen=True, tag="claim", kw_only=True):
     """The lease to fill a name into a cache.
 
-    `proxy` and `incarnation` are its owner, `source` is the endpoint that the cache fills from.
+    `proxy` and `incarnation` are its owner's, `source` is the endpoint that the cache fills from.
     """
 
     proxy: str = msgspec.field(name="owner")
@@ -78,7 +78,7 @@
 
 
 class QuotaGrant(StoredRecord, frozen=True, tag="piece", kw_only=True):
-    """What one proxy donates for one quota request."""
+    """What one proxy donates in answer to one quota request."""
 
     id: str
     key: str
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -13,7 +13,8 @@
 from olivepost.shared_store import lua, messages
 from olivepost.shared_store.records import RecordError, parse_integer
 
-MAX_REPLY_EXCERPT = 60  # characters of an unreadable reply that the log gets
+MAX_EXCERPT_LENGTH = 60  # characters of an unreadable reply in the log
+HEADER_LENGTH = 2  # values that every reply begins with: generation and serial
 
 
 class ScriptName(Enum):
@@ -51,30 +52,29 @@
     arguments: tuple[Argument, ...]
 
 
-def encode_operation(operation: messages.StoreOperation, prefix: str, process: str) -> ScriptCall:
-    """Returns the call for an operation of a process, on the keys under a prefix."""
+def encode_operation(operation: messages.StoreOperation, prefix: str, incarnation: str) -> ScriptCall:
+    """Returns the call for an operation of one process, on the keys under a prefix."""
     key = f"{prefix}:generation"
     if isinstance(operation, messages.AdvanceGeneration):
         return ScriptCall(ScriptName.ADVANCE_GENERATION, key, (operation.expected, operation.minimum))
-    common = (operation.generation, prefix, process)
+    common = (operation.generation, prefix, incarnation)
     match operation:
         case messages.SyncOperation():
             return ScriptCall(ScriptName.SYNC, key, (*common, *_sync_arguments(operation)))
         case messages.LookUp():
             lease = (operation.lease_duration_ms, operation.record)
-            return ScriptCall(
-                ScriptName.LOOK_UP, key, (*common, operation.name, *lease, *operation.invalidation_keys)
-            )
+            keys = operation.invalidation_keys
+            return ScriptCall(ScriptName.LOOK_UP, key, (*common, operation.name, *lease, *keys))
         case messages.PublishLocation():
-            held = (operation.name, operation.lease)
+            lease_fields = (operation.name, operation.lease)
             location = (operation.record, operation.at_ms, operation.keep_ms)
-            return ScriptCall(ScriptName.RELEASE_LEASE, key, (*common, *held, *location))
+            return ScriptCall(ScriptName.RELEASE_LEASE, key, (*common, *lease_fields, *location))
         case messages.ReportStaleLocation():
             report = (operation.name, operation.record, operation.times)
             return ScriptCall(ScriptName.REPORT_STALE, key, (*common, *report))
         case messages.PublishInvalidations():
-            pairs: list[Argument] = [part for pair in operation.rows for part in pair]
-            return ScriptCall(ScriptName.INVALIDATE, key, (*common, *pairs))
+            rows: list[Argument] = [field for row in operation.rows for field in row]
+            return ScriptCall(ScriptName.INVALIDATE, key, (*common, *rows))
         case messages.GrantQuota():
             request = (operation.request_field, operation.nonce, operation.recipient)
             grant = (repr(operation.amount), operation.record)
@@ -82,7 +82,7 @@
 
 
 def _sync_arguments(operation: messages.SyncOperation) -> tuple[Argument, ...]:
-    requests: list[Argument] = [part for request in operation.quota_requests for part in request]
+    requests: list[Argument] = [field for request in operation.quota_requests for field in request]
     return (
         operation.serial,
         operation.last_invalidation,
@@ -93,8 +93,8 @@
 
 
 def read_reply(ticket: int, reply: object) -> messages.StoreReply | messages.ReplyLost:
-    """Returns a script's reply as an event; `ReplyLost` where it has not the form that scripts reply in."""
-    if not isinstance(reply, Sequence) or isinstance(reply, (str, bytes)) or len(reply) < 2:
+    """Returns a script's reply as an event; `ReplyLost` where it does not have the form of replies."""
+    if not isinstance(reply, Sequence) or isinstance(reply, (str, bytes)) or len(reply) < HEADER_LENGTH:
         return messages.ReplyLost(ticket, f"a reply of another form: {_excerpt(reply)}")
     try:
         generation = parse_integer(reply[0])
@@ -103,8 +103,8 @@
         return messages.ReplyLost(ticket, f"a reply without its generation: {_excerpt(reply)}")
     if generation < 0 or serial < 0:
         return messages.ReplyLost(ticket, f"a reply without its generation: {_excerpt(reply)}")
-    return messages.StoreReply(ticket, generation, serial, tuple(reply[2:]))
+    return messages.StoreReply(ticket, generation, serial, tuple(reply[HEADER_LENGTH:]))
 
 
 def _excerpt(reply: object) -> str:
-    return repr(reply)[:MAX_REPLY_EXCERPT]
+    return repr(reply)[:MAX_EXCERPT_LENGTH]
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -1,6 +1,6 @@
 """The section `sharing` of the operator's file: the stores, timeouts, and what is shared through them.
 
-Fields have the names of the file's keys. Durations are whole nanoseconds here and `250ms` in the file.
+Fields have the names of the file's keys. Durations are of type `Duration` here and `250ms` in the file.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
 MAX_STORES = 16
 MAX_USER_LENGTH = 128  # characters
-MAX_DATABASE = 15  # a server has 16 unless it is configured otherwise
+MAX_DATABASE = 15  # a server has 16 databases by default
 MAX_QUEUE_LENGTH = 65_536  # commands
 
 
@@ -62,7 +62,7 @@
     """Leases on fills, so that one proxy of a branch fills an object and the others follow it."""
 
     enabled: bool = True
-    most: Annotated[int, DurationRange("100ms", "60s")] = Field(
+    most: Annotated[Duration, DurationRange("100ms", "60s")] = Field(
         default=10 * SECOND, description="longest lease; its request's remaining time, if that is less"
     )
 
@@ -71,7 +71,7 @@
     """Published locations: which cache has an object."""
 
     enabled: bool = True
-    keep: Annotated[int, DurationRange("1s", "24h")] = Field(
+    keep: Annotated[Duration, DurationRange("1s", "24h")] = Field(
         default=60 * SECOND, description="how long a store keeps a published location"
     )
 
@@ -86,7 +86,7 @@
     """Transfers of quota between the proxies of a branch."""
 
     enabled: bool = True
-    loan: Annotated[int, DurationRange("100ms", "1950ms")] = Field(
+    loan: Annotated[Duration, DurationRange("100ms", "1950ms")] = Field(
         default=1_900 * MILLISECOND, description="how long received quota counts, from when it was requested"
     )
 
@@ -100,8 +100,8 @@
 class TrialSettings(SettingsSection):
     """Delays before a half-open trial of a store whose circuit breaker is open: exponential, with jitter."""
 
-    first: Annotated[int, DurationRange("10ms", "10s")] = 100 * MILLISECOND
-    most: Annotated[int, DurationRange("100ms", "60s")] = 1 * SECOND
+    first: Annotated[Duration, DurationRange("10ms", "10s")] = 100 * MILLISECOND
+    most: Annotated[Duration, DurationRange("100ms", "60s")] = 1 * SECOND
 
     @model_validator(mode="after")
     def _require_ordered_delays(self) -> Self:
@@ -114,7 +114,7 @@
     """Commands that may wait for a store's connection; further ones are dropped, requests never are."""
 
     urgent: int = Field(default=256, ge=1, le=MAX_QUEUE_LENGTH)
-    upkeep: Duration = Field(default=1_024, ge=16, le=MAX_QUEUE_LENGTH)
+    upkeep: int = Field(default=1_024, ge=16, le=MAX_QUEUE_LENGTH)
 
 
 class SharedStoreSettings(SettingsSection):
@@ -124,17 +124,17 @@
         pattern=NAME_PATTERN, description="the same for all proxies of one branch, and for no others"
     )
     stores: list[StoreSettings] = Field(min_length=1, max_length=MAX_STORES)
-    wait: Annotated[int, DurationRange("1ms", "100ms")] = Field(
+    wait: Annotated[Duration, DurationRange("1ms", "100ms")] = Field(
         default=10 * MILLISECOND,
         description="longest wait of one request for all its lookups; 2 % of its time, if that is less",
     )
-    give_up: Annotated[int, DurationRange("20ms", "5s")] = Field(
+    give_up: Annotated[Duration, DurationRange("20ms", "5s")] = Field(
         default=250 * MILLISECOND, description="a connection without a reply for so long is closed"
     )
-    connect: Annotated[int, DurationRange("10ms", "5s")] = Field(
+    connect: Annotated[Duration, DurationRange("10ms", "5s")] = Field(
         default=500 * MILLISECOND, description="timeout of a new connection"
     )
-    sync: Annotated[int, DurationRange("10ms", "1s")] = Field(
+    sync: Annotated[Duration, DurationRange("10ms", "1s")] = Field(
         default=50 * MILLISECOND,
         description="interval at which invalidations, quota requests and outlier reports are exchanged",
     )
@@ -161,7 +161,7 @@
         return f"olivepost:{self.branch}"
 
     def terms(self, proxy_name: str, incarnation: str) -> SharingTerms:
-        """Returns what the coordinator needs of these settings, for one process of a proxy."""
+        """Returns the coordinator's terms by these settings, for one process of a proxy."""
         return SharingTerms(
             proxy=proxy_name,
             incarnation=incarnation,
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
+from typing import NamedTuple
 
 import redis
 
@@ -18,19 +19,26 @@
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 from olivepost.units import Instant
 
-MAX_BATCH = 64  # commands of one round trip, which bounds the time that the first one waits for the last
-MAX_REASON_LENGTH = 120  # characters of a store's error that the coordinator gets
+MAX_BATCH = 64  # commands of one round trip: the first one waits for the last
+MAX_REASON_LENGTH = 120  # characters of a store's error that the coordinator receives
 
 ReplyEvent = messages.StoreReply | messages.ReplyLost
 
 
 class Lane(Enum):
-    """What a worker is for, so that upkeep never delays a command that a request waits for."""
+    """Which commands a worker runs, so that upkeep never delays a command that a request waits for."""
 
     URGENT = "urgent"
     UPKEEP = "upkeep"
 
 
+class QueuedCommand(NamedTuple):
+    """A command that waits for the worker's connection."""
+
+    command: messages.StoreCommand
+    queued_at: Instant
+
+
 @dataclass(frozen=True, slots=True)
 class WorkerContext:
     """What all workers of a process share. `post` takes replies, from any thread."""
@@ -46,8 +54,8 @@
 class StoreWorker:
     """Runs the commands of one lane in one store; each gets exactly one `StoreReply` or `ReplyLost`.
 
-    The queue is bounded. A command that doesn't fit, or has waited so long that its reply would be of no use,
-    is never sent. Any thread may call the public methods; `_changed` guards `_queue` and `_is_closed`.
+    The queue is bounded. A command that doesn't fit, or whose reply would come too late to be used, is never
+    sent. Any thread may call the public methods; `_changed` guards `_queue` and `_is_closed`.
     """
 
     def __init__(self, context: WorkerContext, store: StoreSettings, lane: Lane) -> None:
@@ -56,8 +64,8 @@
         self._is_transactional = lane is Lane.UPKEEP
         self._max_wait = settings.wait if lane is Lane.URGENT else settings.give_up
         self._max_queued = settings.queues.urgent if lane is Lane.URGENT else settings.queues.upkeep
-        self._client = client.connect(settings, store, connections=1)
-        self._queue: deque[tuple[int, messages.StoreCommand]] = deque()  # with the time of each one's arrival
+        self._client = client.create_client(settings, store, connections=1)
+        self._queue: deque[QueuedCommand] = deque()
         self._changed = threading.Condition()
         self._is_closed = False
         self._thread = threading.Thread(target=self._run, name=f"store-{lane.value}", daemon=True)
@@ -67,58 +75,61 @@
         self._thread.start()
 
     def submit(self, command: messages.StoreCommand) -> None:
-        """Queues a command; it is lost at once where the queue is full."""
+        """Queues a command; its reply is lost at once where the queue is full or the worker closed."""
         with self._changed:
             if len(self._queue) < self._max_queued and not self._is_closed:
-                self._queue.append((self._context.clock.now(), command))
+                self._queue.append(QueuedCommand(command, self._context.clock.now()))
                 self._changed.notify()
                 return
         self._context.log.increment("store_queue_full")
         self._context.post(messages.ReplyLost(command.ticket, "the queue is full"))
 
     def close(self) -> None:
-        """Asks the thread to end; commands that still wait are dropped without a reply."""
+        """Requests the thread's end; commands that still wait are dropped without a reply."""
         with self._changed:
             self._is_closed = True
             self._changed.notify()
 
     def join(self, timeout_s: float) -> None:
-        """Waits for the thread's end; one that waits for a silent store ends with its timeout."""
+        """Waits for the thread's end; where its store is unresponsive, the thread ends at its timeout."""
         self._thread.join(timeout_s)
 
     def _run(self) -> None:
-        while batch := self._next_batch():
-            commands = [command for queued_at, command in batch if self._is_in_time(queued_at, command)]
+        while batch := self._take_batch():
+            commands = self._drop_expired(batch)
             if commands:
                 self._execute(commands)
         self._client.close()
 
-    def _next_batch(self) -> list[tuple[int, messages.StoreCommand]]:
-        """Waits for commands; returns them, or none once the worker is closed."""
+    def _take_batch(self) -> list[QueuedCommand]:
+        """Waits for commands and removes them from the queue; returns none once the worker is closed."""
         with self._changed:
             self._changed.wait_for(lambda: self._queue or self._is_closed)
             if self._is_closed:
                 return []
             return [self._queue.popleft() for _ in range(min(MAX_BATCH, len(self._queue)))]
 
-    def _is_in_time(self, queued_at: Instant, command: messages.StoreCommand) -> bool:
-        """Whether a reply could still be of use; else the command is reported as lost."""
-        if self._context.clock.now() - queued_at <= self._max_wait:
-            return True
-        self._context.log.increment("store_commands_expired")
-        self._context.post(messages.ReplyLost(command.ticket, "waited too long"))
-        return False
+    def _drop_expired(self, batch: list[QueuedCommand]) -> list[messages.StoreCommand]:
+        """Reports the commands that have waited too long as lost; returns the others."""
+        commands: list[messages.StoreCommand] = []
+        for command, queued_at in batch:
+            if self._context.clock.now() - queued_at <= self._max_wait:
+                commands.append(command)
+                continue
+            self._context.log.increment("store_commands_expired")
+            self._context.post(messages.ReplyLost(command.ticket, "waited too long"))
+        return commands
 
     def _execute(self, commands: list[messages.StoreCommand]) -> None:
         context = self._context
         operations = [command.operation for command in commands]
         try:
-            replies = client.run(
+            replies = client.run_operations(
                 self._client,
                 operations,
                 context.settings.key_prefix,
                 context.incarnation,
-                self._is_transactional,
+                is_transaction=self._is_transactional,
             )
         except (redis.RedisError, OSError) as error:
             self._fail(commands, error)
@@ -136,7 +147,7 @@
                 context.post(read_reply(command.ticket, reply))
 
     def _fail(self, commands: list[messages.StoreCommand], error: Exception) -> None:
-        """Drops the connection, which may hold half a reply, and reports all commands as lost."""
+        """Closes the connection, which may hold part of a reply, and reports all commands as lost."""
         self._client.connection_pool.disconnect()
         self._context.faults.record(error)
         for command in commands:
--- /dev/null
+++ b/tests/shared_store/test_client.py
@@ -0,0 +1,40 @@
+"""The store's client: no command that may have run is sent again."""
+
+from __future__ import annotations
+
+import random
+from contextlib import closing
+
+import pytest
+import redis
+
+from olivepost.shared_store import client
+from olivepost.shared_store.messages import AdvanceGeneration
+from olivepost.shared_store.settings import SharedStoreSettings
+from standins.redis.server import Server
+
+
+def test_command_whose_reply_was_cut_off_is_not_repeated() -> None:
+    """A client library that retries by itself would grant quota twice."""
+    with closing(Server()) as server:
+        section = {"name": "s", "address": "{}:{}".format(*server.address)}
+        settings = SharedStoreSettings.model_validate({"branch": "b", "stores": [section]})
+        store = client.create_client(settings, settings.stores[0])
+        (reply,) = client.run_operations(store, [AdvanceGeneration(0, 0)], "b", "me", is_transaction=True)
+        assert isinstance(reply, list)
+        send_complete = server.faults.spoil
+        cuts = [True]
+
+        def cut_first_reply(data: bytes, draw: random.Random) -> tuple[bytes, bool]:
+            return (data[:1], cuts.pop()) if cuts else send_complete(data, draw)
+
+        server.faults.spoil = cut_first_reply  # type: ignore[method-assign]
+        before = int(server.keyspace.data[b"b:generation"])
+
+        advance = AdvanceGeneration(before, before)
+        with pytest.raises(redis.ConnectionError):
+            client.run_operations(store, [advance], "b", "me", is_transaction=False)
+
+        assert int(server.keyspace.data[b"b:generation"]) > before  # it has run
+        assert server.commands < 40
+        store.close()
--- a/tests/shared_store/test_store_worker.py
+++ b/tests/shared_store/test_store_worker.py
@@ -34,7 +34,7 @@
         return self.time
 
 
-class Bench:
+class WorkerHarness:
     """A worker of one lane before a stand-in store; `replies` are the events that it posts."""
 
     def __init__(self, server: Server, **sharing: Any) -> None:
@@ -73,77 +73,82 @@
         yield server
 
 
-def test_a_command_gets_the_reply_of_its_store(server: Server) -> None:
-    with closing(Bench(server)) as bench:
-        bench.worker.start()
-        bench.submit(1)
-        reply = bench.next_reply()
+def test_command_gets_the_reply_of_its_store(server: Server) -> None:
+    with closing(WorkerHarness(server)) as harness:
+        harness.worker.start()
+        harness.submit(1)
+
+        reply = harness.next_reply()
+
         assert isinstance(reply, messages.StoreReply)
         assert reply.ticket == 1
         assert reply.generation > 0
 
 
-def test_a_command_that_does_not_fit_into_the_queue_is_lost_at_once(server: Server) -> None:
-    with closing(Bench(server, queues={"urgent": 1})) as bench:
-        bench.submit(1)
-        bench.submit(2)
-        assert bench.next_reply() == messages.ReplyLost(2, "the queue is full")
-        assert bench.log.counters()["store_queue_full"] == 1
+def test_command_that_does_not_fit_into_the_queue_is_lost_at_once(server: Server) -> None:
+    with closing(WorkerHarness(server, queues={"urgent": 1})) as harness:
+        harness.submit(1)
+        harness.submit(2)
+
+        assert harness.next_reply() == messages.ReplyLost(2, "the queue is full")
+        assert harness.log.counters()["store_queue_full"] == 1
+
 
+def test_command_that_waited_too_long_is_not_sent(server: Server) -> None:
+    with closing(WorkerHarness(server, wait="10ms")) as harness:
+        harness.submit(1)
+        harness.clock.time += 10 * MILLISECOND
+        harness.submit(2)
+        harness.clock.time += 1
+        harness.worker.start()
 
-def test_a_command_that_waited_too_long_is_not_sent(server: Server) -> None:
-    with closing(Bench(server, wait="10ms")) as bench:
-        bench.submit(1)
-        bench.clock.time += 10 * MILLISECOND
-        bench.submit(2)
-        bench.clock.time += 1
-        bench.worker.start()
-        assert bench.next_reply() == messages.ReplyLost(1, "waited too long")
-        assert isinstance(bench.next_reply(), messages.StoreReply)
-        assert bench.log.counters()["store_commands_expired"] == 1
+        assert harness.next_reply() == messages.ReplyLost(1, "waited too long")
+        assert isinstance(harness.next_reply(), messages.StoreReply)
+        assert harness.log.counters()["store_commands_expired"] == 1
 
 
-def test_commands_are_lost_where_the_store_can_not_be_reached(server: Server) -> None:
-    with closing(Bench(server)) as bench:
+def test_commands_are_lost_while_the_store_is_unreachable(server: Server) -> None:
+    with closing(WorkerHarness(server)) as harness:
         server.call(lambda: server.change({"refuse": True}))
-        bench.submit(1)
-        bench.submit(2)
-        bench.worker.start()
-        assert [bench.next_reply() for _ in range(2)] == [
+        harness.submit(1)
+        harness.submit(2)
+        harness.worker.start()
+
+        assert [harness.next_reply() for _ in range(2)] == [
             messages.ReplyLost(1, "ConnectionError"),
             messages.ReplyLost(2, "ConnectionError"),
         ]
-        assert bench.log.counters()["store_faults"] == 1
+        assert harness.log.counters()["store_faults"] == 1
 
 
-def test_an_unforeseen_exception_loses_only_its_batch(
-    server: Server, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    run = client.run
+def test_unforeseen_exception_loses_only_its_batch(server: Server, monkeypatch: pytest.MonkeyPatch) -> None:
+    run_operations = client.run_operations
 
-    def fail_once(*_arguments: Any) -> list[object]:
-        monkeypatch.setattr(client, "run", run)
+    def fail_once(*_arguments: Any, **_options: Any) -> list[object]:
+        monkeypatch.setattr(client, "run_operations", run_operations)
         raise RuntimeError("unforeseen")
 
-    monkeypatch.setattr(client, "run", fail_once)
-    with closing(Bench(server)) as bench:
-        bench.worker.start()
-        bench.submit(1)
-        assert bench.next_reply() == messages.ReplyLost(1, "RuntimeError")
-        bench.submit(2)
-        assert isinstance(bench.next_reply(), messages.StoreReply)
-        assert [line["event"] for line in bench.logged()] == ["store_worker_error", "store_fault"]
+    monkeypatch.setattr(client, "run_operations", fail_once)
+    with closing(WorkerHarness(server)) as harness:
+        harness.worker.start()
+        harness.submit(1)
+        assert harness.next_reply() == messages.ReplyLost(1, "RuntimeError")
+
+        harness.submit(2)
+        assert isinstance(harness.next_reply(), messages.StoreReply)
+        assert [line["event"] for line in harness.logged()] == ["store_worker_error", "store_fault"]
 
 
 def test_faults_of_one_kind_are_logged_once_per_interval(server: Server) -> None:
-    with closing(Bench(server)) as bench:
+    with closing(WorkerHarness(server)) as harness:
         for _ in range(3):
-            bench.faults.record(ConnectionError("gone"))
-        bench.faults.record(TimeoutError("slow"))
-        bench.clock.time += LOG_INTERVAL
-        bench.faults.record(ConnectionError("gone"))
-        assert bench.log.counters()["store_faults"] == 5
-        assert [line["why"] for line in bench.logged()] == [
+            harness.faults.record(ConnectionError("gone"))
+        harness.faults.record(TimeoutError("slow"))
+        harness.clock.time += LOG_INTERVAL
+        harness.faults.record(ConnectionError("gone"))
+
+        assert harness.log.counters()["store_faults"] == 5
+        assert [line["why"] for line in harness.logged()] == [
             "ConnectionError: gone",
             "TimeoutError: slow",
             "ConnectionError: gone",
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -16,7 +16,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from olivepost.shared_store.client import connect
+from olivepost.shared_store.client import create_client
 from olivepost.shared_store.scripts import DIGESTS
 from olivepost.shared_store.settings import SharedStoreSettings
 from standins.redis.faults import ScheduleError, read_schedule
@@ -246,7 +246,7 @@
 
 
 def ping(settings: SharedStoreSettings) -> bool:
-    with connect(settings, settings.stores[0]) as client:
+    with create_client(settings, settings.stores[0]) as client:
         return bool(client.ping())
 
 
