--- a/olivepost/__main__.py
+++ b/olivepost/__main__.py
@@ -9,4 +9,4 @@
     exit_code = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(exit_code)  # at once: worker threads may still wait for silent peers
+    os._exit(exit_code)  # without waiting for threads that wait for unresponsive clients, endpoints or stores
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -33,8 +33,8 @@
 Exit codes: 0 done, 1 failed (port in use, store not reached), 2 a faulty file or command line.
 """
 
-# The docstring above is also the grammar that docopt parses. What an operator's file switches on is imported
-# only where such a file is named: a proxy without one must not pay for it in memory and start-up time.
+# The docstring above is also the grammar that docopt parses. Subsystems of the operator's file are imported
+# only where such a file is named: a proxy without one needs neither their memory nor their start-up time.
 
 from __future__ import annotations
 
@@ -109,25 +109,28 @@
 
     @classmethod
     def parse(cls, arguments: list[str] | None) -> CommandLine:
-        """Parses arguments, None: the process's own; raises DocoptExit with the usage."""
+        """Parses arguments, where None those of the process; raises DocoptExit with the usage."""
         assert __doc__
-        given = docopt(__doc__, arguments)
+        parsed = docopt(__doc__, arguments)
         return cls(
-            command=next(command for command in COMMANDS if given[command]),
-            sharing_verb=next((verb for verb in SHARING_VERBS if given[verb]), None),
-            names=given["NAME"],
-            config_path=given["--config"],
-            operator_path=given["--operator"],
-            store_name=given["--store"],
-            as_json=given["--json"],
+            command=next(command for command in COMMANDS if parsed[command]),
+            sharing_verb=next((verb for verb in SHARING_VERBS if parsed[verb]), None),
+            names=parsed["NAME"],
+            config_path=parsed["--config"],
+            operator_path=parsed["--operator"],
+            store_name=parsed["--store"],
+            as_json=parsed["--json"],
         )
 
     def load_config(self) -> ProxyConfig:
-        """Reads the configuration anew; raises ConfigError."""
+        """Reads the configuration, at each call anew; raises ConfigError."""
         return load(os.environ, self.config_path)
 
     def load_operator(self) -> OperatorSettings | None:
-        """Reads the operator's file anew, if one is named; raises ConfigError or MissingPackageError."""
+        """Reads the operator's file, at each call anew; None where none is named.
+
+        Raises ConfigError or MissingPackageError.
+        """
         path = self.operator_path or os.environ.get(OPERATOR_VARIABLE)
         if not path:
             return None
@@ -141,29 +144,29 @@
 def main(arguments: list[str] | None = None) -> int:
     """Runs a command; returns the process's exit code."""
     try:
-        line = CommandLine.parse(arguments)
+        command_line = CommandLine.parse(arguments)
     except DocoptExit as error:
         print(error, file=sys.stderr)
         return ExitCode.UNUSABLE
     try:
-        return _run(line)
+        return _run(command_line)
     except (ConfigError, CommandError) as error:
         print(f"olivepost: {error}", file=sys.stderr)
         return ExitCode.UNUSABLE
 
 
-def _run(line: CommandLine) -> int:
-    match line.command:
+def _run(command_line: CommandLine) -> int:
+    match command_line.command:
         case "version":
             print(f"olivepost {__version__}")
             return ExitCode.DONE
         case "schema":
             return _print_schema()
         case "sharing":
-            return _run_sharing(line)
+            return _run_sharing(command_line)
         case "check":
-            return _check(line)
-    return _serve(line)
+            return _check(command_line)
+    return _serve(command_line)
 
 
 def _print_schema() -> int:
@@ -173,38 +176,39 @@
     return ExitCode.DONE
 
 
-def _run_sharing(line: CommandLine) -> int:
-    operator = line.load_operator()
+def _run_sharing(command_line: CommandLine) -> int:
+    operator = command_line.load_operator()
     if operator is None or operator.sharing is None:
         raise MissingSectionError
     from olivepost.shared_store import inspect
 
+    store_name = command_line.store_name
     known = [store.name for store in operator.sharing.stores]
-    if line.store_name and line.store_name not in known:
-        raise UnknownStoreError(line.store_name, known)
-    report = inspect.run(operator.sharing, inspect.Verb(line.sharing_verb), line.names, line.store_name)
-    inspect.print_report(report, line.as_json)
+    if store_name and store_name not in known:
+        raise UnknownStoreError(store_name, known)
+    verb = inspect.Verb(command_line.sharing_verb)
+    report = inspect.run(operator.sharing, verb, command_line.names, store_name)
+    inspect.print_report(report, command_line.as_json)
     return ExitCode.FAILED if report.faults else ExitCode.DONE
 
 
-def _check(line: CommandLine) -> int:
-    operator = line.load_operator()
-    if operator and not (line.config_path or os.environ.get(CONFIG_VARIABLE)):
+def _check(command_line: CommandLine) -> int:
+    operator = command_line.load_operator()
+    if operator and not (command_line.config_path or os.environ.get(CONFIG_VARIABLE)):
         print("olivepost: the operator's file can be used")
         return ExitCode.DONE
-    config = line.load_config()
+    config = command_line.load_config()
     host, port = config.listen
     print(f"olivepost: the configuration can be used; {config.name} listens on {host}:{port}")
     return ExitCode.DONE
 
 
-def _serve(line: CommandLine) -> int:
+def _serve(command_line: CommandLine) -> int:
     from olivepost.proxy.signals import SignalListener
 
-    signals = SignalListener()  # first: a signal that comes during the start must not end the process
-    operator = line.load_operator()
+    signals = SignalListener()  # first: a signal during the start must not end the process
+    operator = command_line.load_operator()
     from olivepost.proxy.server import ConfigurationSource, serve
 
-    return serve(
-        line.load_config(), signals, ConfigurationSource(line.load_config, line.load_operator), operator
-    )
+    source = ConfigurationSource(command_line.load_config, command_line.load_operator)
+    return serve(command_line.load_config(), signals, source, operator)
--- a/olivepost/operator_config/__init__.py
+++ b/olivepost/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's YAML file: one section for each subsystem, which is off and not imported without it."""
+"""The operator's YAML file: one section for each optional subsystem, which is not imported without it."""
--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -1,11 +1,11 @@
-"""Reads the operator's YAML file: no duplicate keys, no aliases, each fault with its file, line and key."""
+"""Reads the operator's YAML file; rejects duplicate keys and aliases, reports faults with line and key."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import yaml
 from pydantic import ValidationError
@@ -15,9 +15,12 @@
 from olivepost.operator_config.model import OperatorSettings
 
 MAX_FILE_BYTES = 1 << 20
+FIRST_LINE = 1
+WHOLE_FILE = "the file"  # in place of a key, where a fault is in none
 STRING_TAG = "tag:yaml.org,2002:str"
 MERGE_TAG = "tag:yaml.org,2002:merge"  # the key `<<`
-MESSAGE_PREFIXES = ("Value error, ", "Assertion failed, ")  # pydantic's, in front of a validator's own text
+MESSAGE_PREFIXES = ("Value error, ", "Assertion failed, ")  # added by pydantic to a validator's own text
+MAX_INPUT_LENGTH = 60  # characters of a faulty value in a message
 MESSAGE_BY_ERROR_TYPE = {"extra_forbidden": "no such key", "missing": "is missing"}
 
 KeyPath = tuple[str, ...]
@@ -25,16 +28,16 @@
 
 @dataclass(frozen=True, slots=True)
 class FileFault:
-    """One thing that is wrong in a file; `line` counts from 1, None where it is the file itself."""
+    """One fault of a file; `line`, from 1, and `key` are None where the fault is in no line or key."""
 
     path: str
     message: str
     line: int | None = None
-    key: str = ""
+    key: str | None = None
 
     def __str__(self) -> str:
         place = self.path if self.line is None else f"{self.path}:{self.line}"
-        return f"{place}: {self.key}: {self.message}" if self.key else f"{place}: {self.message}"
+        return f"{place}: {self.message}" if self.key is None else f"{place}: {self.key}: {self.message}"
 
 
 class OperatorConfigError(ConfigError):
@@ -45,17 +48,33 @@
         self.faults = faults
 
 
+class ParsedFile(NamedTuple):
+    """A YAML document: its node tree, for line numbers, and its plain values; both None where it is empty."""
+
+    root: yaml.Node | None
+    document: Any
+
+
+class ChildNode(NamedTuple):
+    """The value of a mapping's key or a sequence's index, and its line."""
+
+    line: int
+    node: yaml.Node
+
+
 def load(path: str) -> OperatorSettings:
     """Returns the settings in a file; raises OperatorConfigError."""
     root, document = _parse(path, _read_bytes(path))
     if document is None or document == {}:
         sections = ", ".join(OperatorSettings.model_fields)
-        raise OperatorConfigError(FileFault(path, f"has no section; there are: {sections}", 1, "the file"))
+        message = f"has no section; there are: {sections}"
+        raise OperatorConfigError(FileFault(path, message, FIRST_LINE, WHOLE_FILE))
     try:
         return OperatorSettings.model_validate(document)
     except ValidationError as error:
         details = error.errors(include_url=False)
-        raise OperatorConfigError(*(_validation_fault(path, root, detail) for detail in details)) from error
+        faults = (_validation_fault(path, root, detail) for detail in details)
+        raise OperatorConfigError(*faults) from error
 
 
 def schema() -> dict[str, object]:
@@ -77,8 +96,8 @@
     return data
 
 
-def _parse(path: str, data: bytes) -> tuple[yaml.Node | None, Any]:
-    """Returns the document's node tree, for line numbers, and its plain values."""
+def _parse(path: str, data: bytes) -> ParsedFile:
+    """Returns the document; raises OperatorConfigError where it is not YAML, or has faulty keys."""
     try:
         _reject_aliases(path, data)
         loader = yaml.SafeLoader(data)
@@ -86,16 +105,17 @@
         faults = tuple(_key_faults(path, root, ()))
         if faults:
             raise OperatorConfigError(*faults)
-        return root, None if root is None else loader.construct_document(root)
+        document = None if root is None else loader.construct_document(root)
+        return ParsedFile(root, document)
     except yaml.MarkedYAMLError as error:
-        line = _line(error.problem_mark) if error.problem_mark else 1
+        line = _line(error.problem_mark) if error.problem_mark else FIRST_LINE
         raise OperatorConfigError(FileFault(path, f"not YAML: {error.problem}", line)) from error
     except (yaml.YAMLError, ValueError) as error:
         raise OperatorConfigError(FileFault(path, f"not YAML: {error}")) from error
 
 
 def _reject_aliases(path: str, data: bytes) -> None:
-    """Guards against a small file that expands to a very large document."""
+    """Rejects aliases, by which a small file could expand to a very large document."""
     for event in yaml.parse(data, Loader=yaml.SafeLoader):
         if isinstance(event, yaml.AliasEvent):
             raise OperatorConfigError(FileFault(path, "aliases are not allowed", _line(event.start_mark)))
@@ -107,9 +127,9 @@
 
 
 def _key_faults(path: str, node: yaml.Node | None, parents: KeyPath) -> Iterator[FileFault]:
-    """Yields keys that are not strings and keys that are there twice.
+    """Yields keys that are not strings, and duplicate keys.
 
-    YAML's own reader would take the last of two keys, and `on`, `yes` or `1` as a boolean or a number.
+    YAML's own reader would use the last of two keys, and read `on`, `yes` or `1` as a boolean or a number.
     """
     if isinstance(node, yaml.MappingNode):
         names: set[str] = set()
@@ -142,36 +162,40 @@
 def _validation_fault(path: str, root: yaml.Node | None, detail: ErrorDetails) -> FileFault:
     """Returns one fault that pydantic found: its line, its key, what is allowed and what the file has."""
     key_path = tuple(str(key) for key in detail["loc"])
-    message = MESSAGE_BY_ERROR_TYPE.get(detail["type"])
-    if message is None:
-        message = detail["msg"]
-        for prefix in MESSAGE_PREFIXES:
-            message = message.removeprefix(prefix)
-        found = detail.get("input")
-        if found is None or isinstance(found, (str, int, float, bool)):
-            message = f"{message}, not {found!r:.60}"
-    return FileFault(path, message, _line_of(root, key_path), ".".join(key_path) or "the file")
+    message = MESSAGE_BY_ERROR_TYPE.get(detail["type"]) or _validation_message(detail)
+    return FileFault(path, message, _line_of(root, key_path), ".".join(key_path) or WHOLE_FILE)
+
+
+def _validation_message(detail: ErrorDetails) -> str:
+    message = detail["msg"]
+    for prefix in MESSAGE_PREFIXES:
+        message = message.removeprefix(prefix)
+    value = detail.get("input")
+    if value is None or isinstance(value, (str, int, float, bool)):
+        return f"{message}, not {repr(value)[:MAX_INPUT_LENGTH]}"
+    return message
 
 
 def _line_of(root: yaml.Node | None, key_path: KeyPath) -> int:
     """Returns the line of the innermost key on a path that the file has."""
-    line = 1
+    line = FIRST_LINE
     node = root
     for key in key_path:
         child = _child(node, key)
         if child is None:
             break
-        line, node = child
+        line = child.line
+        node = child.node
     return line
 
 
-def _child(node: yaml.Node | None, key: str) -> tuple[int, yaml.Node] | None:
-    """Returns the line and the value of a mapping's key or a sequence's index."""
+def _child(node: yaml.Node | None, key: str) -> ChildNode | None:
+    """Returns the value of a mapping's key or a sequence's index; None where there is none."""
     if isinstance(node, yaml.MappingNode):
         for name, value in node.value:
             if str(name.value) == key:
-                return _line(name.start_mark), value
+                return ChildNode(_line(name.start_mark), value)
     if isinstance(node, yaml.SequenceNode) and key.isdigit() and int(key) < len(node.value):
         value = node.value[int(key)]
-        return _line(value.start_mark), value
+        return ChildNode(_line(value.start_mark), value)
     return None
--- a/olivepost/operator_config/units.py
+++ b/olivepost/operator_config/units.py
@@ -26,11 +26,12 @@
 HOST_NAME_PATTERN = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9.-]{0,252}[A-Za-z0-9])?", re.ASCII)
 IPV6_PATTERN = re.compile(r"[0-9A-Fa-f:.]{2,45}", re.ASCII)
 MAX_PORT = 65_535
+PORT_DIGITS_READ = 6  # one more than ports have: enough to see that a number is too large
 MAX_SECRET_BYTES = 4_096
 
 
 def parse_duration(value: object) -> Duration:
-    """Returns nanoseconds from `250ms`, `1.5s` or `2m`; a whole number is taken as nanoseconds."""
+    """Returns the span that `250ms`, `1.5s` or `2m` stands for; a whole number is one in nanoseconds."""
     if isinstance(value, int) and not isinstance(value, bool):
         return value
     match = DURATION_PATTERN.fullmatch(value) if isinstance(value, str) else None
@@ -40,7 +41,7 @@
 
 
 def format_duration(duration: Duration) -> str:
-    """Formats nanoseconds in the largest unit that gives a whole number, as `parse_duration` reads it."""
+    """Formats a span in the largest unit that gives a whole number, as `parse_duration` reads it."""
     for unit, unit_ns in reversed(UNIT_NS.items()):
         if duration and duration % unit_ns == 0:
             return f"{duration // unit_ns}{unit}"
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DurationRange:
-    """Annotation of an `int` field in nanoseconds that the file holds as a duration.
+    """Annotation of a field of type `Duration`, which the file has in the written form.
 
     Both bounds are allowed values. In JSON and in the JSON Schema the field has the written form.
     """
@@ -58,7 +59,7 @@
     maximum: str
 
     def parse(self, value: object) -> Duration:
-        """Returns nanoseconds; raises ValueError outside the range."""
+        """Returns the span; raises ValueError outside the range."""
         duration = parse_duration(value)
         if not parse_duration(self.minimum) <= duration <= parse_duration(self.maximum):
             raise ValueError(f"must be from {self.minimum} to {self.maximum}")
@@ -80,7 +81,7 @@
 
 
 def parse_address(value: object) -> object:
-    """Returns host and port from `store.example:6379` or `[::1]:6379`; a pair is passed on as it is."""
+    """Returns host and port from `store.example:6379` or `[::1]:6379`; a pair is returned unchanged."""
     if isinstance(value, (list, tuple)):
         return value
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
@@ -96,11 +97,11 @@
 def _is_port(text: str) -> bool:
     if not (text.isascii() and text.isdigit()):
         return False
-    return 1 <= int(text[:6]) <= MAX_PORT  # six digits are enough to see that a number is too large
+    return 1 <= int(text[:PORT_DIGITS_READ]) <= MAX_PORT
 
 
 def read_secret(path: Path) -> str:
-    """Returns the secret in a file without the line's end.
+    """Returns the secret in a file without its line end.
 
     Raises OSError or ValueError; neither message contains any part of the file.
     """
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -33,7 +33,7 @@
     return str(raised.value)
 
 
-def test_the_example_file_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
+def test_example_file_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
     sharing = load(str(EXAMPLE)).sharing
     assert sharing is not None
     assert sharing.wait == 10_000_000
@@ -79,7 +79,7 @@
         ("sharing:\n  ? [a]\n  : w\n", ":2: sharing.a sequence: a key must be a string"),
     ],
 )
-def test_a_fault_names_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, message: str) -> None:
+def test_fault_has_its_file_line_key_and_what_is_allowed(tmp_path: Path, text: str, message: str) -> None:
     assert message in load_faults(tmp_path, text)
     assert "operator.yaml" in load_faults(tmp_path, text)
 
@@ -108,7 +108,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "\n", "# sharing:\n#   branch: west\n", "---\n...\n", "null\n", "{}\n"])
-def test_a_file_without_a_section_is_rejected(
+def test_file_without_a_section_is_rejected(
     tmp_path: Path, capsys: pytest.CaptureFixture[str], text: str
 ) -> None:
     path = tmp_path / "operator.yaml"
@@ -117,9 +117,7 @@
     assert capsys.readouterr().err == f"olivepost: {path}:1: the file: has no section; there are: sharing\n"
 
 
-def test_a_faulty_file_ends_the_command_with_code_2(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_faulty_file_ends_the_command_with_code_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text("sharing: {}\n")
     assert main(["check", "--operator", str(path)]) == 2
@@ -128,7 +126,7 @@
     assert "can't be read" in capsys.readouterr().err
 
 
-def test_the_schema_has_every_section(capsys: pytest.CaptureFixture[str]) -> None:
+def test_schema_has_every_section(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["schema"]) == 0
     assert "sharing" in json.loads(capsys.readouterr().out)["properties"]
 
@@ -154,15 +152,15 @@
 DEFAULTS = list(defaults_of(schema(), ()))
 
 
-def test_the_schema_has_a_default_for_every_optional_key() -> None:
+def test_schema_has_a_default_for_every_optional_key() -> None:
     assert len(DEFAULTS) == 30, [".".join(map(str, path)) for path, _ in DEFAULTS]
 
 
 @pytest.mark.parametrize(("path", "field"), DEFAULTS, ids=[".".join(map(str, path)) for path, _ in DEFAULTS])
-def test_a_default_of_the_schema_can_be_put_into_a_file(
+def test_default_of_the_schema_can_be_put_into_a_file(
     tmp_path: Path, path: KeyPath, field: dict[str, Any]
 ) -> None:
-    """Guards against defaults in a form that the file does not take, such as bare nanoseconds."""
+    """No default has a form that the file does not accept, such as bare nanoseconds."""
     store = {"name": "s", "address": "127.0.0.1:1", "tls": {"ca_file": "/ca.pem"}}
     document: dict[str, Any] = {"sharing": {"branch": "w", "stores": [store]}}
     section: Any = document
@@ -179,7 +177,7 @@
 
 
 @pytest.mark.parametrize("field", [field for _, field in DEFAULTS])
-def test_a_default_of_the_schema_has_the_form_that_the_schema_allows(field: dict[str, Any]) -> None:
+def test_default_of_the_schema_has_the_form_that_the_schema_allows(field: dict[str, Any]) -> None:
     default = field["default"]
     if isinstance(default, dict):
         keys = definition_of(field)["properties"]
@@ -193,7 +191,7 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None, database=None)
 @given(st.integers(1, 10**13))
-def test_a_formatted_duration_is_parsed_to_the_same_value(duration: int) -> None:
+def test_formatted_duration_is_parsed_to_the_same_value(duration: int) -> None:
     duration -= duration % 1_000
     assert parse_duration(format_duration(duration)) == duration
 
@@ -202,12 +200,12 @@
     ("value", "duration"),
     [("250ms", 250_000_000), ("1.5s", 1_500_000_000), ("2m", 120_000_000_000), ("3us", 3_000), (7, 7)],
 )
-def test_a_duration_is_parsed_to_nanoseconds(value: object, duration: int) -> None:
+def test_duration_is_parsed_to_nanoseconds(value: object, duration: int) -> None:
     assert parse_duration(value) == duration
 
 
 @pytest.mark.parametrize("value", ["", "5", "5 s", "-5s", "1.s", "5d", True, 1.5, None])
-def test_what_is_no_duration_is_rejected(value: object) -> None:
+def test_value_that_is_not_a_duration_is_rejected(value: object) -> None:
     with pytest.raises(ValueError, match=r"must be a duration like 250ms, 1\.5s or 2m"):
         parse_duration(value)
 
@@ -220,17 +218,17 @@
         ("[::1]:65535", ("::1", 65_535)),
     ],
 )
-def test_an_address_is_parsed_to_host_and_port(value: str, address: tuple[str, int]) -> None:
+def test_address_is_parsed_to_host_and_port(value: str, address: tuple[str, int]) -> None:
     assert parse_address(value) == address
 
 
 @pytest.mark.parametrize("value", ["", ":1", "h", "h:", "h:0", "h:65536", "h:x", "-h:1", "::1:1", "[h]:1", 5])
-def test_what_is_no_address_is_rejected(value: object) -> None:
+def test_value_that_is_not_an_address_is_rejected(value: object) -> None:
     with pytest.raises(ValueError, match="must be an address like"):
         parse_address(value)
 
 
-def test_a_faulty_secret_is_not_in_the_message(tmp_path: Path) -> None:
+def test_message_of_a_faulty_secret_does_not_contain_it(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     path.write_bytes(b"hush\n")
     assert read_secret(path) == "hush"
@@ -240,8 +238,8 @@
     assert "hush" not in str(raised.value)
 
 
-def test_without_an_operators_file_its_packages_are_not_imported() -> None:
-    """Guards the platform's proxy against the memory and start-up time of what is off."""
+def test_packages_of_the_operators_file_are_not_imported_without_one() -> None:
+    """A proxy without the file needs neither their memory nor their start-up time."""
     code = (
         "import sys, olivepost.cli, olivepost.proxy.server\n"
         "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -26,12 +26,12 @@
     assert "Examples:" in capsys.readouterr().out
 
 
-def test_a_usable_configuration_passes_check(capsys: pytest.CaptureFixture[str]) -> None:
+def test_usable_configuration_passes_check(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["check", "--config", str(CONFIG)]) == 0
     assert "can be used" in capsys.readouterr().out
 
 
-def test_a_sharing_command_without_a_section_or_with_an_unknown_store_ends_with_code_2(
+def test_sharing_command_without_a_section_or_with_an_unknown_store_ends_with_code_2(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.delenv("OLIVEPOST_OPERATOR", raising=False)
@@ -43,7 +43,7 @@
     assert capsys.readouterr().err == "olivepost: no store 'x'; there are s\n"
 
 
-def test_a_missing_package_of_the_operators_file_is_named(
+def test_missing_package_of_the_operators_file_is_reported_by_its_name(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.delitem(sys.modules, "olivepost.operator_config.loader", raising=False)
@@ -54,13 +54,13 @@
     )
 
 
-def test_a_wrong_command_line_ends_with_code_2_and_the_usage(capsys: pytest.CaptureFixture[str]) -> None:
+def test_wrong_command_line_ends_with_code_2_and_the_usage(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["riddle"]) == 2
     assert "Usage:" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("command", ["check", "serve"])
-def test_a_faulty_configuration_ends_with_code_2_and_its_key(
+def test_faulty_configuration_ends_with_code_2_and_its_key(
     command: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "config.json"
@@ -71,7 +71,7 @@
     assert error.count("\n") == 1
 
 
-def test_a_port_in_use_ends_with_code_1(tmp_path: Path) -> None:
+def test_port_in_use_ends_with_code_1(tmp_path: Path) -> None:
     with socket.create_server(("127.0.0.1", 0)) as taken:
         path = tmp_path / "config.json"
         path.write_text(json.dumps(toy_config(listen=f"127.0.0.1:{taken.getsockname()[1]}")))
@@ -86,7 +86,7 @@
     assert done.stderr.count("\n") == 1
 
 
-def start_members(config: dict[str, Any]) -> list[ToyEndpoint]:
+def start_endpoints(config: dict[str, Any]) -> list[ToyEndpoint]:
     """Starts a toy endpoint for each that the configuration lists, and lists its address."""
     listed = config["known"]["updates"][0]["endpoints"]["servers"]
     endpoints = [ToyEndpoint(item["id"]) for item in listed]
@@ -95,8 +95,8 @@
     return endpoints
 
 
-def check_lines_of_a_rejected_request(log: IO[bytes]) -> None:
-    """The next lines are those of one request: its failed attempts, then that it was given up."""
+def assert_logs_one_rejected_request(log: IO[bytes]) -> None:
+    """The next lines are those of one request: its failed attempts, then `request_given_up`."""
     lines = [json.loads(log.readline())]
     while lines[-1]["event"] == "attempt_failed":
         lines.append(json.loads(log.readline()))
@@ -104,8 +104,8 @@
     assert {line["request"] for line in lines} == {lines[0]["request"]}
 
 
-def check_lines_of_a_shutdown(lines: list[dict[str, Any]]) -> None:
-    """One metrics line: the shutdown did not sleep on; nothing was pending, and nothing was violated."""
+def assert_logs_one_shutdown(lines: list[dict[str, Any]]) -> None:
+    """There is one line of metrics, with no pending request and no violated invariant."""
     others = ("reload", "client_connection_closed")
     events = [line["event"] for line in lines if not line["event"].startswith(others)]
     assert events == ["draining", "metrics", "stopped"]
@@ -114,10 +114,11 @@
 
 
 @pytest.mark.parametrize("build", [[], ["-O"]])
-def test_the_example_serves_reloads_and_shuts_down(build: list[str], tmp_path: Path) -> None:
+def test_example_serves_reloads_and_shuts_down(build: list[str], tmp_path: Path) -> None:
     config = toy_config()
-    endpoints = start_members(config)
-    coordinator, other = Coordinator(), Coordinator()
+    endpoints = start_endpoints(config)
+    coordinator = Coordinator()
+    other = Coordinator()
     coordinator.events = other.events = config["known"]["updates"]
     config["coordinator"] = coordinator.address
     path = tmp_path / "config.json"
@@ -134,7 +135,7 @@
             assert client.request()[2] == body_of(OBJECT_NAME, "3")
             assert client.request(If_None_Match=f'"{tag_of(OBJECT_NAME, "3")}"')[0] == 304
             assert client.request("f" * 16)[0] == 503
-            check_lines_of_a_rejected_request(proxy.stdout)
+            assert_logs_one_rejected_request(proxy.stdout)
             path.write_text("{")
             proxy.send_signal(signal.SIGHUP)
             failed = json.loads(proxy.stdout.readline())
@@ -145,19 +146,20 @@
             assert "'coordinator'" in json.loads(proxy.stdout.readline())["why"]
             path.write_text(json.dumps({**config, "limits": {"memory_mb": 96}, "coordinator": other.address}))
             proxy.send_signal(signal.SIGHUP)
-            done, fixed = (json.loads(proxy.stdout.readline()) for _ in range(2))
-            assert done["event"] == "reloaded"
-            assert done["moved"]
-            assert done["coordinator"] == other.address
-            assert fixed["event"] == "reload_needs_restart"
-            assert fixed["keys"] == ["limits"]
+            reloaded = json.loads(proxy.stdout.readline())
+            assert reloaded["event"] == "reloaded"
+            assert reloaded["moved"]
+            assert reloaded["coordinator"] == other.address
+            needs_restart = json.loads(proxy.stdout.readline())
+            assert needs_restart["event"] == "reload_needs_restart"
+            assert needs_restart["keys"] == ["limits"]
             assert other.wait_for_poll(1)
             assert client.request()[2] == body_of(OBJECT_NAME, "3")
         proxy.send_signal(signal.SIGTERM)
-        proxy.send_signal(signal.SIGHUP)  # also then it ends nothing
+        proxy.send_signal(signal.SIGHUP)  # does not end the process, during the shutdown either
         rest = [json.loads(line) for line in proxy.stdout]
         assert proxy.wait(WAIT_TIMEOUT_S) == 0
-        check_lines_of_a_shutdown(rest)
+        assert_logs_one_shutdown(rest)
     finally:
         proxy.kill()
         proxy.wait()
