--- a/tests/shared_store/model.py
+++ b/tests/shared_store/model.py
@@ -1,4 +1,4 @@
-"""The modelled location that the tests of the shared store's decision part have in common."""
+"""The modelled location before a store, for tests of the shared store's decision part."""
 
 from __future__ import annotations
 
@@ -19,5 +19,5 @@
 
 
 def counted(branch: Branch, name: str) -> int:
-    """Returns a counter of all proxies together."""
+    """Returns the sum of a counter over all proxies."""
     return sum(proxy.coordinator.counts.get(name, 0) for proxy in branch.proxies if proxy.coordinator)
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -1,4 +1,4 @@
-"""Quotas over hostile histories: parts and running transfers never exceed the whole, whatever happens."""
+"""Quotas under random faults: parts and pending transfers together never exceed the whole."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class QuotaHistories(RuleBasedStateMachine):
-    """Four proxies with clocks apart, a cold cache, and a store that is anything but reliable."""
+    """Four proxies whose clocks differ, a cache that is warming up, and a store with faults of all kinds."""
 
     @initialize(seed=st.integers(0, 2**16))
     def restart(self, seed: int) -> None:
@@ -22,7 +22,7 @@
         self.branch.restart_cache("c0")
 
     @rule(number=PROXY_NUMBER, count=st.integers(1, 12))
-    def requests(self, number: int, count: int) -> None:
+    def request(self, number: int, count: int) -> None:
         for _ in range(count):
             self.branch.request(self.branch.proxies[number])
 
@@ -44,9 +44,12 @@
         duplicated=st.sampled_from([0.0, 0.8]),
         slow=st.sampled_from([0.0, 0.4]),
     )
-    def way(self, lost: float, cut: float, duplicated: float, slow: float) -> None:
-        way = self.branch.links["s0"]
-        way.lost, way.cut, way.duplicated, way.slow = lost, cut, duplicated, slow
+    def change_link(self, lost: float, cut: float, duplicated: float, slow: float) -> None:
+        link = self.branch.links["s0"]
+        link.lost = lost
+        link.cut = cut
+        link.duplicated = duplicated
+        link.slow = slow
 
     @rule()
     def snapshot(self) -> None:
@@ -65,15 +68,15 @@
         self.branch.links["s0"].silent_until = self.branch.now + span * MS
 
     @rule(name=st.sampled_from(["c0", "c1"]))
-    def cold(self, name: str) -> None:
+    def restart_cache(self, name: str) -> None:
         self.branch.restart_cache(name)
 
     @rule(group=st.integers(0, 15))
-    def purge(self, group: int) -> None:
+    def invalidate(self, group: int) -> None:
         self.branch.purge([group])
 
     @invariant()
-    def the_whole_is_never_exceeded(self) -> None:
+    def quota_is_never_exceeded(self) -> None:
         if hasattr(self, "branch"):
             self.branch.check_quotas()
             assert not self.branch.counts.quotas_exceeded
@@ -82,8 +85,10 @@
 
     def teardown(self) -> None:
         if hasattr(self, "branch"):
-            for way in self.branch.links.values():
-                way.lost = way.cut = way.slow = 0.0
+            for link in self.branch.links.values():
+                link.lost = 0.0
+                link.cut = 0.0
+                link.slow = 0.0
             self.branch.run(8 * SECOND)
             assert not any(proxy.router.requests.pending for proxy in self.branch.proxies)
             assert all(
--- a/tests/shared_store/test_invalidations.py
+++ b/tests/shared_store/test_invalidations.py
@@ -1,8 +1,7 @@
-"""Invalidations by way of the stores: bounded, published again, and heard by all proxies."""
+"""Invalidations by way of the stores: bounded, published again, and received by all proxies."""
 
 from __future__ import annotations
 
-from benchmarks.branch import Branch
 from olivepost import interface as api
 from olivepost.routing import invalidation
 from olivepost.shared_store.invalidations import MAX_INVALIDATIONS, KnownInvalidations
@@ -17,25 +16,30 @@
     known = KnownInvalidations()
     for number in range(MAX_INVALIDATIONS + 10):
         assert known.add(InvalidationKey(f"o{number}", None), number + 1)
+
     assert not known.add(InvalidationKey(f"o{MAX_INVALIDATIONS}", None), 1)
     assert len(known) == MAX_INVALIDATIONS
     assert known.last_ms("never invalidated", 3) == 10
     assert sum(map(len, known.chunks())) == MAX_INVALIDATIONS
 
 
-def test_store_that_came_back_empty_gets_the_invalidations_again() -> None:
+def test_invalidations_are_published_again_to_a_store_that_lost_them() -> None:
     branch = make_branch()
     branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
     branch.purge([int(NAME, 16) % branch.groups])
     branch.run(SECOND)
-    first = {proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator}
+    generations_before = {
+        proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
+    }
+
     branch.stores["s0"].lose()
     branch.run(SECOND)
-    later = {proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator}
-    assert len(later) == 1
-    assert min(later) > max(first)
-    (generation,) = later
+
+    generations = {proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator}
+    assert len(generations) == 1
+    assert min(generations) > max(generations_before)
+    (generation,) = generations
     kept = branch.stores["s0"].data[b"t:%d:purges" % generation]
     assert b"g:%d" % (int(NAME, 16) % branch.groups) in kept
 
@@ -45,33 +49,35 @@
     for group in range(branch.groups):
         branch.purge([group])
     branch.run(SECOND)
-    branch.stores["s0"].lose()
     proxy = branch.proxies[0]
     assert proxy.coordinator is not None
     store = proxy.coordinator.stores["s0"]
-    seen: set[TrustLevel] = set()
+    trust_levels: set[TrustLevel] = set()
+
+    branch.stores["s0"].lose()
+
     for _ in range(2_000):
         branch.run(MS // 10)
-        seen.add(store.trust)
+        trust_levels.add(store.trust)
         if store.trust is TrustLevel.TRUSTED and store.generation in {
             int(key.split(b":")[1]) for key in branch.stores["s0"].data if key.endswith(b":purges")
         }:
             kept = branch.stores["s0"].data[b"t:%d:purges" % store.generation]
             assert len(kept) == branch.groups
-    assert TrustLevel.RESTORING in seen
+    assert TrustLevel.RESTORING in trust_levels
     assert store.is_available
 
 
 def test_invalidations_reach_proxies_that_the_platform_did_not_notify() -> None:
     branch = make_branch()
     proxy = branch.proxies[0]
-    proxy.handle_store_event(_invalidation(branch))
+    received = InvalidationReceived(api.Invalidation(None, 3, 0), branch.now // MS)
+
+    proxy.handle_store_event(received)
     branch.run(200 * MS)
+
     assert counted(branch, "invalidations_received") == 2
     request = api.Request("x", "image", "o", SECOND, group=3)
-    state, now = branch.proxies[2].router.state, branch.proxies[2].clock(branch.now)
+    state = branch.proxies[2].router.state
+    now = branch.proxies[2].clock(branch.now)
     assert invalidation.age_bound(state, now, request) is not None
-
-
-def _invalidation(branch: Branch) -> InvalidationReceived:
-    return InvalidationReceived(api.Invalidation(None, 3, 0), branch.now // MS)
--- a/tests/shared_store/test_records.py
+++ b/tests/shared_store/test_records.py
@@ -26,7 +26,7 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None, database=None)
 @given(st.binary(max_size=200), st.integers(0, 199), st.integers(0, 7))
-def test_no_damaged_bytes_pass_for_a_record(noise: bytes, at: int, bit: int) -> None:
+def test_damaged_bytes_are_no_record(noise: bytes, at: int, bit: int) -> None:
     with pytest.raises(RecordError):
         decode_record(CacheLocation, noise)
     data = bytearray(encode_record(LOCATION))
@@ -66,34 +66,39 @@
         ),
     ],
 )
-def test_records_have_the_bytes_that_version_1_has_always_had(record: StoredRecord, stored: bytes) -> None:
+def test_records_have_the_bytes_of_all_releases_of_version_1(record: StoredRecord, stored: bytes) -> None:
     """The literals were written before the attributes got names apart from the stored ones."""
     assert encode_record(record) == stored
     assert decode_record(type(record), stored) == record
 
 
-def test_records_of_other_types_versions_and_sizes_are_rejected() -> None:
+LEASE = FillLease(proxy="n", incarnation="p", cache="c", source="p", cache_started_at=0)
+LATER_VERSION = CacheLocation(cache="c", cache_started_at=0, rank=2, generated_at_ms=5, proxy="n", version=2)
+
+
+def test_record_is_decoded_to_what_was_encoded() -> None:
     assert decode_record(CacheLocation, encode_record(LOCATION)) == LOCATION
-    lease = FillLease(proxy="n", incarnation="p", cache="c", source="p", cache_started_at=0)
-    later = CacheLocation(cache="c", cache_started_at=0, rank=2, generated_at_ms=5, proxy="n", version=2)
-    wrong: list[object] = [
-        encode_record(lease),
-        encode_record(later),
-        None,
-        5,
-        b"x" * (MAX_RECORD_BYTES + 1),
-    ]
-    for data in wrong:
-        with pytest.raises(RecordError):
-            decode_record(CacheLocation, data)
-    for key in (b"", b"o:", b"g:x", b"g:-1", b"x:1", b"g:" + b"1" * 30):
-        with pytest.raises(RecordError):
-            InvalidationKey.read(key)
-
-
-def test_fields_are_shown_by_their_stored_names() -> None:
-    shown = {"type": "holder", "v": 1, "cache": "c", "started": 0, "rank": 2, "at_ms": 5, "by": "n1"}
-    assert msgspec.to_builtins(LOCATION) == shown
+
+
+@pytest.mark.parametrize(
+    "data",
+    [encode_record(LEASE), encode_record(LATER_VERSION), None, 5, b"x" * (MAX_RECORD_BYTES + 1)],
+    ids=["another type", "another version", "None", "an integer", "too many bytes"],
+)
+def test_data_that_is_not_a_record_of_the_type_is_rejected(data: object) -> None:
+    with pytest.raises(RecordError):
+        decode_record(CacheLocation, data)
+
+
+@pytest.mark.parametrize("key", [b"", b"o:", b"g:x", b"g:-1", b"x:1", b"g:" + b"1" * 30])
+def test_malformed_invalidation_key_is_rejected(key: bytes) -> None:
+    with pytest.raises(RecordError):
+        InvalidationKey.read(key)
+
+
+def test_builtins_of_a_record_have_its_stored_names() -> None:
+    stored = {"type": "holder", "v": 1, "cache": "c", "started": 0, "rank": 2, "at_ms": 5, "by": "n1"}
+    assert msgspec.to_builtins(LOCATION) == stored
 
 
 def test_error_says_what_was_found_and_what_is_allowed() -> None:
@@ -105,7 +110,7 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"-1", b"1.0", b"9" * 19, "7", None, 1.0])
-def test_what_is_no_integer_is_rejected(value: object) -> None:
+def test_value_that_is_not_an_integer_is_rejected(value: object) -> None:
     assert parse_integer(b"0017") == parse_integer(17) == 17
     with pytest.raises(RecordError):
         parse_integer(value)
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -1,4 +1,4 @@
-"""Stores that are slow, silent, lost, restored or full of strangers' records: requests go on without them."""
+"""Stores that are slow, unresponsive, empty, restored or full of malformed records: requests are served."""
 
 from __future__ import annotations
 
@@ -15,32 +15,38 @@
     for name, value in faults.items():
         setattr(branch.links["s0"], name, value)
     branch.load(200, 6 * SECOND)
+
     branch.run(10 * SECOND)
+
     assert branch.counts.served == branch.counts.requests
     assert not branch.counts.lease_conflicts
 
 
-def test_silent_store_costs_a_few_waits_and_then_none() -> None:
-    """Without the breaker each request for a new name would wait out its span."""
+def test_unresponsive_store_is_not_asked_by_requests_until_it_replies_again() -> None:
+    """Without the circuit breaker each request for a new name would wait until its timeout."""
     branch = make_branch(2)
     branch.load(100, 10 * SECOND)
     branch.run(2 * SECOND)
     branch.links["s0"].silent_until = branch.now + 6 * SECOND
     branch.run(SECOND)
     before = branch.counts.lookups
+
     branch.run(4 * SECOND)
+
     assert branch.counts.lookups == before
     assert all(
         proxy.coordinator and proxy.coordinator.stores["s0"].breaker.state is not BreakerState.CLOSED
         for proxy in branch.proxies
     )
+
     branch.run(5 * SECOND)
+
     assert all(proxy.coordinator and proxy.coordinator.stores["s0"].is_available for proxy in branch.proxies)
     assert branch.counts.served >= branch.counts.requests - 1
 
 
-def test_store_restored_from_before_an_invalidation_gives_no_hint_of_then() -> None:
-    """Guards against an old snapshot: its locations stand under a generation that no proxy has adopted."""
+def test_store_restored_from_before_an_invalidation_gives_no_hint_from_that_time() -> None:
+    """The snapshot's locations stand under a generation that all proxies have left."""
     branch = make_branch()
     branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
@@ -52,8 +58,10 @@
     branch.stores["s0"].go_back(SECOND // MS)
     assert [key for key in branch.stores["s0"].data if b":h:" in key]
     before = counted(branch, "hints_given")
+
     branch.request(branch.proxies[1], NAME)
     branch.run(SECOND)
+
     assert counted(branch, "hints_given") == before
     assert not branch.counts.served_invalidated
     assert counted(branch, "replies_rolled_back") + counted(branch, "replies_moved") >= 3
@@ -76,8 +84,10 @@
         ]
     )
     store.call([b"HSET", prefix + b"suspects", b"nobody", b"9999999999999"])
+
     branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
+
     assert branch.counts.served == 1
     assert counted(branch, "records_malformed") >= 3
     assert all(proxy.coordinator and proxy.coordinator.stores["s0"].is_available for proxy in branch.proxies)
@@ -87,34 +97,40 @@
     branch = make_branch(1)
     coordinator = branch.proxies[0].coordinator
     assert coordinator is not None
+
     for _ in range(100):
         key = b"t:%d:suspects" % coordinator.stores["s0"].generation
         branch.stores["s0"].call([b"HSET", key, b"nobody", b"9999999999999"])
         branch.run(SECOND)
+
     assert 1 <= branch.log_events["store_records_malformed"] <= 2
     assert counted(branch, "records_malformed") >= 100
 
 
-def test_lost_store_takes_only_its_own_names_along() -> None:
+def test_unresponsive_store_concerns_only_its_own_names() -> None:
     branch = make_branch(2, stores=3)
     branch.load(100, 4 * SECOND)
     branch.run(SECOND)
+
     branch.links["s1"].silent_until = branch.now + 60 * SECOND
     branch.run(4 * SECOND)
+
     for proxy in branch.proxies:
         assert proxy.coordinator is not None
-        ups = {name: store.is_available for name, store in proxy.coordinator.stores.items()}
-        assert ups == {"s0": True, "s1": False, "s2": True}
+        available = {name: store.is_available for name, store in proxy.coordinator.stores.items()}
+        assert available == {"s0": True, "s1": False, "s2": True}
     assert branch.counts.served == branch.counts.requests
 
 
 def test_reply_three_seconds_late_publishes_nothing() -> None:
-    """The lease may be ours: the fill goes on as without a store, and nothing is published of it."""
+    """Whether the lease was granted is unknown: the fill goes on as without a store, unpublished."""
     branch = make_branch()
     branch.links["s0"].span = (1500 * MS, 1500 * MS + 1)
+
     branch.request(branch.proxies[0], NAME)
     branch.run(900 * MS)
-    assert branch.counts.served == 1  # it waited for its 10 ms and no longer
+    assert branch.counts.served == 1  # after 10 ms of waiting for the store
+
     branch.run(4 * SECOND)
     assert branch.counts.leases <= 1
     assert not counted(branch, "lease_releases_confirmed")
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_a_transaction_fails_when_a_watched_key_changes(server: Server, protocol: int) -> None:
+def test_transaction_fails_when_a_watched_key_changes(server: Server, protocol: int) -> None:
     client = client_of(server, protocol)
     other = client_of(server, protocol)
     assert client.pipeline(transaction=True).set("a", 1).incr("a").execute() == [True, 2]
@@ -118,7 +118,7 @@
 
 
 def test_script_texts_are_those_of_the_released_version() -> None:
-    """Guards against proxies of two versions that load different scripts into one store."""
+    """Proxies of two versions load the same scripts into one store."""
     assert {name.name: digest for name, digest in DIGESTS.items()} == {
         "SYNC": "b9e6d594fecf6d8f4bfd0dd4327254c0ddd853e0",
         "LOOK_UP": "212e283ec3b23ca3da5099ed4adf343472bcd0fc",
@@ -130,7 +130,7 @@
     }
 
 
-def test_a_subscriber_gets_published_messages(server: Server) -> None:
+def test_subscriber_gets_published_messages(server: Server) -> None:
     client = client_of(server)
     subscriber = client.pubsub()
     subscriber.subscribe("news")
@@ -150,7 +150,7 @@
     assert client_of(server, password="new").ping()
 
 
-def test_a_silent_server_times_out_and_is_connected_to_again(server: Server) -> None:
+def test_unresponsive_server_times_out_and_is_connected_to_again(server: Server) -> None:
     client = client_of(server)
     client.set("a", "1")
     server.faults.silent = True
@@ -160,7 +160,7 @@
     assert client.ping()
 
 
-def test_a_paused_server_runs_what_it_got(server: Server) -> None:
+def test_paused_server_runs_the_commands_it_received(server: Server) -> None:
     client = client_of(server)
     assert client.ping()  # connected before the fault
     server.faults.pause = True
@@ -170,7 +170,7 @@
     assert client.get("a") == b"3"
 
 
-def test_a_full_or_read_only_server_rejects_writes(server: Server) -> None:
+def test_full_or_read_only_server_rejects_writes(server: Server) -> None:
     client = client_of(server)
     assert client.ping()  # connected before the fault
     server.faults.full = True
@@ -182,7 +182,7 @@
         client.set("b", "1")
 
 
-def test_a_command_whose_reply_was_cut_has_run(server: Server) -> None:
+def test_command_whose_reply_was_cut_has_run(server: Server) -> None:
     client = client_of(server)
     assert client.ping()  # connected before the fault
     server.faults.cut = 1.0
@@ -192,13 +192,13 @@
     assert client_of(server).get("a") == b"4"
 
 
-def test_a_server_that_refuses_connections_can_not_be_connected_to(server: Server) -> None:
+def test_server_that_refuses_connections_can_not_be_connected_to(server: Server) -> None:
     server.call(lambda: server.change({"refuse": True}))
     with pytest.raises(redis.ConnectionError):
         client_of(server).ping()
 
 
-def test_a_restored_snapshot_has_the_older_values(server: Server) -> None:
+def test_restored_snapshot_has_the_older_values(server: Server) -> None:
     client = client_of(server)
     client.set("a", "old")
     server.call(server.keyspace.snapshot)
@@ -218,7 +218,7 @@
         ('[{"at_s": 1, "silent": "x"}]', "silent"),
     ],
 )
-def test_a_faulty_schedule_is_rejected_with_its_entry(text: str, named: str) -> None:
+def test_faulty_schedule_is_rejected_with_its_entry(text: str, named: str) -> None:
     with pytest.raises(ScheduleError, match=named):
         read_schedule(text)
 
@@ -250,7 +250,7 @@
         return bool(client.ping())
 
 
-def test_a_certificate_of_another_authority_or_host_is_rejected(tmp_path: Path) -> None:
+def test_certificate_of_another_authority_or_host_is_rejected(tmp_path: Path) -> None:
     authority = trustme.CA()
     other_authority = trustme.CA()
     tls = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
