--- a/benchmarks/branch/lease_audit.py
+++ b/benchmarks/branch/lease_audit.py
@@ -84,7 +84,8 @@
             if is_running and self._is_held_by_another(holder, lookup):
                 self._counts.lease_overlaps += 1
                 self._counts.lease_conflicts += 1
-        expires_at = self._simulation.now + lookup.lease_duration_ms * MILLISECOND
+        assert lookup.lease is not None
+        expires_at = self._simulation.now + lookup.lease.duration_ms * MILLISECOND
         self._grants[key] = Grant(number, expires_at, incarnation)
 
     def _is_held_by_another(self, holder: LeaseHolder, lookup: messages.LookUp) -> bool:
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -13,9 +13,10 @@
 from olivepost import interface as api
 from olivepost.shared_store.commands import CommandTracker
 from olivepost.shared_store.context import CoordinatorContext
-from olivepost.shared_store.fill_leases import LeaseTable
+from olivepost.shared_store.fill_leases import FillLeases
 from olivepost.shared_store.generations import GenerationManager
 from olivepost.shared_store.invalidations import InvalidationExchange, KnownInvalidations
+from olivepost.shared_store.lease_table import LeaseTable
 from olivepost.shared_store.lookups import Lookups
 from olivepost.shared_store.malformed_records import MalformedRecords
 from olivepost.shared_store.messages import (
@@ -56,7 +57,8 @@
         self._malformed = MalformedRecords(context)
         self._generations = GenerationManager(context, self.commands, known_invalidations)
         self._invalidations = InvalidationExchange(context, self.commands, known_invalidations)
-        self._lookups = Lookups(context, self.commands, known_invalidations, self._malformed, self.leases)
+        fill_leases = FillLeases(context, self.commands, self.leases)
+        self._lookups = Lookups(context, self.commands, known_invalidations, self._malformed, fill_leases)
         self._quotas = QuotaExchange(context, self.commands, self._malformed)
         self._outliers = OutlierReports()
         exchanges = Exchanges(self._invalidations, self._quotas, self._outliers)
@@ -76,13 +78,13 @@
         """Returns for each type of event the method that handles it, with the time and the event."""
         return {
             LookupRequested: self._lookups.look_up,
-            LeaseReleased: self._lookups.release_lease,
+            LeaseReleased: self._lookups.end_request,
             StoreReply: self._handle_reply,
             ReplyLost: self._handle_lost_reply,
             InvalidationReceived: self._invalidations.publish,
             Tick: self._handle_tick,
             api.EndpointUpdate: self._update_endpoints,
-            api.ReportStaleHint: self._lookups.report_stale_hint,
+            api.ReportStaleHint: self._lookups.hints.report_stale_hint,
             api.RequestQuota: self._quotas.record_shortage,
             api.DonateQuota: self._quotas.donate,
             api.ReportOutlier: self._report_outlier,
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -1,137 +1,144 @@
-"""This proxy's fill leases: which fills it owns, with which fencing number, until when by its own clock.
+"""Fill leases by way of the stores: requests them with lookups, and releases them when their fills end.
 
-The store grants one lease a name, with a fencing number that only grows. What the owner finds out after its
-lease has expired, by its own clock or by the store's current number, is never published. No clock, no I/O.
+A lease that has expired, by the owner's clock or by the store's current number, publishes nothing. No clock,
+no I/O.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
-from heapq import heappop, heappush
+from dataclasses import dataclass
 
+from olivepost import interface as api
 from olivepost.shared_store.circuit_breaker import BreakerState
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
-from olivepost.shared_store.messages import LeaseReleased, PublishLocation, ReplyWord
-from olivepost.shared_store.records import CacheLocation, encode_record
+from olivepost.shared_store.lease_table import LeaseTable, OwnedLease
+from olivepost.shared_store.messages import (
+    LeaseReleased,
+    LeaseRequest,
+    LocationPublication,
+    PublishLocation,
+    ReplyType,
+)
+from olivepost.shared_store.records import CacheLocation, FillLease, encode_record
+from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import MILLISECOND, Instant
 
-MAX_LEASES = 8_192  # held at once; twice the commands that may be pending
-
 
 @dataclass(slots=True)
-class HeldLease:
-    """One lease that this proxy holds."""
+class PendingLease:
+    """A lease that was requested with a lookup, until the store's reply comes."""
 
-    request_id: str
-    name: str
-    store: str
+    lookup: api.LookUpHint
+    request: LeaseRequest
+    store: StoreHealth
     generation: int
-    stored: bytes  # number and record, as the store has them
-    fencing_number: int
-    cache: str
-    requested_at: Instant  # the store counts the duration from later
-    expires_at: Instant
-
-
-@dataclass(slots=True)
-class LeaseTable:
-    """Held leases by request, and by name the latest. Used by the coordinator's thread only."""
-
-    _by_request: dict[str, HeldLease] = field(default_factory=dict)
-    _by_name: dict[str, HeldLease] = field(default_factory=dict)
-    _expiries: list[tuple[int, str]] = field(default_factory=list)  # heap: when, and whose request
-
-    def __len__(self) -> int:
-        return len(self._by_request)
-
-    def add(self, lease: HeldLease) -> bool:
-        """Adds a lease; False where the name's fencing number did not grow, or the table is full."""
-        latest = self._by_name.get(lease.name)
-        if latest is not None and lease.fencing_number <= latest.fencing_number:
-            return False
-        if len(self._by_request) >= MAX_LEASES:
-            return False
-        self._by_request[lease.request_id] = lease
-        self._by_name[lease.name] = lease
-        heappush(self._expiries, (lease.expires_at, lease.request_id))
-        return True
-
-    def find_active(self, now: Instant, name: str, generation: int) -> HeldLease | None:
-        """Returns the lease of a name that this proxy still holds."""
-        lease = self._by_name.get(name)
-        if lease is None or now >= lease.expires_at or lease.generation != generation:
-            return None
-        return lease
-
-    def pop(self, request_id: str) -> HeldLease | None:
-        """Takes out the lease of a request that is over."""
-        lease = self._by_request.pop(request_id, None)
-        if lease is not None and self._by_name.get(lease.name) is lease:
-            del self._by_name[lease.name]
-        return lease
+    requested_at: Instant
+    release: LeaseReleased | None = None  # set where the lookup's request ended before the reply came
 
-    def drop_expired(self, now: Instant) -> int:
-        """Drops leases that have expired; returns their number."""
-        dropped = 0
-        while self._expiries and self._expiries[0][0] <= now:
-            _, request_id = heappop(self._expiries)
-            if self.pop(request_id) is not None:
-                dropped += 1
-        return dropped
 
+class FillLeases:
+    """Requests, acquires and releases leases. Used by the coordinator's thread only."""
 
-class LeasePublisher:
-    """Releases leases and publishes what came of their fills. Used by the coordinator's thread only."""
-
-    def __init__(self, context: CoordinatorContext, commands: CommandTracker, leases: LeaseTable) -> None:
+    def __init__(self, context: CoordinatorContext, commands: CommandTracker, table: LeaseTable) -> None:
         self._context = context
         self._commands = commands
-        self._leases = leases
+        self._table = table
+        self._pending: dict[str, PendingLease] = {}  # by request id, the latest of each
 
-    def release(self, now: Instant, event: LeaseReleased) -> bool:
-        """Releases the lease of a request that is over; False where the request holds none.
+    def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
+        """Returns the lease of a name that this proxy still owns."""
+        return self._table.find_active(now, name, generation)
 
-        Publishes the cache location that came of the fill, or just frees the name for others.
-        """
-        lease = self._leases.pop(event.release.request_id)
-        if lease is None:
-            return False
+    def create_request(self, lookup: api.LookUpHint, source: str) -> LeaseRequest:
+        """Returns the request for the lease of a lookup, as the store gets it."""
+        terms = self._context.terms
+        lease = FillLease(
+            proxy=terms.proxy,
+            incarnation=terms.incarnation,
+            cache=lookup.cache,
+            source=source,
+            cache_started_at=self._context.endpoints.started_at(lookup.cache),
+        )
+        duration_ms = max(1, min(lookup.lease_duration, terms.max_lease_duration) // MILLISECOND)
+        self._context.counts["leases_requested"] += 1
+        return LeaseRequest(encode_record(lease), duration_ms)
+
+    def add_pending(self, pending: PendingLease) -> None:
+        """Records that the reply to a request for a lease is pending."""
+        self._pending[pending.lookup.request_id] = pending
+
+    def remove_pending(self, pending: PendingLease) -> None:
+        """Records that the reply came or is lost."""
+        request_id = pending.lookup.request_id
+        if self._pending.get(request_id) is pending:
+            del self._pending[request_id]
+
+    def acquire(self, pending: PendingLease, fencing_number: int) -> bool:
+        """Adds a lease that the store granted; False where a later one of the name is known."""
+        lookup = pending.lookup
+        lease = OwnedLease(
+            request_id=lookup.request_id,
+            name=lookup.name,
+            store=pending.store.name,
+            generation=pending.generation,
+            stored=b"%d %b" % (fencing_number, pending.request.record),
+            fencing_number=fencing_number,
+            cache=lookup.cache,
+            requested_at=pending.requested_at,
+            expires_at=pending.requested_at + pending.request.duration_ms * MILLISECOND,
+        )
+        is_added = self._table.add(lease)
+        self._context.counts["leases_granted" if is_added else "leases_fenced"] += 1
+        return is_added
+
+    def release(self, now: Instant, event: LeaseReleased) -> None:
+        """Releases the lease of a request that has ended, or defers that until the store's reply comes."""
+        request_id = event.release.request_id
+        lease = self._table.pop(request_id)
+        if lease is not None:
+            self._release_owned(now, lease, event)
+            return
+        pending = self._pending.get(request_id)
+        if pending is not None:
+            pending.release = event
+
+    def _release_owned(self, now: Instant, lease: OwnedLease, event: LeaseReleased) -> None:
+        """Publishes the cache location that the fill led to, or just frees the name for others."""
         if now >= lease.expires_at:
             self._context.counts["leases_expired"] += 1
-            return True
+            return
         store = self._context.stores[lease.store]
         if store.generation == lease.generation and store.breaker.state is not BreakerState.OPEN:
-            operation = self._publication(lease, event)
-            self._commands.send(now, store, operation, self._on_released)
-        return True
+            self._commands.send(now, store, self._publication(lease, event), self._on_released)
 
-    def _publication(self, lease: HeldLease, event: LeaseReleased) -> PublishLocation:
-        terms = self._context.terms
-        cache = event.release.cache
-        record = b""
-        generated_at_ms = 0
-        if cache is not None and terms.locations_enabled:
-            generated_at_ms = event.generated_at_ms or lease.requested_at // MILLISECOND
-            location = CacheLocation(
-                cache=cache,
-                cache_started_at=self._context.endpoints.started_at(cache),
-                rank=event.release.rank,
-                generated_at_ms=generated_at_ms,
-                proxy=terms.proxy,
-            )
-            record = encode_record(location)
+    def _publication(self, lease: OwnedLease, event: LeaseReleased) -> PublishLocation:
         return PublishLocation(
-            lease.generation,
-            lease.name,
-            lease.stored,
-            record,
-            generated_at_ms,
-            terms.location_lifetime // MILLISECOND,
+            generation=lease.generation,
+            name=lease.name,
+            lease=lease.stored,
+            location=self._location(lease, event),
+            lifetime_ms=self._context.terms.location_lifetime // MILLISECOND,
+        )
+
+    def _location(self, lease: OwnedLease, event: LeaseReleased) -> LocationPublication | None:
+        cache = event.release.cache
+        if cache is None or not self._context.terms.locations_enabled:
+            return None
+        generated_at_ms = event.generated_at_ms
+        if generated_at_ms is None:
+            generated_at_ms = lease.requested_at // MILLISECOND
+        location = CacheLocation(
+            cache=cache,
+            cache_started_at=self._context.endpoints.started_at(cache),
+            rank=event.release.rank,
+            generated_at_ms=generated_at_ms,
+            proxy=self._context.terms.proxy,
         )
+        return LocationPublication(encode_record(location), generated_at_ms)
 
     def _on_released(self, _now: Instant, values: ReplyValues | None) -> None:
-        if values and values[0] == ReplyWord.RELEASED:
+        if values and values[0] == ReplyType.RELEASED:
             self._context.counts["lease_releases_confirmed"] += 1
         else:
             self._context.counts["lease_releases_unconfirmed"] += 1
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -85,7 +85,8 @@
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant) -> None:
         """Releases a fill lease; `generated_at` is that of the response in Unix nanoseconds, 0: unknown."""
-        self._queue_event(messages.LeaseReleased(release, generated_at // MILLISECOND))
+        generated_at_ms = generated_at // MILLISECOND if generated_at else None
+        self._queue_event(messages.LeaseReleased(release, generated_at_ms))
 
     def notify(
         self,
--- /dev/null
+++ b/olivepost/shared_store/location_hints.py
@@ -0,0 +1,66 @@
+"""Hints at cache locations: which location a request was given, and reports of those that are stale."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from olivepost import interface as api
+from olivepost.shared_store.commands import MAX_PENDING_COMMANDS, CommandTracker, ReplyValues
+from olivepost.shared_store.context import CoordinatorContext
+from olivepost.shared_store.messages import ReportStaleLocation
+from olivepost.shared_store.store_health import StoreHealth
+from olivepost.units import Instant
+
+MAX_HINTS = MAX_PENDING_COMMANDS  # remembered; for most of them no report ever comes
+STALE_HINT_REPORTS = 1  # counted where the hinted cache did not have the object
+UNUSABLE_LOCATION_REPORTS = 2  # counted where no proxy can use a location: as many delete it at once
+
+
+class LocationHint(NamedTuple):
+    """The cache location that a request was given."""
+
+    store: StoreHealth
+    generation: int
+    name: str
+    record: bytes
+
+
+class LocationHints:
+    """The latest hints, by request. Used by the coordinator's thread only."""
+
+    def __init__(self, context: CoordinatorContext, commands: CommandTracker) -> None:
+        self._context = context
+        self._commands = commands
+        self._hints: dict[str, LocationHint] = {}  # the oldest first
+
+    def add(self, request_id: str, hint: LocationHint) -> None:
+        """Remembers the hint of a request; the oldest ones are forgotten beyond the bound."""
+        while len(self._hints) >= MAX_HINTS:
+            del self._hints[next(iter(self._hints))]
+        self._hints[request_id] = hint
+
+    def forget(self, request_id: str) -> None:
+        """Forgets the hint of a request that has ended."""
+        self._hints.pop(request_id, None)
+
+    def report_stale_hint(self, now: Instant, event: api.ReportStaleHint) -> None:
+        """The cache that a hint named does not have the object."""
+        hint = self._hints.pop(event.request_id, None)
+        if hint is None:
+            return
+        self._context.counts["hints_stale"] += 1
+        if hint.generation == hint.store.generation:
+            self._report(now, hint.store, hint.name, hint.record, STALE_HINT_REPORTS)
+
+    def report_unusable(self, now: Instant, store: StoreHealth, name: str, record: bytes) -> None:
+        """No proxy can use a location: it was invalidated, or its cache has restarted or was removed."""
+        self._report(now, store, name, record, UNUSABLE_LOCATION_REPORTS)
+
+    def _report(self, now: Instant, store: StoreHealth, name: str, record: bytes, reports: int) -> None:
+        if store.is_available:
+            operation = ReportStaleLocation(store.generation, name, record, reports)
+            self._commands.send(now, store, operation, _ignore_reply)
+
+
+def _ignore_reply(_now: Instant, _values: ReplyValues | None) -> None:
+    """Nothing follows, whatever the store replies."""
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -1,7 +1,7 @@
 """Messages of the shared store's decision part: store operations, events and actions. Types only.
 
-Times are whole nanoseconds on the proxy's own clock. Names that end in `_ms` are Unix milliseconds or spans
-in milliseconds; the former come from other clocks (the platform's coordinator, the origin, other proxies).
+Names that end in `_ms` are Unix milliseconds or spans in milliseconds; the former come from other clocks (the
+platform's coordinator, the origin, other proxies).
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from olivepost import interface as api
-from olivepost.units import Duration
+from olivepost.units import MILLISECOND, SECOND, Duration
 
 # Store operations. Each carries the generation that the proxy has adopted; a store of another generation
 # does nothing but return its own.
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncOperation:
-    """The periodic exchange: a heartbeat, this proxy's requests and reports, what is new of all others.
+    """The periodic exchange: sends a heartbeat with requests and reports, reads those of other proxies.
 
     `quota_requests` are fields with their records; `outliers` are the ids of endpoints that this proxy has
     ejected; `last_invalidation` is the number of the last invalidation read.
@@ -44,44 +44,56 @@
     outliers: tuple[str, ...] = ()
 
 
+class LeaseRequest(NamedTuple):
+    """The record of a fill lease to acquire, and its duration."""
+
+    record: bytes
+    duration_ms: int
+
+
 @dataclass(frozen=True, slots=True)
 class LookUp:
     """Which cache has or fills a name.
 
-    With `record`, the fill lease is acquired for `lease_duration_ms` where no other proxy holds it.
-    `invalidation_keys` are those of invalidations that concern the name.
+    With a lease request, the fill lease is acquired where no other proxy has it. `invalidation_keys` are
+    those of invalidations that concern the name.
     """
 
     generation: int
     name: str
     invalidation_keys: tuple[str, ...]
-    record: bytes = b""
-    lease_duration_ms: int = 0
+    lease: LeaseRequest | None = None
+
+
+class LocationPublication(NamedTuple):
+    """The record of a cache location to publish, and when its response was generated."""
+
+    record: bytes
+    generated_at_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class PublishLocation:
     """Releases the fill lease `lease` if it is the current one.
 
-    With `record`, the name's cache location is published too, and kept for `keep_ms`.
+    The name's cache location is published too, if there is one, and kept for `lifetime_ms`.
     """
 
     generation: int
     name: str
     lease: bytes
-    record: bytes = b""
-    at_ms: int = 0
-    keep_ms: int = 0
+    location: LocationPublication | None
+    lifetime_ms: int
 
 
 @dataclass(frozen=True, slots=True)
 class ReportStaleLocation:
-    """Counts `times` reports that a cache location is stale; at two the store drops it."""
+    """Counts `reports` that a cache location is stale; at two the store deletes it."""
 
     generation: int
     name: str
     record: bytes
-    times: int
+    reports: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,8 +138,8 @@
 )
 
 
-class ReplyWord(bytes, Enum):
-    """The first value of a reply, as the store's scripts return it."""
+class ReplyType(bytes, Enum):
+    """What a reply is about: its first value, as the store's scripts return it."""
 
     LEASE_GRANTED = b"mine"
     LEASE_TAKEN = b"taken"
@@ -151,13 +163,13 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """A request that asked for a fill lease is over.
+    """A request that asked for a fill lease has ended.
 
-    `generated_at_ms` is when its response was generated; 0: unknown.
+    `generated_at_ms` is when its response was generated; None: unknown.
     """
 
     release: api.ReleaseLease
-    generated_at_ms: int = 0
+    generated_at_ms: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -227,7 +239,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyRouter:
-    """Hand an event to the router."""
+    """Pass an event to the router."""
 
     event: api.Event
 
@@ -245,7 +257,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SharingTerms:
-    """What the operator and the platform set for this proxy's use of shared stores; spans in nanoseconds."""
+    """How this proxy uses shared stores, by the operator's and the platform's settings."""
 
     proxy: str
     incarnation: str  # of this process, different from all earlier ones of the same proxy
@@ -253,12 +265,12 @@
     reply_timeout: Duration  # a later reply is of no use to a request, and counts as a failure
     sync_interval: Duration
     leases_enabled: bool = True
-    max_lease_duration: Duration = 10_000_000_000
+    max_lease_duration: Duration = 10 * SECOND
     locations_enabled: bool = True
-    location_lifetime: int = 60_000_000_000
+    location_lifetime: Duration = 60 * SECOND
     invalidations_enabled: bool = True
     quota_transfers_enabled: bool = True
-    quota_duration: Duration = 1_900_000_000
+    quota_duration: Duration = 1_900 * MILLISECOND
     outlier_reports_enabled: bool = True
-    min_trial_delay: Duration = 100_000_000
-    max_trial_delay: Duration = 1_000_000_000
+    min_trial_delay: Duration = 100 * MILLISECOND
+    max_trial_delay: Duration = 1 * SECOND
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -10,7 +10,7 @@
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import GrantQuota, ReplyWord
+from olivepost.shared_store.messages import GrantQuota, ReplyType
 from olivepost.shared_store.quota_transfers import Donation, QuotaTransfers
 from olivepost.shared_store.records import (
     QuotaGrant,
@@ -124,7 +124,7 @@
             return
         request = donation.request
         self._transfers.close(request.nonce)
-        if values[0] == ReplyWord.NOT_REQUESTED and now < donation.expires_at:
+        if values[0] == ReplyType.NOT_REQUESTED and now < donation.expires_at:
             self._context.counts["quota_grants_returned"] += 1
             self._context.notify_router(api.QuotaReceived(request.key, donation.amount, donation.expires_at))
 
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -14,6 +14,8 @@
 from olivepost.shared_store.records import RecordError, parse_integer
 
 MAX_EXCERPT_LENGTH = 60  # characters of an unreadable reply in the log
+NO_LEASE = (0, b"")  # duration and record, for a lookup that requests no lease
+NO_LOCATION = messages.LocationPublication(b"", 0)  # for a release that publishes nothing
 HEADER_LENGTH = 2  # values that every reply begins with: generation and serial
 
 
@@ -62,23 +64,24 @@
         case messages.SyncOperation():
             return ScriptCall(ScriptName.SYNC, key, (*common, *_sync_arguments(operation)))
         case messages.LookUp():
-            lease = (operation.lease_duration_ms, operation.record)
+            request = operation.lease
+            lease = NO_LEASE if request is None else (request.duration_ms, request.record)
             keys = operation.invalidation_keys
             return ScriptCall(ScriptName.LOOK_UP, key, (*common, operation.name, *lease, *keys))
         case messages.PublishLocation():
-            lease_fields = (operation.name, operation.lease)
-            location = (operation.record, operation.at_ms, operation.keep_ms)
-            return ScriptCall(ScriptName.RELEASE_LEASE, key, (*common, *lease_fields, *location))
+            location = operation.location or NO_LOCATION
+            release = (operation.name, operation.lease, *location, operation.lifetime_ms)
+            return ScriptCall(ScriptName.RELEASE_LEASE, key, (*common, *release))
         case messages.ReportStaleLocation():
-            report = (operation.name, operation.record, operation.times)
+            report = (operation.name, operation.record, operation.reports)
             return ScriptCall(ScriptName.REPORT_STALE, key, (*common, *report))
         case messages.PublishInvalidations():
             rows: list[Argument] = [field for row in operation.rows for field in row]
             return ScriptCall(ScriptName.INVALIDATE, key, (*common, *rows))
         case messages.GrantQuota():
-            request = (operation.request_field, operation.nonce, operation.recipient)
+            recipient = (operation.request_field, operation.nonce, operation.recipient)
             grant = (repr(operation.amount), operation.record)
-            return ScriptCall(ScriptName.GRANT_QUOTA, key, (*common, *request, *grant))
+            return ScriptCall(ScriptName.GRANT_QUOTA, key, (*common, *recipient, *grant))
 
 
 def _sync_arguments(operation: messages.SyncOperation) -> tuple[Argument, ...]:
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -133,7 +133,7 @@
         if name == "c":
             store.go_back(0)
         branch.now += MS
-        look = ev.LookUp(generation, name, ("o:x", "g:1"), b"record", 1_000)
+        look = ev.LookUp(generation, name, ("o:x", "g:1"), ev.LeaseRequest(b"record", 1_000))
         reply = branch.run_script(branch.proxies[0], ev.StoreCommand(1, "s0", look))
         assert isinstance(reply, ev.StoreReply)
         assert reply.values[0] == b"mine"
@@ -200,7 +200,7 @@
     (generation,) = {proxy.coordinator.stores["s0"].generation for proxy in made.proxies if proxy.coordinator}
     claims = []
     for proxy in made.proxies[:2]:
-        look = ev.LookUp(generation, "n", ("o:x", "g:1"), b"record", 500)
+        look = ev.LookUp(generation, "n", ("o:x", "g:1"), ev.LeaseRequest(b"record", 500))
         reply = made.run_script(proxy, ev.StoreCommand(1, "s0", look))
         assert isinstance(reply, ev.StoreReply)
         assert reply.values[0] == b"mine"
@@ -208,7 +208,7 @@
         made.now += 600 * MS
         made.now -= 200 * MS if len(claims) == 2 else 0
     for claim, word in ((claims[0], b"lost"), (claims[1], b"done"), (claims[1], b"lost")):
-        settle = ev.PublishLocation(generation, "n", claim, b"holder", 5, 1_000)
+        settle = ev.PublishLocation(generation, "n", claim, ev.LocationPublication(b"holder", 5), 1_000)
         script = scripts.encode_operation(settle, "t", "x")
         words = [w if isinstance(w, bytes) else str(w).encode() for w in script.arguments]
         text = scripts.SCRIPT_TEXTS[script.name].encode()
--- a/tests/shared_store/test_fill_leases.py
+++ b/tests/shared_store/test_lease_table.py
@@ -1,17 +1,18 @@
-"""Held fill leases: fencing numbers that grow, and expiry by the owner's clock."""
+"""Owned fill leases: fencing numbers that grow, and expiry by the owner's clock."""
 
 from __future__ import annotations
 
-from olivepost.shared_store.fill_leases import HeldLease, LeaseTable
+from olivepost.shared_store.lease_table import LeaseTable, OwnedLease
 from tests.router_harness import MS, SECOND
 
 
-def lease(request_id: str, fencing_number: int, expires_at: int = SECOND) -> HeldLease:
-    return HeldLease(request_id, "name", "s0", 7, b"stored", fencing_number, "c0", 0, expires_at)
+def lease(request_id: str, fencing_number: int, expires_at: int = SECOND) -> OwnedLease:
+    return OwnedLease(request_id, "name", "s0", 7, b"stored", fencing_number, "c0", 0, expires_at)
 
 
 def test_lease_whose_fencing_number_did_not_grow_is_dropped() -> None:
     leases = LeaseTable()
+
     assert leases.add(lease("r1", 5))
     assert not leases.add(lease("r2", 5))
     assert not leases.add(lease("r3", 4))
@@ -21,9 +22,11 @@
 
 def test_lease_is_active_until_it_expires_and_in_its_generation_only() -> None:
     leases = LeaseTable()
-    held = lease("r1", 5)
-    leases.add(held)
-    assert leases.find_active(SECOND - 1, "name", 7) is held
+    owned = lease("r1", 5)
+
+    leases.add(owned)
+
+    assert leases.find_active(SECOND - 1, "name", 7) is owned
     assert leases.find_active(SECOND, "name", 7) is None
     assert leases.find_active(0, "name", 8) is None
     assert leases.drop_expired(SECOND - 1) == 0
@@ -37,5 +40,6 @@
     latest = lease("r2", 6, 2 * SECOND)
     leases.add(earlier)
     leases.add(latest)
+
     assert leases.pop("r1") is earlier
     assert leases.find_active(MS, "name", 7) is latest
