--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -10,7 +10,7 @@
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import GrantQuota, ReplyWord
+from olivepost.shared_store.messages import GrantQuota, ReplyType
 from olivepost.shared_store.quota_keys import encode_quota_key, parse_quota_key
 from olivepost.shared_store.quota_transfers import Donation, QuotaTransfers
 from olivepost.shared_store.records import (
@@ -89,7 +89,7 @@
             key = parse_quota_key(request.key)
             if key is None:  # of a version that shares more quotas: nothing of it can be donated here
                 continue
-            transfer_id = self._context.next_ticket()
+            transfer_id = self._context.issue_ticket()
             donation = self._transfers.offer(now, transfer_id, requested.field, request)
             if donation is not None:
                 self._donating[transfer_id] = store
@@ -128,7 +128,7 @@
             return
         request = donation.request
         self._transfers.close(request.nonce)
-        if values[0] == ReplyWord.NOT_REQUESTED and now < donation.expires_at:
+        if values[0] == ReplyType.NOT_REQUESTED and now < donation.expires_at:
             self._context.counts["quota_grants_returned"] += 1
             self._notify_received(request.key, donation.amount, donation.expires_at)
 
