--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -116,7 +116,7 @@
             self._resources.log.increment(match.value)
             return
         self._request = match
-        if line.status == "HIT":
+        if line.status == "HIT" and line.body_length is not None:
             self._reserve_body(match, line.body_length)
 
     def _reserve_body(self, request: UpstreamRequest, length: int) -> None:
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -52,7 +52,7 @@
     timer_id: int = 0  # of the event loop's timer for its timeout
 
     def discard_body(self) -> None:
-        """Release what has been read of its response."""
+        """Releases what has been read of its response."""
         if self.body is not None:
             self.body.release()
             self.body = None
--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -22,30 +22,34 @@
 
 
 @pytest.fixture
-def closed_by_endpoint(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """The endpoint closes its first connection before a request is written; its reader is late to see it."""
-    gate, first, connect = threading.Event(), threading.Event(), sockets.connect
+def may_notice_close(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
+    """The first upstream connection is closed by its endpoint before a request is written.
 
-    def ended(*args: Any) -> socket.socket:
+    Its reader does not notice before the event is set.
+    """
+    may_notice = threading.Event()
+    has_connected = threading.Event()
+    connect = sockets.connect
+    run_reader = ConnectionReader.run
+
+    def connect_and_wait_for_close(*args: Any) -> socket.socket:
         sock = connect(*args)
-        if threading.current_thread().name.startswith("upstream-writer-") and not first.is_set():
-            first.set()
-            until = time.monotonic() + WAIT_TIMEOUT_S
-            while not sockets.is_closed_by_peer(sock) and time.monotonic() < until:
+        if threading.current_thread().name.startswith("upstream-writer-") and not has_connected.is_set():
+            has_connected.set()
+            wait_until = time.monotonic() + WAIT_TIMEOUT_S
+            while not sockets.is_closed_by_peer(sock) and time.monotonic() < wait_until:
                 threading.Event().wait(0.001)
         return sock
 
-    read = ConnectionReader.run
-
-    def late(self: ConnectionReader, sock: socket.socket) -> None:
+    def run_reader_late(self: ConnectionReader, sock: socket.socket) -> None:
         if sockets.is_closed_by_peer(sock):
-            gate.wait(WAIT_TIMEOUT_S)
-        read(self, sock)
+            may_notice.wait(WAIT_TIMEOUT_S)
+        run_reader(self, sock)
 
-    monkeypatch.setattr(sockets, "connect", ended)
-    monkeypatch.setattr(ConnectionReader, "run", late)
-    yield gate
-    gate.set()
+    monkeypatch.setattr(sockets, "connect", connect_and_wait_for_close)
+    monkeypatch.setattr(ConnectionReader, "run", run_reader_late)
+    yield may_notice
+    may_notice.set()
 
 
 @pytest.fixture
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -55,19 +55,20 @@
 
 
 class DelayedConnects:
-    """Upstream connections are established once the gate is set."""
+    """Upstream connections are established once `may_connect` is set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.gate, self.begun = threading.Event(), threading.Event()
+        self.may_connect = threading.Event()
+        self.has_started = threading.Event()
         connect = sockets.connect
 
-        def late(*args: Any) -> socket.socket:
+        def connect_late(*args: Any) -> socket.socket:
             if threading.current_thread().name.startswith("upstream-writer-"):
-                self.begun.set()
-                self.gate.wait(WAIT_TIMEOUT_S)
+                self.has_started.set()
+                self.may_connect.wait(WAIT_TIMEOUT_S)
             return connect(*args)
 
-        monkeypatch.setattr(sockets, "connect", late)
+        monkeypatch.setattr(sockets, "connect", connect_late)
 
 
 def settings_with_idempotency(effect: str, **changes: Any) -> dict[str, Any]:
@@ -78,19 +79,21 @@
 
 
 class DelayedAborts:
-    """Aborts are written once the gate is set; with `resets`, their connection is reset instead."""
+    """Aborts are written once `may_abort` is set; with `is_reset`, their connection is reset instead."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.gate, self.resets, send = threading.Event(), False, ConnectionWriter._send
+        self.may_abort = threading.Event()
+        self.is_reset = False
+        send = ConnectionWriter._send
 
-        def late(writer: ConnectionWriter, sock: socket.socket, data: bytes, call: Any) -> None:
+        def send_abort_late(writer: ConnectionWriter, sock: socket.socket, data: bytes, request: Any) -> None:
             if data.startswith(b"abort"):
-                self.gate.wait(WAIT_TIMEOUT_S)
-                if self.resets:
+                self.may_abort.wait(WAIT_TIMEOUT_S)
+                if self.is_reset:
                     raise ConnectionError("reset by the endpoint")
-            send(writer, sock, data, call)
+            send(writer, sock, data, request)
 
-        monkeypatch.setattr(ConnectionWriter, "_send", late)
+        monkeypatch.setattr(ConnectionWriter, "_send", send_abort_late)
 
 
 def draining_entries(proxy: ProxyHarness, count: int) -> list[dict[str, Any]]:
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -150,12 +150,12 @@
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 1)
-        assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
+        assert delayed_connects.has_started.wait(WAIT_TIMEOUT_S)
         ending, began = start_shutdown(proxy)
         assert client.read_response()[0] == 503
         assert proxy.parts.clock.now() < began + KILLED_AFTER
         ending.join(WAIT_TIMEOUT_S)
-        delayed_connects.gate.set()
+        delayed_connects.may_connect.set()
         assert no_attempt_was_sent(proxy)
 
 
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/upstream/test_connections.py
@@ -1,4 +1,4 @@
-"""Upstream connections: many requests on each, and what may cross their close."""
+"""Upstream connections: many requests on each, and races with aborts and closes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from olivepost.proxy import sockets
 from olivepost.proxy.upstream.connection import UpstreamConnection
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
-from olivepost.units import SECOND
+from olivepost.units import MILLISECOND, SECOND
 from tests.proxy.fakes import (
     MS,
     UNCACHED_NAME,
@@ -33,21 +33,21 @@
 )
 
 
-def test_responses_may_come_in_any_order_on_one_connection() -> None:
-    kept: list[Command] = []
+def test_responses_on_one_connection_may_come_in_any_order() -> None:
+    received: list[Command] = []
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        kept.append(command)
-        if len(kept) == 6:
-            for held in reversed(kept):
-                respond_normally(endpoint, held)
+        received.append(command)
+        if len(received) == 6:
+            for waiting in reversed(received):
+                respond_normally(endpoint, waiting)
 
     with running_proxy(reply) as proxy:
         clients = [proxy.connect() for _ in range(6)]
-        for piece, client in enumerate(clients):
-            client.send(HttpClient.encode_request(part=piece, timeout_ms=15_000))
-        for piece, client in enumerate(clients):
-            assert client.read_response()[2] == body_of(OBJECT_NAME, str(piece))
+        for part, client in enumerate(clients):
+            client.send(HttpClient.encode_request(part=part, timeout_ms=15_000))
+        for part, client in enumerate(clients):
+            assert client.read_response()[2] == body_of(OBJECT_NAME, str(part))
             client.sock.close()
 
 
@@ -60,8 +60,8 @@
             respond_normally(endpoint, command)
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        for piece in range(12):
-            assert client.request(part=piece)[2] == body_of(OBJECT_NAME, str(piece))
+        for part in range(12):
+            assert client.request(part=part)[2] == body_of(OBJECT_NAME, str(part))
         assert proxy.counter("upstream_connections_lost") == 0
         assert proxy.counter("unmatched_responses") >= 12
         assert proxy.wait_until(lambda: proxy.counter("duplicate_responses") >= 11)
@@ -77,30 +77,30 @@
             command.respond("NONE")
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        for piece in range(6):
-            assert client.request(UNCACHED_NAME, part=piece)[2] == body_of(UNCACHED_NAME, str(piece))
+        for part in range(6):
+            assert client.request(UNCACHED_NAME, part=part)[2] == body_of(UNCACHED_NAME, str(part))
         assert len(proxy.wait_for_fetches(12)) == 12
         assert proxy.counter("attempts_not_cached") == 6
 
 
 def test_slow_endpoint_that_is_alive_keeps_its_connection() -> None:
-    gate = threading.Event()
-    held: list[Command] = []
+    has_been_checked = threading.Event()
+    received: list[Command] = []
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "fetch":
-            held.append(command)
-            if gate.is_set():
+            received.append(command)
+            if has_been_checked.is_set():
                 respond_normally(endpoint, command)
         else:
             respond_normally(endpoint, command)
             if len(endpoint.received("alive")) >= 2:
-                gate.set()
-                for waiting in held:
+                has_been_checked.set()
+                for waiting in received:
                     respond_normally(endpoint, waiting)
 
     with (
-        running_proxy(reply, bounds={"liveness_check_delay": 100_000_000}) as proxy,
+        running_proxy(reply, bounds={"liveness_check_delay": 100 * MILLISECOND}) as proxy,
         proxy.connect() as client,
     ):
         assert client.request(timeout_ms=15_000)[2] == body_of(OBJECT_NAME, "3")
@@ -109,13 +109,13 @@
 
 
 def test_response_that_crosses_its_abort_is_dropped() -> None:
-    kept: list[Command] = []
+    received: list[Command] = []
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        if command.verb == "fetch" and not kept:
-            kept.append(command)
+        if command.verb == "fetch" and not received:
+            received.append(command)
         elif command.verb == "abort":
-            respond_normally(endpoint, kept[0])
+            respond_normally(endpoint, received[0])
         else:
             respond_normally(endpoint, command)
 
@@ -131,7 +131,7 @@
 
 def test_all_upstream_connections_together_are_bounded() -> None:
     with running_proxy(bounds={"max_upstream_connections": 1}) as proxy, proxy.connect() as client:
-        assert {client.request(part=piece, timeout_ms=15_000)[0] for piece in range(12)} <= {200, 503}
+        assert {client.request(part=part, timeout_ms=15_000)[0] for part in range(12)} <= {200, 503}
         assert proxy.counter("upstream_connections_opened") == 1
         assert proxy.counter("upstream_connections_full") >= 1
 
@@ -145,7 +145,7 @@
 
 
 def test_request_is_not_written_to_a_connection_that_its_endpoint_has_closed(
-    closed_by_endpoint: threading.Event, monkeypatch: pytest.MonkeyPatch
+    may_notice_close: threading.Event, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Once written it may have been executed, and a non-idempotent request could only fail."""
     monkeypatch.setattr("tests.proxy_harness.ToyEndpoint", ClosingEndpoint)
@@ -153,39 +153,42 @@
         running_proxy(settings=settings_with_idempotency("non_idempotent")) as proxy,
         proxy.connect() as client,
     ):
-        threading.Timer(0, closed_by_endpoint.wait, (0.2,)).start()
-        ask = threading.Thread(target=client.send, args=(HttpClient.encode_request(timeout_ms=15_000),))
-        ask.start()
+        threading.Timer(0, may_notice_close.wait, (0.2,)).start()
+        data = HttpClient.encode_request(timeout_ms=15_000)
+        sending = threading.Thread(target=client.send, args=(data,))
+        sending.start()
         assert proxy.wait_until(
             lambda: (
                 proxy.counter("upstream_connections_lost") >= 1
                 or proxy.counter("upstream_connections_opened") >= 1
             )
         )
-        closed_by_endpoint.set()
+        may_notice_close.set()
         assert client.read_response()[0] == 200
-        ask.join(WAIT_TIMEOUT_S)
+        sending.join(WAIT_TIMEOUT_S)
 
 
-def test_retry_that_is_connected_after_its_window_is_not_sent(delayed_connects: DelayedConnects) -> None:
-    """Rule 2 counts the first byte: a late connection must not carry it past the window."""
+def test_retry_whose_connection_is_established_after_its_window_is_not_sent(
+    delayed_connects: DelayedConnects,
+) -> None:
+    """The idempotency window ends before the first byte would be written on a late connection."""
     with (
         running_proxy(settings=settings_with_idempotency("idempotency_key", window=5 * SECOND)) as proxy,
         proxy.connect() as client,
     ):
-        send = proxy.parts.upstream.forward
+        forward = proxy.parts.upstream.forward
 
-        def sent(request: UpstreamRequest) -> None:
-            proxy.parts.upstream.forward = send  # type: ignore[method-assign]
+        def forward_with_bound(request: UpstreamRequest) -> None:
+            proxy.parts.upstream.forward = forward  # type: ignore[method-assign]
             request.start_before = proxy.parts.clock.now() + 50 * MS  # as the router sets it for a retry
-            send(request)
+            forward(request)
 
-        proxy.parts.upstream.forward = sent  # type: ignore[method-assign]
+        proxy.parts.upstream.forward = forward_with_bound  # type: ignore[method-assign]
         client.send(HttpClient.encode_request(timeout_ms=3000))
-        assert delayed_connects.begun.wait(WAIT_TIMEOUT_S)
-        past = proxy.parts.clock.now() + 60 * MS
-        assert proxy.wait_until(lambda: proxy.parts.clock.now() > past)
-        delayed_connects.gate.set()
+        assert delayed_connects.has_started.wait(WAIT_TIMEOUT_S)
+        window_end = proxy.parts.clock.now() + 60 * MS
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > window_end)
+        delayed_connects.may_connect.set()
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
         assert client.read_response()[0] == 200  # it was not executed: another attempt may be
         assert len(proxy.wait_for_fetches()) == 1
@@ -198,30 +201,31 @@
 
 
 class SlowFirstCache:
-    """The cache that is tried first responds to liveness checks only."""
+    """Replies of caches of which the first to receive a fetch responds to liveness checks only."""
 
     def __init__(self) -> None:
-        self.first = ""
+        self.first: str | None = None
 
     def __call__(self, endpoint: ToyEndpoint, command: Command) -> None:
-        if command.verb == "fetch":
-            self.first = self.first or endpoint.id
+        if command.verb == "fetch" and self.first is None:
+            self.first = endpoint.id
         if command.verb == "alive" or endpoint.id != self.first:
             respond_normally(endpoint, command)
 
 
-@pytest.mark.parametrize("resets", [False, True])
+@pytest.mark.parametrize("is_reset", [False, True])
 def test_next_attempt_waits_for_the_abort_of_the_one_before(
-    resets: bool, delayed_aborts: DelayedAborts
+    is_reset: bool, delayed_aborts: DelayedAborts
 ) -> None:
-    """An abort waits in its connection's queue while another's thread runs; a close aborts as well."""
-    slow, delayed_aborts.resets = SlowFirstCache(), resets
+    """The abort waits in its connection's outbox; the close of that connection ends the attempt as well."""
+    slow = SlowFirstCache()
+    delayed_aborts.is_reset = is_reset
     with running_proxy(slow, settings=settings_without_hedged_requests()) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         pending = proxy.parts.event_loop._pending.by_id
-        assert proxy.wait_until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
+        assert proxy.wait_until(lambda: any(exchange.deferred_attempt for exchange in list(pending.values())))
         assert {endpoint.id for endpoint in proxy.caches if endpoint.received()} == {slow.first}
-        delayed_aborts.gate.set()
+        delayed_aborts.may_abort.set()
         assert client.read_response()[0] == 200
 
 
@@ -232,23 +236,23 @@
     with running_proxy(slow, settings=settings_without_hedged_requests()) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         pending = proxy.parts.event_loop._pending.by_id
-        assert proxy.wait_until(lambda: any(it.deferred_attempt is not None for it in list(pending.values())))
+        assert proxy.wait_until(lambda: any(exchange.deferred_attempt for exchange in list(pending.values())))
         other = next(endpoint for endpoint in proxy.caches if endpoint.id != slow.first)
         rows = [{**row, "state": "terminating"} for row in proxy.listed_endpoints if row["id"] == other.id]
         proxy.coordinator.add(endpoints={"version": 2, "full": False, "servers": rows})
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
-        delayed_aborts.gate.set()
+        delayed_aborts.may_abort.set()
         assert client.read_response()[0] in (200, 503)
         assert not other.received()
 
 
 def test_connection_is_closed_before_its_requests_are_reported_lost() -> None:
     """A lost request may be retried at once: the old attempt must not be in flight any more."""
-    asked = threading.Event()
+    has_failed = threading.Event()
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        if not asked.is_set():
-            asked.set()
+        if not has_failed.is_set():
+            has_failed.set()
             command.sock.sendall(b"\0 nonsense\r\n")
         else:
             respond_normally(endpoint, command)
@@ -257,55 +261,59 @@
         running_proxy(reply, settings=settings_without_hedged_requests()) as proxy,
         proxy.connect() as client,
     ):
-        tools, ended = proxy.parts.upstream._resources, list[bool]()
-        post = tools.post
+        resources = proxy.parts.upstream._resources
+        post = resources.post
+        was_closed: list[bool] = []
 
-        def noted(event: Any) -> None:
+        def record_and_post(event: Any) -> None:
             if isinstance(event, UpstreamCompleted) and event.status is api.AttemptStatus.CONNECTION_LOST:
                 assert isinstance(event.request.connection, UpstreamConnection)
                 sock = event.request.connection._context.sock
                 assert sock is not None
-                ended.append(sockets.is_closed_by_peer(sock))
+                was_closed.append(sockets.is_closed_by_peer(sock))
             post(event)
 
-        tools.post = noted
+        resources.post = record_and_post
         assert client.request()[0] == 200
-        assert ended == [True]
+        assert was_closed == [True]
 
 
 def test_rerouted_request_is_not_sent_to_a_draining_endpoint() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
-        call = forwarded_request(proxy, client)
+        request = forwarded_request(proxy, client)
         draining = [
-            dataclasses.replace(server.address, state=api.EndpointState.DRAINING)
-            for server in proxy.parts.upstream._endpoints.values()
+            dataclasses.replace(endpoint.address, state=api.EndpointState.DRAINING)
+            for endpoint in proxy.parts.upstream._endpoints.values()
         ]
-        before = len(proxy.wait_for_fetches())
-        call.is_rerouted = True
-        told: list[Any] = []
-        tools = proxy.parts.upstream._resources
-        post, tools.post = tools.post, told.append
+        fetch_count = len(proxy.wait_for_fetches())
+        request.is_rerouted = True
+        posted: list[Any] = []
+        resources = proxy.parts.upstream._resources
+        post = resources.post
+        resources.post = posted.append
+
         proxy.parts.upstream.update(draining, False)
-        proxy.parts.upstream.forward(call)
-        tools.post = post
-        assert [it.status for it in told] == [api.AttemptStatus.CONNECT_FAILED]
-        assert len(proxy.wait_for_fetches()) == before
+        proxy.parts.upstream.forward(request)
+        resources.post = post
+
+        assert [event.status for event in posted] == [api.AttemptStatus.CONNECT_FAILED]
+        assert len(proxy.wait_for_fetches()) == fetch_count
 
 
 def forwarded_request(proxy: ProxyHarness, client: HttpClient) -> UpstreamRequest:
     """A request that a connection has sent."""
-    kept: list[UpstreamRequest] = []
-    send = proxy.parts.upstream.forward
+    forwarded: list[UpstreamRequest] = []
+    forward = proxy.parts.upstream.forward
 
-    def noted(request: UpstreamRequest) -> None:
-        kept.append(request)
-        send(request)
+    def record_and_forward(request: UpstreamRequest) -> None:
+        forwarded.append(request)
+        forward(request)
 
-    proxy.parts.upstream.forward = noted  # type: ignore[method-assign]
+    proxy.parts.upstream.forward = record_and_forward  # type: ignore[method-assign]
     assert client.request(part=9)[0] == 200
-    proxy.parts.upstream.forward = send  # type: ignore[method-assign]
-    return kept[0]
+    proxy.parts.upstream.forward = forward  # type: ignore[method-assign]
+    return forwarded[0]
 
 
 def test_every_socket_sends_small_writes_at_once() -> None:
@@ -313,14 +321,18 @@
         assert client.request()[0] == 200
         assert proxy.coordinator.wait_for_poll(1)
         long_poll = proxy.parts.discovery._long_poll
-        links = [link for server in proxy.parts.upstream._endpoints.values() for link in server.connections]
+        upstream = [
+            connection
+            for endpoint in proxy.parts.upstream._endpoints.values()
+            for connection in endpoint.connections
+        ]
         assert long_poll is not None
         assert long_poll._connection is not None
-        assert links
+        assert upstream
         for sock in (
             only_connection(proxy).sock,
             long_poll._connection.sock,
-            *(link._context.sock for link in links),
+            *(connection._context.sock for connection in upstream),
         ):
             assert sock is not None
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/proxy/test_upstream_failures.py
+++ b/tests/proxy/upstream/test_endpoint_failures.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail, stall or fall silent."""
+"""Endpoints that fail, stall or do not respond."""
 
 from __future__ import annotations
 
@@ -9,20 +9,21 @@
 import pytest
 
 from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally
+from olivepost.units import MILLISECOND, SECOND
 from tests.proxy.fakes import never_reply
 from tests.proxy_harness import OBJECT_NAME, WAIT_TIMEOUT_S, HttpClient, running_proxy
 
 
-def test_silent_upstream_gets_a_final_response_within_the_timeout() -> None:
+def test_request_to_unresponsive_caches_gets_a_final_response_within_its_timeout() -> None:
     with running_proxy(never_reply) as proxy, proxy.connect() as client:
-        began = time.monotonic()
+        started_at = time.monotonic()
         assert client.request(timeout_ms=300)[0] == 503
-        assert time.monotonic() - began < WAIT_TIMEOUT_S
+        assert time.monotonic() - started_at < WAIT_TIMEOUT_S
         assert proxy.wait_until(lambda: any(cache.received("abort") for cache in proxy.caches))
 
 
 @pytest.mark.parametrize(
-    ("word", "status"),
+    ("status_word", "http_status"),
     [
         ("NONE", 503),
         ("SHED", 503),
@@ -32,13 +33,13 @@
         ("VALID", 503),
     ],
 )
-def test_every_failure_of_upstream_ends_in_a_rejection(word: str, status: int) -> None:
+def test_every_failure_of_an_endpoint_ends_in_a_rejection(status_word: str, http_status: int) -> None:
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "fetch":
-            command.respond(word)
+            command.respond(status_word)
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        assert client.request()[0] == status
+        assert client.request()[0] == http_status
         assert len(proxy.wait_for_fetches()) >= 1
 
 
@@ -67,92 +68,92 @@
 PARTIAL_RESPONSES = [b"{id} HIT why=warm,entity=x,issued=1 100000\r\n" + b"x" * 30_000, b"{id} HI", b""]
 
 
-@pytest.mark.parametrize("begun", PARTIAL_RESPONSES)
-def test_stalled_connection_is_closed_and_its_requests_are_retried(begun: bytes) -> None:
-    """Within a response, or for good: `alive` gets no response either. Its requests are retried in time."""
-    stopped: list[socket.socket] = []
+@pytest.mark.parametrize("partial_response", PARTIAL_RESPONSES)
+def test_stalled_connection_is_closed_and_its_requests_are_retried(partial_response: bytes) -> None:
+    """It stalls within a response or before one, and liveness checks get no reply either."""
+    stalled: list[socket.socket] = []
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        if command.sock in stopped:
+        if command.sock in stalled:
             return
-        if endpoint.id == "a" and len(stopped) == 0 and command.verb == "fetch":
-            stopped.append(command.sock)
-            command.sock.sendall(begun.replace(b"{id}", command.id.encode()))
+        if endpoint.id == "a" and not stalled and command.verb == "fetch":
+            stalled.append(command.sock)
+            command.sock.sendall(partial_response.replace(b"{id}", command.id.encode()))
         else:
             respond_normally(endpoint, command)
 
     with running_proxy(reply) as proxy:
         clients = [proxy.connect() for _ in range(16)]
-        for piece, client in enumerate(clients):
-            client.send(HttpClient.encode_request(part=piece, timeout_ms=15_000))
-        for piece, client in enumerate(clients):
-            assert client.read_response()[2] == body_of(OBJECT_NAME, str(piece))
+        for part, client in enumerate(clients):
+            client.send(HttpClient.encode_request(part=part, timeout_ms=15_000))
+        for part, client in enumerate(clients):
+            assert client.read_response()[2] == body_of(OBJECT_NAME, str(part))
             client.sock.close()
         assert proxy.counter("upstream_connections_lost") == 1
         assert proxy.counter("attempts_timed_out") == 0
-        assert (proxy.counter("liveness_checks_sent") == 1) is (begun == b"")
+        assert (proxy.counter("liveness_checks_sent") == 1) is (partial_response == b"")
 
 
-def test_response_that_comes_too_slowly_closes_its_connection() -> None:
-    over = threading.Event()
-    begun: list[socket.socket] = []
+def test_connection_is_closed_where_a_response_takes_too_long() -> None:
+    is_over = threading.Event()
+    started: list[socket.socket] = []
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        if begun or command.verb != "fetch":
+        if started or command.verb != "fetch":
             respond_normally(endpoint, command)
             return
-        begun.append(command.sock)
+        started.append(command.sock)
         command.sock.sendall(f"{command.id} HIT why=warm,entity=x,issued=1 100000\r\n".encode())
         try:
-            while not over.wait(0.02):
+            while not is_over.wait(0.02):
                 command.sock.sendall(b"x")
         except OSError:
             pass
 
-    with running_proxy(reply, bounds={"response_timeout": 300_000_000}) as proxy, proxy.connect() as client:
+    with (
+        running_proxy(reply, bounds={"response_timeout": 300 * MILLISECOND}) as proxy,
+        proxy.connect() as client,
+    ):
         assert client.request(timeout_ms=15_000)[2] == body_of(OBJECT_NAME, "3")
         assert proxy.counter("upstream_connections_lost") == 1
-        over.set()
+        is_over.set()
 
 
 def test_lost_connection_counts_as_one_failure_for_all_its_requests() -> None:
-    cut = threading.Event()
+    is_cut = threading.Event()
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        if cut.is_set():
+        if is_cut.is_set():
             respond_normally(endpoint, command)
         elif len(proxy.wait_for_fetches()) >= 24:
-            cut.set()
+            is_cut.set()
             for cache in proxy.caches:
                 for sock in cache.connections:
                     sock.shutdown(socket.SHUT_RDWR)
 
     with running_proxy(reply) as proxy:
         clients = [proxy.connect() for _ in range(24)]
-        for piece, client in enumerate(clients):
-            client.send(HttpClient.encode_request(part=piece, timeout_ms=15_000))
+        for part, client in enumerate(clients):
+            client.send(HttpClient.encode_request(part=part, timeout_ms=15_000))
         outcomes = proxy.wait_for_outcomes("CONNECTION_LOST", 24)
-        assert (
-            sum(not outcome.is_repeated_loss for outcome in outcomes)
-            == proxy.counter("upstream_connections_lost")
-            == 2
-        )
+        first_losses = [outcome for outcome in outcomes if not outcome.is_repeated_loss]
+        assert len(first_losses) == proxy.counter("upstream_connections_lost") == 2
         for client in clients:
             assert client.read_response()[0] in (200, 503)
             client.sock.close()
 
 
 def test_attempt_cancelled_within_its_body_releases_its_buffers() -> None:
-    over = threading.Event()
+    is_over = threading.Event()
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "fetch":
             command.sock.sendall(f"{command.id} HIT why=warm,entity=x,issued=1 200000\r\n".encode())
             command.sock.sendall(b"x" * 100_000)
-            over.wait(WAIT_TIMEOUT_S)
+            is_over.wait(WAIT_TIMEOUT_S)
             command.sock.sendall(b"x" * 100_000 + b"\r\n")
 
-    bounds = {"response_pause_timeout": 60 * 10**9, "response_timeout": 60 * 10**9}
+    bounds = {"response_pause_timeout": 60 * SECOND, "response_timeout": 60 * SECOND}
     with running_proxy(reply, bounds=bounds) as proxy:
         with proxy.connect() as client:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
@@ -160,15 +161,15 @@
             assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use > 15)
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use < 10)
-        over.set()
+        is_over.set()
 
 
 def test_connection_lost_within_a_body_gives_no_response() -> None:
-    cut: list[str] = []
+    failed_ids: list[str] = []
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        if not cut:
-            cut.append(endpoint.id)
+        if not failed_ids:
+            failed_ids.append(endpoint.id)
             head = f"{command.id} HIT why=warm,entity=x,issued=1 100000\r\n"
             command.sock.sendall(head.encode() + b"x" * 30_000)
             command.sock.shutdown(socket.SHUT_RDWR)
@@ -188,11 +189,11 @@
         assert proxy.counter("connect_failed") >= 1
 
 
-def test_silent_endpoint_delays_no_other() -> None:
+def test_unresponsive_endpoint_delays_no_other() -> None:
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if endpoint.id == "b":
             respond_normally(endpoint, command)
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        for piece in range(12):
-            assert client.request(part=piece, timeout_ms=15_000)[0] == 200
+        for part in range(12):
+            assert client.request(part=part, timeout_ms=15_000)[0] == 200
--- a/tests/proxy/test_line_protocol.py
+++ b/tests/proxy/upstream/test_line_protocol.py
@@ -1,5 +1,7 @@
 """Line protocol: any split of the bytes gives the same responses, malformed bytes only its own error."""
 
+from __future__ import annotations
+
 import contextlib
 
 import pytest
@@ -25,12 +27,12 @@
 )
 
 
-def parse(pieces: list[bytes], max_body_size: int = 1000) -> list[object]:
-    """Return what a parser yields, with the pieces of a body joined."""
+def parse(chunks: list[bytes], max_body_size: int = 1000) -> list[object]:
+    """Return what a parser yields, with the chunks of a body joined."""
     parser = ResponseParser(max_body_size)
     parsed: list[object] = []
-    for piece in pieces:
-        for item in parser.feed(memoryview(piece)):
+    for chunk in chunks:
+        for item in parser.feed(memoryview(chunk)):
             if isinstance(item, memoryview):
                 joined = parsed.pop() if parsed and isinstance(parsed[-1], bytes) else b""
                 assert isinstance(joined, bytes)
@@ -48,7 +50,7 @@
         b"ab\r\n\x00\xffc",
         RESPONSE_END,
     ]
-    assert parsed[3:5] == [ResponseLine("t1", "PONG", {}, -1), RESPONSE_END]
+    assert parsed[3:5] == [ResponseLine("t1", "PONG", {}, None), RESPONSE_END]
     assert [item.status for item in parsed[5:] if isinstance(item, ResponseLine)] == ["NONE", "VALID"]
 
 
@@ -78,9 +80,9 @@
         max_size=8,
     )
 )
-def test_malformed_bytes_raise_only_line_protocol_errors(pieces: list[bytes]) -> None:
+def test_malformed_bytes_raise_only_line_protocol_errors(chunks: list[bytes]) -> None:
     with contextlib.suppress(LineProtocolError):
-        parse(pieces)
+        parse(chunks)
 
 
 @pytest.mark.parametrize(
