--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -1,53 +1,55 @@
-"""Proxies of a location before a store, by their decision parts: fill leases and cache locations."""
+"""Modelled proxies before a store: fill leases and cache locations."""
 
 from __future__ import annotations
 
 from typing import cast
 
 from benchmarks.branch import Branch
+from benchmarks.branch.proxy import EmulatedProxy
 from olivepost import interface as api
 from olivepost.routing.selection import rendezvous_order
-from olivepost.shared_store import messages as ev
-from olivepost.shared_store import scripts
+from olivepost.shared_store import messages, scripts
 from tests.router_harness import MS, SECOND
 from tests.shared_store.model import NAME, counted, make_branch
 
 
-def cold_home(branch: Branch) -> str:
-    """The cache that a name's first attempt goes to."""
+def first_choice(branch: Branch) -> str:
+    """The cache that the first attempt of `NAME` goes to."""
     return rendezvous_order(f"{NAME}.0", tuple(sorted(branch.caches)))[0]
 
 
-def keep_apart(branch: Branch, number: int, cache: str) -> None:
-    """Has one proxy keep a cache ejected, as by its own bad luck with it."""
+def eject_for(branch: Branch, number: int, cache: str) -> None:
+    """Has one proxy alone keep a cache ejected, so that it selects another one."""
     endpoint = branch.proxies[number].router.state.endpoints.by_id[cache]
     endpoint.ejected_until = 2**62
     endpoint.has_trial_in_flight = True
 
 
-def test_second_proxy_joins_a_fill_that_only_the_store_knows_of() -> None:
+def test_second_proxy_joins_a_fill_by_the_lease_in_the_store() -> None:
     branch = make_branch()
-    home = cold_home(branch)
-    keep_apart(branch, 1, home)
+    cache_of_name = first_choice(branch)
+    eject_for(branch, 1, cache_of_name)
     branch.request(branch.proxies[0], NAME)
     branch.run(20 * MS)
     for proxy in branch.proxies[1:]:
-        endpoint = proxy.router.state.endpoints.by_id[home]
-        # In use again, while another proxy's lease says that it fills the name.
+        endpoint = proxy.router.state.endpoints.by_id[cache_of_name]
+        # The cache is in use again, while another proxy's lease shows that it fills the name.
         endpoint.ejected_until = None
         endpoint.has_trial_in_flight = False
     branch.request(branch.proxies[2], NAME)
     branch.run(2 * SECOND)
+
     assert branch.counts.fills == 1
     assert branch.counts.served == 2
 
 
 def test_without_a_store_two_proxies_fill_the_same_name_twice() -> None:
     branch = make_branch(has_store=False)
-    keep_apart(branch, 1, cold_home(branch))
+    eject_for(branch, 1, first_choice(branch))
     branch.request(branch.proxies[0], NAME)
     branch.request(branch.proxies[1], NAME)
     branch.run(2 * SECOND)
+
     assert branch.counts.fills == 2
     assert branch.counts.double_fills == 1
 
@@ -59,19 +61,21 @@
             branch.request(proxy)
         branch.run(30 * MS)
     branch.run(3 * SECOND)
+
     assert branch.counts.leases
     assert not branch.counts.lease_conflicts
     assert counted(branch, "leases_followed") + counted(branch, "hints_given")
 
 
-def test_name_that_is_new_to_a_proxy_goes_to_its_cache_location_first() -> None:
+def test_name_that_is_new_to_a_proxy_is_requested_from_its_cache_location() -> None:
     branch = make_branch()
-    home = cold_home(branch)
-    keep_apart(branch, 0, home)
+    cache_of_name = first_choice(branch)
+    eject_for(branch, 0, cache_of_name)
     branch.request(branch.proxies[0], NAME)  # filled elsewhere
     branch.run(2 * SECOND)
     branch.request(branch.proxies[1], NAME)
     branch.run(2 * SECOND)
+
     assert counted(branch, "hints_given") >= 1
     assert branch.counts.fills == 1
     assert branch.counts.served == 2
@@ -87,11 +91,12 @@
         branch.request(proxy, NAME)
         branch.run(30 * MS)
     branch.run(2 * SECOND)
+
     assert counted(branch, "hints_stale") >= 1
     assert branch.counts.served == 3
 
 
-def test_lease_of_a_dead_owner_is_free_after_it_expires() -> None:
+def test_lease_of_a_stopped_owner_can_be_acquired_after_expiry() -> None:
     branch = make_branch(fill_durations=(500 * MS, 501 * MS))
     branch.request(branch.proxies[0], NAME)
     branch.run(20 * MS)
@@ -103,24 +108,25 @@
         cache.stored.clear()
     branch.request(branch.proxies[1], NAME)
     branch.run(2 * SECOND)
+
     assert branch.counts.leases == 2
     assert not branch.counts.lease_conflicts
     assert branch.counts.served == 1
 
 
 def test_owner_paused_until_its_lease_expired_publishes_nothing() -> None:
-    """Guards against a location published by a proxy that no longer holds the lease."""
     branch = make_branch(fill_durations=(100 * MS, 101 * MS))
     branch.request(branch.proxies[0], NAME)
     branch.run(50 * MS)
     branch.proxies[0].paused_until = branch.now + 6 * SECOND
     branch.run(8 * SECOND)
+
     assert counted(branch, "leases_expired") == 1
     assert not counted(branch, "lease_releases_confirmed")
 
 
-def test_fencing_numbers_grow_over_a_snapshot_that_nobody_noticed() -> None:
-    """Guards the fencing numbers: a counter alone goes back with its store."""
+def test_fencing_numbers_grow_across_an_unnoticed_snapshot() -> None:
+    """A counter alone would go back with its store."""
     branch = make_branch()
     store = branch.stores["s0"]
     (generation,) = {
@@ -133,86 +139,105 @@
         if name == "c":
             store.go_back(0)
         branch.now += MS
-        look = ev.LookUp(generation, name, ("o:x", "g:1"), ev.LeaseRequest(b"record", 1_000))
-        reply = branch.run_script(branch.proxies[0], ev.StoreCommand(1, "s0", look))
-        assert isinstance(reply, ev.StoreReply)
+        lookup = messages.LookUp(generation, name, ("o:x", "g:1"), messages.LeaseRequest(b"record", 1_000))
+        reply = branch.run_script(branch.proxies[0], messages.StoreCommand(1, "s0", lookup))
+        assert isinstance(reply, messages.StoreReply)
         assert reply.values[0] == b"mine"
         numbers.append(int(cast("bytes", reply.values[1])))
     assert numbers == sorted(set(numbers))
 
 
-def test_store_that_lost_a_held_lease_lets_no_old_owner_publish() -> None:
+def test_former_owner_of_a_lease_that_the_store_lost_publishes_nothing() -> None:
     branch = make_branch(fill_durations=(600 * MS, 601 * MS))
     branch.request(branch.proxies[0], NAME)
     branch.run(30 * MS)
     branch.stores["s0"].lose()
     branch.run(100 * MS)
-    keep_apart(branch, 1, cold_home(branch))
+    eject_for(branch, 1, first_choice(branch))
     branch.request(branch.proxies[1], NAME)  # its lease is free again at once
     branch.run(3 * SECOND)
+
     assert branch.counts.leases == 2
     assert not branch.counts.stale_publications
     assert branch.counts.served == 2
     assert counted(branch, "lease_releases_confirmed") <= 1
 
 
-def holders(made: Branch) -> list[bytes]:
-    """Keys of holders that the store has."""
-    return [key for key in [*made.stores["s0"].data] if b":h:" in key and made.stores["s0"].live_value(key)]
+def location_keys(branch: Branch) -> list[bytes]:
+    """The store's keys of cache locations."""
+    store = branch.stores["s0"]
+    return [key for key in [*store.data] if b":h:" in key and store.live_value(key)]
 
 
-def test_two_stale_reports_drop_a_location_from_the_store() -> None:
+def test_two_stale_reports_delete_a_location_from_the_store() -> None:
     branch = make_branch(4)
     branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
-    (key,) = holders(branch)
+    (key,) = location_keys(branch)
     cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     for count, proxy in enumerate(branch.proxies[1:3]):
-        assert key in holders(branch)
+        assert key in location_keys(branch)
         lookup = api.LookUpHint(f"q{count}", f"{NAME}.0", cache_with_name, None, 10 * MS, SECOND)
-        proxy.handle_store_event(ev.LookupRequested(lookup, NAME, 7))
+        proxy.handle_store_event(messages.LookupRequested(lookup, NAME, 7))
         branch.run(20 * MS)
         proxy.handle_store_event(api.ReportStaleHint(lookup.request_id, lookup.name, cache_with_name))
         branch.run(20 * MS)
-    assert key not in holders(branch)
+    assert key not in location_keys(branch)
 
 
-def test_location_in_a_restarted_cache_is_dropped_for_all() -> None:
+def test_location_in_a_restarted_cache_is_deleted_from_the_store() -> None:
     branch = make_branch()
     branch.request(branch.proxies[0], NAME)
     branch.run(SECOND)
-    (key,) = holders(branch)
+    (key,) = location_keys(branch)
     cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     branch.restart_cache(cache_with_name)
-    branch.caches[cache_with_name].started = branch.now - 3600 * SECOND  # warm, so that a lookup comes first
+    branch.caches[cache_with_name].started = branch.now - 3600 * SECOND  # warm: a lookup comes first
     branch.publish_endpoints()
     proxy = branch.proxies[1]
     proxy.handle_store_event(
-        ev.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", None, 10 * MS, SECOND), NAME, 7)
+        messages.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", None, 10 * MS, SECOND), NAME, 7)
     )
     branch.run(20 * MS)
-    assert key not in holders(branch)
 
+    assert key not in location_keys(branch)
 
-def test_owner_whose_lease_another_proxy_has_publishes_nothing() -> None:
+
+def test_owner_whose_lease_was_acquired_by_another_proxy_publishes_nothing() -> None:
     """The store compares the whole lease: fencing number and incarnation."""
-    made = make_branch()
-    (generation,) = {proxy.coordinator.stores["s0"].generation for proxy in made.proxies if proxy.coordinator}
-    claims = []
-    for proxy in made.proxies[:2]:
-        look = ev.LookUp(generation, "n", ("o:x", "g:1"), ev.LeaseRequest(b"record", 500))
-        reply = made.run_script(proxy, ev.StoreCommand(1, "s0", look))
-        assert isinstance(reply, ev.StoreReply)
-        assert reply.values[0] == b"mine"
-        claims.append(cast("bytes", reply.values[1]) + b" record")
-        made.now += 600 * MS
-        made.now -= 200 * MS if len(claims) == 2 else 0
-    for claim, word in ((claims[0], b"lost"), (claims[1], b"done"), (claims[1], b"lost")):
-        settle = ev.PublishLocation(generation, "n", claim, ev.LocationPublication(b"holder", 5), 1_000)
-        script = scripts.encode_operation(settle, "t", "x")
-        words = [w if isinstance(w, bytes) else str(w).encode() for w in script.arguments]
-        text = scripts.SCRIPT_TEXTS[script.name].encode()
-        assert made.stores["s0"].call([b"EVAL", text, b"1", script.key.encode(), *words])[2] == word
+    branch = make_branch()
+    (generation,) = {
+        proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
+    }
+    earlier_lease = acquire_lease(branch, branch.proxies[0], generation)
+    branch.now += 600 * MS  # longer than the lease
+    lease = acquire_lease(branch, branch.proxies[1], generation)
+    branch.now += 400 * MS
+
+    assert publish(branch, generation, earlier_lease) == b"lost"
+    assert publish(branch, generation, lease) == b"done"
+    assert publish(branch, generation, lease) == b"lost"
+
+
+def acquire_lease(branch: Branch, proxy: EmulatedProxy, generation: int) -> bytes:
+    """Acquires the lease of the name `n` for 500 ms; returns it as the store has it."""
+    request = messages.LeaseRequest(b"record", 500)
+    lookup = messages.LookUp(generation, "n", ("o:x", "g:1"), request)
+    reply = branch.run_script(proxy, messages.StoreCommand(1, "s0", lookup))
+    assert isinstance(reply, messages.StoreReply)
+    assert reply.values[0] == b"mine"
+    return cast("bytes", reply.values[1]) + b" record"
+
+
+def publish(branch: Branch, generation: int, lease: bytes) -> object:
+    """Publishes a location of the name `n` under a lease; returns the type of the store's reply."""
+    location = messages.LocationPublication(b"holder", 5)
+    publication = messages.PublishLocation(generation, "n", lease, location, 1_000)
+    call = scripts.encode_operation(publication, "t", "x")
+    text = scripts.SCRIPT_TEXTS[call.name].encode()
+    arguments = [value if isinstance(value, bytes) else str(value).encode() for value in call.arguments]
+    reply = branch.stores["s0"].call([b"EVAL", text, b"1", call.key.encode(), *arguments])
+    return reply[2]
 
 
 def test_release_after_the_lease_expired_sends_nothing() -> None:
@@ -225,8 +250,9 @@
     assert coordinator is not None
     assert len(coordinator.leases) == 1
     later = proxy.clock(branch.now) + 20 * SECOND
-    actions = coordinator.handle(later, ev.LeaseReleased(api.ReleaseLease("r1", "c0", 1)))
-    assert not [
-        a for a in actions if isinstance(a, ev.StoreCommand) and isinstance(a.operation, ev.PublishLocation)
-    ]
+
+    actions = coordinator.handle(later, messages.LeaseReleased(api.ReleaseLease("r1", "c0", 1)))
+
+    commands = [action for action in actions if isinstance(action, messages.StoreCommand)]
+    assert not any(isinstance(command.operation, messages.PublishLocation) for command in commands)
     assert coordinator.counts["leases_expired"] == 1
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -24,7 +24,7 @@
 from standins.redis.server import Server
 from tests.proxy_harness import HttpClient, toy_config
 
-FILLED = "0a3a9c21e0b4d655"  # no toy cache has it
+UNCACHED_OBJECT = "0a3a9c21e0b4d655"  # no toy cache has it
 STORE = "s"
 
 
@@ -35,12 +35,11 @@
         self.server = server
         self.coordinator = Coordinator()
         self.caches = [ToyEndpoint("a"), ToyEndpoint("b")]
-        self.others = [ToyEndpoint("p"), ToyEndpoint("o")]
+        self.parent = ToyEndpoint("p")
+        self.origin = ToyEndpoint("o")
         entries = [listed_endpoint(cache) for cache in self.caches]
-        entries += [
-            listed_endpoint(self.others[0], "parent", "hub"),
-            listed_endpoint(self.others[1], "origin", "hub"),
-        ]
+        entries.append(listed_endpoint(self.parent, "parent", "hub"))
+        entries.append(listed_endpoint(self.origin, "origin", "hub"))
         self.coordinator.add(endpoints={"version": 1, "full": True, "servers": entries})
         store = {"name": STORE, "address": "{}:{}".format(*server.address), **sharing.pop("store", {})}
         section = {"branch": "west", "stores": [store], **sharing}
@@ -68,7 +67,7 @@
         return [host.coordinator.stores[STORE] for host in self.hosts]
 
     def wait_for_availability(self, is_available: bool = True, timeout_s: float = 10.0) -> bool:
-        """Waits until both proxies say that the store is available, or is not."""
+        """Waits until the store is available to both proxies, or to neither."""
         return self.wait_until(
             lambda: all(self.has_available_store(proxy) == is_available for proxy in self.proxies), timeout_s
         )
@@ -80,10 +79,10 @@
     def have_synced(self) -> bool:
         """Whether each proxy has had its first sync under the store's present generation confirmed.
 
-        That sync leaves the process's key in the store. A proxy counts the store as available before it: as
-        soon as its invalidations are confirmed."""
-        in_one_generation = len({store.generation for store in self.stores}) == 1
-        return in_one_generation and all(store.confirmed_serial > 0 for store in self.stores)
+        That sync leaves the process's key in the store. The store is available to a proxy before it: as soon
+        as the proxy's invalidations are confirmed."""
+        generations = {store.generation for store in self.stores}
+        return len(generations) == 1 and all(store.confirmed_serial > 0 for store in self.stores)
 
     @staticmethod
     def wait_until(condition: Callable[[], bool], timeout_s: float = 10.0) -> bool:
@@ -111,7 +110,7 @@
             proxy.parts.upstream.close()
             proxy.parts.event_loop.post(StopEventLoop())
             proxy.parts.log.close(5.0)
-        for server in (*self.caches, *self.others, self.coordinator):
+        for server in (*self.caches, self.parent, self.origin, self.coordinator):
             server.close()
         os.close(self._devnull)
 
@@ -126,18 +125,20 @@
             pair.close()
 
 
-def test_a_leased_fill_is_published_and_found_by_the_other_proxy() -> None:
+def test_leased_fill_is_published_and_found_by_the_other_proxy() -> None:
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
-        assert pair.request(0, FILLED, timeout_ms=6000) == 200
+
+        assert pair.request(0, UNCACHED_OBJECT, timeout_ms=6000) == 200
         assert pair.wait_until(lambda: pair.count("lease_releases_confirmed") == 1)
-        assert pair.request(1, FILLED, timeout_ms=6000) == 200
+        assert pair.request(1, UNCACHED_OBJECT, timeout_ms=6000) == 200
         assert pair.wait_until(lambda: pair.count("hints_given") >= 1), pair.proxies[1].parts.log.counters()
 
 
-def test_an_invalidation_reaches_the_other_proxy_through_the_store() -> None:
+def test_invalidation_reaches_the_other_proxy_through_the_store() -> None:
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
+
         pair.hosts[0].invalidate(api.Invalidation("x", None, 0), time.time_ns())
         assert pair.wait_until(lambda: pair.count("invalidations_received") == 1)
         router = pair.proxies[1].parts.event_loop._router
@@ -159,49 +160,55 @@
         {"slow_ms": 400.0},
     ],
 )
-def test_requests_are_answered_through_any_fault_of_the_store_and_it_is_used_again_after(
+def test_requests_are_served_during_any_fault_of_the_store_which_is_used_again_afterwards(
     fault: dict[str, Any],
 ) -> None:
     with proxy_pair(wait="20ms", give_up="100ms") as pair:
         assert pair.wait_for_availability()
+
         pair.server.call(lambda: pair.server.change(fault))
         for number in range(12):
             began = time.monotonic()
             assert pair.request(number % 2, f"0{number:015x}", timeout_ms=2000) == 200
             assert time.monotonic() - began < 1.5
         assert pair.wait_for_availability(is_available=False)
-        pair.server.call(lambda: pair.server.change({key: type(value)(0) for key, value in fault.items()}))
+
+        no_fault = {key: type(value)(0) for key, value in fault.items()}
+        pair.server.call(lambda: pair.server.change(no_fault))
         assert pair.wait_for_availability()
 
 
-def test_a_store_that_loses_everything_gets_a_new_generation() -> None:
+def test_store_that_lost_all_data_gets_a_new_generation() -> None:
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
         before = pair.stores[0].generation
+
         pair.server.call(lambda: pair.server.change({"lose": True}))
         assert pair.wait_until(lambda: all(store.generation > before for store in pair.stores))
         assert pair.wait_for_availability()
-        assert pair.request(0, FILLED, timeout_ms=6000) == 200
+
+        assert pair.request(0, UNCACHED_OBJECT, timeout_ms=6000) == 200
 
 
-def test_a_password_may_change_in_service(tmp_path: Path) -> None:
+def test_password_may_change_while_the_proxies_run(tmp_path: Path) -> None:
     secret = tmp_path / "secret"
     secret.write_text("old\n")
     with proxy_pair(users={"default": "old"}, store={"password_file": str(secret)}) as pair:
         assert pair.wait_for_availability()
         pair.server.call(lambda: pair.server.change({"password": "new", "cut_all": True}))
         assert pair.wait_for_availability(is_available=False)
+
         secret.write_text("new\n")
         assert pair.wait_for_availability()
 
 
-def test_commands_show_and_forget_what_a_store_holds(
+def test_commands_show_and_delete_the_records_of_a_store(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with proxy_pair() as pair:
         assert pair.wait_for_availability()
         assert pair.wait_until(pair.have_synced)
-        assert pair.request(0, FILLED, timeout_ms=6000) == 200
+        assert pair.request(0, UNCACHED_OBJECT, timeout_ms=6000) == 200
         assert pair.wait_until(lambda: pair.count("lease_releases_confirmed") == 1)
         path = tmp_path / "operator.yaml"
         path.write_text(
@@ -217,9 +224,9 @@
         assert run("ping")[0]["processes"] == 2
         (location,) = run("claims")
         assert location["kind"] == "holder"
-        assert location["name"] == f"{FILLED}.3"
+        assert location["name"] == f"{UNCACHED_OBJECT}.3"
         assert location["by"] == "n1"
-        assert run("forget", f"{FILLED}.3")[0]["forgotten"] == 1
+        assert run("forget", f"{UNCACHED_OBJECT}.3")[0]["forgotten"] == 1
         assert not run("claims")
         advanced = run("forget")[0]
         assert advanced["generation"] > advanced["before"]
