--- a/olivepost/shared_store/__init__.py
+++ b/olivepost/shared_store/__init__.py
@@ -4,7 +4,8 @@
 are hints: no deadline, age bound or quota rests on a store.
 
 The decision part does no I/O and has no clock: `coordinator` dispatches to `lookups`, `fill_leases`,
-`invalidations`, `generations`, `quota_exchange` (over `quota_transfers`), `outlier_reports` and `sync`.
+`invalidations`, `generations`, `quota_exchange` (over `quota_requests` and
+`quota_donations`), `outlier_reports` and `sync`.
 `circuit_breaker` decides whether a store is used, `store_health` whether it is trusted, and `commands` tracks
 pending replies. `messages` has the types, `records` the stored form.
 
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -29,18 +29,25 @@
 InvalidationChunk = tuple[InvalidationRow, ...]  # rows that are published by one operation
 
 
+class QuotaRequestRow(NamedTuple):
+    """A quota request as a store keeps it."""
+
+    field: str
+    record: bytes
+
+
 @dataclass(frozen=True, slots=True)
 class SyncOperation:
     """The periodic exchange: sends a heartbeat with requests and reports, reads those of other proxies.
 
-    `quota_requests` are fields with their records; `outliers` are the ids of endpoints that this proxy has
-    ejected; `last_invalidation` is the number of the last invalidation read.
+    `outliers` are the ids of endpoints that this proxy has ejected; `last_invalidation` is the number of the
+    last invalidation read.
     """
 
     generation: int
     serial: int
     last_invalidation: int
-    quota_requests: tuple[tuple[str, bytes], ...] = ()
+    quota_requests: tuple[QuotaRequestRow, ...] = ()
     outliers: tuple[str, ...] = ()
 
 
@@ -106,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantQuota:
-    """Hands a quota grant over to the proxy process `recipient`, whole or not at all.
+    """Grants quota to the proxy process `recipient`, completely or not at all.
 
     `request_field` is the field of the request, `nonce` the one that it must still have.
     """
--- /dev/null
+++ b/olivepost/shared_store/quota_donations.py
@@ -0,0 +1,86 @@
+"""Decides which requests for quota this proxy answers, and what it donates to them. No clock, no I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from olivepost.shared_store.quota_requests import MIN_AMOUNT, IdSequence, QuotaRequests
+from olivepost.shared_store.records import QuotaGrant, QuotaRequest
+from olivepost.units import Duration, Instant
+
+MAX_CLOCK_DRIFT = 0.01  # share by which the rates of two proxies' clocks may differ
+MAX_DONATIONS = 64  # offered to the router at once
+
+
+@dataclass(slots=True)
+class Donation:
+    """A transfer to another proxy: offered to the router first, then granted by way of the store."""
+
+    request: QuotaRequest
+    field: str  # of the request in the store
+    expires_at: Instant  # for this proxy, which may use the amount again from then on
+    amount: float = 0.0
+
+
+class GrantedDonation(NamedTuple):
+    """A donation that the router made, and the grant that tells its recipient."""
+
+    donation: Donation
+    grant: QuotaGrant
+
+
+class QuotaDonations:
+    """Requests of other proxies that this one is answering. Used by the coordinator's thread only."""
+
+    def __init__(self, own_requests: QuotaRequests, ids: IdSequence, duration: Duration) -> None:
+        self._own_requests = own_requests
+        self._ids = ids
+        self._duration = duration
+        self._donations: dict[int, Donation] = {}  # offered to the router, by transfer id
+        self._answered_until: dict[str, Instant] = {}  # by the nonce of each request that is being answered
+
+    def offer(self, now: Instant, transfer_id: int, field: str, request: QuotaRequest) -> Donation | None:
+        """Returns the donation to ask the router for in answer to a request; None where there is none."""
+        if not self._may_answer(now, request):
+            return None
+        self._answered_until = {nonce: until for nonce, until in self._answered_until.items() if until > now}
+        self._answered_until[request.nonce] = now + self._duration
+        # The recipient counts from its request, which is earlier; its clock may be slower than this one.
+        expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
+        donation = Donation(request, field, expires_at)
+        self._donations[transfer_id] = donation
+        return donation
+
+    def donate(self, transfer_id: int, amount: float, expires_at: Instant) -> GrantedDonation | None:
+        """The router has given an amount up; returns the grant of it, None where there is none."""
+        donation = self._donations.pop(transfer_id, None)
+        if donation is None:
+            return None
+        request = donation.request
+        if amount <= MIN_AMOUNT:  # nothing can be spared now; the next sync may ask again
+            self._answered_until.pop(request.nonce, None)
+            return None
+        donation.amount = amount
+        donation.expires_at = expires_at
+        grant = QuotaGrant(id=self._ids.issue(), key=request.key, nonce=request.nonce, amount=amount)
+        return GrantedDonation(donation, grant)
+
+    def close(self, nonce: str) -> None:
+        """The store has replied to a grant: its request may be answered again."""
+        self._answered_until.pop(nonce, None)
+
+    def _may_answer(self, now: Instant, request: QuotaRequest) -> bool:
+        """Whether a request may be answered.
+
+        A proxy donates nothing of a quota that it is short of itself: where all are, transfers would only
+        keep quota unused until they expire.
+        """
+        if request.incarnation == self._ids.incarnation or self._own_requests.has_shortage(request.key):
+            return False
+        if request.amount <= MIN_AMOUNT or request.duration <= 0:
+            return False
+        answered_until = self._answered_until.get(request.nonce)
+        if answered_until is not None and now < answered_until:
+            return False
+        return len(self._donations) < MAX_DONATIONS
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -1,4 +1,13 @@
-"""Quota transfers by way of the stores: reads requests and grants of others, and hands donations over."""
+"""Quota transfers by way of the stores: reads requests and grants of others, grants what the router donates.
+
+Each proxy owns its n-th part of every quota by its router's accounting, with or without a store. A transfer
+moves an amount of one proxy's part to one process of another: the donor gives it up first, until the transfer
+has expired for both; only the process that requested it may use it, once, from the instant of its request.
+Whatever a store loses, repeats, delays or restores, parts and transfers together never exceed the whole: such
+a message only leaves quota unused. Each proxy counts by its own clock, the recipient from an earlier instant
+than the donor. Clocks may be hours apart; only their rates must agree within `MAX_CLOCK_DRIFT`. No clock, no
+I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,9 +19,10 @@
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import GrantQuota, ReplyType
+from olivepost.shared_store.messages import GrantQuota, QuotaRequestRow, ReplyType
+from olivepost.shared_store.quota_donations import Donation, QuotaDonations
 from olivepost.shared_store.quota_keys import encode_quota_key, parse_quota_key
-from olivepost.shared_store.quota_transfers import Donation, QuotaTransfers
+from olivepost.shared_store.quota_requests import IdSequence, QuotaRequests
 from olivepost.shared_store.records import (
     QuotaGrant,
     QuotaRequest,
@@ -28,14 +38,14 @@
 
 
 class RequestedQuota(NamedTuple):
-    """A request of some proxy as the store has it; the one that stands there longest comes first."""
+    """A request of some proxy, with the time since which the store has it."""
 
     since_ms: int
     field: str
     request: QuotaRequest
 
     def precedes(self, other: RequestedQuota) -> bool:
-        """Whether this one is answered rather than the other."""
+        """Whether this one is answered rather than the other: the older one."""
         return (self.since_ms, self.field) <= (other.since_ms, other.field)
 
 
@@ -46,7 +56,7 @@
     field = row[0].decode(errors="replace")
     since_ms = parse_integer(row[1])
     request = decode_record(QuotaRequest, row[2])
-    if field != f"{request.incarnation}|{request.key}":
+    if field != _request_field(request.incarnation, request.key):
         raise RecordError("a quota request in another proxy's field")
     return RequestedQuota(since_ms, field, request)
 
@@ -60,93 +70,111 @@
         self._context = context
         self._commands = commands
         self._malformed = malformed
-        self._transfers = QuotaTransfers(context.terms.incarnation, context.terms.quota_duration)
-        self._donating: dict[int, StoreHealth] = {}  # the request's store, by transfer id
+        terms = context.terms
+        ids = IdSequence(terms.incarnation)
+        self._requests = QuotaRequests(ids, terms.quota_duration)
+        self._donations = QuotaDonations(self._requests, ids, terms.quota_duration)
+        self._offered: dict[int, StoreHealth] = {}  # the request's store, by transfer id
+
+    # Own requests
 
     def record_shortage(self, now: Instant, event: api.RequestQuota) -> None:
-        """Notes that the router lacked an amount of a quota."""
+        """Records that the router was short of an amount of a quota."""
         if self._context.terms.quota_transfers_enabled:
-            self._transfers.record_shortage(now, encode_quota_key(event.key), event.amount)
+            self._requests.record_shortage(now, encode_quota_key(event.key), event.amount)
 
-    def open_requests(self, now: Instant, store: StoreHealth) -> tuple[tuple[str, bytes], ...]:
-        """Returns this proxy's requests that belong to a store, each a field and its record."""
+    def renew_requests(self, now: Instant, store: StoreHealth) -> tuple[QuotaRequestRow, ...]:
+        """Renews this proxy's requests; returns those that belong to a store."""
         if not self._context.terms.quota_transfers_enabled:
             return ()
-        requests = self._transfers.open_requests(now)
+        incarnation = self._context.terms.incarnation
         return tuple(
-            (self._transfers.field(key), record)
-            for key, record in requests.items()
+            QuotaRequestRow(_request_field(incarnation, key), record)
+            for key, record in self._requests.renew(now).items()
             if self._context.store_of(key) is store
         )
 
+    def receive_grant(self, now: Instant, row: object) -> None:
+        """Passes a grant on to the router; raises `RecordError` where it counts for nothing."""
+        grant = decode_record(QuotaGrant, row)
+        received = self._requests.receive(now, grant)
+        self._context.counts["quota_grants_received"] += 1
+        self._notify_received(grant.key, received.amount, received.expires_at)
+
+    # Donations
+
     def receive_requests(self, now: Instant, store: StoreHealth, rows: Sequence[object]) -> None:
-        """Answers, of each quota, the request that stands longest, so that all donate to the same proxy."""
+        """Answers the oldest request of each quota, so that all proxies donate to the same one."""
         oldest: dict[str, RequestedQuota] = {}
         for row in rows:
             self._malformed.skip_errors(_keep_oldest, oldest, row)
         for requested in oldest.values():
-            request = requested.request
-            key = parse_quota_key(request.key)
-            if key is None:  # of a version that shares more quotas: nothing of it can be donated here
-                continue
-            transfer_id = self._context.issue_ticket()
-            donation = self._transfers.offer(now, transfer_id, requested.field, request)
-            if donation is not None:
-                self._donating[transfer_id] = store
-                self._context.notify_router(
-                    api.QuotaRequested(transfer_id, key, request.amount, donation.expires_at)
-                )
+            key = parse_quota_key(requested.request.key)
+            if key is not None:  # else of a version that shares more quotas: there is nothing to donate
+                self._offer(now, store, key, requested)
+
+    def _offer(self, now: Instant, store: StoreHealth, key: api.QuotaKey, requested: RequestedQuota) -> None:
+        """Has the router donate to a request, where this proxy may answer it."""
+        request = requested.request
+        transfer_id = self._context.issue_ticket()
+        donation = self._donations.offer(now, transfer_id, requested.field, request)
+        if donation is None:
+            return
+        self._offered[transfer_id] = store
+        event = api.QuotaRequested(transfer_id, key, request.amount, donation.expires_at)
+        self._context.notify_router(event)
 
     def donate(self, now: Instant, event: api.DonateQuota) -> None:
-        """Hands an amount over that the router has given up.
+        """Grants an amount that the router has given up.
 
-        From here on it is the other proxy's, whatever becomes of the command.
+        From here on it counts as the other proxy's, whatever becomes of the command.
         """
-        store = self._donating.pop(event.transfer_id, None)
-        donated = self._transfers.donate(event.transfer_id, event.amount, event.expires_at)
-        if donated is None or store is None:
+        store = self._offered.pop(event.transfer_id, None)
+        granted = self._donations.donate(event.transfer_id, event.amount, event.expires_at)
+        if granted is None or store is None:
             return
         self._context.counts["quota_grants_made"] += 1
         if not store.accepts_publications:
             return
-        donation, grant = donated
+        donation, grant = granted
         request = donation.request
         operation = GrantQuota(
-            store.generation,
-            donation.field,
-            request.nonce,
-            request.incarnation,
-            grant.amount,
-            encode_record(grant),
+            generation=store.generation,
+            request_field=donation.field,
+            nonce=request.nonce,
+            recipient=request.incarnation,
+            amount=grant.amount,
+            record=encode_record(grant),
         )
-        self._commands.send(now, store, operation, partial(self._on_handed_over, donation))
+        self._commands.send(now, store, operation, partial(self._on_granted, donation))
 
-    def _on_handed_over(self, donation: Donation, now: Instant, values: ReplyValues | None) -> None:
-        """Takes back what the store has surely not handed over; the rest stays donated until it expires."""
+    def _on_granted(self, donation: Donation, now: Instant, values: ReplyValues | None) -> None:
+        """Returns an amount to the router that the store certainly has not granted.
+
+        Without a reply it may have been: the amount stays donated until it expires.
+        """
         if not values:
             self._context.counts["quota_grants_unconfirmed"] += 1
             return
         request = donation.request
-        self._transfers.close(request.nonce)
+        self._donations.close(request.nonce)
         if values[0] == ReplyType.NOT_REQUESTED and now < donation.expires_at:
             self._context.counts["quota_grants_returned"] += 1
             self._notify_received(request.key, donation.amount, donation.expires_at)
 
-    def receive_grant(self, now: Instant, row: object) -> None:
-        """Passes a grant on to the router; raises `RecordError` where it counts for nothing."""
-        grant = decode_record(QuotaGrant, row)
-        amount, expires_at = self._transfers.receive(now, grant)
-        self._context.counts["quota_grants_received"] += 1
-        self._notify_received(grant.key, amount, expires_at)
-
     def _notify_received(self, key_text: str, amount: float, expires_at: Instant) -> None:
         key = parse_quota_key(key_text)
         if key is not None:
             self._context.notify_router(api.QuotaReceived(key, amount, expires_at))
 
 
+def _request_field(incarnation: str, key: str) -> str:
+    """The field under which a store has a process's request of a quota."""
+    return f"{incarnation}|{key}"
+
+
 def _keep_oldest(oldest: dict[str, RequestedQuota], row: object) -> None:
-    """Enters a row's request where no older one of its quota is known."""
+    """Adds a row's request where no older one of its quota is known."""
     requested = parse_requested_quota(row)
     known = oldest.get(requested.request.key)
     if known is None or requested.precedes(known):
--- /dev/null
+++ b/olivepost/shared_store/quota_requests.py
@@ -0,0 +1,159 @@
+"""Decides which quota this proxy requests from others, and which of their grants count. No clock, no I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, encode_record
+from olivepost.units import MILLISECOND, Duration, Instant
+
+MAX_SHORTAGES = 64  # quotas that are requested at once
+MAX_GRANTS = 1_024  # remembered until they expire, so that none counts twice
+MIN_AMOUNT = 1e-6  # of a quota; less is not transferred
+RENEWALS_PER_DURATION = 8  # of a request: a grant counts from the request's instant
+SHORTAGE_MEMORY: Duration = 500 * MILLISECOND  # in which a shortage decays to nothing
+
+
+class IdSequence:
+    """Ids of this process's requests and grants, unique in the branch. The coordinator's thread only."""
+
+    def __init__(self, incarnation: str) -> None:
+        self.incarnation = incarnation
+        self._last_number = 0
+
+    def issue(self) -> str:
+        """Returns an id that was not issued before."""
+        self._last_number += 1
+        return f"{self.incarnation}.{self._last_number}"
+
+
+@dataclass(slots=True)
+class Shortage:
+    """The router's recent shortages of one quota: a decaying sum, and the largest single amount."""
+
+    updated_at: Instant
+    total: float = 0.0
+    largest: float = 0.0
+
+    def add(self, now: Instant, amount: float) -> None:
+        """Adds the amount of a shortage."""
+        self.total = self.remaining(now) + amount
+        self.updated_at = now
+        self.largest = max(self.largest, amount)
+
+    def remaining(self, now: Instant) -> float:
+        """Returns the sum after its decay."""
+        return self.total * max(0.0, 1 - (now - self.updated_at) / SHORTAGE_MEMORY)
+
+
+@dataclass(slots=True)
+class OpenRequest:
+    """A request of this proxy; grants that carry its nonce count until it expires."""
+
+    nonce: str
+    key: str
+    amount: float
+    requested_at: Instant
+    expires_at: Instant
+    received: float = 0.0
+
+
+class ReceivedQuota(NamedTuple):
+    """The amount of a grant, and when this proxy must no longer use it."""
+
+    amount: float
+    expires_at: Instant
+
+
+class QuotaRequests:
+    """This proxy's shortages and requests, and the grants that it received for them.
+
+    Keys are texts as records have them. Used by the coordinator's thread only.
+    """
+
+    def __init__(self, ids: IdSequence, duration: Duration) -> None:
+        self._ids = ids
+        self._duration = duration
+        self._shortages: dict[str, Shortage] = {}  # by key
+        self._requests: dict[str, OpenRequest] = {}  # by nonce
+        self._latest: dict[str, OpenRequest] = {}  # by key
+        self._grants: dict[str, Instant] = {}  # received, by id: when they expire
+
+    def record_shortage(self, now: Instant, key: str, amount: float) -> None:
+        """Records that the router was short of an amount of a quota."""
+        if amount > 0 and (key in self._shortages or len(self._shortages) < MAX_SHORTAGES):
+            self._shortages.setdefault(key, Shortage(now)).add(now, amount)
+
+    def has_shortage(self, key: str) -> bool:
+        """Whether this proxy is short of a quota itself."""
+        return key in self._shortages
+
+    def renew(self, now: Instant) -> dict[str, bytes]:
+        """Drops expired requests and renews the others; returns the records of the unmet ones, by key."""
+        self._drop_expired(now)
+        records: dict[str, bytes] = {}
+        for key, shortage in self._shortages.items():
+            request = self._current_request(now, key, shortage)
+            if request.received < request.amount:
+                records[key] = self._encode(request)
+        return records
+
+    def receive(self, now: Instant, grant: QuotaGrant) -> ReceivedQuota:
+        """Records a grant and returns what it gives this proxy.
+
+        Raises `RecordError` where it counts for nothing: not requested here, received before, or too late.
+        """
+        self._grants = {grant_id: expiry for grant_id, expiry in self._grants.items() if expiry > now}
+        request = self._requests.get(grant.nonce)
+        if request is None or request.key != grant.key or now >= request.expires_at:
+            raise RecordError("a quota grant that was not requested here, or has expired")
+        if grant.id in self._grants:
+            raise RecordError("a quota grant that was received before")
+        if not 0 < grant.amount < float("inf") or len(self._grants) >= MAX_GRANTS:
+            raise RecordError(
+                "a quota grant of no amount, or one too many", f"above 0, and {MAX_GRANTS} at once"
+            )
+        self._grants[grant.id] = request.expires_at
+        request.received += grant.amount
+        return ReceivedQuota(grant.amount, request.expires_at)
+
+    def _drop_expired(self, now: Instant) -> None:
+        self._requests = {
+            nonce: request for nonce, request in self._requests.items() if request.expires_at > now
+        }
+        self._latest = {key: request for key, request in self._latest.items() if request.expires_at > now}
+        self._shortages = {
+            key: shortage for key, shortage in self._shortages.items() if shortage.remaining(now) > MIN_AMOUNT
+        }
+
+    def _current_request(self, now: Instant, key: str, shortage: Shortage) -> OpenRequest:
+        """Returns the latest request of a key, or a new one where it is time to renew it."""
+        latest = self._latest.get(key)
+        if latest is not None and now < latest.requested_at + self._duration // RENEWALS_PER_DURATION:
+            return latest
+        amount = self._amount_to_request(now, key, shortage)
+        request = OpenRequest(self._ids.issue(), key, amount, now, now + self._duration)
+        self._requests[request.nonce] = request
+        self._latest[key] = request
+        return request
+
+    def _amount_to_request(self, now: Instant, key: str, shortage: Shortage) -> float:
+        """Returns the expected shortage over a whole transfer, less what was received already.
+
+        At least the largest single shortage, so that one attempt can use the transfer.
+        """
+        received = sum(request.received for request in self._requests.values() if request.key == key)
+        expected = shortage.remaining(now) * self._duration / SHORTAGE_MEMORY
+        return max(shortage.largest, expected - received)
+
+    def _encode(self, request: OpenRequest) -> bytes:
+        return encode_record(
+            QuotaRequest(
+                incarnation=self._ids.incarnation,
+                key=request.key,
+                nonce=request.nonce,
+                amount=request.amount,
+                duration=self._duration,
+            )
+        )
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -12,7 +12,7 @@
 from olivepost.shared_store.generations import GenerationManager
 from olivepost.shared_store.invalidations import InvalidationExchange
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import SyncOperation
+from olivepost.shared_store.messages import QuotaRequestRow, SyncOperation
 from olivepost.shared_store.outlier_reports import OutlierReports, parse_outlier_report
 from olivepost.shared_store.quota_exchange import QuotaExchange
 from olivepost.shared_store.store_health import StoreHealth, TrustLevel
@@ -83,10 +83,10 @@
     def _sync(self, now: Instant, store: StoreHealth) -> None:
         terms = self._context.terms
         self._next_sync[store.name] = now + terms.sync_interval
-        requests: tuple[tuple[str, bytes], ...] = ()
+        requests: tuple[QuotaRequestRow, ...] = ()
         outliers: tuple[str, ...] = ()
         if store.trust is TrustLevel.TRUSTED:
-            requests = self._quotas.open_requests(now, store)
+            requests = self._quotas.renew_requests(now, store)
             if terms.outlier_reports_enabled:
                 outliers = self._outliers.active_own(now)
         serial = store.issue_serial()
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -6,25 +6,36 @@
 
 from olivepost import interface as api
 from olivepost.routing import capacity
-from olivepost.shared_store.quota_transfers import QuotaTransfers
+from olivepost.shared_store.quota_donations import QuotaDonations
+from olivepost.shared_store.quota_requests import IdSequence, QuotaRequests
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, decode_record
 from tests.router_harness import MS, SECOND
 from tests.shared_store.model import make_branch
 
 
-def requester() -> tuple[QuotaTransfers, QuotaRequest]:
-    transfers = QuotaTransfers("me", SECOND)
-    transfers.record_shortage(0, "cold:c@1", 0.5)
-    (data,) = transfers.open_requests(0).values()
-    return transfers, decode_record(QuotaRequest, data)
+def make_requests(incarnation: str) -> QuotaRequests:
+    return QuotaRequests(IdSequence(incarnation), SECOND)
 
 
-def test_grant_counts_once_from_the_moment_of_its_request() -> None:
-    transfers, request = requester()
+def make_donations(own_requests: QuotaRequests) -> QuotaDonations:
+    return QuotaDonations(own_requests, IdSequence("you"), SECOND)
+
+
+def request_quota(requests: QuotaRequests) -> QuotaRequest:
+    """Has a proxy be short of a quota; returns its request."""
+    requests.record_shortage(0, "cold:c@1", 0.5)
+    (record,) = requests.renew(0).values()
+    return decode_record(QuotaRequest, record)
+
+
+def test_grant_counts_once_from_the_instant_of_its_request() -> None:
+    requests = make_requests("me")
+    request = request_quota(requests)
     grant = QuotaGrant(id="x.1", key=request.key, nonce=request.nonce, amount=0.5)
-    assert transfers.receive(900 * MS, grant) == (0.5, SECOND)
+
+    assert requests.receive(900 * MS, grant) == (0.5, SECOND)
     with pytest.raises(RecordError, match="received before"):
-        transfers.receive(901 * MS, grant)
+        requests.receive(901 * MS, grant)
 
 
 @pytest.mark.parametrize(
@@ -42,30 +53,44 @@
     change: dict[str, object], at: int
 ) -> None:
     """Each would exceed the whole quota, since its donor may have the amount back already."""
-    transfers, request = requester()
+    requests = make_requests("me")
+    request = request_quota(requests)
     fields = {"id": "x.1", "key": request.key, "nonce": request.nonce, "amount": 0.5, **change}
+
     with pytest.raises(RecordError):
-        transfers.receive(at, QuotaGrant(**fields))  # type: ignore[arg-type]
+        requests.receive(at, QuotaGrant(**fields))  # type: ignore[arg-type]
 
 
-def test_donor_waits_longer_than_the_receivers_clock_may_lag() -> None:
-    donor, request = QuotaTransfers("you", SECOND), requester()[1]
-    donation = donor.offer(0, 1, "f", request)
+def test_donor_waits_longer_than_the_recipients_clock_may_lag() -> None:
+    request = request_quota(make_requests("me"))
+    donations = make_donations(make_requests("you"))
+
+    donation = donations.offer(0, 1, "f", request)
+
     assert donation is not None
     assert donation.expires_at >= 1.01 * SECOND
-    assert donor.offer(0, 2, "f", request) is None  # one donation at a time
-    assert donor.donate(1, 0.0, 5) is None
-    assert donor.offer(0, 3, "f", request) is not None
 
 
-def test_proxy_donates_nothing_of_a_quota_that_it_lacks() -> None:
-    donor, request = QuotaTransfers("you", SECOND), requester()[1]
-    donor.record_shortage(0, request.key, 0.1)
-    assert donor.offer(0, 1, "f", request) is None
+def test_request_is_answered_again_only_after_its_donation_failed() -> None:
+    request = request_quota(make_requests("me"))
+    donations = make_donations(make_requests("you"))
+
+    assert donations.offer(0, 1, "f", request) is not None
+    assert donations.offer(0, 2, "f", request) is None
+    assert donations.donate(1, 0.0, 5) is None
+    assert donations.offer(0, 3, "f", request) is not None
+
+
+def test_proxy_that_is_short_of_a_quota_donates_nothing_of_it() -> None:
+    request = request_quota(make_requests("me"))
+    own_requests = make_requests("you")
+    own_requests.record_shortage(0, request.key, 0.1)
+
+    assert make_donations(own_requests).offer(0, 1, "f", request) is None
 
 
 def test_restarted_proxy_does_not_use_what_its_earlier_process_donated() -> None:
-    """Rule 4 over restarts: the part is whole again only after the longest transfer and a window."""
+    """The part is complete again only after the longest transfer and an overload window."""
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
@@ -88,9 +113,9 @@
     assert capacity.transferred(proxy.router.state, proxy.clock(branch.now), key, part) == 0
 
 
-def test_slow_start_quota_moves_to_the_busy_proxy_and_never_grows() -> None:
-    def served(sharing: bool) -> int:
-        branch = make_branch(6, has_store=sharing, size_kb=200.0)
+def test_slow_start_quota_is_transferred_to_the_busy_proxy_and_never_exceeded() -> None:
+    def served(has_store: bool) -> int:
+        branch = make_branch(6, has_store=has_store, size_kb=200.0)
         for name in list(branch.caches):
             branch.restart_cache(name)
         branch.load(60, 5 * SECOND, lambda: 0 if branch.draw.random() < 0.95 else 1)
@@ -101,11 +126,11 @@
         assert branch.counts.quota_checks
         return branch.counts.served
 
-    assert served(True) > 1.3 * served(False)
+    assert served(has_store=True) > 1.3 * served(has_store=False)
 
 
-def test_grant_whose_handover_was_cut_off_stays_donated() -> None:
-    """It may have been handed over: taking it back would count it twice."""
+def test_grant_without_a_reply_stays_donated() -> None:
+    """It may have been granted: returning it to the donor would count it twice."""
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
