--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -28,7 +28,7 @@
     kind: ResponseKind
     etag: str = ""
     body: PooledBody | None = None
-    generated_at: Instant = 0  # when the origin generated it, in Unix nanoseconds; 0: unknown
+    generated_at: Instant | None = None  # when the origin generated it, in Unix nanoseconds; None: unknown
     retry_after: Duration | None = None  # None: no advice
 
     def release(self) -> None:
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -152,7 +152,7 @@
         del pending.attempts[attempt.number]
         if event.status is not api.AttemptStatus.OK:
             self._record_failed_attempt(event)
-        pending.generated_at = 0 if response is None else response.generated_at
+        pending.generated_at = None if response is None else response.generated_at
         actions = self._deliver(now, pending, event)
         self._executor.execute(actions, pending)
 
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -24,7 +24,7 @@
     aborts_in_flight: int = 0
     deferred_attempt: UpstreamRequest | None = None
     attempt_count: int = 0
-    generated_at: Instant = 0  # of its response, in Unix nanoseconds; 0: unknown
+    generated_at: Instant | None = None  # of its response, in Unix nanoseconds; None: unknown
 
 
 class PendingExchanges:
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -61,11 +61,14 @@
         A response of unknown age, or larger than the whole cache, is not stored.
         """
         body = response.body
-        if body is None or response.generated_at <= 0 or body.buffer_count > self._max_buffers:
+        generated_at = response.generated_at
+        if generated_at is None or generated_at <= 0:
+            return
+        if body is None or body.buffer_count > self._max_buffers:
             return
         key = cache_key(exchange)
         self._evict(key)
-        self._entries[key] = CacheEntry(exchange.group, response.etag, response.generated_at, body.share())
+        self._entries[key] = CacheEntry(exchange.group, response.etag, generated_at, body.share())
         self._buffer_count += body.buffer_count
         while self._buffer_count > self._max_buffers:
             oldest = next(iter(self._entries))
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -36,14 +36,14 @@
 def completed_from_response(
     request: UpstreamRequest, line: ResponseLine, clock: Clock, log: EventLog
 ) -> UpstreamCompleted:
-    """Return how a request ended, by its response's line and the body read for it."""
+    """Returns how a request ended, by its response's line and the body read for it."""
     cache_status = CACHE_STATUSES.get(line.fields.get("why", ""), api.CacheStatus.UNKNOWN)
     completed_at = clock.now()
     response = _response(request, line, clock, completed_at)
     if response is not None:
         status = api.AttemptStatus.OK
     elif request.is_missing_buffers:
-        status = api.AttemptStatus.CANCELLED  # the proxy's own want: it says nothing of the endpoint
+        status = api.AttemptStatus.CANCELLED  # the proxy lacked buffers: the endpoint is not at fault
     elif line.status in FAILURE_STATUSES:
         status = FAILURE_STATUSES[line.status]
     else:
@@ -55,9 +55,10 @@
 def events_of_loss(
     requests: list[UpstreamRequest], lost_at: Instant, was_connected: bool, is_local_failure: bool = False
 ) -> Iterator[UpstreamEvent]:
-    """Yield what becomes of the requests that were pending on a connection when it ended.
+    """Yields the outcomes of the requests that were pending on a connection when it ended.
 
-    One that has not begun is forwarded again, once; the first of the others counts as the connection's loss.
+    A request that has not begun is forwarded again, once; the first of the others counts as the connection's
+    loss.
     """
     is_repeated_loss = False
     for request in requests:
@@ -77,25 +78,25 @@
 def _response(
     request: UpstreamRequest, line: ResponseLine, clock: Clock, completed_at: Instant
 ) -> Response | None:
-    """Return the response to pass on; None where the endpoint served none."""
+    """Returns the response for the client; None where the endpoint served none."""
     etag = line.fields.get("entity", "")
     if line.status == "HIT" and request.body is not None:
         generated_at = _generated_at(line.fields.get("issued", ""), clock, completed_at)
         return Response(ResponseKind.SERVED, etag, request.body, generated_at)
-    # Only the very response that the client holds, by its tag, may be called not modified.
+    # Only the response that the client has cached, by its tag, may be reported as not modified.
     if line.status == "VALID" and etag and etag == request.exchange.etag:
         return Response(ResponseKind.NOT_MODIFIED, etag)
     return None
 
 
-def _generated_at(issued: str, clock: Clock, completed_at: Instant) -> Instant:
-    """Return nanoseconds on this clock from the field's milliseconds; 0 where it is missing or malformed.
+def _generated_at(issued: str, clock: Clock, completed_at: Instant) -> Instant | None:
+    """Returns the field's time on this clock; None where it is missing, malformed or 0.
 
-    No response was generated after it came: one that says so shows how far this clock is behind.
+    No response was generated after it was received: a later time shows how far this clock is behind.
     """
     is_timestamp = issued.isascii() and issued.isdigit() and len(issued) <= MAX_TIMESTAMP_DIGITS
     if not is_timestamp:
-        return 0
+        return None
     unix_ns = int(issued) * MILLISECOND
     clock.observe(unix_ns)
-    return min(clock.from_unix(unix_ns), completed_at)
+    return min(clock.from_unix(unix_ns), completed_at) or None
--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -87,7 +87,7 @@
                 self._liveness.response_started_at = None
 
     def _check_liveness(self, now: Instant) -> None:
-        """Raises where a response stalls; asks the endpoint for a sign of life after a silence.
+        """Raises where a response stalls; sends a liveness check after a silence.
 
         A slow endpoint replies to such a check. One that has failed, can't be reached or has lost the end of
         a response does not.
@@ -116,7 +116,7 @@
             self._resources.log.increment(match.value)
             return
         self._request = match
-        if line.status == "HIT":
+        if line.status == "HIT" and line.body_length is not None:
             self._reserve_body(match, line.body_length)
 
     def _reserve_body(self, request: UpstreamRequest, length: int) -> None:
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -144,9 +144,7 @@
         if self._state.pending_count <= 1 and self._context.liveness.is_idle(now):
             if sockets.is_closed_by_peer(sock):
                 raise ConnectionError("closed by the endpoint while idle")
-            now = (
-                self._resources.clock.now()
-            )  # the check may have taken time: `start_before` is a strict bound
+            now = self._resources.clock.now()  # after the check: `start_before` is a strict bound
         match self._state.start_writing(request, now):
             case WriteStart.STARTED:
                 # Encoded only now, so that a waiting request does not hold its body twice.
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -83,9 +83,9 @@
         """Asks for a hint; the router gets it as a `CacheHint`."""
         self._queue_event(messages.LookupRequested(lookup, object_name, group))
 
-    def release_lease(self, release: api.ReleaseLease, generated_at: Instant) -> None:
-        """Releases a fill lease; `generated_at` is that of the response in Unix nanoseconds, 0: unknown."""
-        generated_at_ms = generated_at // MILLISECOND if generated_at else None
+    def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None) -> None:
+        """Releases a fill lease; `generated_at` is that of the response in Unix time, None: unknown."""
+        generated_at_ms = None if generated_at is None else generated_at // MILLISECOND or None
         self._queue_event(messages.LeaseReleased(release, generated_at_ms))
 
     def notify(
--- a/tests/proxy/test_line_protocol.py
+++ b/tests/proxy/test_line_protocol.py
@@ -25,9 +25,9 @@
 )
 
 
-def parse(pieces: list[bytes], max_body_size: int = 1000) -> list[object]:
+def parse(pieces: list[bytes], max_body_bytes: int = 1000) -> list[object]:
     """Return what a parser yields, with the pieces of a body joined."""
-    parser = ResponseParser(max_body_size)
+    parser = ResponseParser(max_body_bytes)
     parsed: list[object] = []
     for piece in pieces:
         for item in parser.feed(memoryview(piece)):
@@ -48,7 +48,7 @@
         b"ab\r\n\x00\xffc",
         RESPONSE_END,
     ]
-    assert parsed[3:5] == [ResponseLine("t1", "PONG", {}, -1), RESPONSE_END]
+    assert parsed[3:5] == [ResponseLine("t1", "PONG", {}, None), RESPONSE_END]
     assert [item.status for item in parsed[5:] if isinstance(item, ResponseLine)] == ["NONE", "VALID"]
 
 
--- a/tests/proxy/test_upstream_rules.py
+++ b/tests/proxy/test_upstream_rules.py
@@ -184,13 +184,15 @@
     [
         ("1764575999123", 1_764_575_999_123 * MILLISECOND),
         ("1764576000123", START),  # generated after it came: this process's clock is behind
-        ("", 0),
-        ("soon", 0),
-        ("²", 0),
-        ("1" * 16, 0),
+        ("", None),
+        ("soon", None),
+        ("²", None),
+        ("1" * 16, None),
     ],
 )
-def test_served_response_has_its_body_tag_and_age(issued: str, generated_at: int, log: EventLog) -> None:
+def test_served_response_has_its_body_tag_and_age(
+    issued: str, generated_at: int | None, log: EventLog
+) -> None:
     body = PooledBody.reserve(BufferPool(1, 8), 8, 0)
     assert body is not None
     served = line("HIT", why="warm", entity="tag", issued=issued)
