--- a/olivepost/proxy/upstream/command.py
+++ b/olivepost/proxy/upstream/command.py
@@ -10,7 +10,7 @@
 
 
 def command_fields(exchange: Exchange, attempt: api.ForwardAttempt) -> dict[str, str]:
-    """Return the fields of an attempt's `fetch` command, in the order of the wire.
+    """Returns the fields of an attempt's `fetch` command, in the order of the wire.
 
     Durations are cut to whole milliseconds, so that no wait and no response's age is longer than decided.
     """
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -183,7 +183,7 @@
             return True
 
     def mark_missing_buffers(self, request: UpstreamRequest) -> None:
-        """Notes that no buffers came free for the body of a request's response."""
+        """Records that no buffers came free for the body of a request's response."""
         with self._lock:
             request.is_missing_buffers = True
 
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -33,12 +33,12 @@
         return now - self.last_received_at > IDLE_CHECK_AFTER
 
     def record_received(self, now: Instant) -> None:
-        """Notes that bytes have been received."""
+        """Records that bytes have been received."""
         self.last_received_at = now
         self.check_sent_at = None
 
     def record_progress(self, *, is_between_responses: bool) -> None:
-        """Notes, once the received bytes are parsed, whether a response is in progress."""
+        """Records, once the received bytes are parsed, whether a response is in progress."""
         if is_between_responses:
             self.response_started_at = None
         elif self.response_started_at is None:
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class EndpointConnections:
-    """An endpoint of the list, with the connections to it that may take requests."""
+    """An endpoint of the list, with the connections to it that may accept requests."""
 
     address: EndpointAddress
     connections: list[UpstreamConnection] = field(default_factory=list)
@@ -30,7 +30,7 @@
         self._connections: list[UpstreamConnection] = []
 
     def update(self, addresses: list[EndpointAddress], is_full: bool) -> None:
-        """Apply an endpoint list, full or incremental.
+        """Applies an endpoint list, full or incremental.
 
         Connections belong to one process of one endpoint, wherever its socket address was used before.
         """
@@ -43,7 +43,7 @@
                 self._remove_endpoint(endpoint_id)
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Take back the matching requests that no connection has begun to write."""
+        """Takes back the matching requests that no connection has begun to write."""
         withdrawn: list[UpstreamRequest] = []
         for endpoint in self._endpoints.values():
             for connection in endpoint.connections:
@@ -51,7 +51,7 @@
         return withdrawn
 
     def forward(self, request: UpstreamRequest) -> None:
-        """Hand a request to a connection: the one with the fewest pending requests, or a new one."""
+        """Gives a request to the connection with the fewest pending requests, or to a new one."""
         endpoint = self._ready_endpoint(request)
         if endpoint is None:
             self._report(request, api.AttemptStatus.CONNECT_FAILED)
@@ -66,7 +66,7 @@
         self._forward_on_new_connection(request, endpoint)
 
     def close_idle(self) -> None:
-        """Drain the connections that have no pending request."""
+        """Drains the connections that have no pending request."""
         for endpoint in self._endpoints.values():
             for connection in endpoint.connections:
                 if not connection.pending_count:
@@ -83,7 +83,7 @@
         return len(self._endpoints)
 
     def close(self) -> None:
-        """Drain all connections."""
+        """Drains all connections."""
         for endpoint_id in list(self._endpoints):
             self._remove_endpoint(endpoint_id)
 
@@ -98,7 +98,7 @@
             self._remove_endpoint(address.id)
 
     def _remove_endpoint(self, endpoint_id: str) -> None:
-        """Forget an endpoint; its connections end once nothing is pending on them."""
+        """Removes an endpoint; its connections end once nothing is pending on them."""
         endpoint = self._endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
@@ -106,21 +106,19 @@
             connection.drain()
 
     def _ready_endpoint(self, request: UpstreamRequest) -> EndpointConnections | None:
-        """Return the request's endpoint; None where it takes no new requests."""
+        """Returns the request's endpoint; None where it accepts no new requests."""
         endpoint = self._endpoints.get(request.cache)
         is_ready = endpoint is not None and endpoint.address.state is api.EndpointState.READY
-        # A request whose connection was lost before its first byte may come back here after its endpoint has
-        # begun to drain.
+        # A request whose connection was lost before its first byte may be forwarded again after its endpoint
+        # has begun to drain.
         invariants.check(is_ready or request.is_rerouted, "only_to_ready_endpoints")
         return endpoint if is_ready else None
 
     def _forward_on_new_connection(self, request: UpstreamRequest, endpoint: EndpointConnections) -> None:
         limits = self._resources.limits
         self._connections = [connection for connection in self._connections if not connection.is_closed]
-        if (
-            len(endpoint.connections) >= limits.max_connections_per_endpoint
-            or len(self._connections) >= limits.max_upstream_connections
-        ):
+        is_endpoint_full = len(endpoint.connections) >= limits.max_connections_per_endpoint
+        if is_endpoint_full or len(self._connections) >= limits.max_upstream_connections:
             self._resources.log.increment("upstream_connections_full")
             self._report(request, api.AttemptStatus.NOT_SENT)
             return
@@ -136,5 +134,5 @@
         connection.offer(request)
 
     def _report(self, request: UpstreamRequest, status: api.AttemptStatus) -> None:
-        """Complete a request that was handed to no connection."""
+        """Completes a request that was given to no connection."""
         self._resources.post(UpstreamCompleted(request, status, request.forwarded_at))
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -1,4 +1,4 @@
-"""An upstream request, its stages, and the messages in which its connection reports what became of it."""
+"""An upstream request, its stages, and the messages by which its connection reports its outcome."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     number: int  # of the attempt within its exchange
     cache: str
     source: str | None
-    forwarded_at: int  # Unix nanoseconds
+    forwarded_at: Instant  # Unix nanoseconds
     fields: dict[str, str]
     start_before: Instant | None = None  # Unix nanoseconds; not to be written later; None: no bound
     stage: RequestStage = RequestStage.QUEUED
@@ -52,7 +52,7 @@
     timer_id: int = 0  # of the event loop's timer for its timeout
 
     def discard_body(self) -> None:
-        """Release what has been read of its response."""
+        """Releases the part of its response's body that was read."""
         if self.body is not None:
             self.body.release()
             self.body = None
--- a/olivepost/shared_store/endpoints.py
+++ b/olivepost/shared_store/endpoints.py
@@ -1,10 +1,12 @@
-"""The endpoint list as the store coordinator needs it: which caches a stored record may still name."""
+"""The endpoint list as the store coordinator uses it: which caches a stored record may still name."""
 
 from __future__ import annotations
 
 from olivepost import interface as api
 from olivepost.units import Instant
 
+UNKNOWN_START: Instant = 0  # as records have it
+
 
 class EndpointDirectory:
     """Endpoints by id. Used by the coordinator's thread only."""
@@ -20,7 +22,7 @@
         return set(self._by_id)
 
     def update(self, update: api.EndpointUpdate) -> None:
-        """Applies a whole endpoint list or a change of it."""
+        """Applies a full or an incremental update."""
         if update.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.RESTORED):
             self._by_id = {}
         for endpoint in update.endpoints:
@@ -29,9 +31,9 @@
                 self._by_id[endpoint.id] = endpoint
 
     def started_at(self, endpoint_id: str) -> Instant:
-        """Returns when an endpoint started, as records have it: 0 where that is unknown."""
+        """Returns when an endpoint started, as records have it: `UNKNOWN_START` where that is unknown."""
         endpoint = self._by_id.get(endpoint_id)
-        return _stored_start(endpoint) if endpoint is not None else 0
+        return UNKNOWN_START if endpoint is None else _stored_start(endpoint)
 
     def is_usable(self, endpoint_id: str, started_at: Instant) -> bool:
         """Whether an endpoint is ready, and has not restarted since a record named it."""
@@ -47,5 +49,5 @@
 
 
 def _stored_start(endpoint: api.EndpointMetadata) -> Instant:
-    """The start of an endpoint as records have it: 0 where it is not set."""
-    return endpoint.started_at or 0
+    """The start of an endpoint as records have it."""
+    return UNKNOWN_START if endpoint.started_at is None else endpoint.started_at
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -41,7 +41,7 @@
             self._advance(now, store, generation)
 
     def _advance(self, now: Instant, store: StoreHealth, found: int) -> None:
-        """Requests a new generation, so that what the store has left counts for no proxy."""
+        """Requests a new generation, so that no record of the store's present state counts."""
         store.trust = TrustLevel.NONE
         if store.is_advancing:
             return
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -1,6 +1,6 @@
-"""Runs the shared store's coordinator: owns its thread, its clock and the workers of each store.
+"""Runs the shared store's coordinator: owns its thread, its queue of events and the workers of each store.
 
-Decides nothing. One thread drives the coordinator. Each store has two workers, a thread and a connection
+It makes no decision. One thread drives the coordinator. Each store has two workers, a thread and a connection
 each: one for commands that requests wait for, one for all others.
 """
 
@@ -22,20 +22,20 @@
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
 TICK_INTERVAL: Duration = 10 * MILLISECOND  # the shortest `sync`, and the resolution of reply timeouts
-MAX_QUEUED_EVENTS = 20_000  # beyond them, hints and reports are dropped
-INCARNATION_BITS = 64  # so that no two processes of a branch have the same
+MAX_QUEUED_EVENTS = 20_000  # beyond them, lookups and reports are dropped
+INCARNATION_BITS = 64  # enough that no two processes of a branch have the same
 SEED_BITS = 64
-COORDINATOR_JOIN_S = 1.0  # it never waits longer than a tick
-WORKER_JOIN_S = 0.2  # one that waits for a silent store is left to its timeout
+COORDINATOR_JOIN_TIMEOUT_S = 1.0  # the thread never waits longer than a tick
+WORKER_JOIN_TIMEOUT_S = 0.2  # a worker that waits for an unresponsive store ends at its own timeout
 
-# A reply or release that were dropped would leave a command, or a lease, pending for good.
+# Without its reply a command would stay pending for good, without its release a lease.
 UNDROPPABLE_EVENTS = (messages.StoreReply, messages.ReplyLost, messages.LeaseReleased)
 
 
 class StoreHost:
     """The shared stores as the proxy's event loop uses them. Any thread may call it; no call waits.
 
-    `coordinator` belongs to the host's thread; others only read its counts and stores.
+    `coordinator` belongs to the coordinator's thread; others only read its counts and stores.
     """
 
     def __init__(
@@ -57,7 +57,7 @@
         self._context = WorkerContext(
             settings, incarnation, clock, log, FaultLog(clock, log), self._queue_event
         )
-        self._events: queue.SimpleQueue[messages.Event | None] = queue.SimpleQueue()  # None: the end
+        self._events: queue.SimpleQueue[messages.Event | None] = queue.SimpleQueue()  # None ends the thread
         self._workers: dict[tuple[str, Lane], StoreWorker] = {}
         self._thread = threading.Thread(target=self._run, name="store-coordinator", daemon=True)
 
@@ -75,12 +75,12 @@
         self._events.put(None)
         for worker in self._workers.values():
             worker.close()
-        self._thread.join(COORDINATOR_JOIN_S)
+        self._thread.join(COORDINATOR_JOIN_TIMEOUT_S)
         for worker in self._workers.values():
-            worker.join(WORKER_JOIN_S)
+            worker.join(WORKER_JOIN_TIMEOUT_S)
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None) -> None:
-        """Asks for a hint; the router gets it as a `CacheHint`."""
+        """Requests a hint; the router receives it as a `CacheHint`."""
         self._queue_event(messages.LookupRequested(lookup, object_name, group))
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None) -> None:
@@ -96,11 +96,11 @@
         | api.DonateQuota
         | api.ReportOutlier,
     ) -> None:
-        """Hands over an endpoint update or one of the router's actions."""
+        """Passes an endpoint update or one of the router's actions to the coordinator."""
         self._queue_event(event)
 
     def invalidate(self, invalidation: api.Invalidation, now: Instant) -> None:
-        """Publishes an invalidation; `now` is in Unix nanoseconds."""
+        """Publishes an invalidation; `now` is in Unix time."""
         invalidated_at = now - invalidation.age
         self._queue_event(messages.InvalidationReceived(invalidation, invalidated_at // MILLISECOND))
 
@@ -125,15 +125,16 @@
         self._events.put(event)
 
     def _run(self) -> None:
-        tick_at = 0
+        """Handles events, and a tick at each interval."""
+        next_tick = self._clock.now()
         while True:
             now = self._clock.now()
-            if now >= tick_at:
-                tick_at = now + TICK_INTERVAL
+            if now >= next_tick:
+                next_tick = now + TICK_INTERVAL
                 self._handle(messages.Tick())
                 continue
             try:
-                event = self._events.get(timeout=(tick_at - now) / SECOND)
+                event = self._events.get(timeout=(next_tick - now) / SECOND)
             except queue.Empty:
                 continue
             if event is None:
@@ -143,7 +144,7 @@
     def _handle(self, event: messages.Event) -> None:
         try:
             actions = self.coordinator.handle(self._clock.now(), event)
-        except Exception:  # the thread's top: one event's fault must not end the others
+        except Exception:  # the thread's top: one event's fault must not stop the handling of others
             log = self._log
             log.exception("store_coordinator_error", kind=type(event).__name__)
             if isinstance(event, messages.LookupRequested):  # its request waits for a hint
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -106,7 +106,7 @@
     def _on_reply(self, lookup: PendingLookup, now: Instant, values: ReplyValues | None) -> None:
         """Reads a store's reply. Without one, whether this proxy has the lease is unknown."""
         if now - lookup.sent_at > lookup.request.timeout:
-            lookup.is_answered = True  # the router has gone on without a hint
+            lookup.is_answered = True  # the router no longer waits for a hint
         if lookup.lease is not None:
             self._leases.remove_pending(lookup.lease)
         try:
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -24,7 +24,7 @@
 
 
 class GrantedDonation(NamedTuple):
-    """A donation that the router made, and the grant that tells its recipient."""
+    """A donation that the router made, and the grant to send to its recipient."""
 
     donation: Donation
     grant: QuotaGrant
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -31,7 +31,7 @@
     """What a reply shows about its store."""
 
     CURRENT = "current"  # the reply counts
-    STALE = "stale"  # it was sent for a generation that this proxy has left
+    STALE = "stale"  # the command was sent under an earlier generation
     EMPTY = "empty"  # the store has no generation
     ROLLED_BACK = "rolled_back"  # the store has lost state
     MOVED = "moved"  # the store has a later generation
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -228,7 +228,7 @@
         parse_address(value)
 
 
-def test_message_of_a_faulty_secret_does_not_contain_it(tmp_path: Path) -> None:
+def test_message_of_a_faulty_secret_does_not_contain_the_secret(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     path.write_bytes(b"hush\n")
     assert read_secret(path) == "hush"
--- a/tests/shared_store/test_lease_table.py
+++ b/tests/shared_store/test_lease_table.py
@@ -20,7 +20,7 @@
     assert len(leases) == 2
 
 
-def test_lease_is_active_until_it_expires_and_in_its_generation_only() -> None:
+def test_lease_is_active_until_its_expiry_and_in_its_generation_only() -> None:
     leases = LeaseTable()
     owned = lease("r1", 5)
 
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -81,7 +81,7 @@
     assert donations.offer(0, 3, "f", request) is not None
 
 
-def test_proxy_that_is_short_of_a_quota_donates_nothing_of_it() -> None:
+def test_proxy_that_is_short_of_a_quota_does_not_donate() -> None:
     request = request_quota(make_requests("me"))
     own_requests = make_requests("you")
     own_requests.record_shortage(0, request.key, 0.1)
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -22,7 +22,7 @@
     assert not branch.counts.lease_conflicts
 
 
-def test_unresponsive_store_is_not_asked_by_requests_until_it_replies_again() -> None:
+def test_unresponsive_store_gets_no_lookup_until_syncs_are_replied_to_again() -> None:
     """Without the circuit breaker each request for a new name would wait until its timeout."""
     branch = make_branch(2)
     branch.load(100, 10 * SECOND)
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -160,7 +160,7 @@
     assert client.ping()
 
 
-def test_paused_server_runs_the_commands_it_received(server: Server) -> None:
+def test_paused_server_runs_the_received_commands(server: Server) -> None:
     client = client_of(server)
     assert client.ping()  # connected before the fault
     server.faults.pause = True
