--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -87,7 +87,7 @@
                 self._liveness.response_started_at = None
 
     def _check_liveness(self, now: Instant) -> None:
-        """Raises where a response stalls; asks the endpoint for a sign of life after a silence.
+        """Raises where a response stalls; sends a liveness check after a silence.
 
         A slow endpoint replies to such a check. One that has failed, can't be reached or has lost the end of
         a response does not.
--- a/tests/proxy/upstream/test_completion.py
+++ b/tests/proxy/upstream/test_completion.py
@@ -84,13 +84,15 @@
     [
         ("1764575999123", 1_764_575_999_123 * MILLISECOND),
         ("1764576000123", START),  # generated after it was received: this process's clock is behind
-        ("", 0),
-        ("soon", 0),
-        ("²", 0),
-        ("1" * 16, 0),
+        ("", None),
+        ("soon", None),
+        ("²", None),
+        ("1" * 16, None),
     ],
 )
-def test_served_response_has_its_body_tag_and_age(issued: str, generated_at: int, log: EventLog) -> None:
+def test_served_response_has_its_body_tag_and_age(
+    issued: str, generated_at: int | None, log: EventLog
+) -> None:
     body = PooledBody.reserve(BufferPool(1, 8), 8, 0)
     assert body is not None
     served = make_line("HIT", why="warm", entity="tag", issued=issued)
--- a/tests/proxy/upstream/test_line_protocol.py
+++ b/tests/proxy/upstream/test_line_protocol.py
@@ -27,9 +27,9 @@
 )
 
 
-def parse(chunks: list[bytes], max_body_size: int = 1000) -> list[object]:
-    """Return what a parser yields, with the chunks of a body joined."""
-    parser = ResponseParser(max_body_size)
+def parse(chunks: list[bytes], max_body_bytes: int = 1000) -> list[object]:
+    """Returns what a parser yields, with the chunks of a body joined."""
+    parser = ResponseParser(max_body_bytes)
     parsed: list[object] = []
     for chunk in chunks:
         for item in parser.feed(memoryview(chunk)):
