--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -69,7 +69,7 @@
         with contextlib.suppress(OSError):
             sockets.configure(self._sock, 0, limits.write_stall_timeout)
         with contextlib.suppress(OSError):
-            sockets.set_send_buffer(self._sock, limits.max_response_body)
+            sockets.set_send_buffer(self._sock, limits.max_response_body_bytes)
 
     def _close(self) -> None:
         """Closes the socket and abandons the request in flight."""
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -54,7 +54,7 @@
     def __init__(self, context: DownstreamContext, sock: socket.socket) -> None:
         self.lock = threading.Lock()
         self.sock = sock
-        self.parser = RequestParser(context.limits.max_head_size, context.limits.max_request_body)
+        self.parser = RequestParser(context.limits.max_head_bytes, context.limits.max_request_body_bytes)
         self.body_reservation = LargeBodyReservation(context.large_bodies)
         self.exchange: Exchange | None = None  # of the request in flight
         self.keeps_alive = True  # as the last request asked
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -141,7 +141,7 @@
     operator: OperatorSettings | None,
 ) -> int:
     """Runs a proxy until SIGTERM or SIGINT; SIGHUP reloads its configuration. Returns the exit code."""
-    threading.stack_size(config.limits.stack_size)
+    threading.stack_size(config.limits.stack_bytes)
     try:
         proxy = ProxyServer(config, STDOUT, operator, source, signals.wait)
         proxy.start()
--- a/olivepost/proxy/wiring.py
+++ b/olivepost/proxy/wiring.py
@@ -96,8 +96,8 @@
         clock=clock,
         log=EventLog(clock, config.name, limits.memory.log, log_descriptor),
         events=EventQueue(clock),
-        body_buffers=BufferPool(limits.body_buffers, limits.buffer_size),
-        read_buffers=BufferPool(limits.read_buffers, limits.buffer_size),
+        body_buffers=BufferPool(limits.body_buffers, limits.buffer_bytes),
+        read_buffers=BufferPool(limits.read_buffers, limits.buffer_bytes),
     )
 
 
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -100,7 +100,7 @@
                     respond_normally(endpoint, waiting)
 
     with (
-        running_proxy(reply, bounds={"liveness_check_after": 100_000_000}) as proxy,
+        running_proxy(reply, bounds={"liveness_check_delay": 100_000_000}) as proxy,
         proxy.connect() as client,
     ):
         assert client.request(timeout_ms=15_000)[2] == body_of(OBJECT_NAME, "3")
@@ -262,10 +262,10 @@
 
         def noted(event: Any) -> None:
             if isinstance(event, UpstreamCompleted) and event.status is api.AttemptStatus.CONNECTION_LOST:
-                connection = event.request.connection
-                assert isinstance(connection, UpstreamConnection)
-                assert connection._sock is not None
-                ended.append(sockets.is_closed_by_peer(connection._sock))
+                assert isinstance(event.request.connection, UpstreamConnection)
+                sock = event.request.connection._context.sock
+                assert sock is not None
+                ended.append(sockets.is_closed_by_peer(sock))
             post(event)
 
         tools.post = noted
@@ -312,10 +312,15 @@
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
         assert proxy.coordinator.wait_for_poll(1)
-        follower = proxy.parts.discovery._long_poll
+        long_poll = proxy.parts.discovery._long_poll
         links = [link for server in proxy.parts.upstream._endpoints.values() for link in server.connections]
-        assert follower is not None
+        assert long_poll is not None
+        assert long_poll._connection is not None
         assert links
-        for sock in (only_connection(proxy).sock, follower._sock, *(link._sock for link in links)):
+        for sock in (
+            only_connection(proxy).sock,
+            long_poll._connection.sock,
+            *(link._context.sock for link in links),
+        ):
             assert sock is not None
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
