--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -1,8 +1,8 @@
-"""Decides what this proxy sends to the shared stores, which replies it trusts, and what its router hears of.
+"""Decides what this proxy sends to the shared stores, which replies count, and what its router learns.
 
 `StoreCoordinator(terms, seed).handle(now, event)` returns actions: no clock, no I/O, no threads. This module
-only dispatches; each decision stands in a module of its own. Nothing in them extends a deadline, an age or a
-quota by itself, whatever the stores do.
+only dispatches; each decision stands in a module of its own. None of them extends a deadline, an age or a
+quota, whatever the stores do.
 """
 
 from __future__ import annotations
@@ -13,9 +13,10 @@
 from olivepost import interface as api
 from olivepost.shared_store.commands import CommandTracker
 from olivepost.shared_store.context import CoordinatorContext
-from olivepost.shared_store.fill_leases import LeaseTable
+from olivepost.shared_store.fill_leases import FillLeases
 from olivepost.shared_store.generations import GenerationManager
 from olivepost.shared_store.invalidations import InvalidationExchange, KnownInvalidations
+from olivepost.shared_store.lease_table import LeaseTable
 from olivepost.shared_store.lookups import Lookups
 from olivepost.shared_store.malformed_records import MalformedRecords
 from olivepost.shared_store.messages import (
@@ -56,7 +57,8 @@
         self._malformed = MalformedRecords(context)
         self._generations = GenerationManager(context, self.commands, known_invalidations)
         self._invalidations = InvalidationExchange(context, self.commands, known_invalidations)
-        self._lookups = Lookups(context, self.commands, known_invalidations, self._malformed, self.leases)
+        fill_leases = FillLeases(context, self.commands, self.leases)
+        self._lookups = Lookups(context, self.commands, known_invalidations, self._malformed, fill_leases)
         self._quotas = QuotaExchange(context, self.commands, self._malformed)
         self._outliers = OutlierReports()
         exchanges = Exchanges(self._invalidations, self._quotas, self._outliers)
@@ -72,17 +74,17 @@
         self._report_availability()
         return actions
 
-    def _event_handlers(self) -> dict[type, Callable[[int, Any], None]]:
+    def _event_handlers(self) -> dict[type, Callable[[Instant, Any], None]]:
         """Returns for each type of event the method that handles it, with the time and the event."""
         return {
             LookupRequested: self._lookups.look_up,
-            LeaseReleased: self._lookups.release_lease,
+            LeaseReleased: self._lookups.end_request,
             StoreReply: self._handle_reply,
             ReplyLost: self._handle_lost_reply,
             InvalidationReceived: self._invalidations.publish,
             Tick: self._handle_tick,
             api.EndpointUpdate: self._update_endpoints,
-            api.ReportStaleHint: self._lookups.report_stale_hint,
+            api.ReportStaleHint: self._lookups.hints.report_stale_hint,
             api.RequestQuota: self._quotas.record_shortage,
             api.DonateQuota: self._quotas.donate,
             api.ReportOutlier: self._report_outlier,
@@ -106,7 +108,7 @@
         self.commands.fail(now, event.ticket)
 
     def _handle_tick(self, now: Instant, _event: Tick) -> None:
-        self.commands.count_overdue(now)
+        self.commands.record_overdue(now)
         self.counts["leases_expired"] += self.leases.drop_expired(now)
         self._sync.sync_if_due(now)
         self._malformed.report_if_due(now)
@@ -126,5 +128,6 @@
             return
         self._is_available = is_available
         self._context.notify_router(api.StoreAvailability(is_available))
-        states = {name: [store.breaker.value, store.trust.value] for name, store in self.stores.items()}
-        self._context.log("store_available" if is_available else "store_unavailable", {"stores": states})
+        event_name = "store_available" if is_available else "store_unavailable"
+        states = {name: [store.breaker.state.value, store.trust.value] for name, store in self.stores.items()}
+        self._context.log(event_name, {"stores": states})
