--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -137,7 +137,7 @@
             is_pending = self._pending.get(request.exchange.id) is request
             if not is_pending or request.stage is not RequestStage.QUEUED:
                 return WriteStart.WITHDRAWN
-            if 0 < request.start_before < now:
+            if request.start_before is not None and request.start_before < now:
                 self._remove(request)
                 return WriteStart.TOO_LATE
             request.stage = RequestStage.WRITING
--- a/tests/proxy/test_upstream_connections.py
+++ b/tests/proxy/test_upstream_connections.py
@@ -318,7 +318,7 @@
         assert long_poll._connection is not None
         assert links
         for sock in (
-            only_connection(proxy)._sock,
+            only_connection(proxy).sock,
             long_poll._connection.sock,
             *(link._context.sock for link in links),
         ):
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -34,7 +34,7 @@
     for proxy in branch.proxies[1:]:
         endpoint = proxy.router.state.endpoints.by_id[home]
         # In use again, while another proxy's lease says that it fills the name.
-        endpoint.ejected_until = 0
+        endpoint.ejected_until = None
         endpoint.has_trial_in_flight = False
     branch.request(branch.proxies[2], NAME)
     branch.run(2 * SECOND)
@@ -133,7 +133,7 @@
         if name == "c":
             store.go_back(0)
         branch.now += MS
-        look = ev.LookUp(generation, name, ("o:x", "g:1"), b"record", 1_000)
+        look = ev.LookUp(generation, name, ("o:x", "g:1"), ev.LeaseRequest(b"record", 1_000))
         reply = branch.run_script(branch.proxies[0], ev.StoreCommand(1, "s0", look))
         assert isinstance(reply, ev.StoreReply)
         assert reply.values[0] == b"mine"
@@ -169,7 +169,7 @@
     cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     for count, proxy in enumerate(branch.proxies[1:3]):
         assert key in holders(branch)
-        lookup = api.LookUpHint(f"q{count}", f"{NAME}.0", cache_with_name, "", 10 * MS, SECOND)
+        lookup = api.LookUpHint(f"q{count}", f"{NAME}.0", cache_with_name, None, 10 * MS, SECOND)
         proxy.handle_store_event(ev.LookupRequested(lookup, NAME, 7))
         branch.run(20 * MS)
         proxy.handle_store_event(api.ReportStaleHint(lookup.request_id, lookup.name, cache_with_name))
@@ -188,7 +188,7 @@
     branch.publish_endpoints()
     proxy = branch.proxies[1]
     proxy.handle_store_event(
-        ev.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", "", 10 * MS, SECOND), NAME, 7)
+        ev.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", None, 10 * MS, SECOND), NAME, 7)
     )
     branch.run(20 * MS)
     assert key not in holders(branch)
@@ -200,7 +200,7 @@
     (generation,) = {proxy.coordinator.stores["s0"].generation for proxy in made.proxies if proxy.coordinator}
     claims = []
     for proxy in made.proxies[:2]:
-        look = ev.LookUp(generation, "n", ("o:x", "g:1"), b"record", 500)
+        look = ev.LookUp(generation, "n", ("o:x", "g:1"), ev.LeaseRequest(b"record", 500))
         reply = made.run_script(proxy, ev.StoreCommand(1, "s0", look))
         assert isinstance(reply, ev.StoreReply)
         assert reply.values[0] == b"mine"
@@ -208,7 +208,7 @@
         made.now += 600 * MS
         made.now -= 200 * MS if len(claims) == 2 else 0
     for claim, word in ((claims[0], b"lost"), (claims[1], b"done"), (claims[1], b"lost")):
-        settle = ev.PublishLocation(generation, "n", claim, b"holder", 5, 1_000)
+        settle = ev.PublishLocation(generation, "n", claim, ev.LocationPublication(b"holder", 5), 1_000)
         script = scripts.encode_operation(settle, "t", "x")
         words = [w if isinstance(w, bytes) else str(w).encode() for w in script.arguments]
         text = scripts.SCRIPT_TEXTS[script.name].encode()
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -36,7 +36,7 @@
 def test_new_name_is_looked_up_and_a_known_one_is_not() -> None:
     proxy = proxy_with_store()
     (lookup,) = lookups(proxy.request("1"))
-    assert lookup.source == ""
+    assert lookup.source is None
     assert lookup.timeout == WAIT
     proxy.handle(api.CacheHint("1"))
     proxy.complete_attempt("1", 0, api.AttemptStatus.OK, cache_status=api.CacheStatus.HIT)
@@ -58,7 +58,7 @@
     assert not forwarded_attempts(proxy.advance(9 * MS))
     assert forwarded_attempts(proxy.advance(1 * MS))
     (lookup,) = lookups(proxy.complete_attempt("2", 0, api.AttemptStatus.NOT_CACHED))
-    assert lookup.source
+    assert lookup.source is not None
     assert lookup.timeout == 0  # all of it is spent
     assert forwarded_attempts(proxy.advance(0))
 
@@ -76,7 +76,8 @@
     proxy = proxy_with_store()
     proxy.request("1")
     (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", address)))
-    assert fetch.cache == fetch.source == address
+    assert fetch.cache == address
+    assert fetch.source is None
     actions = proxy.complete_attempt("1", 0, api.AttemptStatus.NOT_CACHED)
     assert [a for a in actions if isinstance(a, api.ReportStaleHint)] == [
         api.ReportStaleHint("1", "x.0", address)
@@ -113,7 +114,7 @@
     proxy.request("1")
     (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1", True, 200 * MS)))
     assert fetch.cache == "b:1"
-    assert fetch.source != "b:1"
+    assert fetch.source not in (None, "b:1")
     assert fetch.collapse_fills
 
 
@@ -123,7 +124,8 @@
     assert not forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1", True, 200 * MS)))
     assert not forwarded_attempts(proxy.advance(199 * MS))
     (fetch,) = forwarded_attempts(proxy.advance(1 * MS))
-    assert fetch.cache == fetch.source == "b:1"
+    assert fetch.cache == "b:1"
+    assert fetch.source is None
 
 
 def test_fill_that_never_ends_delays_nobody_past_half_of_the_timeout() -> None:
@@ -146,7 +148,7 @@
         actions = proxy.complete_attempt("1", 1, status, cache_status=api.CacheStatus.FILLED)
         actions += proxy.handle(api.ClientDisconnected("1"))
         (release,) = [a for a in actions if isinstance(a, api.ReleaseLease)]
-        assert release.cache == (fill.cache if status is api.AttemptStatus.OK else "")
+        assert release.cache == (fill.cache if status is api.AttemptStatus.OK else None)
 
 
 def test_invalidation_bounds_the_age_at_a_cache_location_too() -> None:
@@ -155,6 +157,7 @@
     proxy.handle(api.Invalidation(None, 1, 100 * MS))
     proxy.request("1")
     (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))
+    assert fetch.max_age is not None
     assert 0 < fetch.max_age <= 100 * MS
 
 
@@ -162,7 +165,7 @@
     proxy = RouterDriver(make_settings(make_class(freshness_lifetime=8 * SECOND), shared_store_timeout=WAIT))
     proxy.handle(api.StoreAvailability(True))
     (lookup,) = lookups(proxy.request("1"))
-    assert lookup.source
+    assert lookup.source is not None
 
 
 def proxy_with_cold_cache(**changes: object) -> RouterDriver:
@@ -177,7 +180,12 @@
     return proxy
 
 
-def donated_amount(proxy: RouterDriver, key: str, most: float = 1e12, span: int = SECOND) -> float:
+def slow_start_key(proxy: RouterDriver) -> api.QuotaKey:
+    """The key of the cold cache, which has started just now."""
+    return api.QuotaKey(api.QuotaKind.SLOW_START, "a:1", proxy.now)
+
+
+def donated_amount(proxy: RouterDriver, key: api.QuotaKey, most: float = 1e12, span: int = SECOND) -> float:
     (action,) = proxy.handle(api.QuotaRequested(1, key, most, proxy.now + span))
     assert isinstance(action, api.DonateQuota)
     return action.amount
@@ -185,7 +193,7 @@
 
 def test_part_is_donated_once_and_comes_back_a_window_after_the_transfer_expired() -> None:
     proxy = proxy_with_cold_cache()
-    key = f"cold:a:1@{proxy.now}"
+    key = slow_start_key(proxy)
     amount = donated_amount(proxy, key)
     assert amount > 0
     assert donated_amount(proxy, key) == pytest.approx(0, abs=1)
@@ -198,7 +206,7 @@
 def test_quota_that_was_used_is_not_donated() -> None:
     """Rule 4 over windows that begin before the transfer."""
     proxy, other = proxy_with_cold_cache(), proxy_with_cold_cache()
-    key = f"cold:a:1@{proxy.now}"
+    key = slow_start_key(proxy)
     endpoint = proxy.router.state.endpoints.by_id["a:1"]
     part = (
         3.0
@@ -210,24 +218,35 @@
     assert donated_amount(proxy, key) < 0.11 * part < donated_amount(other, key)
 
 
-@pytest.mark.parametrize("key", ["cold:a:1@1", "cold:zz@0", "riddle", "", "cold:", "open:b:1@7", "open:@0"])
-def test_nothing_is_donated_of_an_unknown_quota(key: str) -> None:
+@pytest.mark.parametrize(
+    "key",
+    [
+        api.QuotaKey(api.QuotaKind.SLOW_START, "a:1", 1),
+        api.QuotaKey(api.QuotaKind.SLOW_START, "zz"),
+        api.QuotaKey(api.QuotaKind.SLOW_START),
+        api.QuotaKey(api.QuotaKind.SLOW_START, ""),
+        api.QuotaKey(api.QuotaKind.CONCURRENCY),
+        api.QuotaKey(api.QuotaKind.CONCURRENCY, "b:1", 7),
+        api.QuotaKey(api.QuotaKind.CONCURRENCY, ""),
+    ],
+)
+def test_nothing_is_donated_of_an_unknown_quota(key: api.QuotaKey) -> None:
     assert donated_amount(proxy_with_cold_cache(), key) == 0
 
 
 def test_transfer_longer_than_the_longest_is_rejected() -> None:
     proxy = proxy_with_cold_cache()
-    assert donated_amount(proxy, f"cold:a:1@{proxy.now}", span=3 * SECOND) == 0
+    assert donated_amount(proxy, slow_start_key(proxy), span=3 * SECOND) == 0
 
 
 def test_proxy_that_has_just_started_donates_nothing() -> None:
     proxy = RouterDriver(make_settings(shared_store_timeout=WAIT))
-    assert donated_amount(proxy, "retry") == 0
+    assert donated_amount(proxy, api.RETRY_QUOTA) == 0
 
 
 def test_returned_donation_leaves_no_trace() -> None:
     proxy = proxy_with_cold_cache()
-    key = f"cold:a:1@{proxy.now}"
+    key = slow_start_key(proxy)
     (action,) = proxy.handle(api.QuotaRequested(1, key, 1e12, proxy.now + SECOND))
     assert isinstance(action, api.DonateQuota)
     proxy.handle(api.QuotaReceived(key, action.amount, action.expires_at))
@@ -238,10 +257,10 @@
 def test_retry_quota_moves_from_one_proxy_to_the_other() -> None:
     donor, receiver = proxy_with_store(), proxy_with_store()
     receiver.router.state.retry_balance = 0.0
-    amount = donated_amount(donor, "retry", 2.0)
+    amount = donated_amount(donor, api.RETRY_QUOTA, 2.0)
     assert amount == 2.0
     assert donor.router.state.retry_balance == 8.0
-    receiver.handle(api.QuotaReceived("retry", amount, receiver.now + SECOND))
+    receiver.handle(api.QuotaReceived(api.RETRY_QUOTA, amount, receiver.now + SECOND))
     assert receiver.router.state.retry_balance == 2.0
 
 
@@ -262,7 +281,8 @@
         a for n in range(8) for a in proxy.request(str(n), f"n{n}") if isinstance(a, api.RequestQuota)
     ]
     assert requests
-    assert all(request.key.startswith(("cold:", "open:")) and request.amount > 0 for request in requests)
+    assert all(request.key.kind is not api.QuotaKind.RETRY for request in requests)
+    assert all(request.amount > 0 for request in requests)
 
 
 def test_reports_of_others_alone_eject_nobody() -> None:
