--- a/olivepost/interface/__init__.py
+++ b/olivepost/interface/__init__.py
@@ -1,7 +1,7 @@
 """The router's interface: settings, events and actions. Types only; nothing here decides anything.
 
 Times are whole nanoseconds on one clock that never goes back. Events and actions are not frozen, since
-several are made for each request and freezing took three times as long.
+several are made for each request.
 """
 
 from olivepost.interface.actions import (
--- a/olivepost/interface/actions.py
+++ b/olivepost/interface/actions.py
@@ -27,8 +27,8 @@
 
     request_id: str
     cache: str
-    source: str | None  # that a miss is filled from; None: a miss is not filled
-    rank: int  # with which the response is cached; 0: not at all
+    source: str | None  # from which a miss is filled; None: a miss is not filled
+    rank: int  # of the cached response, evicted the earlier the lower; 0: it is not cached
     timeout: Duration
     max_age: Duration | None  # None: the class's freshness lifetime
     collapse_fills: bool = False  # join a fill of the same object that is in flight
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final response: rejected; trying again is harmless."""
+    """Final response: rejected; the client may send the request again."""
 
     request_id: str
     retry_after: Duration | None = None  # None: no advice
@@ -70,7 +70,7 @@
 
 @dataclass(slots=True)
 class StoreResponse:
-    """Keep the response that has just come in the proxy's own cache, as long as there is capacity."""
+    """Store the response of the event in the proxy's own cache, if there is capacity."""
 
     request_id: str
 
@@ -108,7 +108,7 @@
     """A request that asked for a fill lease is over."""
 
     request_id: str
-    cache: str | None = None  # that has the object now; None: the fill came to nothing
+    cache: str | None = None  # that has the object now; None: it was not filled
     rank: int = 0
 
 
@@ -131,7 +131,7 @@
 
 @dataclass(slots=True)
 class DonateQuota:
-    """What was given up for a `QuotaRequested`, from now until it expires; 0 where nothing can be spared.
+    """Quota that was given up for a `QuotaRequested`, from now until it expires; 0 where none can be spared.
 
     A `QuotaReceived` of the same amount until the same time gives it back.
     """
@@ -143,7 +143,7 @@
 
 @dataclass(slots=True)
 class ReportOutlier:
-    """This proxy has ejected an endpoint by its own evidence."""
+    """This proxy has ejected an endpoint by failures that it has seen itself."""
 
     endpoint_id: str
 
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -10,7 +10,7 @@
 
 
 class EndpointState(Enum):
-    """Where an endpoint stands in its life, by the endpoint list."""
+    """State of an endpoint, by the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -22,8 +22,8 @@
 
     INCREMENTAL = "changes"
     FULL = "full"
-    RESTORED = "stored"  # the list that was known before the start
-    FAILED = "failed"  # nothing: the list could not be had
+    RESTORED = "stored"  # the list that was stored before the start
+    FAILED = "failed"  # nothing: the subscription failed
 
 
 class AttemptStatus(Enum):
@@ -51,7 +51,7 @@
 
 
 class CacheStatus(Enum):
-    """How a cache came by its response, or why a fill failed (compare RFC 9211)."""
+    """How a cache got its response, or why a fill failed (compare RFC 9211)."""
 
     UNKNOWN = 0
     HIT = 1
@@ -117,7 +117,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed response has begun; its attempt is the client's now."""
+    """A streamed response has begun: the request is neither retried nor given up from here on."""
 
     request_id: str
     attempt: int
@@ -133,20 +133,20 @@
     elapsed: Duration
     is_final: bool = False  # the request is over
     cache_status: CacheStatus = CacheStatus.UNKNOWN
-    is_repeated_loss: bool = False  # by the end of a connection that another outcome has reported already
-    is_not_modified: bool = False  # the client's copy is current, which takes no transfer time
+    is_repeated_loss: bool = False  # with a connection whose end another outcome has reported
+    is_not_modified: bool = False  # the response has no body, and no transfer time
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has gone; nothing more is owed."""
+    """The client has disconnected, or has its response: the request is over."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class Shutdown:
-    """The proxy ends now: every pending request gets its final response."""
+    """The shutdown deadline has come: every pending request gets its final response."""
 
 
 @dataclass(slots=True)
@@ -160,14 +160,14 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the router set has come due."""
+    """A timer that the router has set is due."""
 
     timer_id: int
 
 
 @dataclass(slots=True)
 class StoreAvailability:
-    """Whether the shared store may be asked; at the start it may not."""
+    """Whether the shared store can be used; at the start it can not."""
 
     is_available: bool
 
@@ -179,12 +179,12 @@
     request_id: str
     cache: str | None = None  # that has the object or fills it; None: none, or the fill lease is this proxy's
     is_filling: bool = False
-    ready_in: Duration = 0  # until its fill is over, by the lease's word
+    ready_in: Duration = 0  # until its fill ends, by the lease
 
 
 @dataclass(slots=True)
 class QuotaRequested:
-    """Another proxy lacks quota: donate up to `max_amount` of the own part until the transfer expires."""
+    """Another proxy lacks quota: donate up to `max_amount` of one's own until the transfer expires."""
 
     transfer_id: int
     key: QuotaKey
@@ -203,13 +203,13 @@
 
 @dataclass(slots=True)
 class OutlierReported:
-    """Several other proxies have ejected an endpoint: weak evidence, never enough alone."""
+    """Several other proxies have ejected an endpoint; this alone does not eject it here."""
 
     endpoint_id: str
 
 
 class MemoryPressureLevel(IntEnum):
-    """What has to give way; each level holds for all below it too."""
+    """What is shed to free memory; each level includes those below it."""
 
     NONE = 0
     EVICT_CACHE = 1  # the proxy's own cached responses
@@ -221,7 +221,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressure:
-    """The process has reached a level of memory use, or left one."""
+    """The process has reached or left a level of memory pressure."""
 
     level: MemoryPressureLevel
 
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a router: what the platform tells a proxy of its classes, tiers and limits."""
+"""Settings of a router: classes, tiers and limits, as the platform configures them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Idempotency(Enum):
-    """What repeating a request of a class does."""
+    """Whether a repeated request of a class has a second effect."""
 
     IDEMPOTENT = "safe"
     WITH_KEY = "keyed"  # idempotent among the caches of its deduplication scope, for a window
@@ -51,12 +51,12 @@
     proxies: int
     slow_start_initial_share: float  # of its capacity that an endpoint has when it starts
     slow_start_duration: Duration
-    overload_multiple: float  # of a window's capacity, under which a cold endpoint does not fall over
+    overload_multiple: float  # of a window's capacity, the most work in slow start; 0: no bound
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a proxy is told when it starts."""
+    """The settings with which a router starts; they don't change."""
 
     classes: dict[str, ClassSettings]
     zone: str
@@ -71,7 +71,7 @@
     sibling_sources: str
     reports_hits: bool
     reports_failure_causes: bool
-    invalidation_lifetime: Duration  # after which an invalidation is carried out everywhere
+    invalidation_lifetime: Duration  # after which all caches have carried out an invalidation
     overload_window: Duration
     subscribes_to_endpoints: bool
     subscription_timeout: Duration
@@ -80,8 +80,8 @@
     allows_hedged_requests: bool
     supports_retry_after: bool
     max_retry_after: Duration
-    deadline_margin: Duration  # before a deadline, in which a final response must go out
-    local_transfer_capacity: float = 0.0  # transfers at once on the proxy's own link; 0: it caches nothing
+    deadline_margin: Duration  # before a deadline, by which the final response goes out
+    local_transfer_capacity: float = 0.0  # cached responses in transfer at once; 0: the proxy caches nothing
     shared_store_timeout: Duration | None = None  # the longest that a request waits for it; None: no store
     # Bounds by the host's memory; None: none beside the router's own.
     max_names: int | None = None
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -1,7 +1,8 @@
 """The life of a request: from its arrival over its attempts to its final response.
 
 It asks the decisions of olivepost/routing, carries out what they say and emits the actions: router.py lists
-which decision leads to which action. None is taken here, and no tuned value stands here. No clock, no I/O.
+which decision leads to which action. Nothing is decided here, and no decision's values stand here. No clock,
+no I/O.
 """
 
 from __future__ import annotations
@@ -91,7 +92,7 @@
     ) -> None:
         """Forwards the next attempt, or gives up at once where none can be made or it is too expensive.
 
-        `overload` is the level that the request's cost is measured against; None: a retry.
+        `overload` is the level that decides whether the request is too expensive; None: it is not asked.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -1,7 +1,7 @@
 """The router: events in, actions out.
 
-It asks the decisions of olivepost/routing and carries out what they say; none is taken here, and no tuned
-value stands here. Settings, events and actions stand in olivepost/interface. No clock, no I/O.
+It asks the decisions of olivepost/routing and carries out what they say: nothing is decided here, and no
+decision's values stand here. Settings, events and actions stand in olivepost/interface. No clock, no I/O.
 
 Which decision leads to which action (all are emitted here or by `RequestLifecycle`):
 
--- a/olivepost/routing/__init__.py
+++ b/olivepost/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of a proxy: routing, admission, health, retries, invalidation. No clock and no I/O."""
+"""Every decision of a proxy: ranks, admission, selection, health, retries, invalidation. No clock, no I/O."""
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -1,20 +1,23 @@
-"""f-TTL ("Adaptive TTL-Based Caching for Content Delivery"; docs/design.md): levels per class, and ranks."""
+"""f-TTL ("Adaptive TTL-Based Caching for Content Delivery"; docs/design.md): TTLs and ranks of names."""
 
 from olivepost import interface as api
 from olivepost.routing import memory_pressure
 from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RankedName, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
-MAX_LIFETIME: Duration = 60 * SECOND  # L
-LEVEL_STEP = 0.01  # η
-SIZE_STEP = 0.0001  # ηs
-SMOOTHING_WIDTH = 0.1  # ε
-HIT_TARGET = 0.8  # h*, above what caches reach, so that θ stays long enough to tell repeats
-SIZE_TARGET: Duration = 5 * SECOND  # s*
-INITIAL_LEVEL = 0.5
-INITIAL_FIRST_SEEN_LEVEL = 0.0
-UNRANKED, RANK_LOW, RANK_MIDDLE, RANK_TOP = range(4)  # unranked: caches keep nothing
-TOP_RANK_SHARE = 0.1  # of the live names' bytes, which span more time than caches do
+MAX_LIFETIME: Duration = 60 * SECOND  # L of the paper
+LEVEL_STEP = 0.01  # η of the paper
+SIZE_STEP = 0.0001  # ηs of the paper
+SMOOTHING_WIDTH = 0.1  # ε of the paper
+HIT_TARGET = 0.8  # h* of the paper; caches reach less, so that θ stays long enough to see repeats
+SIZE_TARGET: Duration = 5 * SECOND  # s* of the paper
+INITIAL_LEVEL = 0.5  # ϑ of a class before its first response
+INITIAL_FIRST_SEEN_LEVEL = 0.0  # ϑs of a class before its first response
+UNRANKED = 0  # the response is not cached
+RANK_LOW = 1  # evicted first
+RANK_MIDDLE = 2
+RANK_TOP = 3  # evicted last
+TOP_RANK_SHARE = 0.1  # of the bytes of all known names, the most that the top rank is given
 MAX_NAMES = 40_000
 
 
@@ -24,7 +27,7 @@
 
 
 def first_seen_lifetime(levels: ClassLevels) -> float:
-    """θs = L·ϑ·Γ, that of a name seen once (paper, equation 5)."""
+    """θs = L·ϑ·Γ, the lifetime of a name seen once (paper, equation 5)."""
     above = max(0.0, levels.level - 1 + 1.5 * SMOOTHING_WIDTH) ** 4
     below = max(0.0, 1 - SMOOTHING_WIDTH / 2 - levels.level) ** 4
     gamma = levels.first_seen_level + (1 - levels.first_seen_level) * above / (above + below)
@@ -45,10 +48,10 @@
         return RankedName(UNRANKED, None)
     levels = state.levels[request.class_name]
     remaining = state.names.remaining(now, name)
-    is_lifted = state.random.random() * lifetime(levels) < first_seen_lifetime(levels)
+    is_kept_longer = state.random.random() * lifetime(levels) < first_seen_lifetime(levels)
     if remaining is not None and top_rank_has_capacity(state, name):
         rank = RANK_TOP
-    elif remaining is not None or is_lifted:
+    elif remaining is not None or is_kept_longer:
         rank = RANK_MIDDLE
     else:
         rank = RANK_LOW
@@ -58,13 +61,13 @@
 
 
 def top_rank_has_capacity(state: RoutingState, name: str) -> bool:
-    """Whether the top rank, this name apart, holds under its share of bytes."""
+    """Whether the top rank holds less than its share of bytes, this name not counted."""
     total = state.names.total_bytes()
     return total <= 0 or state.names.bytes_in(RANK_TOP, name) < TOP_RANK_SHARE * total
 
 
 def learn_from_response(state: RoutingState, pending: PendingRequest, is_hit: bool) -> None:
-    """Takes the sample of a hit or a fill: θ less the time left, θ on a virtual hit, θs on a miss."""
+    """Moves the class's levels by a hit or a fill: its sample is how long the name has been cached."""
     levels = state.levels[pending.request_class.name]
     if is_hit:
         sample = lifetime(levels) - (pending.name_remaining or 0)
--- a/olivepost/routing/admission.py
+++ b/olivepost/routing/admission.py
@@ -1,29 +1,29 @@
-"""Admission under overload: levels that full caches and late fills raise, and the cost they admit."""
+"""Overload control: levels that full caches and late fills raise, and the request cost that they admit."""
 
 from olivepost.routing_state import OverloadLevel, PendingRequest, RoutingState
 
-ARRIVAL_STEP = 0.04  # for each arrival, which may find all caches full
-ARRIVAL_TARGET = 0.1  # share of such arrivals that leaves the level alone
-FILL_STEP = 0.2  # for each fill, which may be late or rejected
-FILL_TARGET = 0.1  # share of such fills that leaves the level alone
+ARRIVAL_STEP = 0.04  # of the level for one arriving request
+ARRIVAL_TARGET = 0.1  # share of arrivals at full caches that keeps the level
+FILL_STEP = 0.2  # of the level for one fill
+FILL_TARGET = 0.1  # share of late and rejected fills that keeps the level
 LEVEL_CEILING = 0.9
-COST_CUTOFF = 4.0  # times the mean cost: admitted at a level of one half
-COST_STEP = 0.05  # of the mean cost towards each request's
+COST_CUTOFF = 4.0  # highest admitted cost at a level of one half, in mean costs
+COST_STEP = 0.05  # weight of a new sample in the mean cost
 
 
 def record_sample(overload: OverloadLevel, step: float, target: float, is_overloaded: bool) -> None:
-    """Moves a level by one sample: as ϑ, by step·(sample - target)."""
+    """Moves a level by one sample, as f-TTL moves ϑ: by step·(sample - target)."""
     level = overload.level + step * (is_overloaded - target)
     overload.level = min(LEVEL_CEILING, max(0.0, level))
 
 
 def record_arrival(state: RoutingState, is_full: bool) -> None:
-    """A request has come, and found all caches full or not."""
+    """Records whether an arriving request found all caches full."""
     record_sample(state.arrivals, ARRIVAL_STEP, ARRIVAL_TARGET, is_full)
 
 
 def record_fill(state: RoutingState, is_late: bool) -> None:
-    """A fill has ended, in time or late; a rejected one counts as late."""
+    """Records whether a fill was late; a rejected one counts as late."""
     record_sample(state.fills, FILL_STEP, FILL_TARGET, is_late)
 
 
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -1,6 +1,6 @@
-"""What an endpoint can take: the work of requests, slow start budgets, concurrency limits.
+"""Capacity of endpoints: slow start budgets and concurrency limits.
 
-Each proxy has its part of what an endpoint bears; a shared store may transfer quota between proxies.
+Each proxy has its part of them by configuration; a shared store transfers quota between proxies.
 """
 
 import math
@@ -10,24 +10,25 @@
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 from olivepost.units import SECOND, Duration, Instant
 
-WORK_STEP = 0.05  # of a class's mean work towards each response's
-RATE_MEMORY: Duration = 10 * SECOND  # of the work that warm endpoints did
-MIN_LINK_TRANSFERS = 2.0  # that every endpoint surely carries at once, over all proxies
-DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}  # where no weight is told
+WORK_STEP = 0.05  # weight of a new sample in a class's mean work
+RATE_MEMORY: Duration = 10 * SECOND  # over which the work of warm endpoints fades
+MIN_LINK_TRANSFERS = 2.0  # at once, by all proxies together, that every endpoint can carry
+DEFAULT_LINK_TRANSFERS = {
+    Role.CACHE: 6.5,
+    Role.PARENT: 32.0,
+}  # of an endpoint that is listed without a weight
 IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}
-CHANCE_DEVIATIONS = 3.0  # room for chance, since one of many proxies sees few requests, in clumps
-MIN_LIMIT_FACTOR = 0.5  # of the concurrency limit, which follows the share of late responses,
-MAX_LIMIT_FACTOR = 1.5  # between these two,
-LATE_SLOPE = 2.5  # with this slope
-# What is listed as started earlier than this is taken for just started: a wall clock that is ahead would make
-# a cold endpoint look warm. Hurts where the list comes later still: its slow start begins anew.
-MAX_LISTING_DELAY: Duration = 20 * SECOND
+LIMIT_DEVIATIONS = 3.0  # standard deviations above the mean: one of many proxies sees bursts
+MIN_LIMIT_FACTOR = 0.5  # of the concurrency limit, at a high late share
+MAX_LIMIT_FACTOR = 1.5  # of the concurrency limit, at a late share of 0
+LIMIT_FACTOR_SLOPE = 2.5  # by which the limit factor falls for each unit of the late share
+MAX_LISTING_DELAY: Duration = 20 * SECOND  # from an endpoint's start to its first listing
 DONATED_SHARE = 0.75  # of a proxy's part, at most
 MAX_TRANSFER_DURATION: Duration = 2 * SECOND
 
 
 def slow_start_share(now: Instant, endpoint: Endpoint) -> float:
-    """The share of its link that an endpoint surely has by now."""
+    """The share of its capacity that an endpoint has after this part of its slow start."""
     if endpoint.started_at is None or endpoint.role is Role.ORIGIN:
         return 1.0
     tier = endpoint.tier
@@ -37,7 +38,7 @@
 
 
 def has_slow_start_budget(state: RoutingState, now: Instant, endpoint: Endpoint, work: float) -> bool:
-    """Rule 4: whether this proxy's part of a cold endpoint's budget bears one more attempt."""
+    """The slow start invariant: whether an endpoint's budget allows this proxy one more attempt."""
     window = state.settings.overload_window
     share = slow_start_share(now - window, endpoint)
     multiple = endpoint.tier.overload_multiple
@@ -55,17 +56,17 @@
 
 
 def concurrency_limit(state: RoutingState, now: Instant, endpoint: Endpoint) -> float:
-    """Attempts in flight: of the link that it has by now, as far as responses have been in time."""
+    """The most attempts in flight to an endpoint: fewer during slow start, and the more it is late."""
     part = concurrency_part(state, now, endpoint)
-    mean = max(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR - LATE_SLOPE * endpoint.late_share) * part
-    limit = mean + CHANCE_DEVIATIONS * math.sqrt(mean * (1 - 1 / endpoint.tier.proxies))
+    mean = max(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR - LIMIT_FACTOR_SLOPE * endpoint.late_share) * part
+    limit = mean + LIMIT_DEVIATIONS * math.sqrt(mean * (1 - 1 / endpoint.tier.proxies))
     if state.settings.shared_store_timeout is not None:
         limit += transferred(state, now, concurrency_key(endpoint), part)
     return max(1.0, limit)
 
 
 def concurrency_part(state: RoutingState, now: Instant, endpoint: Endpoint) -> float:
-    """This proxy's part of the attempts that an endpoint's present link bears."""
+    """This proxy's part of the attempts that an endpoint's present capacity allows."""
     has_weights = state.settings.has_endpoint_weights
     transfers = endpoint.metadata.weight if has_weights else DEFAULT_LINK_TRANSFERS[endpoint.role]
     link = slow_start_share(now, endpoint) * transfers
@@ -73,19 +74,19 @@
 
 
 def certain_link(state: RoutingState, endpoint: Endpoint) -> float:
-    """This proxy's part of a link, in transfers, by configuration alone: it never falls."""
+    """This proxy's part of a link, in transfers, by configuration alone: it does not fall with load."""
     weight = endpoint.metadata.weight if state.settings.has_endpoint_weights else 0.0
     return max(MIN_LINK_TRANSFERS, weight) / endpoint.tier.proxies
 
 
 def transferred(state: RoutingState, now: Instant, key: api.QuotaKey, part: float) -> float:
-    """What transfers add to a part, or take off it; what may still be donated of an earlier process is."""
+    """What transfers add to a part or take off it, with what an earlier process may have donated."""
     balance = state.quotas.balance(now, key)
     return balance - DONATED_SHARE * part if _may_have_forgotten_donations(state, now) else balance
 
 
 def _may_have_forgotten_donations(state: RoutingState, now: Instant) -> bool:
-    """Whether a donation of this proxy's earlier process, which it can't know, may still be in use."""
+    """Whether a donation of an earlier process of this proxy, which it doesn't know, may be in use."""
     first_listed_at = state.endpoints.first_listed_at
     if first_listed_at is None:
         return False
@@ -93,7 +94,7 @@
 
 
 def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey) -> QuotaPart:
-    """This proxy's part of an endpoint's quota, by configuration alone: what was observed may shrink."""
+    """This proxy's part of an endpoint's quota, by configuration alone: observed rates may fall."""
     endpoint = None if key.endpoint_id is None else state.endpoints.by_id.get(key.endpoint_id)
     if endpoint is None:
         return QuotaPart(0.0, 0.0)
@@ -105,7 +106,7 @@
     share = slow_start_share(now - window, endpoint)
     budget_per_link = endpoint.tier.overload_multiple * share * window
     part = budget_per_link * certain_link(state, endpoint)
-    # It returns a window after the transfer's end: what the receiver sent last counts as long.
+    # What the receiver sends at the transfer's end counts in the endpoint's window for as long again.
     return QuotaPart(part, endpoint.work.total(now), return_delay=window)
 
 
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -5,19 +5,19 @@
 from olivepost.routing_state import Endpoint
 from olivepost.units import SECOND, Duration, Instant
 
-SUCCESS_FACTOR = 0.6  # what a success leaves of the failure score
-EJECTION_SCORE = 1.0
+SUCCESS_FACTOR = 0.6  # of the failure score, left by a success
+EJECTION_SCORE = 1.0  # failure score from which an endpoint is ejected
 FIRST_EJECTION: Duration = 1 * SECOND
 MAX_EJECTION: Duration = 4 * SECOND
-DEAD_ODDS = 200.0  # two silences eject where one good response in twenty takes as long
-MIN_SLOW_SHARE = 0.02
-REPORTED_SCORE = 0.4  # what other proxies' reports make of a failure score at most: never enough alone
-LATE_STEP = 0.1  # of the late share towards each response
+SILENCE_EJECTION_ODDS = 200.0  # against chance, at which silences alone eject
+MIN_SLOW_SHARE = 0.02  # of good responses, assumed to outlast their silence timeout
+REPORTED_SCORE = 0.4  # failure score after reports of other proxies, too low to eject
+LATE_STEP = 0.1  # weight of a new sample in the late share
 INITIAL_LATE_SHARE = 0.2
 
 
 def record_success(endpoint: Endpoint, now: Instant) -> None:
-    """The endpoint has answered: any ejection is over."""
+    """Ends any ejection and lowers the failure score."""
     factor = SUCCESS_FACTOR if endpoint.ejected_until is None else 0.0
     endpoint.failure_score *= factor
     endpoint.last_success_at = now
@@ -26,17 +26,18 @@
     endpoint.ejection_duration = 0
 
 
-def record_failure(endpoint: Endpoint, now: Instant, weight: float) -> None:
-    """Adds to the failure score; enough of it, or a failed trial, ejects the endpoint, longer each time."""
-    endpoint.failure_score += weight
+def record_failure(endpoint: Endpoint, now: Instant, score: float) -> None:
+    """Adds to the failure score; from the ejection score on, or in a trial, the endpoint is ejected."""
+    endpoint.failure_score += score
     is_ejected_now = endpoint.ejected_until is not None and now < endpoint.ejected_until
     is_due = endpoint.failure_score >= EJECTION_SCORE and not is_ejected_now
-    if endpoint.has_trial_in_flight or is_due:  # what was in flight before an ejection says nothing new
+    # Failures of attempts that were in flight before an ejection don't lengthen it.
+    if endpoint.has_trial_in_flight or is_due:
         eject_endpoint(endpoint, now)
 
 
 def eject_endpoint(endpoint: Endpoint, now: Instant) -> None:
-    """Keeps requests away from an endpoint until its next half-open trial."""
+    """Keeps requests from an endpoint until its next half-open trial; twice as long each time."""
     if endpoint.ejected_until is None:
         endpoint.ejection_duration = FIRST_EJECTION
     else:
@@ -46,7 +47,7 @@
 
 
 def record_outlier_report(endpoint: Endpoint) -> None:
-    """Several other proxies have ejected the endpoint: weak evidence."""
+    """Raises the failure score, never enough to eject: several other proxies have ejected the endpoint."""
     endpoint.failure_score = max(endpoint.failure_score, REPORTED_SCORE)
 
 
@@ -57,10 +58,10 @@
 
 
 def silence_score(slow_share: float) -> float:
-    """What one silence adds to a failure score: less, the more good responses take as long."""
-    return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(DEAD_ODDS)
+    """What one silence adds to a failure score: the less, the more good responses take as long."""
+    return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(SILENCE_EJECTION_ODDS)
 
 
 def record_lateness(endpoint: Endpoint, is_late: bool) -> None:
-    """Follows the share of late responses: hits at a cache, fills at a source."""
+    """Adds a sample to the late share."""
     endpoint.late_share += LATE_STEP * (is_late - endpoint.late_share)
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -1,14 +1,14 @@
-"""Departure: what others cache or fill, by the shared store, is not filled again."""
+"""Extension of f-TTL: what a cache has or fills, by the shared store, is not filled by another again."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
 from olivepost.units import Duration, Instant
 
-MAX_TIME_SHARE = 0.02  # of a request's time, the most that waits for the shared store
+MAX_TIME_SHARE = 0.02  # of the time to a request's deadline, for lookups in the shared store
 
 
 def should_look_up(state: RoutingState, pending: PendingRequest, source: str | None) -> bool:
-    """Whether the store is asked first: for a new name, and before its fill."""
+    """Whether the store is asked before the attempt: for a new name's location, and before a fill."""
     if not (state.is_store_available and pending.rank) or pending.hint is not None:
         return False
     is_new = pending.name_remaining is None and not pending.attempt_count
@@ -19,7 +19,7 @@
 
 
 def lookup_timeout(state: RoutingState, now: Instant, pending: PendingRequest) -> Duration:
-    """How long the attempt waits for the store's answer."""
+    """How long the attempt waits for the store's hint."""
     timeout = state.settings.shared_store_timeout
     if timeout is None:
         return 0
@@ -28,7 +28,7 @@
 
 
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
-    """How long to wait for a fill that can't be joined: until its end, half the time left at most."""
+    """How long to wait for a fill that can't be joined: until its end, at most half of the remaining time."""
     if not hint.is_filling or state.settings.can_collapse_fills:
         return 0
     return min(hint.ready_in, (pending.deadline - now) // 2)
--- a/olivepost/routing/initial_state.py
+++ b/olivepost/routing/initial_state.py
@@ -6,7 +6,7 @@
 
 
 def initial_state(settings: api.Settings, seed: int) -> RoutingState:
-    """The state of a proxy that has learnt nothing yet."""
+    """The state of a proxy before its first event."""
     tuning = Tuning(
         initial_levels=ClassLevels(adaptive_ttl.INITIAL_LEVEL, adaptive_ttl.INITIAL_FIRST_SEEN_LEVEL),
         ranks=adaptive_ttl.RANK_TOP + 1,
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -1,17 +1,15 @@
-"""How old a response may be: invalidations, freshness, and the proxy's own response cache (rule 5)."""
+"""How old a response may be, by invalidations and freshness; when the proxy's own cache serves and stores."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
 MAX_INVALIDATIONS = 4_096
-PROPAGATION_MARGIN: Duration = (
-    1 * SECOND
-)  # beyond the time by which an invalidation is carried out everywhere
+PROPAGATION_MARGIN: Duration = 1 * SECOND  # after `invalidation_lifetime`, in which caches may be late
 
 
 def age_bound(state: RoutingState, now: Instant, request: api.Request) -> Duration | None:
-    """The age bound of invalidations that some cache may not have carried out; None: there are none."""
+    """The invalidation invariant: the oldest response allowed while caches may have stale ones; None: any."""
     invalidated_at = state.invalidations.latest(request)
     if invalidated_at is None:
         return None
@@ -21,7 +19,7 @@
 
 
 def max_age(state: RoutingState, now: Instant, pending: PendingRequest, source: str) -> Duration | None:
-    """The age bound of an attempt; None: none. In a fault a stale response earns more than a late one."""
+    """The age bound of an attempt; None: none. In a fault the class's grace for stale responses is added."""
     limit = pending.request_class.freshness_lifetime
     bound = age_bound(state, now, pending.request)
     if limit is None:
@@ -57,9 +55,9 @@
 
 
 def should_store(state: RoutingState, pending: PendingRequest, sent_at: Instant) -> bool:
-    """Whether the response that has just come goes into the proxy's own cache: that of a repeated name.
+    """Whether a response goes into the proxy's own cache: that of a repeated, ranked name.
 
-    Not where an invalidation came after its attempt was sent: the response may be older.
+    After an invalidation that came later than the attempt was sent it does not: it may be older.
     """
     is_repeat = pending.name_remaining is not None and pending.storing_cache is not None
     invalidated_at = state.invalidations.latest(pending.request)
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -1,15 +1,13 @@
-"""What gives way, in which order, as the process comes close to the platform's memory limit.
+"""Memory pressure: what is shed, in which order, as the process comes close to its memory limit.
 
-The platform ends a process over its limit, and all that it owes with it. So the cheapest things go first: the
-proxy's own cached responses, idle connections, names not seen before, further connections; at last requests
-are rejected, at once and with a time to come back.
+The platform kills a process over its limit, with all pending requests. So what costs least is shed first: the
+proxy's own cached responses, idle connections, new names, new client connections; requests are rejected last.
 """
 
 from olivepost import interface as api
 from olivepost.routing_state import RoutingState
 
-# The share of the limit from which each level holds. The last one leaves room for what arrives until the
-# process looks again, a tenth of a second later.
+# Share of the memory limit from which each level holds; the rest is for what arrives until the next check.
 LEVEL_SHARES = {
     api.MemoryPressureLevel.EVICT_CACHE: 0.80,
     api.MemoryPressureLevel.CLOSE_IDLE: 0.84,
@@ -17,14 +15,13 @@
     api.MemoryPressureLevel.LIMIT_CONNECTIONS: 0.90,
     api.MemoryPressureLevel.REJECT: 0.93,
 }
-# Below its share by so much a level is left again: memory goes back in steps.
-RELEASE_MARGIN = 0.02
-KEPT_NAMES_SHARE = 0.5  # of the names, where they no longer fit
-CONNECTION_SHARE = 0.5  # of the client connections that may be open under LIMIT_CONNECTIONS
+RELEASE_MARGIN = 0.02  # below a level's share, at which the level is left
+KEPT_NAMES_SHARE = 0.5  # of the name table's capacity, kept from FREEZE_NAMES on
+CONNECTION_SHARE = 0.5  # of the client connections, allowed from LIMIT_CONNECTIONS on
 
 
 def level_for(used: int, limit: int, previous: api.MemoryPressureLevel) -> api.MemoryPressureLevel:
-    """The level at which a process with so many bytes in use is, after it was at the previous one."""
+    """The level of a process that uses so many bytes, and was at the previous level before."""
     level = api.MemoryPressureLevel.NONE
     for candidate, share in LEVEL_SHARES.items():
         margin = RELEASE_MARGIN if candidate <= previous else 0.0
@@ -41,7 +38,7 @@
 
 
 def apply_level(state: RoutingState, level: api.MemoryPressureLevel) -> None:
-    """Takes over the process's level, and sheds names and orders once it reaches FREEZE_NAMES."""
+    """Sets the level; as it reaches FREEZE_NAMES, routing sheds names and orders."""
     is_new = state.memory_pressure < api.MemoryPressureLevel.FREEZE_NAMES <= level
     state.memory_pressure = level
     if is_new:
@@ -55,5 +52,5 @@
 
 
 def must_reject(state: RoutingState) -> bool:
-    """Whether a request that has just come is rejected for want of memory."""
+    """Whether an arriving request is rejected."""
     return state.memory_pressure >= api.MemoryPressureLevel.REJECT
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -1,19 +1,19 @@
-"""What bounds retries: a budget for the whole proxy, deadlines, and idempotency for each request."""
+"""Retries: the retry budget of the proxy, idempotency, deadlines, and the final response without one."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, QuotaPart, QuotaShortage, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
-RETRIES_PER_REQUEST = 0.2  # earned by each request, so that faults don't feed themselves
-MAX_RETRIES = 10.0  # that are saved up
-DONATION_FLOOR = 0.5  # of the most that is saved up: what stays when quota is donated
+RETRIES_PER_REQUEST = 0.2  # added to the budget by each request
+MAX_RETRIES = 10.0  # that the budget holds
+DONATION_FLOOR = 0.5  # of MAX_RETRIES, never donated
 MEAN_RETRY_AFTER: Duration = SECOND // 2
-SUBSCRIPTIONS_IN_TIME = 4  # that may be tried within the time the settings allow for one
+SUBSCRIPTIONS_PER_TIMEOUT = 4  # attempts within `subscription_timeout`
 
 
 def subscription_delay(settings: api.Settings) -> Duration:
-    """How long after a failed subscription to the endpoint list the next is made."""
-    return settings.subscription_timeout // SUBSCRIPTIONS_IN_TIME
+    """How long after a failed subscription to the endpoint list the next one is made."""
+    return settings.subscription_timeout // SUBSCRIPTIONS_PER_TIMEOUT
 
 
 def earn_retries(state: RoutingState) -> None:
@@ -43,9 +43,8 @@
     state: RoutingState, now: Instant, pending: PendingRequest, target: str, cost: int
 ) -> bool:
     """Whether one more attempt, at this target, is in time, within the budget and idempotent enough."""
-    settings = state.settings
-    is_late = pending.deadline - now <= settings.deadline_margin
-    if not has_attempts_left(state, pending) or is_late or state.retry_balance < cost:
+    is_late = pending.deadline - now <= state.settings.deadline_margin
+    if is_late or not has_attempts_left(state, pending) or state.retry_balance < cost:
         return False
     return is_idempotent_at(state, now, pending, target)
 
@@ -56,23 +55,24 @@
 
 
 def is_idempotent_at(state: RoutingState, now: Instant, pending: PendingRequest, target: str) -> bool:
-    """Rule 2: whether one more attempt, at this target, can take no effect twice."""
+    """The idempotency invariant: whether one more attempt, at this target, has no second effect."""
     request_class = pending.request_class
     if not pending.executed or request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return True
-    first = pending.executed[0]
-    before = state.endpoints.by_id.get(first.endpoint_id)
-    there = state.endpoints.by_id[target].metadata
-    zone, cell = (before.metadata.zone, before.metadata.cell) if before else ("", 0)
+    latest = latest_start(state, pending)
+    if latest is None or now >= latest:
+        return False
+    first = state.endpoints.by_id.get(pending.executed[0].endpoint_id)
+    first_zone = first.metadata.zone if first is not None else ""
+    first_cell = first.metadata.cell if first is not None else 0
+    endpoint = state.endpoints.by_id[target].metadata
     match request_class.deduplication_scope:
         case api.DeduplicationScope.ALL:
-            is_same_group = True
+            return True
         case api.DeduplicationScope.ZONE:
-            is_same_group = there.zone == zone
+            return endpoint.zone == first_zone
         case api.DeduplicationScope.CELL:
-            is_same_group = (there.zone, there.cell) == (zone, cell)
-    window_end = latest_start(state, pending)
-    return is_same_group and window_end is not None and now < window_end
+            return endpoint.zone == first_zone and endpoint.cell == first_cell
 
 
 def latest_start(state: RoutingState, pending: PendingRequest) -> Instant | None:
@@ -85,16 +85,18 @@
 
 
 def may_abandon_attempt(state: RoutingState, pending: PendingRequest) -> bool:
-    """Whether a silent attempt may be left for a retry, which its endpoint may execute all the same."""
-    is_idempotent = pending.request_class.idempotency is api.Idempotency.IDEMPOTENT
-    has_attempts = has_attempts_left(state, pending) and state.retry_balance >= 1
-    return is_idempotent and state.settings.can_cancel_attempts and has_attempts
+    """Whether a silent attempt may be abandoned for a retry; its endpoint may execute it all the same."""
+    if pending.request_class.idempotency is not api.Idempotency.IDEMPOTENT:
+        return False
+    if not state.settings.can_cancel_attempts or state.retry_balance < 1:
+        return False
+    return has_attempts_left(state, pending)
 
 
 def final_response(
     state: RoutingState, pending: PendingRequest, reason: api.GiveUpReason
 ) -> api.Reject | api.Fail:
-    """The final response of a request that is given up: a rejection where trying again is harmless."""
+    """The final response of a request that is given up: a rejection where the client may send it again."""
     retry_after = random_retry_after(state)
     if is_client_retry_harmless(pending):
         return api.Reject(pending.request.id, retry_after, reason)
--- a/olivepost/routing_state/__init__.py
+++ b/olivepost/routing_state/__init__.py
@@ -1,4 +1,4 @@
-"""Data that routing keeps between events. Nothing here decides or holds a tuned value."""
+"""Data that routing keeps between events, changed by the router's owner alone. Nothing here decides."""
 
 from olivepost.routing_state.averages import DecayingRate, MovingAverage, MovingAverages
 from olivepost.routing_state.endpoint import Ejection, Endpoint, Role
--- a/olivepost/routing_state/averages.py
+++ b/olivepost/routing_state/averages.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from olivepost.units import Instant
+from olivepost.units import Duration, Instant
 
 
 class MovingAverage:
@@ -46,11 +46,11 @@
 
 
 class DecayingRate:
-    """A rate over a memory span, within which amounts fade linearly."""
+    """A rate over a memory span, within which amounts fade linearly with each call."""
 
     __slots__ = ("_memory", "_total", "_updated_at")
 
-    def __init__(self, memory: int) -> None:
+    def __init__(self, memory: Duration) -> None:
         self._memory = memory
         self._updated_at: Instant | None = None
         self._total = 0.0
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -12,7 +12,7 @@
 
 
 class Role(IntEnum):
-    """What an endpoint is to this proxy. A number, since hashing other enums is slow in routing decisions."""
+    """What an endpoint is to this proxy; an integer, since decisions look tables up by it."""
 
     CACHE = auto()
     PARENT = auto()
@@ -28,13 +28,13 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A cache, parent or origin: its metadata, its health, and the work that was sent to it lately."""
+    """A cache, parent or origin: its metadata, its health, and the work that it was sent."""
 
     metadata: api.EndpointMetadata
     role: Role
-    tier: api.TierSettings  # how it starts, and how many proxies share it
-    work: SlidingWindowSum  # sent to it within the overload window
-    late_share: float  # of its responses lately: hits at a cache, fills at a source
+    tier: api.TierSettings  # its slow start, and how many proxies share it
+    work: SlidingWindowSum  # of attempts that were sent to it within the overload window
+    late_share: float  # moving average over its responses: hits of a cache, fills of a source
     started_at: Instant | None = None  # of its slow start, by the clock of this proxy; None: long ago
     last_success_at: Instant | None = None
     failure_score: float = 0.0
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -26,22 +26,20 @@
 class EndpointTable:
     """All listed endpoints by id, and the ids of the ready ones by role, sorted."""
 
-    work_window: Duration  # of the work that was sent to an endpoint
+    work_window: Duration  # over which an endpoint's work is summed
     initial_late_share: float
-    # How much earlier than its listing an endpoint may have started; one that seems older is taken for new,
-    # since the clock of this proxy may be ahead.
+    # An endpoint that was listed longer than this after its start counts as started when it was listed: this
+    # proxy's clock may be ahead.
     max_listing_delay: Duration
     by_id: dict[str, Endpoint] = field(default_factory=dict)
     caches: tuple[str, ...] = ()
     parents: tuple[str, ...] = ()
     origin: str | None = None  # None: none is ready
-    long_running: dict[Role, int] = field(
-        default_factory=dict
-    )  # ready endpoints that started long ago, by role
+    long_running: dict[Role, int] = field(default_factory=dict)  # by role: ready, started long ago
     first_listed_at: Instant | None = None  # when this proxy first had an endpoint list
 
     def update(self, now: Instant, update: api.EndpointUpdate, settings: api.Settings) -> None:
-        """Takes a list, whole or changed. What drains is no longer ready, what is removed is forgotten."""
+        """Applies a whole list or a change: draining endpoints are no longer ready, removed ones dropped."""
         if self.first_listed_at is None:
             self.first_listed_at = now
         before = self.by_id
@@ -52,30 +50,34 @@
             role = role_of(settings, metadata)
             tier = settings.parents if role is Role.PARENT else settings.caches
             endpoint = self._listed(metadata, role, tier, before.get(metadata.id))
-            if metadata.id not in before or endpoint is not before[metadata.id]:
+            if endpoint is not before.get(metadata.id):
                 is_live = update.kind is not api.EndpointUpdateKind.RESTORED
-                endpoint.started_at = self._started_at(now, metadata.started_at, is_live)
+                endpoint.started_at = self._plausible_start(now, metadata.started_at, is_live)
             if role in LISTED_ROLES and metadata.state is not api.EndpointState.REMOVED:
                 self.by_id[metadata.id] = endpoint
-        ready = {role: self._ready(role) for role in LISTED_ROLES}
-        self.caches = ready[Role.CACHE]
-        self.parents = ready[Role.PARENT]
-        self.origin = next(iter(ready[Role.ORIGIN]), None)
-        for role, endpoint_ids in ready.items():
-            started = [self.by_id[endpoint_id].metadata.started_at for endpoint_id in endpoint_ids]
-            self.long_running[role] = started.count(None)
+        self._update_ready()
+
+    def _update_ready(self) -> None:
+        """Derives the ready endpoints of each role from those that are listed."""
+        self.caches = self._ready(Role.CACHE)
+        self.parents = self._ready(Role.PARENT)
+        origins = self._ready(Role.ORIGIN)
+        self.origin = origins[0] if origins else None
+        for role, endpoint_ids in zip(LISTED_ROLES, (self.caches, self.parents, origins), strict=True):
+            starts = [self.by_id[endpoint_id].metadata.started_at for endpoint_id in endpoint_ids]
+            self.long_running[role] = starts.count(None)
 
     def _listed(
         self, metadata: api.EndpointMetadata, role: Role, tier: api.TierSettings, known: Endpoint | None
     ) -> Endpoint:
-        """A listed endpoint; health and warmth of another process at its id start anew."""
+        """A listed endpoint; for another process at its id, health and slow start begin anew."""
         if known is not None and known.metadata.started_at == metadata.started_at:
             known.metadata = metadata
             return known
         work = known.work if known is not None else SlidingWindowSum(self.work_window)
         return Endpoint(metadata, role, tier, work, self.initial_late_share)
 
-    def _started_at(self, now: Instant, listed_start: Instant | None, is_live: bool) -> Instant | None:
+    def _plausible_start(self, now: Instant, listed_start: Instant | None, is_live: bool) -> Instant | None:
         """The start of an endpoint that is listed now: not later than now, nor earlier than is plausible."""
         if listed_start is None:
             return None
@@ -84,8 +86,13 @@
         return min(listed_start, now)
 
     def _ready(self, role: Role) -> tuple[str, ...]:
-        ready = (it for it in self.by_id.values() if it.metadata.state is api.EndpointState.READY)
-        return tuple(sorted(endpoint.metadata.id for endpoint in ready if endpoint.role is role))
+        return tuple(
+            sorted(
+                endpoint_id
+                for endpoint_id, endpoint in self.by_id.items()
+                if endpoint.role is role and endpoint.metadata.state is api.EndpointState.READY
+            )
+        )
 
     def open_attempt(self, now: Instant, attempt: Attempt, work: float) -> None:
         """Counts an attempt at its endpoints; at an ejected one it is the half-open trial."""
--- a/olivepost/routing_state/invalidation_table.py
+++ b/olivepost/routing_state/invalidation_table.py
@@ -2,19 +2,25 @@
 
 from __future__ import annotations
 
+from typing import Literal
+
 from olivepost import interface as api
 from olivepost.units import Instant
 
+# A plain tuple, since three of them are made for each request. Group None: that of requests and invalidations
+# which name none.
+InvalidationKey = tuple[Literal["object", "group"], str | int | None]
+
 
 class InvalidationTable:
     """The latest invalidation of each object and group.
 
-    One evicted for want of room counts for every object, so that no invalidation is ever forgotten.
+    One that is evicted at capacity counts for every object from then on, so that none is ever lost.
     """
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._times: dict[tuple[str, object], Instant] = {}
+        self._times: dict[InvalidationKey, Instant] = {}  # the latest by key, the oldest entry first
         self._evicted_at: Instant | None = None  # the latest invalidation that was evicted
 
     def __len__(self) -> int:
@@ -23,7 +29,7 @@
     def add(self, now: Instant, invalidation: api.Invalidation) -> None:
         """Records an invalidation of one object, or of a group where no object is named."""
         if invalidation.object:
-            key: tuple[str, object] = ("object", invalidation.object)
+            key: InvalidationKey = ("object", invalidation.object)
         else:
             key = ("group", invalidation.group)
         self._times[key] = max(now - invalidation.age, self._times.pop(key, 0))
@@ -38,14 +44,20 @@
 
         Any group counts where the request does not name its own.
         """
-        keys: list[tuple[str, object]] = [("object", request.object), ("group", None)]
-        if request.group is None:
-            keys += [key for key in self._times if key[0] == "group"]
-        else:
-            keys.append(("group", request.group))
         latest = self._evicted_at
-        for key in keys:
+        if not self._times:
+            return latest
+        for key in self._keys(request):
             invalidated_at = self._times.get(key)
             if invalidated_at is not None and (latest is None or invalidated_at > latest):
                 latest = invalidated_at
         return latest
+
+    def _keys(self, request: api.Request) -> list[InvalidationKey]:
+        """The keys of invalidations that concern a request."""
+        keys: list[InvalidationKey] = [("object", request.object), ("group", None)]
+        if request.group is None:
+            keys += [key for key in self._times if key[0] == "group"]
+        else:
+            keys.append(("group", request.group))
+        return keys
--- a/olivepost/routing_state/name_table.py
+++ b/olivepost/routing_state/name_table.py
@@ -24,9 +24,9 @@
 class ExpiringNameTable:
     """Names by expiry; over capacity, the name that expires first is evicted. Not thread-safe.
 
-    A name that is renewed stays in the queue under its earlier time, and moves on once that has come: one
-    queue entry a name, however often it is renewed. A name whose lifetime became shorter is queued again;
-    what it leaves behind is removed once it is as much as there are names.
+    A name that is renewed keeps its queue entry, which is moved once its earlier time has come. A name whose
+    lifetime became shorter gets a further entry; entries left behind are removed once there are as many of
+    them as names.
     """
 
     def __init__(self, capacity: int, ranks: int) -> None:
@@ -96,7 +96,7 @@
         queued_at, name = self._queue[0]
         entry = self._entries.get(name)
         if entry is None or entry.queued_at != queued_at:
-            heappop(self._queue)  # the name was queued again, or is gone
+            heappop(self._queue)  # the name was queued again, or removed
         elif entry.expires_at > queued_at:
             entry.queued_at = entry.expires_at
             heapreplace(self._queue, (entry.queued_at, name))
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -1,4 +1,4 @@
-"""A request that this proxy owes a response, and its attempts."""
+"""A request whose response is pending, and its attempts."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class SilenceCheck(NamedTuple):
-    """What an attempt past its silence timeout says of its cache."""
+    """What was found of the cache of an attempt that is past its silence timeout."""
 
     is_cache_ejected: bool
     ejection: Ejection | None = None  # by this check, to be reported
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PossibleFault:
-    """Whom a request's only error so far is charged to, unless a second endpoint fails it too."""
+    """The endpoint to which a request's only error is attributed, unless another endpoint errs too."""
 
     endpoint_id: str
     score: float
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True, eq=False)
 class HintWait:
-    """An attempt that waits for a cache hint, and what it draws on the retry budget."""
+    """An attempt that waits for a cache hint, and its cost to the retry budget."""
 
     since: Instant
     retry_cost: int
@@ -71,16 +71,14 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that this proxy owes a response."""
+    """A request whose response is pending."""
 
     request: api.Request
     request_class: api.ClassSettings
     name: str  # of the object's part, as caches keep it
     deadline: Instant
     rank: int  # with which caches keep the response; 0: they don't
-    name_remaining: (
-        Duration | None
-    )  # of the name's lifetime when the request came; None: the name was not known
+    name_remaining: Duration | None  # of the name's lifetime on arrival; None: the name was not known
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     attempt_count: int = 0
     is_retryable: bool = True  # False: an error is attributed to the request itself
@@ -96,4 +94,4 @@
     hint_wait: HintWait | None = None
     hint: api.CacheHint | None = None
     hinted_cache: str | None = None  # the cache of the hint that the last attempt followed
-    storing_cache: str | None = None  # that has the object by its response
+    storing_cache: str | None = None  # that has the object, by its response
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPart:
-    """This proxy's part of a quota, and what of it is in use."""
+    """This proxy's part of a quota, and how much of it is used."""
 
     amount: float
     used: float
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -1,4 +1,4 @@
-"""Everything that the routing decisions of one proxy rest on."""
+"""The whole state of one router, which all decisions read and change."""
 
 from __future__ import annotations
 
@@ -79,12 +79,12 @@
         self.is_store_available = False
         self.retry_balance = tuning.initial_retries
         self.transfer_ends: list[Instant] = []  # of responses that are served from the proxy's own cache
-        # The time that sending a response of a class takes, and the work that a mean warm endpoint does.
-        self.class_work = MovingAverages(tuning.work_step)
+        self.class_work = MovingAverages(tuning.work_step)  # mean transfer time of a response, by class
+        # The work that one endpoint which started long ago does, by role.
         self.warm_rates = {role: DecayingRate(tuning.rate_memory) for role in LISTED_ROLES}
-        # Of good responses lately, those that outlasted their silence timeout.
+        # The share of good responses that outlasted their silence timeout.
         self.slow_share = MovingAverage(tuning.share_step, tuning.initial_slow_share)
-        # Of errors lately, those that a second endpoint confirmed.
+        # The share of errors that a second endpoint confirmed, which were the request's own fault.
         self.request_fault_share = MovingAverage(tuning.share_step, 0.0)
 
     def own_work(self, request: api.Request) -> float:
@@ -99,5 +99,5 @@
         return self.class_work.get(request_class.name, float(request_class.latency_objective))
 
     def work_of(self, request: api.Request, request_class: api.ClassSettings) -> float:
-        """A request's own work, its class's mean where its size is not told."""
+        """A request's own work, its class's mean where its size is unknown."""
         return self.own_work(request) or self.mean_work(request_class)
--- a/olivepost/routing_state/sliding_window.py
+++ b/olivepost/routing_state/sliding_window.py
@@ -10,8 +10,7 @@
 class SlidingWindowSum:
     """Amounts by time, and the sum of those within the window.
 
-    The sum is kept as amounts come and go: adding them up for each routing decision took most of a busy
-    proxy's time.
+    The sum is kept as amounts come and go, since several decisions a request read it.
     """
 
     __slots__ = ("_amounts", "_total", "_window")
