--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -8,6 +8,7 @@
 
 from olivepost import interface as api
 from olivepost.router import Router
+from olivepost.routing_state import Endpoint, RoutingState
 
 MS, SECOND = 1_000_000, 1_000_000_000
 START = 1_000 * SECOND
@@ -100,6 +101,15 @@
         self.timers: list[tuple[int, int]] = []
         self.handle(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, endpoints))
 
+    @property
+    def state(self) -> RoutingState:
+        """The router's state."""
+        return self.router.state
+
+    def endpoint(self, endpoint_id: str) -> Endpoint:
+        """A listed endpoint, as the router knows it."""
+        return self.router.state.endpoints.by_id[endpoint_id]
+
     def handle(self, event: api.Event) -> list[api.Action]:
         """Hands over one event now."""
         actions = self.router.handle(self.now, event)
@@ -144,6 +154,11 @@
     return [action for action in actions if isinstance(action, api.ForwardAttempt)]
 
 
+def first_attempt(actions: list[api.Action]) -> api.ForwardAttempt:
+    """The first attempt among the actions; fails where there is none."""
+    return forwarded_attempts(actions)[0]
+
+
 def source_of(attempt: api.ForwardAttempt) -> str:
     """The source of an attempt that fills."""
     assert attempt.source is not None
--- /dev/null
+++ b/tests/routing/test_retries.py
@@ -0,0 +1,76 @@
+"""Retry budget, idempotency, and the window in which a retry may start."""
+
+from olivepost import interface as api
+from olivepost.interface import AttemptStatus
+from tests.router_harness import (
+    MS,
+    ORIGIN,
+    SECOND,
+    RouterDriver,
+    cache,
+    final_responses,
+    first_attempt,
+    forwarded_attempts,
+    make_class,
+    make_settings,
+    parent,
+)
+
+
+def test_exhausted_retry_budget_responds_at_once(driver: RouterDriver) -> None:
+    attempts = 0
+    for number in range(60):
+        actions = driver.request(str(number), f"n{number}")
+        for attempt in range(6):
+            attempts += len(forwarded_attempts(actions))
+            if final_responses(actions):
+                break
+            actions = driver.complete_attempt(str(number), attempt, AttemptStatus.CONNECTION_LOST)
+        assert str(number) not in driver.router.requests.pending
+
+    assert attempts < 60 + 10 + 0.2 * 60 + 1
+
+
+def test_non_idempotent_request_is_never_sent_twice_nor_rejected_once_executed() -> None:
+    driver = RouterDriver(make_settings(make_class(idempotency=api.Idempotency.NOT_IDEMPOTENT)))
+
+    driver.request("1")
+    assert final_responses(driver.complete_attempt("1", 0, AttemptStatus.CONNECTION_LOST)) == [api.Fail("1")]
+
+    driver.request("2")
+    not_executed = driver.complete_attempt("2", 0, AttemptStatus.CONNECT_FAILED)
+    assert forwarded_attempts(not_executed)
+
+    driver.request("3")
+    assert not forwarded_attempts(driver.advance(2 * SECOND))  # a silent attempt is waited for
+
+
+def test_request_with_key_stays_in_its_deduplication_scope_and_window() -> None:
+    request_class = make_class(
+        idempotency=api.Idempotency.WITH_KEY, deduplication_scope=api.DeduplicationScope.CELL
+    )
+    endpoints = (cache("a:1", cell=1), cache("b:1", cell=2), cache("c:1", cell=1), parent("p:1"), ORIGIN)
+    driver = RouterDriver(make_settings(request_class), endpoints)
+    cells = {metadata.id: metadata.cell for metadata in endpoints}
+
+    for number in range(20):
+        first = first_attempt(driver.request(str(number), f"n{number}"))
+        actions = driver.complete_attempt(str(number), 0, AttemptStatus.ERROR)
+        for attempt in forwarded_attempts(actions):
+            assert cells[attempt.cache] == cells[first.cache]
+        assert not any(isinstance(action, api.Reject) for action in actions)
+        driver.handle(api.ClientDisconnected(str(number)))
+
+
+def test_retry_must_start_within_its_idempotency_window() -> None:
+    """The window goes on while an attempt waits for its connection."""
+    request_class = make_class(idempotency=api.Idempotency.WITH_KEY, idempotency_window=SECOND)
+    driver = RouterDriver(make_settings(request_class))
+    (first,) = forwarded_attempts(driver.request("r"))
+    assert first.start_before is None
+    sent_at = driver.now
+    driver.advance(100 * MS)
+
+    (retry,) = forwarded_attempts(driver.complete_attempt("r", 0, AttemptStatus.CONNECTION_LOST))
+
+    assert retry.start_before == sent_at + SECOND - driver.router.settings.deadline_margin
