--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -1,4 +1,4 @@
-"""Settings, lists and a small driver that the tests share."""
+"""Settings, endpoint lists and the driver of a router that tests share."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 from olivepost import interface as api
 from olivepost.router import Router
 from olivepost.routing_state import Endpoint, RoutingState
+from olivepost.units import Duration, Instant
 
 MS, SECOND = 1_000_000, 1_000_000_000
 START = 1_000 * SECOND
 
 
 def make_class(name: str = "image", **changes: Any) -> api.ClassSettings:
-    """A safe class with a long life."""
-    spec = api.ClassSettings(
+    """An idempotent class whose responses stay fresh."""
+    request_class = api.ClassSettings(
         name=name,
         latency_objective=300 * MS,
         latency_objective_stretch=2.0,
@@ -32,13 +33,13 @@
         stale_priority_weight=0.5,
         is_uncacheable=False,
     )
-    return dataclasses.replace(spec, **changes)
+    return dataclasses.replace(request_class, **changes)
 
 
 def make_settings(*classes: api.ClassSettings, **changes: Any) -> api.Settings:
-    """A location with one front, a cache tier, parents and an origin."""
+    """A location with one proxy, a cache tier, parents and an origin."""
     settings = api.Settings(
-        classes={spec.name: spec for spec in classes or (make_class(),)},
+        classes={request_class.name: request_class for request_class in classes or (make_class(),)},
         zone="west",
         caches=api.TierSettings(1, 0.2, 10 * SECOND, 2.0),
         parents=api.TierSettings(1, 0.1, 20 * SECOND, 2.0),
@@ -66,24 +67,24 @@
 
 
 def cache(
-    address: str,
+    endpoint_id: str,
     state: api.EndpointState = api.EndpointState.READY,
-    started: int | None = None,
+    started_at: Instant | None = None,
     **changes: Any,
 ) -> api.EndpointMetadata:
-    """A cache of the front's own location."""
-    listed = api.EndpointMetadata(address, state, "standard", "west", 0, 1.0, started)
+    """A cache of the proxy's own location."""
+    listed = api.EndpointMetadata(endpoint_id, state, "standard", "west", 0, 1.0, started_at)
     return dataclasses.replace(listed, **changes)
 
 
 def parent(
-    address: str,
+    endpoint_id: str,
     state: api.EndpointState = api.EndpointState.READY,
-    started: int | None = None,
+    started_at: Instant | None = None,
     **changes: Any,
 ) -> api.EndpointMetadata:
-    """A parent in a hub."""
-    return cache(address, state, started, **{"kind": "parent", "zone": "hub", **changes})
+    """A parent of another zone."""
+    return cache(endpoint_id, state, started_at, **{"kind": "parent", "zone": "hub", **changes})
 
 
 ORIGIN = api.EndpointMetadata("origin:1", api.EndpointState.READY, "origin", "hub")
@@ -91,14 +92,14 @@
 
 
 class RouterDriver:
-    """A router under test, with its timers kept and fired in order."""
+    """A router under test, with a clock; it fires the timers that the router sets, in order."""
 
     def __init__(
         self, settings: api.Settings, endpoints: tuple[api.EndpointMetadata, ...] = FLEET, seed: int = 7
     ) -> None:
         self.router = Router(settings, seed)
         self.now = START
-        self.timers: list[tuple[int, int]] = []
+        self.timers: list[tuple[Instant, int]] = []  # when due, and the timer's id
         self.handle(api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, endpoints))
 
     @property
@@ -118,14 +119,15 @@
                 self.timers.append((self.now + action.delay, action.timer_id))
         return actions
 
-    def advance(self, span: int) -> list[api.Action]:
-        """Lets time pass and fires what comes due."""
-        until, actions = self.now + span, list[api.Action]()
-        while due := [timer for timer in self.timers if timer[0] <= until]:
-            timer = min(due)
-            self.timers.remove(timer)
-            self.now = max(self.now, timer[0])
-            actions += self.handle(api.TimerFired(timer[1]))
+    def advance(self, duration: Duration) -> list[api.Action]:
+        """Advances the clock and fires the timers that are due."""
+        until = self.now + duration
+        actions: list[api.Action] = []
+        while self.timers and min(self.timers)[0] <= until:
+            due_at, timer_id = min(self.timers)
+            self.timers.remove((due_at, timer_id))
+            self.now = max(self.now, due_at)
+            actions += self.handle(api.TimerFired(timer_id))
         self.now = until
         return actions
 
@@ -135,10 +137,10 @@
         return self.handle(dataclasses.replace(request, **changes))
 
     def request_missed_by_cache(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
-        """A request arrives, and its cache says that it lacks the object."""
-        looked = forwarded_attempts(self.request(request_id, name, **changes))
-        assert looked
-        assert looked[0].source is None
+        """A request arrives, and its cache is found to lack the object."""
+        lookups = forwarded_attempts(self.request(request_id, name, **changes))
+        assert lookups
+        assert lookups[0].source is None
         return self.complete_attempt(request_id, 0, api.AttemptStatus.NOT_CACHED)
 
     def complete_attempt(
@@ -166,7 +168,7 @@
 
 
 def final_responses(actions: list[api.Action]) -> list[api.Reject | api.Fail]:
-    """The final answers among the actions."""
+    """The final responses among the actions."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
--- /dev/null
+++ b/tests/routing/invariant_checker.py
@@ -0,0 +1,230 @@
+"""A driver that checks the invariants of routing on each action, from outside of the router.
+
+Deadline: each request gets one final response in time.
+Idempotency: no request that is not idempotent is executed twice.
+Draining: no attempt goes to an endpoint that is draining or removed.
+Slow start: an endpoint that is warming up gets no more work than its budget.
+Invalidation: no attempt allows a response that is older than an invalidation.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from olivepost import interface as api
+from olivepost.units import Duration, Instant
+from tests.router_harness import MS, ORIGIN, SECOND, RouterDriver, cache, make_class, make_settings, parent
+
+CLASSES = (
+    make_class("idempotent", freshness_lifetime=8 * SECOND, stale_grace=30 * SECOND),
+    make_class(
+        "with-key",
+        idempotency=api.Idempotency.WITH_KEY,
+        deduplication_scope=api.DeduplicationScope.CELL,
+        idempotency_window=SECOND,
+    ),
+    make_class("not-idempotent", idempotency=api.Idempotency.NOT_IDEMPOTENT, is_uncacheable=True),
+)
+CELLS = {"a:1": 1, "b:1": 1, "c:1": 2, "d:1": 2}
+CACHES = tuple(CELLS)
+PARENTS = ("p:1", "q:1")
+PROXIES = 2
+OVERLOAD_MULTIPLE = 2.0
+MIN_LINK_TRANSFERS = 2
+LONGEST_RETRY_DELAY: Duration = 4 * SECOND  # from an attempt's execution to its outcome
+
+
+@dataclass
+class TrackedRequest:
+    """A request, and what has become of it."""
+
+    request: api.Request
+    deadline: Instant
+    attempt_count: int = 0
+    in_flight: dict[int, api.ForwardAttempt] = field(default_factory=dict)  # by attempt number
+    executed: list[tuple[Instant, str]] = field(default_factory=list)  # when known, and in which cache
+    is_over: bool = False
+
+
+@dataclass(frozen=True)
+class TrackedInvalidation:
+    """An invalidation of one object, or of all where none is named."""
+
+    object: str | None
+    invalidated_at: Instant
+
+    def concerns(self, request: api.Request) -> bool:
+        return self.object in (None, request.object)
+
+
+class InvariantChecker(RouterDriver):
+    """Plays clients, endpoints and the shared store of one router."""
+
+    def __init__(self, allows_direct_forwarding: bool) -> None:
+        self.settings = make_settings(
+            *CLASSES,
+            allows_direct_forwarding=allows_direct_forwarding,
+            caches=api.TierSettings(PROXIES, 0.2, 10 * SECOND, OVERLOAD_MULTIPLE),
+            parents=api.TierSettings(PROXIES, 0.1, 20 * SECOND, OVERLOAD_MULTIPLE),
+            shared_store_timeout=10 * MS,
+        )
+        self.states = dict.fromkeys(CACHES + PARENTS, api.EndpointState.READY)
+        self.started_at: dict[str, Instant | None] = dict.fromkeys(CACHES + PARENTS)
+        self.requests: dict[str, TrackedRequest] = {}
+        self.invalidations: list[TrackedInvalidation] = []
+        self.work: dict[str, list[tuple[Instant, float]]] = {}  # sent to endpoints that are warming up
+        super().__init__(self.settings, self.endpoint_list(), seed=3)
+
+    def endpoint_list(self) -> tuple[api.EndpointMetadata, ...]:
+        caches = (
+            cache(cache_id, self.states[cache_id], self.started_at[cache_id], cell=cell)
+            for cache_id, cell in CELLS.items()
+        )
+        parents = (
+            parent(parent_id, self.states[parent_id], self.started_at[parent_id]) for parent_id in PARENTS
+        )
+        return (*caches, *parents, ORIGIN)
+
+    def pending(self) -> list[TrackedRequest]:
+        """Requests without a final response, by their ids."""
+        pending = [tracked for tracked in self.requests.values() if not tracked.is_over]
+        return sorted(pending, key=lambda tracked: tracked.request.id)
+
+    def attempts_in_flight(self) -> list[tuple[str, int]]:
+        """Request id and number of each attempt, in order."""
+        return sorted(
+            (request_id, number)
+            for request_id, tracked in self.requests.items()
+            for number in tracked.in_flight
+        )
+
+    # Events
+
+    def track_request(self, request: api.Request) -> None:
+        """A request arrives."""
+        self.requests[request.id] = TrackedRequest(request, self.now + request.timeout)
+        self.handle(request)
+
+    def track_outcome(
+        self, request_id: str, number: int, status: api.AttemptStatus, cache_status: api.CacheStatus
+    ) -> None:
+        """An attempt ends; with a response, its request is over."""
+        tracked = self.requests[request_id]
+        attempt = tracked.in_flight.pop(number)
+        if status not in api.NOT_EXECUTED:
+            tracked.executed.append((self.now, attempt.cache))
+        is_final = status is api.AttemptStatus.OK
+        if is_final:
+            tracked.is_over = True
+        self.handle(api.AttemptOutcome(request_id, number, status, 30 * MS, is_final, cache_status))
+
+    def track_disconnect(self, request_id: str) -> None:
+        """A client disconnects."""
+        self.requests[request_id].is_over = True
+        self.handle(api.ClientDisconnected(request_id))
+
+    def track_endpoint(self, endpoint_id: str, state: api.EndpointState, is_restarted: bool) -> None:
+        """An endpoint's state changes, or another process takes its place."""
+        self.states[endpoint_id] = state
+        if is_restarted:
+            self.started_at[endpoint_id] = self.now
+            self.work.pop(endpoint_id, None)
+        changed = tuple(metadata for metadata in self.endpoint_list() if metadata.id == endpoint_id)
+        self.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, changed))
+
+    def track_invalidation(self, object_name: str | None, age: Duration) -> None:
+        """An object, or the group of all requests, is invalidated."""
+        self.invalidations.append(TrackedInvalidation(object_name, self.now - age))
+        self.handle(api.Invalidation(object_name, 1, age))
+
+    # Checks
+
+    def handle(self, event: api.Event) -> list[api.Action]:
+        """Hands over one event and checks each action that it leads to."""
+        actions = super().handle(event)
+        for action in actions:
+            self._check(action)
+        return actions
+
+    def _check(self, action: api.Action) -> None:
+        match action:
+            case api.SetTimer():
+                assert action.delay >= 0
+            case api.ForwardAttempt():
+                self._check_attempt(action)
+            case api.CancelAttempt():
+                self._check_cancellation(action)
+            case api.Reject() | api.Fail():
+                self._check_final_response(action)
+
+    def _check_cancellation(self, action: api.CancelAttempt) -> None:
+        tracked = self.requests[action.request_id]
+        assert action.attempt < tracked.attempt_count
+        attempt = tracked.in_flight.pop(action.attempt, None)
+        if attempt is not None:
+            tracked.executed.append((self.now, attempt.cache))
+
+    def _check_final_response(self, action: api.Reject | api.Fail) -> None:
+        """The deadline invariant; and a rejection, which clients may repeat, is harmless to repeat."""
+        tracked = self.requests[action.request_id]
+        assert not tracked.is_over
+        assert self.now <= tracked.deadline
+        if isinstance(action, api.Reject):
+            request_class = self.settings.classes[tracked.request.class_name]
+            may_be_executed = tracked.executed or tracked.in_flight
+            assert request_class.idempotency is api.Idempotency.IDEMPOTENT or not may_be_executed
+        tracked.is_over = True
+
+    def _check_attempt(self, attempt: api.ForwardAttempt) -> None:
+        tracked = self.requests[attempt.request_id]
+        assert not tracked.is_over
+        self._check_idempotency(tracked, attempt)
+        self._check_age(tracked.request, attempt)
+        for endpoint_id in {attempt.cache, attempt.source or attempt.cache}:
+            assert endpoint_id == ORIGIN.id or self.states[endpoint_id] is api.EndpointState.READY
+            self._check_slow_start(endpoint_id, tracked.request)
+        tracked.in_flight[tracked.attempt_count] = attempt
+        tracked.attempt_count += 1
+        assert tracked.attempt_count <= self.settings.max_attempts
+
+    def _check_idempotency(self, tracked: TrackedRequest, attempt: api.ForwardAttempt) -> None:
+        request_class = self.settings.classes[tracked.request.class_name]
+        assert not tracked.in_flight  # one at a time
+        if request_class.idempotency is api.Idempotency.NOT_IDEMPOTENT:
+            assert not tracked.executed
+        if request_class.idempotency is api.Idempotency.WITH_KEY and tracked.executed:
+            executed_at, first_cache = tracked.executed[0]
+            assert CELLS.get(attempt.cache) == CELLS.get(first_cache) is not None
+            assert self.now - executed_at < request_class.idempotency_window + LONGEST_RETRY_DELAY
+
+    def _check_age(self, request: api.Request, attempt: api.ForwardAttempt) -> None:
+        for invalidation in self.invalidations:
+            age = self.now - invalidation.invalidated_at
+            if invalidation.concerns(request) and age <= self.settings.invalidation_lifetime:
+                assert attempt.max_age is not None
+                assert 0 < attempt.max_age <= max(1, age)
+        request_class = self.settings.classes[request.class_name]
+        if request_class.freshness_lifetime is not None:
+            assert attempt.max_age is not None
+            assert 0 < attempt.max_age <= request_class.freshness_lifetime + request_class.stale_grace
+
+    def _check_slow_start(self, endpoint_id: str, request: api.Request) -> None:
+        """For the smallest link that an endpoint may have, of which this proxy has its part."""
+        started_at = self.started_at.get(endpoint_id)
+        if started_at is None:
+            return
+        tier = self.settings.parents if endpoint_id in PARENTS else self.settings.caches
+        window = self.settings.overload_window
+        age = self.now - started_at
+        if age >= tier.slow_start_duration:
+            return
+        assert request.size_kb is not None
+        assert self.settings.transfer_rate_kb_per_s is not None
+        work = request.size_kb / self.settings.transfer_rate_kb_per_s * SECOND
+        recent = [sent for sent in self.work.get(endpoint_id, []) if sent[0] > self.now - window]
+        recent.append((self.now, work))
+        self.work[endpoint_id] = recent
+        initial = tier.slow_start_initial_share
+        share = initial + (1 - initial) * age / tier.slow_start_duration
+        budget = OVERLOAD_MULTIPLE * share * MIN_LINK_TRANSFERS * window / PROXIES
+        assert sum(work for _, work in recent) <= budget + 1  # rounding
--- /dev/null
+++ b/tests/routing/proxy_fleet.py
@@ -0,0 +1,133 @@
+"""Proxies of one location with uneven traffic over shared caches, the first of which restarts."""
+
+from __future__ import annotations
+
+import random
+from heapq import heappop, heappush
+from typing import NamedTuple
+
+from olivepost import interface as api
+from olivepost.router import Router
+from olivepost.units import Duration, Instant
+from tests.router_harness import MS, ORIGIN, SECOND, START, cache, forwarded_attempts, make_settings, parent
+
+TRANSFERS = 5  # that a cache's link carries at once
+LINK = float(TRANSFERS)
+MEAN_WORK: Duration = 250 * MS
+WINDOW: Duration = 2 * SECOND
+SLOW_START: Duration = 10 * SECOND
+INITIAL_SHARE = 0.2
+OVERLOAD_MULTIPLE = 3.0
+HIT_SHARE = 0.75  # of lookups
+
+
+class FleetAttempt(NamedTuple):
+    """An attempt in flight, in the order in which its response is complete."""
+
+    completed_at: Instant
+    proxy: int
+    number: int  # within its request
+    request_id: str
+    request_number: int
+    fills: bool
+
+
+class SentAttempt(NamedTuple):
+    """An attempt that was sent to the restarting cache."""
+
+    sent_at: Instant
+    known_start: Instant | None  # of the cache, as its proxy knows it
+
+
+class ProxyFleet:
+    """Routers of all proxies, with caches that complete as many attempts as their links carry."""
+
+    def __init__(self, proxies: int, caches: int, seed: int) -> None:
+        self.random = random.Random(seed)
+        self.settings = make_settings(
+            caches=api.TierSettings(proxies, INITIAL_SHARE, SLOW_START, OVERLOAD_MULTIPLE),
+            has_endpoint_weights=True,
+            allows_direct_forwarding=False,
+            overload_window=WINDOW,
+            transfer_rate_kb_per_s=None,
+        )
+        self.cache_ids = [f"c{number}:1" for number in range(caches)]
+        self.restarting_id = self.cache_ids[0]
+        self.known_starts: list[Instant | None] = [None] * proxies  # of the restarting cache, by proxy
+        self.routers = [self._start_router(proxy) for proxy in range(proxies)]
+        self.traffic = [self.random.expovariate(1) + 0.1 for _ in range(proxies)]
+        self.link_free_at = {cache_id: [0] * TRANSFERS for cache_id in self.cache_ids}
+        self.in_flight: list[FleetAttempt] = []  # a heap
+        self.request_count = 0
+        self.last_numbers: dict[str, int] = {}  # of attempts, by request
+        self.sent: list[SentAttempt] = []
+
+    def _start_router(self, proxy: int, now: Instant = START) -> Router:
+        router = Router(self.settings, self.random.randrange(1 << 30))
+        starts = dict.fromkeys(self.cache_ids) | {self.restarting_id: self.known_starts[proxy]}
+        caches = [cache(cache_id, weight=LINK, started_at=start) for cache_id, start in starts.items()]
+        endpoints = (*caches, parent("p:1", weight=100.0), ORIGIN)
+        router.handle(now, api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, endpoints))
+        return router
+
+    def restart_proxy(self, proxy: int, now: Instant) -> None:
+        """Another process of the proxy, which doesn't know what the earlier one sent."""
+        self.routers[proxy] = self._start_router(proxy, now)
+
+    def announce_start(self, proxy: int, now: Instant, started_at: Instant) -> None:
+        """Lets a proxy know of a restart of the cache."""
+        self.known_starts[proxy] = started_at
+        restarted = cache(self.restarting_id, weight=LINK, started_at=started_at)
+        update = api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (restarted,))
+        self.routers[proxy].handle(now, update)
+
+    def request(self, now: Instant) -> None:
+        """A request arrives at one of the proxies, once all responses before it are complete."""
+        self._complete_until(now)
+        self.request_count += 1
+        proxy = self.random.choices(range(len(self.routers)), self.traffic)[0]
+        name = f"n{int(self.random.paretovariate(0.6))}"
+        request = api.Request(f"r{self.request_count}", "image", name, 3 * SECOND, group=1)
+        self._execute(proxy, now, self.routers[proxy].handle(now, request))
+
+    def _execute(self, proxy: int, now: Instant, actions: list[api.Action]) -> None:
+        for attempt in forwarded_attempts(actions):
+            if attempt.cache == self.restarting_id:
+                self.sent.append(SentAttempt(now, self.known_starts[proxy]))
+            number = self.last_numbers.get(attempt.request_id, -1) + 1
+            self.last_numbers[attempt.request_id] = number
+            in_flight = FleetAttempt(
+                self._transfer(attempt.cache, now),
+                proxy,
+                number,
+                attempt.request_id,
+                self.request_count,
+                attempt.source is not None,
+            )
+            heappush(self.in_flight, in_flight)
+
+    def _transfer(self, cache_id: str, now: Instant) -> Instant:
+        """Puts a response on the cache's link; when its transfer is complete."""
+        free_at = self.link_free_at[cache_id]
+        slot = min(range(TRANSFERS), key=free_at.__getitem__)
+        free_at[slot] = max(now, free_at[slot]) + int(self.random.expovariate(1 / MEAN_WORK))
+        return free_at[slot]
+
+    def _complete_until(self, now: Instant) -> None:
+        while self.in_flight and self.in_flight[0].completed_at <= now:
+            attempt = heappop(self.in_flight)
+            actions = self.routers[attempt.proxy].handle(attempt.completed_at, self._outcome(attempt))
+            self._execute(attempt.proxy, attempt.completed_at, actions)
+
+    def _outcome(self, attempt: FleetAttempt) -> api.AttemptOutcome:
+        status = api.AttemptStatus.OK
+        cache_status = api.CacheStatus.HIT
+        if attempt.fills:
+            cache_status = api.CacheStatus.FILLED
+        elif self.random.random() >= HIT_SHARE:
+            status = api.AttemptStatus.NOT_CACHED
+            cache_status = api.CacheStatus.UNKNOWN
+        is_final = status is api.AttemptStatus.OK
+        return api.AttemptOutcome(
+            attempt.request_id, attempt.number, status, MEAN_WORK, is_final, cache_status
+        )
--- a/tests/routing/test_clock_errors.py
+++ b/tests/routing/test_clock_errors.py
@@ -1,4 +1,4 @@
-"""Slow start by a clock that was wrong when the process started."""
+"""Slow start of endpoints whose clock, or this proxy's, is wrong."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
     driver = RouterDriver(make_settings(), (cache("a:1"), parent("p:1"), ORIGIN))
     driver.now = NOW
     driver.handle(api.EndpointUpdate(kind, (cache("new:1", started_at=started_at),)))
-    return slow_start_share(NOW, driver.router.state.endpoints.by_id["new:1"])
+    return slow_start_share(NOW, driver.endpoint("new:1"))
 
 
 @pytest.mark.parametrize("started_at", [NOW + HOUR, NOW + 5 * SECOND, NOW, NOW - HOUR])
-def test_cache_listed_as_started_at_an_implausible_time_is_cold(started_at: int) -> None:
+def test_cache_listed_as_started_at_an_implausible_time_begins_its_slow_start(started_at: int) -> None:
     settings = make_settings()
     share = share_of_new_cache(started_at, api.EndpointUpdateKind.INCREMENTAL)
     assert share == settings.caches.slow_start_initial_share
 
 
-def test_cache_that_started_shortly_before_its_listing_has_warmed_since() -> None:
+def test_cache_that_started_shortly_before_its_listing_is_further_in_its_slow_start() -> None:
     settings = make_settings()
     started_at = NOW - min(settings.caches.slow_start_duration // 2, MAX_LISTING_DELAY)
     share = share_of_new_cache(started_at, api.EndpointUpdateKind.INCREMENTAL)
     assert share > settings.caches.slow_start_initial_share
 
 
-def test_cold_cache_warms_in_its_time_though_its_start_is_an_hour_ahead() -> None:
+def test_slow_start_takes_its_time_though_the_start_is_an_hour_ahead() -> None:
     driver = RouterDriver(make_settings(), (cache("a:1"), parent("p:1"), ORIGIN))
     driver.now = NOW
-    row = cache("new:1", started_at=NOW + HOUR)
-    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
-    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (row,)))
-    endpoint = driver.router.state.endpoints.by_id["new:1"]
+    listed = cache("new:1", started_at=NOW + HOUR)
+    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (listed,)))
+    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (listed,)))
+    endpoint = driver.endpoint("new:1")
     duration = endpoint.tier.slow_start_duration
     assert slow_start_share(NOW + duration, endpoint) == 1
     driver.now = NOW + duration
-    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (row, parent("p:1"), ORIGIN)))
-    assert driver.router.state.endpoints.by_id["new:1"] is endpoint  # listed again, it is the same process
+    driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (listed, parent("p:1"), ORIGIN)))
+    assert driver.endpoint("new:1") is endpoint  # listed again, it is the same process
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -1,4 +1,4 @@
-"""f-TTL against figures worked out by hand from the design page's formulas."""
+"""f-TTL against values computed by hand from the formulas in docs/design.md."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 from olivepost.routing.initial_state import initial_state
 from olivepost.routing.selection import rendezvous_order
 from olivepost.routing_state import ClassLevels, ExpiringNameTable, NameEntry, PendingRequest
-from tests.router_harness import SECOND, RouterDriver, forwarded_attempts, make_settings
+from tests.router_harness import SECOND, RouterDriver, first_attempt, make_settings
 
 
 def levels(level: float, first_seen_level: float) -> ClassLevels:
@@ -20,7 +20,7 @@
 
 
 @pytest.mark.parametrize(
-    ("deep", "gamma"),
+    ("level", "gamma"),
     [
         (0.5, 0.4),  # far below the ceiling: Γ = ϑs
         (0.85, 0.4),  # at 1 - 3ε/2: still ϑs
@@ -29,35 +29,35 @@
         (1.0, 1.0),
     ],
 )
-def test_threshold_function(deep: float, gamma: float) -> None:
-    assert adaptive_ttl.first_seen_lifetime(levels(deep, 0.4)) == pytest.approx(MAX_LIFETIME * deep * gamma)
+def test_threshold_function(level: float, gamma: float) -> None:
+    assert adaptive_ttl.first_seen_lifetime(levels(level, 0.4)) == pytest.approx(MAX_LIFETIME * level * gamma)
 
 
 def test_zero_level_gives_zero_lifetimes() -> None:
     assert adaptive_ttl.first_seen_lifetime(levels(0.0, 1.0)) == 0.0
 
 
-def test_a_hit_lowers_and_a_miss_raises_the_level() -> None:
-    made = levels(0.5, 0.5)
-    adaptive_ttl.move_levels(made, True, 5 * SECOND, 1.0)
-    assert made.level == pytest.approx(0.5 + 0.01 * (0.8 - 1))
-    adaptive_ttl.move_levels(made, False, 5 * SECOND, 1.0)
-    assert made.level == pytest.approx(0.5 + 0.01 * (0.8 - 1) + 0.01 * 0.8)
-    assert made.first_seen_level == pytest.approx(0.5)  # samples on target move nothing
+def test_hit_lowers_and_miss_raises_the_level() -> None:
+    class_levels = levels(0.5, 0.5)
+    adaptive_ttl.move_levels(class_levels, True, 5 * SECOND, 1.0)
+    assert class_levels.level == pytest.approx(0.5 + 0.01 * (0.8 - 1))
+    adaptive_ttl.move_levels(class_levels, False, 5 * SECOND, 1.0)
+    assert class_levels.level == pytest.approx(0.5 + 0.01 * (0.8 - 1) + 0.01 * 0.8)
+    assert class_levels.first_seen_level == pytest.approx(0.5)  # samples on target move nothing
 
 
-def test_size_samples_move_the_shallow_level_by_weight() -> None:
-    made = levels(0.5, 0.5)
-    adaptive_ttl.move_levels(made, False, 10 * SECOND, 4.0)  # the first size is the mean: weight 1
-    assert made.first_seen_level == pytest.approx(0.5 - 0.0001)
-    adaptive_ttl.move_levels(made, False, 0.0, 8.0)  # mean becomes 4.04
-    assert made.first_seen_level == pytest.approx(0.5 - 0.0001 + 0.0001 * 8 / 4.04)
+def test_size_samples_move_the_first_seen_level_by_weight() -> None:
+    class_levels = levels(0.5, 0.5)
+    adaptive_ttl.move_levels(class_levels, False, 10 * SECOND, 4.0)  # the first size is the mean: weight 1
+    assert class_levels.first_seen_level == pytest.approx(0.5 - 0.0001)
+    adaptive_ttl.move_levels(class_levels, False, 0.0, 8.0)  # mean becomes 4.04
+    assert class_levels.first_seen_level == pytest.approx(0.5 - 0.0001 + 0.0001 * 8 / 4.04)
 
 
 def test_levels_stay_within_bounds() -> None:
-    made = levels(1.0, 0.0)
-    adaptive_ttl.move_levels(made, False, 60 * SECOND, 1.0)
-    assert (made.level, made.first_seen_level) == (1.0, 0.0)
+    class_levels = levels(1.0, 0.0)
+    adaptive_ttl.move_levels(class_levels, False, 60 * SECOND, 1.0)
+    assert (class_levels.level, class_levels.first_seen_level) == (1.0, 0.0)
 
 
 def test_names_expire_and_are_renewed() -> None:
@@ -86,44 +86,44 @@
 
 
 def test_top_rank_is_bounded_by_its_share_of_bytes() -> None:
-    router = RouterDriver(make_settings()).router
-    router.state.names.put("big", NameEntry(10, RANK_LOW, 89.0))
-    assert adaptive_ttl.top_rank_has_capacity(router.state, "new")
-    router.state.names.put("one", NameEntry(10, RANK_TOP, 11.0))
-    assert not adaptive_ttl.top_rank_has_capacity(router.state, "new")  # 11 of 100 is over a share of 0.1
-    assert adaptive_ttl.top_rank_has_capacity(router.state, "one")  # its own bytes do not stand against it
+    state = RouterDriver(make_settings()).state
+    state.names.put("big", NameEntry(10, RANK_LOW, 89.0))
+    assert adaptive_ttl.top_rank_has_capacity(state, "new")
+    state.names.put("one", NameEntry(10, RANK_TOP, 11.0))
+    assert not adaptive_ttl.top_rank_has_capacity(state, "new")  # 11 of 100 is over a share of 0.1
+    assert adaptive_ttl.top_rank_has_capacity(state, "one")  # its own bytes are not counted
 
 
 def test_new_names_rank_low_at_level_zero_and_repeats_rank_top() -> None:
     driver = RouterDriver(make_settings())
-    driver.router.state.levels["image"].first_seen_level = 0.0
-    ranks = [forwarded_attempts(driver.request(str(i), f"n{i}"))[0].rank for i in range(5)]
-    assert ranks == [RANK_LOW] * 5  # θs = 0: never lifted; and never unkept
-    assert forwarded_attempts(driver.request("again", "n1"))[0].rank == RANK_TOP
+    driver.state.levels["image"].first_seen_level = 0.0
+    ranks = [first_attempt(driver.request(str(i), f"n{i}")).rank for i in range(5)]
+    assert ranks == [RANK_LOW] * 5  # θs = 0: none ranks higher, and all are cached
+    assert first_attempt(driver.request("again", "n1")).rank == RANK_TOP
 
 
 def test_new_names_rank_middle_at_the_level_ceiling() -> None:
     driver = RouterDriver(make_settings())
-    driver.router.state.levels["image"].level = 1.0
-    assert forwarded_attempts(driver.request("1"))[0].rank == RANK_MIDDLE
+    driver.state.levels["image"].level = 1.0
+    assert first_attempt(driver.request("1")).rank == RANK_MIDDLE
 
 
 def test_expired_name_ranks_as_new() -> None:
     driver = RouterDriver(make_settings())
-    driver.router.state.levels["image"].first_seen_level = 0.0
+    driver.state.levels["image"].first_seen_level = 0.0
     driver.request("1")
     driver.advance(61 * SECOND)
-    assert forwarded_attempts(driver.request("2"))[0].rank == RANK_LOW
+    assert first_attempt(driver.request("2")).rank == RANK_LOW
 
 
-def test_rendezvous_order_moves_few_names_when_an_endpoint_leaves() -> None:
+def test_rendezvous_order_moves_few_names_when_an_endpoint_is_removed() -> None:
     names = [f"n{i}" for i in range(400)]
     firsts = {name: rendezvous_order(name, ("a", "b", "c"))[0] for name in names}
     assert all(count > 90 for count in map(list(firsts.values()).count, "abc"))
     assert all(rendezvous_order(n, ("a", "c"))[0] == home for n, home in firsts.items() if home != "b")
 
 
-def test_overload_spares_cheap_requests_and_falls_again() -> None:
+def test_overload_rejects_expensive_requests_first_and_falls_again() -> None:
     state = initial_state(make_settings(), 1)
 
     def is_too_expensive(size_kb: float) -> bool:
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -1,4 +1,4 @@
-"""The bounds that readers of the decision code rely on."""
+"""Limits of the decision code's size, its imports and where its values stand."""
 
 import ast
 import sys
@@ -64,7 +64,7 @@
 
 @pytest.mark.parametrize("path", MECHANICS, ids=lambda path: path.stem)
 def test_no_tuned_value_stands_outside_the_policy(path: Path) -> None:
-    """The router and its state hold no numbers but the neutral ones; steps and sizes come from the policy."""
+    """The router and its state hold no numbers but -1, 0 and 1; steps and sizes come from the policy."""
     numbers = {
         node.value
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))
@@ -75,6 +75,6 @@
 
 
 def test_what_run_imports_is_compiled_by_build() -> None:
-    """The platform's files can't be written: each start would compile all modules anew, on part of a core."""
+    """A process can't write the platform's files: without this, each start would compile all modules."""
     assert " -O " in DEPLOY["run"]
     assert "-O -m compileall -q olivepost" in DEPLOY["build"]
