--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -159,6 +159,6 @@
                     store.look_up(action, pending.exchange.object, pending.exchange.group)
             case api.ReleaseLease():
                 closed = self._closed.get(action.request_id)
-                store.release_lease(action, closed.generated_at if closed is not None else 0)
+                store.release_lease(action, closed.generated_at if closed is not None else None)
             case api.ReportStaleHint() | api.RequestQuota() | api.DonateQuota() | api.ReportOutlier():
                 store.notify(action)
--- /dev/null
+++ b/olivepost/proxy/discovery_changes.py
@@ -0,0 +1,86 @@
+"""Applies what service discovery reports: endpoint updates and invalidations."""
+
+from __future__ import annotations
+
+from collections import Counter
+
+from olivepost import interface as api
+from olivepost.proxy.action_executor import ActionExecutor
+from olivepost.proxy.discovery.messages import DiscoveryEvent
+from olivepost.proxy.event_loop_resources import EventLoopResources
+from olivepost.proxy.exchange_lifecycle import ExchangeLifecycle
+from olivepost.proxy.upstream.endpoint_address import EndpointAddress
+from olivepost.proxy.upstream.request import UpstreamRequest
+from olivepost.routing_state import Role
+from olivepost.routing_state.endpoint_table import role_of
+from olivepost.units import Instant
+
+
+class DiscoveryChanges:
+    """Brings a change to all that depends on it. Only the event loop's thread calls this.
+
+    In this order: the upstream pool or the response cache, the router, attempts that no connection has begun
+    to write, and last the shared store.
+    """
+
+    def __init__(
+        self, resources: EventLoopResources, lifecycle: ExchangeLifecycle, executor: ActionExecutor
+    ) -> None:
+        self._router = resources.router
+        self._log = resources.log
+        self._response_cache = resources.response_cache
+        self._upstream = resources.upstream
+        self._shared_store = resources.shared_store
+        self._lifecycle = lifecycle
+        self._executor = executor
+
+    def apply(self, now: Instant, event: DiscoveryEvent) -> None:
+        """Applies an endpoint update or an invalidation, and passes it on to the shared store."""
+        change = event.change
+        if isinstance(change, api.Invalidation):
+            self.invalidate(now, change)
+            if self._shared_store is not None:
+                self._shared_store.invalidate(change, now)
+        else:
+            self._update_endpoints(now, event, change)
+            if self._shared_store is not None:
+                self._shared_store.notify(change)
+
+    def invalidate(self, now: Instant, invalidation: api.Invalidation) -> None:
+        """Applies an invalidation to own cached responses, the router and attempts not yet written."""
+        self._response_cache.invalidate(invalidation.object, invalidation.group, now - invalidation.age)
+        self._executor.execute(self._router.handle(now, invalidation))
+
+        def is_invalidated(attempt: UpstreamRequest) -> bool:
+            if invalidation.object:
+                return attempt.exchange.object == invalidation.object
+            return attempt.exchange.group == invalidation.group
+
+        self._lifecycle.withdraw(now, is_invalidated)
+
+    def _update_endpoints(self, now: Instant, event: DiscoveryEvent, update: api.EndpointUpdate) -> None:
+        is_complete = update.kind is not api.EndpointUpdateKind.INCREMENTAL
+        self._upstream.update(self._usable_addresses(event, update), is_complete)
+        self._executor.execute(self._router.handle(now, update))
+        if update.kind is not api.EndpointUpdateKind.RESTORED:
+            self._log_update(event, update)
+        closed = {address.id for address in event.addresses if address.state is not api.EndpointState.READY}
+
+        def is_for_closed_endpoint(attempt: UpstreamRequest) -> bool:
+            return attempt.cache in closed or attempt.source in closed
+
+        self._lifecycle.withdraw(now, is_for_closed_endpoint)
+
+    def _usable_addresses(self, event: DiscoveryEvent, update: api.EndpointUpdate) -> list[EndpointAddress]:
+        """The addresses of endpoints that routing may use, and of those that are removed."""
+        settings = self._router.settings
+        return [
+            address
+            for address, metadata in zip(event.addresses, update.endpoints, strict=True)
+            if metadata.state is api.EndpointState.REMOVED
+            or role_of(settings, metadata) is not Role.OTHER_ZONE
+        ]
+
+    def _log_update(self, event: DiscoveryEvent, update: api.EndpointUpdate) -> None:
+        states = Counter(address.state.name.lower() for address in event.addresses)
+        self._log.sampled_event("endpoints_updated", update=update.kind.name.lower(), endpoints=states)
--- a/olivepost/proxy/downstream/routes.py
+++ b/olivepost/proxy/downstream/routes.py
@@ -34,7 +34,7 @@
     deliver: Callable[[Exchange, Response], None],
     is_client_disconnected: Callable[[], bool],
 ) -> Exchange:
-    """Makes the exchange of a request that was read completely at `received_at` (Unix nanoseconds).
+    """Makes the exchange of a request that was read completely at `received_at`.
 
     Raises HttpError 405 for a method that is not allowed, 404 for an unknown target or class, and 400 for
     a field that is missing or malformed.
@@ -54,7 +54,7 @@
         object=match[2],
         part=int(match[3]),
         group=_group(message),
-        etag="" if is_write else _client_etag(message),
+        etag=None if is_write else _client_etag(message),
         body=message.body,
         timeout=int(_required_field(message, "x-patience-ms", _TIMEOUT_MS)) * MILLISECOND,
         received_at=received_at,
@@ -79,19 +79,19 @@
     return group
 
 
-def _idempotency_key(message: Message[RequestLine]) -> str:
-    """The client's key for retries of this request; empty where it gave none."""
+def _idempotency_key(message: Message[RequestLine]) -> str | None:
+    """The client's key for retries of this request; None where it gave none."""
     if not message.header("x-dedupe-key"):
-        return ""
+        return None
     return _required_field(message, "x-dedupe-key", _IDEMPOTENCY_KEY)
 
 
-def _client_etag(message: Message[RequestLine]) -> str:
+def _client_etag(message: Message[RequestLine]) -> str | None:
     """The one strong entity tag of If-None-Match, without its quotes.
 
-    Empty for lists, weak tags and what a field of the line protocol can't hold: the request then goes
+    None for lists, weak tags and what a field of the line protocol can't hold: the request is then forwarded
     without a condition.
     """
     values = message.headers.get("if-none-match", ())
     match = _STRONG_ETAG.fullmatch(values[0]) if len(values) == 1 else None
-    return match[1] if match else ""
+    return match[1] if match else None
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -1,6 +1,6 @@
 """The event loop: one thread that owns the router, the timers and all pending requests.
 
-Other threads post events to its queue; it makes no call on a socket and takes no decision of its own.
+Other threads post events to its queue. It makes no call on a socket and takes no routing decision of its own.
 """
 
 from __future__ import annotations
@@ -11,40 +11,27 @@
 from olivepost import interface as api
 from olivepost.proxy.action_executor import ActionExecutor
 from olivepost.proxy.delay_histogram import DelayHistogram
-from olivepost.proxy.discovery.messages import DiscoveryEvent, DiscoveryHeartbeat
 from olivepost.proxy.event_loop_resources import EventLoopResources
 from olivepost.proxy.event_queue import EventQueue
 from olivepost.proxy.exchange import Exchange, RequestAbandoned, RequestReceived, Response, ResponseKind
 from olivepost.proxy.exchange_lifecycle import ExchangeLifecycle
-from olivepost.proxy.messages import (
-    LoopEvent,
-    MemoryPressureReport,
-    ShutdownDeadline,
-    StopEventLoop,
-    StoreEvent,
-)
+from olivepost.proxy.messages import LoopEvent, StopEventLoop
 from olivepost.proxy.pending_exchanges import PendingExchanges
+from olivepost.proxy.process_events import ProcessEventHandler
 from olivepost.proxy.timers import Timer, TimerQueue
-from olivepost.proxy.upstream.endpoint_address import EndpointAddress
-from olivepost.proxy.upstream.request import (
-    UpstreamAborted,
-    UpstreamCompleted,
-    UpstreamRequest,
-    UpstreamUnsent,
-)
+from olivepost.proxy.upstream.request import UpstreamAborted, UpstreamCompleted, UpstreamUnsent
 from olivepost.router import Router
-from olivepost.routing_state import Role
-from olivepost.routing_state.endpoint_table import role_of
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-LATE_TIMER_AFTER: Duration = 5 * MILLISECOND  # a timer that fires later than this after it was due is counted
+LATE_TIMER_AFTER: Duration = 5 * MILLISECOND  # after its due time, from which a timer counts as late
 
 
 class EventLoop:
-    """Hosts one router.
+    """Hosts one router: takes events and timers in turn, and has each handled.
 
-    `run` is the thread's function, and all private methods are that thread's. Any thread may call `post` and
-    read `pending_count`; the thread that logs metrics calls `take_queue_delays`.
+    `run` is the thread's function, and all private methods are that thread's; nothing here has a lock. Any
+    thread may call `post` and read the counts; the thread that logs metrics calls `take_queue_delays` and
+    `event_counts`. A fault in one event or timer is logged, and fails no more than the request concerned.
     """
 
     def __init__(self, events: EventQueue, resources: EventLoopResources) -> None:
@@ -53,32 +40,31 @@
         self._clock = resources.clock
         self._logger = resources.log
         self._response_cache = resources.response_cache
-        self._upstream = resources.upstream
-        self._shared_store = resources.shared_store
         self._pending = PendingExchanges()
         self._timers = TimerQueue(self._is_live)
         self._executor = ActionExecutor(resources, self._pending, self._timers, events.post)
         self._lifecycle = ExchangeLifecycle(resources, self._pending, self._executor)
+        self._process_events = ProcessEventHandler(resources, self._lifecycle, self._executor)
         self._queue_delays = DelayHistogram()
         self._event_counts: Counter[str] = Counter()
 
     def post(self, event: LoopEvent) -> None:
-        """Hands over an event; never waits."""
+        """Queues an event; never waits."""
         self._events.post(event)
 
     @property
     def router(self) -> Router:
-        """The router, for its counts alone: this loop's thread drives it."""
+        """The router, for reading counts alone: this loop's thread drives it."""
         return self._router
 
     @property
     def timer_count(self) -> int:
-        """Timers that are set, with those that nobody waits for any more."""
+        """Timers that are set, with the stale ones."""
         return len(self._timers)
 
     @property
     def pending_count(self) -> int:
-        """Requests that are owed a response."""
+        """Requests without a final response."""
         return len(self._pending)
 
     def take_queue_delays(self) -> DelayHistogram:
@@ -102,9 +88,9 @@
         self._response_cache.clear()
 
     def _run_once(self) -> bool:
-        """Handles the next event and what is due; false where the loop has to end."""
+        """Handles the next event and what is due; returns false where the loop has to end."""
         try:
-            posted_at, event = self._events.get(self._time_to_next_due())
+            posted_at, event = self._events.get(self._time_to_next_due_s())
         except queue.Empty:
             self._fire_due()
             return True
@@ -121,15 +107,22 @@
         self._fire_due()
         return True
 
-    def _time_to_next_due(self) -> float | None:
-        """Seconds until the next timer or the shutdown deadline; None where neither is set."""
-        due_at = self._timers.next_due_at
-        shutdown_at = self._lifecycle.shutdown_at
-        if shutdown_at and (due_at is None or shutdown_at < due_at):
-            due_at = shutdown_at
-        if due_at is None:
-            return None
-        return max(0.0, (due_at - self._clock.now()) / SECOND)
+    # Events
+
+    def _handle(self, now: Instant, event: LoopEvent) -> None:
+        match event:
+            case RequestReceived():
+                self._lifecycle.receive(now, event.exchange)
+            case RequestAbandoned():
+                self._lifecycle.abandon(now, event.exchange, None)
+            case UpstreamCompleted():
+                self._lifecycle.complete_attempt(now, event)
+            case UpstreamUnsent():
+                self._lifecycle.reroute(event.request)
+            case UpstreamAborted():
+                self._lifecycle.forward_deferred(event.request.exchange)
+            case _:
+                self._process_events.handle(now, event)
 
     def _fail_request_of(self, event: LoopEvent) -> None:
         """After a fault: the request concerned fails, and its attempts are cancelled."""
@@ -143,10 +136,20 @@
 
     # Timers
 
+    def _time_to_next_due_s(self) -> float | None:
+        """Seconds until the next timer or the shutdown deadline; None where neither is set."""
+        due_at = self._timers.next_due_at
+        shutdown_at = self._lifecycle.shutdown_at
+        if shutdown_at is not None and (due_at is None or shutdown_at < due_at):
+            due_at = shutdown_at
+        if due_at is None:
+            return None
+        return max(0.0, (due_at - self._clock.now()) / SECOND)
+
     def _fire_due(self) -> None:
         """Fires what is due: the shutdown deadline first, then timers in order."""
         shutdown_at = self._lifecycle.shutdown_at
-        if shutdown_at:
+        if shutdown_at is not None:
             now = self._clock.now()
             if shutdown_at <= now:
                 self._finish_all(now)
@@ -159,25 +162,9 @@
     def _finish_all(self, now: Instant) -> None:
         try:
             self._lifecycle.finish_all(now)
-        except Exception:  # the loop must go on for what is left
+        except Exception:  # the loop must go on for the requests that are left
             self._logger.exception("event_loop_error", kind="shutdown")
 
-    def _usable_addresses(self, event: DiscoveryEvent, update: api.EndpointUpdate) -> list[EndpointAddress]:
-        """The addresses of endpoints that routing may use, and of those that are removed."""
-        settings = self._router.settings
-        return [
-            address
-            for address, metadata in zip(event.addresses, update.endpoints, strict=True)
-            if metadata.state is api.EndpointState.REMOVED
-            or role_of(settings, metadata) is not Role.OTHER_ZONE
-        ]
-
-    def _is_live(self, timer: Timer) -> bool:
-        """Whether anybody still waits for a timer."""
-        if timer.is_attempt_timeout:
-            return self._pending.attempt_of_timer(timer.timer_id) is not None
-        return timer.timer_id in self._router.timers
-
     def _fire_next(self, now: Instant) -> None:
         timer = self._timers.pop()
         if now - timer.due_at > LATE_TIMER_AFTER:
@@ -190,86 +177,8 @@
         except Exception:  # a fault in one timer must not end the others
             self._logger.exception("event_loop_error", kind="timer")
 
-    # Events
-
-    def _handle(self, now: Instant, event: LoopEvent) -> None:
-        match event:
-            case RequestReceived():
-                self._lifecycle.receive(now, event.exchange)
-            case RequestAbandoned():
-                self._lifecycle.abandon(now, event.exchange, None)
-            case UpstreamCompleted():
-                self._lifecycle.complete_attempt(now, event)
-            case UpstreamUnsent():
-                self._lifecycle.reroute(event.request)
-            case UpstreamAborted():
-                self._lifecycle.forward_deferred(event.request.exchange)
-            case DiscoveryEvent():
-                self._handle_discovery(now, event)
-            case _:
-                self._handle_host_event(now, event)
-
-    def _handle_host_event(self, now: Instant, event: LoopEvent) -> None:
-        """What concerns the process as a whole rather than one request."""
-        match event:
-            case DiscoveryHeartbeat():
-                self._lifecycle.discovery_heard_at = now
-                event.is_handled.set()
-            case StoreEvent():
-                self._handle_store(now, event.event)
-            case MemoryPressureReport():
-                self._give_way(now, event.level)
-            case ShutdownDeadline():
-                self._lifecycle.shutdown_at = event.deadline
-
-    def _handle_discovery(self, now: Instant, event: DiscoveryEvent) -> None:
-        """An endpoint update or an invalidation; the shared store hears of it after the router."""
-        change = event.change
-        if isinstance(change, api.Invalidation):
-            self._invalidate(now, change)
-            if self._shared_store is not None:
-                self._shared_store.invalidate(change, now)
-        else:
-            self._update_endpoints(now, event, change)
-            if self._shared_store is not None:
-                self._shared_store.notify(change)
-
-    def _give_way(self, now: Instant, level: api.MemoryPressureLevel) -> None:
-        """Frees what this thread owns, as far as the level asks for."""
-        if level >= api.MemoryPressureLevel.EVICT_CACHE:
-            self._response_cache.evict_half()
-        if level >= api.MemoryPressureLevel.CLOSE_IDLE:
-            self._upstream.close_idle()
-        self._executor.execute(self._router.handle(now, api.MemoryPressure(level)))
-
-    def _handle_store(self, now: Instant, event: api.Event) -> None:
-        """An event of the shared store; an invalidation counts as if service discovery had sent it."""
-        if isinstance(event, api.Invalidation):
-            self._invalidate(now, event)
-        else:
-            self._executor.execute(self._router.handle(now, event))
-
-    def _invalidate(self, now: Instant, invalidation: api.Invalidation) -> None:
-        self._response_cache.invalidate(invalidation.object, invalidation.group, now - invalidation.age)
-        self._executor.execute(self._router.handle(now, invalidation))
-
-        def concerns(attempt: UpstreamRequest) -> bool:
-            if invalidation.object:
-                return attempt.exchange.object == invalidation.object
-            return attempt.exchange.group == invalidation.group
-
-        self._lifecycle.withdraw(now, concerns)
-
-    def _update_endpoints(self, now: Instant, event: DiscoveryEvent, update: api.EndpointUpdate) -> None:
-        is_complete = update.kind is not api.EndpointUpdateKind.INCREMENTAL
-        self._upstream.update(self._usable_addresses(event, update), is_complete)
-        self._executor.execute(self._router.handle(now, update))
-        if update.kind is not api.EndpointUpdateKind.RESTORED:
-            states = Counter(address.state.name.lower() for address in event.addresses)
-            self._logger.sampled_event("endpoints_updated", update=update.kind.name.lower(), endpoints=states)
-        closed = {address.id for address in event.addresses if address.state is not api.EndpointState.READY}
-
-        def concerns(attempt: UpstreamRequest) -> bool:
-            return attempt.cache in closed or attempt.source in closed
-
-        self._lifecycle.withdraw(now, concerns)
+    def _is_live(self, timer: Timer) -> bool:
+        """Whether the timer's attempt is in flight, or the router still has the timer."""
+        if timer.is_attempt_timeout:
+            return self._pending.attempt_of_timer(timer.timer_id) is not None
+        return timer.timer_id in self._router.timers
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -20,8 +20,8 @@
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
         """Asks for a hint; it comes back as a `StoreEvent`."""
 
-    def release_lease(self, release: api.ReleaseLease, generated_at: Instant, /) -> None:
-        """Releases a fill lease; `generated_at` is that of the response in Unix nanoseconds, 0: unknown."""
+    def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None, /) -> None:
+        """Releases a fill lease; `generated_at` is that of the response, None: unknown."""
 
     def notify(
         self,
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -17,7 +17,7 @@
 
     SERVED = "served"
     NOT_MODIFIED = "not_modified"  # the client's own copy is current
-    REJECTED = "rejected"  # trying again is harmless
+    REJECTED = "rejected"  # a retry by the client is harmless
     FAILED = "failed"  # with no promise about its effect
 
 
@@ -26,9 +26,9 @@
     """The final response; its last owner releases its body."""
 
     kind: ResponseKind
-    etag: str = ""
+    etag: str | None = None  # without quotes; None: the endpoint named none
     body: PooledBody | None = None
-    generated_at: Instant = 0  # when the origin generated it, in Unix nanoseconds; 0: unknown
+    generated_at: Instant | None = None  # when the origin generated it; None: unknown
     retry_after: Duration | None = None  # None: no advice
 
     def release(self) -> None:
@@ -39,10 +39,11 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request and its response.
+    """One request as the client sent it, and the way back for its response.
 
-    The downstream connection makes it; the event loop closes it exactly once. `_lock` guards `is_closed`;
-    all other fields stay as they were made.
+    It holds what the wire needs on both sides. Routing sees an `api.Request`: the event loop makes it of an
+    exchange on arrival, with the time that remains then. The downstream connection's reader thread makes the
+    exchange; the event loop closes it exactly once. `_lock` guards `is_closed`; no other field ever changes.
     """
 
     id: str
@@ -50,21 +51,21 @@
     object: str
     part: int
     group: int
-    etag: str  # of the client's own copy, without quotes; empty: none that upstream could be given
+    etag: str | None  # of the client's copy, without quotes; None: none that upstream could be given
     body: bytes
-    timeout: Duration  # nanoseconds, from `received_at`
+    timeout: Duration  # from `received_at`
     received_at: Instant  # when the last byte was read
     deliver: Callable[[Exchange, Response], None]  # hands the response to the client's connection
-    is_client_disconnected: Callable[[], bool]  # by its connection: no attempt begins then
+    is_client_disconnected: Callable[[], bool]  # asks the client's connection; no attempt begins then
     is_write: bool = False  # it changes the object, at the origin
-    idempotency_key: str = ""  # by which caches know a repeat, as the client gave it
+    idempotency_key: str | None = None  # by which caches know a retry, as the client gave it
     is_closed: bool = False
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def close(self, response: Response | None) -> bool:
-        """Ends the exchange; None where the client has disconnected. True for the first call only.
+        """Ends the exchange, with None where the client has disconnected; true for the first call only.
 
-        A response that comes second is released, not delivered.
+        The response of a second call is released, not delivered. `deliver` is called without the lock.
         """
         with self._lock:
             is_first = not self.is_closed
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -16,8 +16,8 @@
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# After service discovery was last heard: less than the time in which its events must take effect. Without
-# word of it an invalidation may have been missed, and no cached response is used.
+# After the last response of service discovery: less than the time in which its events must take effect. Later
+# an invalidation may have been missed, and no cached response is used.
 DISCOVERY_VALID_FOR: Duration = 2 * SECOND
 
 
@@ -35,57 +35,65 @@
         self._upstream = resources.upstream
         self._pending = pending
         self._executor = executor
-        self.discovery_heard_at = 0
-        # When all that is pending gets its final response; 0: no shutdown, or it is past.
-        self.shutdown_at = 0
-        self._is_shut_down = False  # what comes now gets its final response at once
+        # When service discovery last responded; None: not since the start.
+        self.discovery_received_at: Instant | None = None
+        # When all pending requests get their final response; None: no shutdown, or that time has passed.
+        self.shutdown_at: Instant | None = None
+        self._is_shut_down = False  # a request that arrives now gets its final response at once
 
     # Arrival and shutdown
 
     def receive(self, now: Instant, exchange: Exchange) -> None:
-        """A client's request has come."""
+        """A client's request has been read to its end."""
         if exchange.id in self._pending:
             self._log.increment("duplicate_request_ids")
             exchange.close(Response(ResponseKind.FAILED))
             return
         entry = self._cache_entry(now, exchange)
         self._pending.add(exchange, entry)
-        request = api.Request(
+        self._executor.execute(self._router.handle(now, self._router_request(now, exchange, entry)))
+
+    def _router_request(self, now: Instant, exchange: Exchange, entry: CacheEntry | None) -> api.Request:
+        """The request as routing sees it: with the remaining time, and without what only the wire needs."""
+        return api.Request(
             exchange.id,
             exchange.class_name,
             exchange.object,
-            self._timeout(now, exchange),
+            self._remaining_time(now, exchange),
             group=exchange.group,
             part=exchange.part,
             cached_response=None if entry is None else self._cached_response(now, entry),
             is_write=exchange.is_write,
         )
-        self._executor.execute(self._router.handle(now, request))
 
     def _cache_entry(self, now: Instant, exchange: Exchange) -> CacheEntry | None:
         """The proxy's cached response, where it has a cache and is up to date with service discovery."""
-        if self._transfer_bytes_per_s is None or now - self.discovery_heard_at >= DISCOVERY_VALID_FOR:
+        if self._transfer_bytes_per_s is None or not self._is_discovery_current(now):
             return None
         return self._response_cache.get(exchange)
 
+    def _is_discovery_current(self, now: Instant) -> bool:
+        received_at = self.discovery_received_at
+        return received_at is not None and now - received_at < DISCOVERY_VALID_FOR
+
     def _cached_response(self, now: Instant, entry: CacheEntry) -> api.CachedResponse:
         age = max(0, now - entry.generated_at)
         assert self._transfer_bytes_per_s is not None  # else there is no response cache
-        transfer_time = int(entry.body.length / self._transfer_bytes_per_s * 1e9)
+        transfer_time = int(entry.body.length / self._transfer_bytes_per_s * SECOND)
         return api.CachedResponse(age, transfer_time)
 
-    def _timeout(self, now: Instant, exchange: Exchange) -> Duration:
-        """What is left of the client's timeout, and at shutdown of the proxy's own."""
+    def _remaining_time(self, now: Instant, exchange: Exchange) -> Duration:
+        """What is left of the client's timeout, and during shutdown of the proxy's own time."""
         if self._is_shut_down:
             return 0
         deadline = exchange.received_at + exchange.timeout
-        if self.shutdown_at:
+        if self.shutdown_at is not None:
             deadline = min(deadline, self.shutdown_at)
         return max(0, deadline - now)
 
     def finish_all(self, now: Instant) -> None:
-        """The shutdown deadline has come: every pending request gets its final response."""
-        self.shutdown_at = 0
+        """The shutdown deadline has passed: every pending request gets its final response."""
+        self.shutdown_at = None
         self._is_shut_down = True
         self._executor.execute(self._router.handle(now, api.Shutdown()))
 
@@ -102,7 +110,7 @@
     # Attempts
 
     def reroute(self, attempt: UpstreamRequest) -> None:
-        """An attempt's connection broke before its first byte was written: another one takes it."""
+        """An attempt's connection was lost before its first byte was written: another one takes it."""
         if self._pending.of_attempt(attempt) is not None:
             attempt.is_rerouted = True
             self._upstream.forward(attempt)
@@ -130,9 +138,9 @@
         self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.TIMED_OUT, now))
 
     def withdraw(self, now: Instant, concerns: Callable[[UpstreamRequest], bool]) -> None:
-        """Takes back attempts that nobody has begun to write, for the router to decide anew.
+        """Withdraws attempts that no connection has begun to write, for the router to decide anew.
 
-        An attempt may wait for its connection; rules 3 and 5 count its first byte, not its decision.
+        An attempt may wait for its connection; draining and invalidations apply until its first byte.
         """
         withdrawn = self._pending.withdraw_deferred(concerns)
         withdrawn += self._upstream.withdraw(concerns)
@@ -140,7 +148,7 @@
             self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.NOT_SENT, now))
 
     def complete_attempt(self, now: Instant, event: UpstreamCompleted) -> None:
-        """An attempt's outcome; the first good response goes to the client at once."""
+        """Handles an attempt's outcome; the first usable response goes to the client at once."""
         attempt = event.request
         response = event.response
         self._pending.discard_timeout(attempt)
@@ -152,7 +160,7 @@
         del pending.attempts[attempt.number]
         if event.status is not api.AttemptStatus.OK:
             self._record_failed_attempt(event)
-        pending.generated_at = 0 if response is None else response.generated_at
+        pending.generated_at = None if response is None else response.generated_at
         actions = self._deliver(now, pending, event)
         self._executor.execute(actions, pending)
 
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -1,4 +1,4 @@
-"""The record of requests that are owed a response, and of their attempts in flight."""
+"""The record of requests without a final response, and of their attempts in flight."""
 
 from __future__ import annotations
 
@@ -14,23 +14,26 @@
 
 @dataclass(slots=True, eq=False)
 class PendingExchange:
-    """A request that is owed a response, and its attempts in flight."""
+    """A request without a final response, and its attempts in flight.
+
+    Only the event loop's thread uses it.
+    """
 
     exchange: Exchange
-    cache_entry: CacheEntry | None = None  # of the proxy's response cache, when the request came
+    cache_entry: CacheEntry | None = None  # of the proxy's response cache, when the request arrived
     attempts: dict[int, UpstreamRequest] = field(default_factory=dict)  # in flight, by number
-    # Where only one attempt may be in flight: cancelled ones that an endpoint may still work at, and the
-    # attempt that waits until their aborts are written.
+    # Aborts that are not written yet, where only one attempt may be in flight: an endpoint may still work on
+    # each of these attempts.
     aborts_in_flight: int = 0
-    deferred_attempt: UpstreamRequest | None = None
-    attempt_count: int = 0
-    generated_at: Instant = 0  # of its response, in Unix nanoseconds; 0: unknown
+    deferred_attempt: UpstreamRequest | None = None  # the next one, which waits until these are written
+    attempt_count: int = 0  # so far; the number of the next attempt
+    generated_at: Instant | None = None  # when the origin generated its response; None: unknown
 
 
 class PendingExchanges:
     """Pending requests by id, and their attempts by timeout timer.
 
-    Only the event loop's thread calls this; another may read its length.
+    Only the event loop's thread calls this; another thread may read its length.
     """
 
     def __init__(self) -> None:
@@ -68,7 +71,7 @@
         return pending
 
     def add(self, exchange: Exchange, cache_entry: CacheEntry | None) -> None:
-        """Records a request that has just come."""
+        """Records a request that has just arrived."""
         self.by_id[exchange.id] = PendingExchange(exchange, cache_entry)
 
     def close(self, pending: PendingExchange, response: Response | None) -> None:
@@ -90,7 +93,7 @@
         self._attempts_by_timer.pop(attempt.timer_id, None)
 
     def withdraw_deferred(self, concerns: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
-        """Takes back deferred attempts, which no connection has seen yet."""
+        """Withdraws deferred attempts, which no connection has yet."""
         withdrawn = []
         for pending in self.by_id.values():
             attempt = pending.deferred_attempt
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -1,4 +1,7 @@
-"""The proxy's own response cache, in buffers of the pool. The router decides what is stored and served."""
+"""The proxy's own response cache, in buffers of the body pool.
+
+The router decides what is stored and served; this module evicts.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class CacheKey(NamedTuple):
-    """What names a cached response."""
+    """What identifies a cached response."""
 
     class_name: str
     object: str
@@ -24,8 +27,8 @@
     """One cached response, which holds its body."""
 
     group: int
-    etag: str
-    generated_at: Instant  # when the origin generated it, in Unix nanoseconds
+    etag: str | None
+    generated_at: Instant  # when the origin generated it
     body: PooledBody
 
 
@@ -35,9 +38,10 @@
 
 
 class ResponseCache:
-    """Responses by key; the least recently used is evicted first.
+    """Responses by key, up to a number of buffers; the least recently used is evicted first.
 
-    Only the event loop's thread calls this; another may read its length.
+    Only the event loop's thread calls this; another thread may read its length. An entry is one holder of its
+    body: a response that is being written keeps the buffers after an eviction.
     """
 
     def __init__(self, max_buffers: int) -> None:
@@ -61,25 +65,28 @@
         A response of unknown age, or larger than the whole cache, is not stored.
         """
         body = response.body
-        if body is None or response.generated_at <= 0 or body.buffer_count > self._max_buffers:
+        generated_at = response.generated_at
+        if body is None or body.buffer_count > self._max_buffers:
+            return
+        if generated_at is None or generated_at <= 0:
             return
         key = cache_key(exchange)
         self._evict(key)
-        self._entries[key] = CacheEntry(exchange.group, response.etag, response.generated_at, body.share())
+        self._entries[key] = CacheEntry(exchange.group, response.etag, generated_at, body.share())
         self._buffer_count += body.buffer_count
         while self._buffer_count > self._max_buffers:
             oldest = next(iter(self._entries))
             self._evict(oldest)
 
-    def invalidate(self, object_name: str | None, group: int | None, generated_before: int) -> None:
-        """Evicts what an invalidation covers: a router forgets it once no cache holds such responses."""
+    def invalidate(self, object_name: str | None, group: int | None, generated_before: Instant) -> None:
+        """Evicts what an invalidation covers and was generated no later than that instant."""
         for key, entry in list(self._entries.items()):
             is_covered = key.object == object_name if object_name else entry.group == group
             if is_covered and entry.generated_at <= generated_before:
                 self._evict(key)
 
     def evict_half(self) -> None:
-        """Evicts the half that was used longest ago."""
+        """Evicts the less recently used half."""
         for key in list(self._entries)[: (len(self._entries) + 1) // 2]:
             self._evict(key)
 
@@ -97,6 +104,6 @@
 
 def response_from(exchange: Exchange, entry: CacheEntry) -> Response:
     """The response from a cache entry, without a body where the client has the same one."""
-    if exchange.etag and exchange.etag == entry.etag:
+    if exchange.etag is not None and exchange.etag == entry.etag:
         return Response(ResponseKind.NOT_MODIFIED, entry.etag)
     return Response(ResponseKind.SERVED, entry.etag, entry.body.share(), entry.generated_at)
--- a/olivepost/proxy/upstream/command.py
+++ b/olivepost/proxy/upstream/command.py
@@ -24,9 +24,9 @@
         fields["within"] = str(max(MIN_DURATION_MS, attempt.max_age // MILLISECOND))
     if flags := _flags(attempt):
         fields["f"] = flags
-    if exchange.etag:
+    if exchange.etag is not None:
         fields["mine"] = exchange.etag
-    if exchange.idempotency_key:
+    if exchange.idempotency_key is not None:
         fields["dedupe"] = exchange.idempotency_key
     return fields
 
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -78,24 +78,24 @@
     request: UpstreamRequest, line: ResponseLine, clock: Clock, completed_at: Instant
 ) -> Response | None:
     """Return the response to pass on; None where the endpoint served none."""
-    etag = line.fields.get("entity", "")
+    etag = line.fields.get("entity") or None
     if line.status == "HIT" and request.body is not None:
         generated_at = _generated_at(line.fields.get("issued", ""), clock, completed_at)
         return Response(ResponseKind.SERVED, etag, request.body, generated_at)
     # Only the very response that the client holds, by its tag, may be called not modified.
-    if line.status == "VALID" and etag and etag == request.exchange.etag:
+    if line.status == "VALID" and etag is not None and etag == request.exchange.etag:
         return Response(ResponseKind.NOT_MODIFIED, etag)
     return None
 
 
-def _generated_at(issued: str, clock: Clock, completed_at: Instant) -> Instant:
-    """Return nanoseconds on this clock from the field's milliseconds; 0 where it is missing or malformed.
+def _generated_at(issued: str, clock: Clock, completed_at: Instant) -> Instant | None:
+    """Return the instant of the field's milliseconds; None where it is missing or malformed.
 
     No response was generated after it came: one that says so shows how far this clock is behind.
     """
     is_timestamp = issued.isascii() and issued.isdigit() and len(issued) <= MAX_TIMESTAMP_DIGITS
     if not is_timestamp:
-        return 0
+        return None
     unix_ns = int(issued) * MILLISECOND
     clock.observe(unix_ns)
     return min(clock.from_unix(unix_ns), completed_at)
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -83,8 +83,8 @@
         """Asks for a hint; the router gets it as a `CacheHint`."""
         self._queue_event(messages.LookupRequested(lookup, object_name, group))
 
-    def release_lease(self, release: api.ReleaseLease, generated_at: Instant) -> None:
-        """Releases a fill lease; `generated_at` is that of the response in Unix nanoseconds, 0: unknown."""
+    def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None) -> None:
+        """Releases a fill lease; `generated_at` is that of the response, None: unknown."""
         generated_at_ms = generated_at // MILLISECOND if generated_at else None
         self._queue_event(messages.LeaseReleased(release, generated_at_ms))
 
--- a/tests/proxy/test_cached_responses.py
+++ b/tests/proxy/test_cached_responses.py
@@ -17,7 +17,7 @@
 
 def request_until_cached(proxy: ProxyHarness, client: HttpClient) -> None:
     """The first response is for a new name, the second is stored, the third comes from the cache."""
-    assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_heard_at)
+    assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
     for _ in range(3):
         assert client.request()[2] == body_of(OBJECT_NAME, "3")
     assert proxy.counter("cached_responses_served") == 1
@@ -47,7 +47,9 @@
         request_until_cached(proxy, client)
         proxy.coordinator.close()
         assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 2)
-        proxy.parts.event_loop._lifecycle.discovery_heard_at -= DISCOVERY_VALID_FOR
+        proxy.parts.event_loop._lifecycle.discovery_received_at = (
+            proxy.parts.clock.now() - DISCOVERY_VALID_FOR
+        )
         assert client.request()[0] == 200
         assert proxy.counter("cached_responses_served") == 1
 
@@ -73,7 +75,7 @@
 def test_response_that_was_under_way_at_its_invalidation_is_not_stored() -> None:
     held = DelayedReplies()
     with running_proxy(held, **CACHE_CONFIG) as proxy, proxy.connect() as client:
-        assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_heard_at)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
         held.gate.set()
         assert client.request()[0] == 200
         held.gate.clear()
@@ -88,7 +90,7 @@
 
 def request_repeatedly(proxy: ProxyHarness, client: HttpClient) -> None:
     """Asks until a response is stored."""
-    assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_heard_at)
+    assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
     for _ in range(2):
         assert client.request()[0] == 200
     assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 1)
--- a/tests/proxy/test_exchange.py
+++ b/tests/proxy/test_exchange.py
@@ -13,7 +13,7 @@
     def deliver(_exchange: Exchange, response: Response) -> None:
         delivered.append(response)
 
-    exchange = Exchange("1", "a", "b", 0, 0, "", b"", 1, 1, deliver, bool)
+    exchange = Exchange("1", "a", "b", 0, 0, None, b"", 1, 1, deliver, bool)
     assert exchange.close(Response(ResponseKind.REJECTED))
     with pytest.raises(AssertionError, match="exchange_closed_once"):
         exchange.close(Response(ResponseKind.FAILED))
--- a/tests/proxy/test_pending_exchanges.py
+++ b/tests/proxy/test_pending_exchanges.py
@@ -13,7 +13,7 @@
     def deliver(_exchange: Exchange, response: Response) -> None:
         delivered.append(response)
 
-    return Exchange("1", "a", "b", 0, 0, "", b"", 1, 1, deliver, bool)
+    return Exchange("1", "a", "b", 0, 0, None, b"", 1, 1, deliver, bool)
 
 
 def make_attempt(exchange: Exchange, number: int) -> UpstreamRequest:
--- a/tests/proxy/test_response_cache.py
+++ b/tests/proxy/test_response_cache.py
@@ -2,16 +2,18 @@
 
 from __future__ import annotations
 
+import pytest
+
 from olivepost.proxy.buffers import BufferPool, PooledBody
 from olivepost.proxy.exchange import Exchange, Response, ResponseKind
 from olivepost.proxy.response_cache import ResponseCache, response_from
 
 
-def make_exchange(part: int, group: int = 1, etag: str = "") -> Exchange:
+def make_exchange(part: int, group: int = 1, etag: str | None = None) -> Exchange:
     return Exchange("1", "a", "b", part, group, etag, b"", 1, 1, lambda *_: None, bool)
 
 
-def make_response(pool: BufferPool, text: bytes, generated_at: int) -> Response:
+def make_response(pool: BufferPool, text: bytes, generated_at: int | None) -> Response:
     body = PooledBody.reserve(pool, len(text), 0)
     assert body is not None
     body.append(memoryview(text))
@@ -46,10 +48,11 @@
     assert pool.in_use == 0
 
 
-def test_response_of_unknown_age_is_not_stored() -> None:
+@pytest.mark.parametrize("generated_at", [None, 0])
+def test_response_of_unknown_age_is_not_stored(generated_at: int | None) -> None:
     pool = BufferPool(4, 10)
     cache = ResponseCache(3)
-    response = make_response(pool, b"x", 0)
+    response = make_response(pool, b"x", generated_at)
     cache.store(make_exchange(1), response)
     response.release()
     assert len(cache) == 0
--- a/tests/proxy/test_routes.py
+++ b/tests/proxy/test_routes.py
@@ -38,12 +38,12 @@
 def test_write_carries_its_body_and_key_without_a_condition() -> None:
     exchange = build("PUT", f"/api/v2/note/{OBJECT}/slice-0", if_none_match='"mine"', x_dedupe_key="key-1")
     assert exchange.is_write
-    assert (exchange.body, exchange.idempotency_key, exchange.etag) == (b"body", "key-1", "")
+    assert (exchange.body, exchange.idempotency_key, exchange.etag) == (b"body", "key-1", None)
 
 
 @pytest.mark.parametrize("value", ['W/"mine"', '"a", "b"', "*", '""', '"a=b"', "mine"])
 def test_entity_tags_that_cannot_be_forwarded_give_no_condition(value: str) -> None:
-    assert build(if_none_match=value).etag == ""
+    assert build(if_none_match=value).etag is None
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_upstream_rules.py
+++ b/tests/proxy/test_upstream_rules.py
@@ -49,7 +49,7 @@
         return self._now
 
 
-def exchange_with(etag: str = "", idempotency_key: str = "") -> Exchange:
+def exchange_with(etag: str | None = None, idempotency_key: str | None = None) -> Exchange:
     return Exchange(
         id="0123456789abcdef",
         class_name="segment",
@@ -66,7 +66,7 @@
     )
 
 
-def request_with(etag: str = "", body: PooledBody | None = None) -> UpstreamRequest:
+def request_with(etag: str | None = None, body: PooledBody | None = None) -> UpstreamRequest:
     exchange = exchange_with(etag)
     return UpstreamRequest(exchange, 0, "cache-1", "parent-1", START, {}, body=body)
 
@@ -184,13 +184,15 @@
     [
         ("1764575999123", 1_764_575_999_123 * MILLISECOND),
         ("1764576000123", START),  # generated after it came: this process's clock is behind
-        ("", 0),
-        ("soon", 0),
-        ("²", 0),
-        ("1" * 16, 0),
+        ("", None),
+        ("soon", None),
+        ("²", None),
+        ("1" * 16, None),
     ],
 )
-def test_served_response_has_its_body_tag_and_age(issued: str, generated_at: int, log: EventLog) -> None:
+def test_served_response_has_its_body_tag_and_age(
+    issued: str, generated_at: int | None, log: EventLog
+) -> None:
     body = PooledBody.reserve(BufferPool(1, 8), 8, 0)
     assert body is not None
     served = line("HIT", why="warm", entity="tag", issued=issued)
