--- a/tests/proxy/upstream/test_completion.py
+++ b/tests/proxy/upstream/test_completion.py
@@ -29,7 +29,7 @@
         return self._now
 
 
-def make_request(etag: str = "", body: PooledBody | None = None) -> UpstreamRequest:
+def make_request(etag: str | None = None, body: PooledBody | None = None) -> UpstreamRequest:
     exchange = make_exchange(etag)
     return UpstreamRequest(exchange, 0, "cache-1", "parent-1", START, {}, body=body)
 
