--- a/benchmarks/branch/lease_audit.py
+++ b/benchmarks/branch/lease_audit.py
@@ -7,7 +7,7 @@
 
 from benchmarks.branch.counts import Counts
 from benchmarks.branch.simulation import Simulation
-from olivepost.shared_store import messages
+from olivepost.shared_store import messages, operations
 from olivepost.shared_store.coordinator import StoreCoordinator
 from olivepost.units import MILLISECOND
 from standins.redis.keyspace import Keyspace
@@ -57,19 +57,19 @@
         """Takes a script's reply."""
         word = reply.values[0] if reply.values else b""
         operation = command.operation
-        if word == GRANTED and isinstance(operation, messages.LookUp):
+        if word == GRANTED and isinstance(operation, operations.LookUp):
             self._record_grant(holder, command.store, operation, int(cast("bytes", reply.values[1])))
-        elif word == PUBLISHED and isinstance(operation, messages.PublishLocation):
+        elif word == PUBLISHED and isinstance(operation, operations.PublishLocation):
             self._record_publication(command.store, operation)
 
-    def _record_publication(self, store: str, publication: messages.PublishLocation) -> None:
+    def _record_publication(self, store: str, publication: operations.PublishLocation) -> None:
         number, _, _ = publication.lease.partition(b" ")
         last = self._grants.get((store, publication.name))
         if last is None or last.number != int(number):
             self._counts.stale_publications += 1
             self._counts.lease_conflicts += 1
 
-    def _record_grant(self, holder: LeaseHolder, store: str, lookup: messages.LookUp, number: int) -> None:
+    def _record_grant(self, holder: LeaseHolder, store: str, lookup: operations.LookUp, number: int) -> None:
         """A lease's number grows, and no two of one generation overlap by the holders' own clocks."""
         key = (store, lookup.name)
         last = self._grants.get(key)
@@ -88,7 +88,7 @@
         expires_at = self._simulation.now + lookup.lease.duration_ms * MILLISECOND
         self._grants[key] = Grant(number, expires_at, incarnation)
 
-    def _is_held_by_another(self, holder: LeaseHolder, lookup: messages.LookUp) -> bool:
+    def _is_held_by_another(self, holder: LeaseHolder, lookup: operations.LookUp) -> bool:
         """Whether a holder other than this one has not released the lease."""
         return any(
             other.coordinator is not None
--- a/benchmarks/branch/proxy.py
+++ b/benchmarks/branch/proxy.py
@@ -11,6 +11,7 @@
 from olivepost.router import Router
 from olivepost.shared_store import messages
 from olivepost.shared_store.coordinator import StoreCoordinator
+from olivepost.shared_store.terms import SharingTerms
 from olivepost.units import MILLISECOND, SECOND
 
 if TYPE_CHECKING:
@@ -58,7 +59,7 @@
 
     def _start_sharing(self, restored: api.EndpointUpdate) -> None:
         branch = self.branch
-        terms = messages.SharingTerms(
+        terms = SharingTerms(
             proxy=f"n{self.number}",
             incarnation=f"{branch.draw.getrandbits(64):016x}",
             stores=tuple(branch.stores),
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -17,7 +17,7 @@
 from redis.retry import Retry
 
 from olivepost.operator_config.units import read_secret
-from olivepost.shared_store.messages import StoreOperation
+from olivepost.shared_store.operations import StoreOperation
 from olivepost.shared_store.scripts import DIGESTS, SCRIPT_TEXTS, ScriptCall, encode_operation
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings, StoreTls
 from olivepost.units import SECOND
--- a/olivepost/shared_store/commands.py
+++ b/olivepost/shared_store/commands.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 
 from olivepost.shared_store.context import CoordinatorContext
-from olivepost.shared_store.messages import StoreCommand, StoreOperation
+from olivepost.shared_store.messages import StoreCommand
+from olivepost.shared_store.operations import StoreOperation
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
--- a/olivepost/shared_store/context.py
+++ b/olivepost/shared_store/context.py
@@ -13,8 +13,9 @@
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store.circuit_breaker import CircuitBreaker
 from olivepost.shared_store.endpoints import EndpointDirectory
-from olivepost.shared_store.messages import Action, LogEvent, NotifyRouter, SharingTerms, StoreCommand
+from olivepost.shared_store.messages import Action, LogEvent, NotifyRouter, StoreCommand
 from olivepost.shared_store.store_health import StoreHealth
+from olivepost.shared_store.terms import SharingTerms
 
 
 @dataclass(slots=True)
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -21,20 +21,20 @@
 from olivepost.shared_store.malformed_records import MalformedRecords
 from olivepost.shared_store.messages import (
     Action,
-    AdvanceGeneration,
     Event,
     InvalidationReceived,
     LeaseReleased,
     LookupRequested,
     ReplyLost,
-    SharingTerms,
     StoreReply,
     Tick,
 )
+from olivepost.shared_store.operations import AdvanceGeneration
 from olivepost.shared_store.outlier_reports import OutlierReports
 from olivepost.shared_store.quota_exchange import QuotaExchange
 from olivepost.shared_store.store_health import ReplyVerdict
 from olivepost.shared_store.sync import Exchanges, Synchronizer
+from olivepost.shared_store.terms import SharingTerms
 from olivepost.units import Instant
 
 
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -13,13 +13,8 @@
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.lease_table import LeaseTable, OwnedLease
-from olivepost.shared_store.messages import (
-    LeaseReleased,
-    LeaseRequest,
-    LocationPublication,
-    PublishLocation,
-    ReplyType,
-)
+from olivepost.shared_store.messages import LeaseReleased
+from olivepost.shared_store.operations import LeaseRequest, LocationPublication, PublishLocation, ReplyType
 from olivepost.shared_store.records import CacheLocation, FillLease, encode_record
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import MILLISECOND, Instant
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -10,7 +10,7 @@
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.invalidations import KnownInvalidations
-from olivepost.shared_store.messages import (
+from olivepost.shared_store.operations import (
     NO_GENERATION,
     AdvanceGeneration,
     InvalidationChunk,
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -21,7 +21,7 @@
 
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import client
-from olivepost.shared_store.messages import AdvanceGeneration
+from olivepost.shared_store.operations import AdvanceGeneration
 from olivepost.shared_store.records import (
     CacheLocation,
     FillLease,
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -11,12 +11,8 @@
 from olivepost import interface as api
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
-from olivepost.shared_store.messages import (
-    InvalidationChunk,
-    InvalidationReceived,
-    InvalidationRow,
-    PublishInvalidations,
-)
+from olivepost.shared_store.messages import InvalidationReceived
+from olivepost.shared_store.operations import InvalidationChunk, InvalidationRow, PublishInvalidations
 from olivepost.shared_store.records import InvalidationKey, RecordError, parse_integer
 from olivepost.shared_store.store_health import StoreHealth, TrustLevel
 from olivepost.units import MILLISECOND, Instant
--- a/olivepost/shared_store/location_hints.py
+++ b/olivepost/shared_store/location_hints.py
@@ -7,7 +7,7 @@
 from olivepost import interface as api
 from olivepost.shared_store.commands import MAX_PENDING_COMMANDS, CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
-from olivepost.shared_store.messages import ReportStaleLocation
+from olivepost.shared_store.operations import ReportStaleLocation
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -16,7 +16,8 @@
 from olivepost.shared_store.invalidations import KnownInvalidations
 from olivepost.shared_store.location_hints import LocationHint, LocationHints
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import LeaseReleased, LookUp, LookupRequested, ReplyType
+from olivepost.shared_store.messages import LeaseReleased, LookupRequested
+from olivepost.shared_store.operations import LookUp, ReplyType
 from olivepost.shared_store.records import (
     CacheLocation,
     FillLease,
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -19,7 +19,7 @@
 from olivepost.shared_store.commands import CommandTracker, ReplyValues
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import GrantQuota, QuotaRequestRow, ReplyType
+from olivepost.shared_store.operations import GrantQuota, QuotaRequestRow, ReplyType
 from olivepost.shared_store.quota_donations import Donation, QuotaDonations
 from olivepost.shared_store.quota_keys import encode_quota_key, parse_quota_key
 from olivepost.shared_store.quota_requests import IdSequence, QuotaRequests
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -10,12 +10,12 @@
 from enum import Enum
 from hashlib import sha1
 
-from olivepost.shared_store import lua, messages
+from olivepost.shared_store import lua, messages, operations
 from olivepost.shared_store.records import RecordError, parse_integer
 
 MAX_EXCERPT_LENGTH = 60  # characters of an unreadable reply in the log
 NO_LEASE = (0, b"")  # duration and record, for a lookup that requests no lease
-NO_LOCATION = messages.LocationPublication(b"", 0)  # for a release that publishes nothing
+NO_LOCATION = operations.LocationPublication(b"", 0)  # for a release that publishes nothing
 HEADER_LENGTH = 2  # values that every reply begins with: generation and serial
 
 
@@ -54,37 +54,37 @@
     arguments: tuple[Argument, ...]
 
 
-def encode_operation(operation: messages.StoreOperation, prefix: str, incarnation: str) -> ScriptCall:
+def encode_operation(operation: operations.StoreOperation, prefix: str, incarnation: str) -> ScriptCall:
     """Returns the call for an operation of one process, on the keys under a prefix."""
     key = f"{prefix}:generation"
-    if isinstance(operation, messages.AdvanceGeneration):
+    if isinstance(operation, operations.AdvanceGeneration):
         return ScriptCall(ScriptName.ADVANCE_GENERATION, key, (operation.expected, operation.minimum))
     common = (operation.generation, prefix, incarnation)
     match operation:
-        case messages.SyncOperation():
+        case operations.SyncOperation():
             return ScriptCall(ScriptName.SYNC, key, (*common, *_sync_arguments(operation)))
-        case messages.LookUp():
+        case operations.LookUp():
             request = operation.lease
             lease = NO_LEASE if request is None else (request.duration_ms, request.record)
             keys = operation.invalidation_keys
             return ScriptCall(ScriptName.LOOK_UP, key, (*common, operation.name, *lease, *keys))
-        case messages.PublishLocation():
+        case operations.PublishLocation():
             location = operation.location or NO_LOCATION
             release = (operation.name, operation.lease, *location, operation.lifetime_ms)
             return ScriptCall(ScriptName.RELEASE_LEASE, key, (*common, *release))
-        case messages.ReportStaleLocation():
+        case operations.ReportStaleLocation():
             report = (operation.name, operation.record, operation.reports)
             return ScriptCall(ScriptName.REPORT_STALE, key, (*common, *report))
-        case messages.PublishInvalidations():
+        case operations.PublishInvalidations():
             rows: list[Argument] = [field for row in operation.rows for field in row]
             return ScriptCall(ScriptName.INVALIDATE, key, (*common, *rows))
-        case messages.GrantQuota():
+        case operations.GrantQuota():
             recipient = (operation.request_field, operation.nonce, operation.recipient)
             grant = (repr(operation.amount), operation.record)
             return ScriptCall(ScriptName.GRANT_QUOTA, key, (*common, *recipient, *grant))
 
 
-def _sync_arguments(operation: messages.SyncOperation) -> tuple[Argument, ...]:
+def _sync_arguments(operation: operations.SyncOperation) -> tuple[Argument, ...]:
     requests: list[Argument] = [field for request in operation.quota_requests for field in request]
     return (
         operation.serial,
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -12,7 +12,7 @@
 
 from olivepost.operator_config.section import SettingsSection
 from olivepost.operator_config.units import DurationRange, HostPort, format_duration
-from olivepost.shared_store.messages import SharingTerms
+from olivepost.shared_store.terms import SharingTerms
 from olivepost.units import MILLISECOND, SECOND, Duration
 
 NAME_PATTERN = r"^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$"
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -16,7 +16,8 @@
 from enum import Enum
 
 from olivepost.shared_store.circuit_breaker import BreakerState, CircuitBreaker
-from olivepost.shared_store.messages import NO_GENERATION, InvalidationChunk, StoreReply
+from olivepost.shared_store.messages import StoreReply
+from olivepost.shared_store.operations import NO_GENERATION, InvalidationChunk
 
 
 class TrustLevel(Enum):
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -12,7 +12,7 @@
 from olivepost.shared_store.generations import GenerationManager
 from olivepost.shared_store.invalidations import InvalidationExchange
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import QuotaRequestRow, SyncOperation
+from olivepost.shared_store.operations import QuotaRequestRow, SyncOperation
 from olivepost.shared_store.outlier_reports import OutlierReports, parse_outlier_report
 from olivepost.shared_store.quota_exchange import QuotaExchange
 from olivepost.shared_store.store_health import StoreHealth, TrustLevel
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -8,7 +8,7 @@
 from benchmarks.branch.proxy import EmulatedProxy
 from olivepost import interface as api
 from olivepost.routing.selection import rendezvous_order
-from olivepost.shared_store import messages, scripts
+from olivepost.shared_store import messages, operations, scripts
 from tests.router_harness import MS, SECOND
 from tests.shared_store.model import NAME, counted, make_branch
 
@@ -139,7 +139,9 @@
         if name == "c":
             store.go_back(0)
         branch.now += MS
-        lookup = messages.LookUp(generation, name, ("o:x", "g:1"), messages.LeaseRequest(b"record", 1_000))
+        lookup = operations.LookUp(
+            generation, name, ("o:x", "g:1"), operations.LeaseRequest(b"record", 1_000)
+        )
         reply = branch.run_script(branch.proxies[0], messages.StoreCommand(1, "s0", lookup))
         assert isinstance(reply, messages.StoreReply)
         assert reply.values[0] == b"mine"
@@ -221,8 +223,8 @@
 
 def acquire_lease(branch: Branch, proxy: EmulatedProxy, generation: int) -> bytes:
     """Acquires the lease of the name `n` for 500 ms; returns it as the store has it."""
-    request = messages.LeaseRequest(b"record", 500)
-    lookup = messages.LookUp(generation, "n", ("o:x", "g:1"), request)
+    request = operations.LeaseRequest(b"record", 500)
+    lookup = operations.LookUp(generation, "n", ("o:x", "g:1"), request)
     reply = branch.run_script(proxy, messages.StoreCommand(1, "s0", lookup))
     assert isinstance(reply, messages.StoreReply)
     assert reply.values[0] == b"mine"
@@ -231,8 +233,8 @@
 
 def publish(branch: Branch, generation: int, lease: bytes) -> object:
     """Publishes a location of the name `n` under a lease; returns the type of the store's reply."""
-    location = messages.LocationPublication(b"holder", 5)
-    publication = messages.PublishLocation(generation, "n", lease, location, 1_000)
+    location = operations.LocationPublication(b"holder", 5)
+    publication = operations.PublishLocation(generation, "n", lease, location, 1_000)
     call = scripts.encode_operation(publication, "t", "x")
     text = scripts.SCRIPT_TEXTS[call.name].encode()
     arguments = [value if isinstance(value, bytes) else str(value).encode() for value in call.arguments]
@@ -254,5 +256,5 @@
     actions = coordinator.handle(later, messages.LeaseReleased(api.ReleaseLease("r1", "c0", 1)))
 
     commands = [action for action in actions if isinstance(action, messages.StoreCommand)]
-    assert not any(isinstance(command.operation, messages.PublishLocation) for command in commands)
+    assert not any(isinstance(command.operation, operations.PublishLocation) for command in commands)
     assert coordinator.counts["leases_expired"] == 1
--- a/tests/shared_store/test_client.py
+++ b/tests/shared_store/test_client.py
@@ -9,7 +9,7 @@
 import redis
 
 from olivepost.shared_store import client
-from olivepost.shared_store.messages import AdvanceGeneration
+from olivepost.shared_store.operations import AdvanceGeneration
 from olivepost.shared_store.settings import SharedStoreSettings
 from standins.redis.server import Server
 
--- a/tests/shared_store/test_quota_keys.py
+++ b/tests/shared_store/test_quota_keys.py
@@ -6,10 +6,11 @@
 from olivepost.shared_store.commands import CommandTracker
 from olivepost.shared_store.context import CoordinatorContext
 from olivepost.shared_store.malformed_records import MalformedRecords
-from olivepost.shared_store.messages import NotifyRouter, SharingTerms
+from olivepost.shared_store.messages import NotifyRouter
 from olivepost.shared_store.quota_exchange import QuotaExchange
 from olivepost.shared_store.quota_keys import encode_quota_key, parse_quota_key
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest, decode_record, encode_record
+from olivepost.shared_store.terms import SharingTerms
 
 
 @pytest.mark.parametrize(
--- a/tests/shared_store/test_store_health.py
+++ b/tests/shared_store/test_store_health.py
@@ -7,7 +7,8 @@
 import pytest
 
 from olivepost.shared_store.circuit_breaker import MAX_CONSECUTIVE_FAILURES, BreakerState, CircuitBreaker
-from olivepost.shared_store.messages import NO_GENERATION, InvalidationRow, StoreReply
+from olivepost.shared_store.messages import StoreReply
+from olivepost.shared_store.operations import NO_GENERATION, InvalidationRow
 from olivepost.shared_store.store_health import ReplyVerdict, StoreHealth, TrustLevel
 from tests.router_harness import MS, SECOND
 
--- a/tests/shared_store/test_store_worker.py
+++ b/tests/shared_store/test_store_worker.py
@@ -13,7 +13,7 @@
 
 from olivepost.proxy.clock import Clock
 from olivepost.proxy.event_log import EventLog
-from olivepost.shared_store import client, messages
+from olivepost.shared_store import client, messages, operations
 from olivepost.shared_store.fault_log import LOG_INTERVAL, FaultLog
 from olivepost.shared_store.settings import SharedStoreSettings
 from olivepost.shared_store.store_worker import Lane, ReplyEvent, StoreWorker, WorkerContext
@@ -50,7 +50,7 @@
         self.worker = StoreWorker(context, settings.stores[0], Lane.URGENT)
 
     def submit(self, ticket: int) -> None:
-        self.worker.submit(messages.StoreCommand(ticket, "s", messages.AdvanceGeneration(0, 0)))
+        self.worker.submit(messages.StoreCommand(ticket, "s", operations.AdvanceGeneration(0, 0)))
 
     def next_reply(self) -> ReplyEvent:
         return self.replies.get(timeout=TIMEOUT_S)
