--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -23,23 +23,24 @@
 CONFIG = Path(__file__).with_name("config.json")
 LOOPBACK = "127.0.0.1"
 LINE_END = b"\r\n"
-BACKLOG = 64  # connections that wait to be accepted
+BACKLOG = 64  # connections
 MAX_POLL_WAIT_S = 5.0
+NO_FIELDS = "-"
 NANOSECONDS_PER_MS = 1_000_000
 NOT_CACHED_PREFIX = "0"  # of names that caches don't keep
 REJECTED_PREFIX = "f"  # of names that every endpoint rejects
 
 
-def body_of(name: str, piece: str) -> bytes:
+def body_of(name: str, part: str) -> bytes:
     """The bytes of an object's part: up to 64 KB, every value of a byte among them."""
-    digest = blake2b(f"{name} {piece}".encode()).digest()
+    digest = blake2b(f"{name} {part}".encode()).digest()
     repeats = 1 + digest[0] % 200
     return (digest + bytes(range(256))) * repeats
 
 
-def tag_of(name: str, piece: str) -> str:
+def tag_of(name: str, part: str) -> str:
     """The entity tag of an object's part."""
-    return blake2b(body_of(name, piece), digest_size=8).hexdigest()
+    return blake2b(body_of(name, part), digest_size=8).hexdigest()
 
 
 def listen(port: int) -> socket.socket:
@@ -106,10 +107,10 @@
     fields: dict[str, str]
     body: bytes
 
-    def respond(self, word: str, body: bytes = b"", /, **fields: str) -> None:
+    def respond(self, status_word: str, body: bytes = b"", /, **fields: str) -> None:
         """Sends a response: its status word, fields and body."""
-        listed = ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
-        self.sock.sendall(f"{self.id} {word} {listed} {len(body)}\r\n".encode() + body + b"\r\n")
+        fields_text = ",".join(f"{name}={value}" for name, value in fields.items()) or NO_FIELDS
+        self.sock.sendall(f"{self.id} {status_word} {fields_text} {len(body)}\r\n".encode() + body + b"\r\n")
 
 
 def respond_normally(_endpoint: ToyEndpoint, command: Command) -> None:
@@ -123,9 +124,9 @@
 def respond_to_fetch(command: Command) -> None:
     """Responds to a fetch as its object's name asks for."""
     name = command.fields["name"]
-    piece = command.fields["piece"]
+    part = command.fields["piece"]
     is_cached = not name.startswith(NOT_CACHED_PREFIX)
-    fields = {"entity": tag_of(name, piece), "issued": str(time.time_ns() // NANOSECONDS_PER_MS)}
+    fields = {"entity": tag_of(name, part), "issued": str(time.time_ns() // NANOSECONDS_PER_MS)}
     if name.startswith(REJECTED_PREFIX):
         command.respond("SHED")
     elif not is_cached and "miss" not in command.fields:
@@ -133,7 +134,7 @@
     elif command.fields.get("mine") == fields["entity"]:
         command.respond("VALID", why="warm", **fields)
     else:
-        command.respond("HIT", body_of(name, piece), why="warm" if is_cached else "fill", **fields)
+        command.respond("HIT", body_of(name, part), why="warm" if is_cached else "fill", **fields)
 
 
 def read_command(sock: socket.socket, lines: Any) -> Command | None:
@@ -144,18 +145,18 @@
     words = line.decode().split()
     if len(words) != 4:
         return Command(sock, words[0], words[1], {}, b"")
-    verb, id_, listed, length = words
-    fields = {} if listed == "-" else dict(item.split("=", 1) for item in listed.split(","))
+    verb, request_id, fields_text, length = words
+    fields = {} if fields_text == NO_FIELDS else dict(item.split("=", 1) for item in fields_text.split(","))
     size = int(length)
     body = lines.read(size + len(LINE_END))[:size]
-    return Command(sock, verb, id_, fields, body)
+    return Command(sock, verb, request_id, fields, body)
 
 
 class ToyEndpoint(Server):
     """An endpoint: a cache, a parent or an origin. `_received` guards `commands`."""
 
-    def __init__(self, id_: str, port: int = 0, reply: Reply = respond_normally) -> None:
-        self.id = id_
+    def __init__(self, endpoint_id: str, port: int = 0, reply: Reply = respond_normally) -> None:
+        self.id = endpoint_id
         self.reply = reply
         self.commands: list[Command] = []
         self._received = threading.Condition()
@@ -169,10 +170,10 @@
                 self._received.notify_all()
             self.reply(self, command)
 
-    def wait_for(self, count: int, verb: str = "fetch", within: float = 20.0) -> list[Command]:
-        """The commands with this verb, once there are `count` or after `within` seconds."""
+    def wait_for(self, count: int, verb: str = "fetch", timeout_s: float = 20.0) -> list[Command]:
+        """The commands with this verb, once there are `count` or after `timeout_s`."""
         with self._received:
-            self._received.wait_for(lambda: len(self.received(verb)) >= count, within)
+            self._received.wait_for(lambda: len(self.received(verb)) >= count, timeout_s)
             return self.received(verb)
 
     def received(self, verb: str = "fetch") -> list[Command]:
@@ -207,12 +208,12 @@
             _, _, query = line.split()[1].decode().partition("?")
             parameters = dict(item.split("=") for item in query.split("&"))
             after = int(parameters["follow"])
-            wait = min(MAX_POLL_WAIT_S, int(parameters["wait_ms"]) / 1_000)
+            wait_s = min(MAX_POLL_WAIT_S, int(parameters["wait_ms"]) / 1_000)
             with self._change:
                 self.polls += 1
                 self.follows.append(after)
                 self._change.notify_all()
-                self._wait(after, wait)
+                self._wait(after, wait_s)
                 body = json.dumps({"index": len(self.events), "updates": self.events[after:]}).encode()
             self.reply(sock, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
@@ -220,13 +221,13 @@
         """Sends a complete response; tests override it."""
         sock.sendall(data)
 
-    def _wait(self, after: int, wait: float) -> None:
-        self._change.wait_for(lambda: len(self.events) > after, wait)
+    def _wait(self, after: int, wait_s: float) -> None:
+        self._change.wait_for(lambda: len(self.events) > after, wait_s)
 
-    def wait_for_poll(self, count: int, within: float = 20.0) -> bool:
-        """Whether there were so many polls within these seconds."""
+    def wait_for_poll(self, count: int, timeout_s: float = 20.0) -> bool:
+        """Whether there were so many polls within `timeout_s`."""
         with self._change:
-            return self._change.wait_for(lambda: self.polls >= count, within)
+            return self._change.wait_for(lambda: self.polls >= count, timeout_s)
 
 
 def skip_headers(lines: Any) -> None:
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -10,7 +10,6 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import replace
-from types import TracebackType
 from typing import Any
 
 from examples.toy_server import (
@@ -27,6 +26,7 @@
 from olivepost.proxy.messages import StopEventLoop
 from olivepost.proxy.server import ProxyServer
 from olivepost.router import Router
+from tests.closed_at_exit import ClosedAtExit
 
 OBJECT_NAME = "7f3a9c21e0b4d655"
 WAIT_TIMEOUT_S = 20.0  # seconds that a test waits for what must come
@@ -39,7 +39,7 @@
     return {**data, "listen": "127.0.0.1:0", "limits": {"memory_mb": 64, "sockets": 1024}, **changes}
 
 
-class HttpClient:
+class HttpClient(ClosedAtExit):
     """One connection to a proxy."""
 
     _ids = itertools.count(1)
@@ -48,15 +48,8 @@
         self.sock = socket.create_connection(address, WAIT_TIMEOUT_S)
         self._data = b""
 
-    def __enter__(self) -> HttpClient:
-        return self
-
-    def __exit__(
-        self,
-        error_type: type[BaseException] | None,
-        error: BaseException | None,
-        traceback: TracebackType | None,
-    ) -> None:
+    def close(self) -> None:
+        """Closes the connection."""
         self.sock.close()
 
     @classmethod
