--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the router's actions, in their order."""
+"""Carries out the router's actions, in their order: one method for each kind of action."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
 
 
 class ActionExecutor:
-    """Executes actions on timers, upstream, clients and the shared store.
+    """Executes actions on timers, upstream connections, clients and the shared store.
 
-    Only the event loop's thread calls this. No call waits, and none comes back to the router.
+    Only the event loop's thread calls this. No call waits, and none calls the router. An action on a request
+    that is no longer pending changes nothing; where it must be pending, an invariant counts that.
     """
 
     def __init__(
@@ -38,12 +39,12 @@
         self._pending = pending
         self._timers = timers
         self._post = post
-        # Requests that have ended by the event whose actions are carried out: their attempts are still to
-        # be cancelled and their leases to be released.
+        # Requests that the event in hand has closed, while its actions are carried out: their attempts are
+        # still to be cancelled and their leases to be released.
         self._closed: dict[str, PendingExchange] = {}
 
     def execute(self, actions: list[api.Action], closed: PendingExchange | None = None) -> None:
-        """Carries out actions in order; `closed` is the request that their event has ended before."""
+        """Carries out actions in order; `closed` is the request that their event has closed already."""
         if closed is not None:
             self._closed[closed.exchange.id] = closed
         try:
@@ -67,7 +68,7 @@
             case api.ServeCachedResponse():
                 self._serve_cached(action)
             case api.StoreResponse():
-                pass  # carried out with the attempt's outcome, where the response is at hand
+                pass  # carried out by `ExchangeLifecycle`, which has the response
             case api.Subscribe():
                 self._subscribe()
             case _ if self._shared_store is not None:
--- a/olivepost/proxy/delay_histogram.py
+++ b/olivepost/proxy/delay_histogram.py
@@ -4,8 +4,8 @@
 
 from olivepost.units import MILLISECOND, Duration
 
-# A duration's bucket is its highest bit and the so many bits behind it: its bounds differ by one part in 32,
-# as in a log-linear (HDR) histogram.
+# Bits behind a duration's highest bit that select its bucket, as in a log-linear (HDR) histogram: the bounds
+# of a bucket differ by one part in 32.
 PRECISION_BITS = 5
 BUCKETS_PER_POWER = 1 << PRECISION_BITS
 MAX_BITS = 48  # longer durations, above three days in nanoseconds, count in the last bucket
@@ -14,7 +14,7 @@
 
 
 class DelayHistogram:
-    """Counts of durations in nanoseconds; one thread at a time may record."""
+    """Counts of durations; one thread at a time may record, and another may read."""
 
     __slots__ = ("_counts", "count", "longest")
 
--- a/olivepost/proxy/downstream/request_reader.py
+++ b/olivepost/proxy/downstream/request_reader.py
@@ -77,12 +77,12 @@
             try:
                 message = parser.take()
                 if message is None:
-                    if not lifecycle.body_reservation.reserve(parser.expected_body_size):
+                    if not lifecycle.body_reservation.reserve(parser.expected_body_bytes):
                         raise HttpError(503, "no capacity for the body")
                     return
                 lifecycle.keeps_alive = message.keeps_alive
                 self._route(message, received_at)
-                if lifecycle.exchange is not None and parser.buffered_size:
+                if lifecycle.exchange is not None and parser.buffered_bytes:
                     self._reject_pipelining()
             except HttpError as error:
                 self._context.log.increment(f"bad_request_{error.status}")
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -1,4 +1,4 @@
-"""The event log: one JSON line an event, written by a thread of its own; and the counters."""
+"""The event log, one JSON line for each event, written by a thread of its own; and the counters."""
 
 from __future__ import annotations
 
@@ -17,29 +17,28 @@
 from olivepost.units import MILLISECOND, SECOND
 
 MAX_TRACEBACK_FRAMES = 6  # the innermost ones
-# Lines in a second of an event that may come with each request or connection; all are counted.
-MAX_SAMPLES_PER_S = 10
+MAX_SAMPLES_PER_S = 10  # lines of one sampled event; further ones are only counted
 DEFAULT_MAX_BYTES = 1_048_576  # of lines that wait to be written
-LINE_OVERHEAD = 64  # bytes that the queue takes for a line beside its text
-# A descriptor that takes no bytes at once (a full pipe that does not block) is tried again for so long.
+LINE_OVERHEAD_BYTES = 64  # that the queue takes for a line beside its text
+# Attempts to write to a pipe that is full and does not block, and the pause between two of them.
+FULL_PIPE_ATTEMPTS = 100
 FULL_PIPE_PAUSE_S = 0.01
-FULL_PIPE_TRIES = 100
 
 
 @dataclass(slots=True)
 class SampleWindow:
-    """Lines of one event within one second."""
+    """Lines of one sampled event within one second."""
 
-    second: int
+    second: int  # of the proxy's clock
     lines: int = 0
 
 
 class EventLog:
     """Events by name, and counters for what is too frequent for a line each. Thread-safe.
 
-    No thread waits for a reader that is slow or gone: lines beyond `max_bytes` are dropped and counted. No
-    call raises: what can't be logged is counted. The lock guards the counters, the sample windows and
-    `waiting_bytes`.
+    No caller waits for a slow or absent reader of the log: lines beyond `max_bytes` are dropped and counted.
+    No call raises: what can't be logged is counted. `_lock` guards `_counters`, `_samples` and
+    `waiting_bytes`. The constructor starts the thread, and `close` joins it.
     """
 
     def __init__(
@@ -65,11 +64,11 @@
         except (TypeError, ValueError):  # orjson's own error is a TypeError: a field that it can't write
             self.increment("log_lines_dropped")
             return
-        if self._reserve(len(data) + LINE_OVERHEAD):
+        if self._reserve(len(data) + LINE_OVERHEAD_BYTES):
             self._lines.put(data)
 
     def sampled_event(self, name: str, **fields: object) -> None:
-        """Logs one event of a kind that may be frequent: only the first ones of each second."""
+        """Logs one event of a kind that may come with each request: only the first ones of each second."""
         second = self._clock.now() // SECOND
         with self._lock:
             window = self._samples.get(name)
@@ -103,13 +102,13 @@
         self._lines.put(None)
         self._thread.join(timeout_s)
 
-    def _reserve(self, size: int) -> bool:
-        """Takes room for a line that waits; false, and counted, where there is none."""
+    def _reserve(self, line_bytes: int) -> bool:
+        """Reserves queue space for a line; false, and the line counted as dropped, where there is none."""
         with self._lock:
-            if self.waiting_bytes + size > self._max_bytes:
+            if self.waiting_bytes + line_bytes > self._max_bytes:
                 self._counters["log_lines_dropped"] += 1
                 return False
-            self.waiting_bytes += size
+            self.waiting_bytes += line_bytes
             return True
 
     def _write(self) -> None:
@@ -119,16 +118,17 @@
             except OSError:
                 self.increment("log_lines_dropped")
             with self._lock:
-                self.waiting_bytes -= len(line) + LINE_OVERHEAD
+                self.waiting_bytes -= len(line) + LINE_OVERHEAD_BYTES
 
     def _write_line(self, line: bytes) -> None:
+        """Writes a line to its end; raises OSError."""
         remaining = memoryview(line)
-        tries = 0
+        attempts = 0
         while remaining:
             try:
                 remaining = remaining[os.write(self._descriptor, remaining) :]
             except BlockingIOError:
-                tries += 1
-                if tries > FULL_PIPE_TRIES:
+                attempts += 1
+                if attempts > FULL_PIPE_ATTEMPTS:
                     raise
                 time.sleep(FULL_PIPE_PAUSE_S)
--- a/olivepost/proxy/event_queue.py
+++ b/olivepost/proxy/event_queue.py
@@ -11,23 +11,23 @@
 
 
 class PostedEvent(NamedTuple):
-    """A message, with the time at which it was posted."""
+    """An event, with the time at which it was posted."""
 
-    posted_at: Instant  # nanoseconds on the proxy's clock
+    posted_at: Instant
     event: LoopEvent
 
 
 class EventQueue:
-    """Messages in the order in which they were posted. Thread-safe."""
+    """Events in the order in which they were posted. Thread-safe; its length has no bound of its own."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._queue: queue.SimpleQueue[PostedEvent] = queue.SimpleQueue()
 
     def post(self, event: LoopEvent) -> None:
-        """Hands a message over; never waits."""
+        """Queues an event; never waits. Any thread may call it."""
         self._queue.put(PostedEvent(self._clock.now(), event))
 
     def get(self, timeout_s: float | None) -> PostedEvent:
-        """The next message; `queue.Empty` where none comes within the timeout, `None`: wait for ever."""
+        """Takes the next event; raises `queue.Empty` at the timeout. None waits for ever."""
         return self._queue.get(timeout=timeout_s)
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request on the event loop: from its arrival, by its attempts' outcomes, to its response.
+"""A request on the event loop: its arrival, the outcomes of its attempts, its response.
 
 Each step gives the router one event and has its actions carried out; no decision is taken here.
 """
@@ -22,7 +22,11 @@
 
 
 class ExchangeLifecycle:
-    """The requests of one proxy. Only the event loop's thread calls this."""
+    """Takes requests and attempts through their events; `PendingExchanges` holds them.
+
+    Only the event loop's thread calls this. It also owns the two times that a request's arrival depends on:
+    `discovery_received_at` and `shutdown_at`.
+    """
 
     def __init__(
         self, resources: EventLoopResources, pending: PendingExchanges, executor: ActionExecutor
@@ -100,7 +104,7 @@
     def abandon(self, now: Instant, exchange: Exchange, response: Response | None) -> None:
         """Ends a request, if it is still pending, and has the router cancel its attempts.
 
-        None in place of the response: the client has disconnected.
+        None in place of the response means that the client has disconnected.
         """
         pending = self._pending.of_exchange(exchange)
         if pending is not None:
@@ -116,7 +120,7 @@
             self._upstream.forward(attempt)
 
     def forward_deferred(self, exchange: Exchange) -> None:
-        """An abort has been written: once none is left, the attempt that waited for it goes out."""
+        """An abort has been written: once none is left, the attempt that waited for it is forwarded."""
         pending = self._pending.of_exchange(exchange)
         if pending is None:
             return
@@ -129,7 +133,7 @@
             self._upstream.forward(attempt)
 
     def time_out_attempt(self, now: Instant, timer_id: int) -> None:
-        """An attempt's timer has fired; one that has ended before left none."""
+        """An attempt's timer has fired; where the attempt has ended before, nothing happens."""
         attempt = self._pending.attempt_of_timer(timer_id)
         if attempt is None:
             return
@@ -161,11 +165,11 @@
         if event.status is not api.AttemptStatus.OK:
             self._record_failed_attempt(event)
         pending.generated_at = None if response is None else response.generated_at
-        actions = self._deliver(now, pending, event)
+        actions = self._close_with_response(now, pending, event)
         self._executor.execute(actions, pending)
 
     def _record_failed_attempt(self, event: UpstreamCompleted) -> None:
-        """Counts an attempt without a response, and logs it; a miss is no failure, and is only counted."""
+        """Counts an attempt without a response, and logs it unless the cache had only reported a miss."""
         attempt = event.request
         self._log.increment(f"attempts_{event.status.name.lower()}")
         if event.status is not api.AttemptStatus.NOT_CACHED:
@@ -180,11 +184,13 @@
                 elapsed_ms=(event.completed_at - attempt.forwarded_at) // MILLISECOND,
             )
 
-    def _deliver(self, now: Instant, pending: PendingExchange, event: UpstreamCompleted) -> list[api.Action]:
-        """Closes the request where there is a response, and returns what the router makes of the outcome.
+    def _close_with_response(
+        self, now: Instant, pending: PendingExchange, event: UpstreamCompleted
+    ) -> list[api.Action]:
+        """Closes the request where there is a response, and returns the router's actions on the outcome.
 
-        The body is shared meanwhile: the client's side may have released it before the router says whether
-        the response is to be stored.
+        The body has a second holder meanwhile: the client's side may release it before the router decides
+        whether the response is stored.
         """
         response = event.response
         outcome = _outcome(event)
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -91,7 +91,7 @@
 
     @property
     def keeps_alive(self) -> bool:
-        """Whether the peer keeps the connection open after this message (RFC 9112, section 9.3)."""
+        """Whether the sender keeps the connection open after this message (RFC 9112, section 9.3)."""
         joined = ",".join(self.headers.get("connection", ()))
         options = {option.strip().lower() for option in joined.split(",")}
         if "close" in options:
@@ -112,25 +112,25 @@
 
 
 class Parser(Generic[StartLineT]):
-    """Takes bytes in any split and gives complete messages, one after another.
+    """Turns bytes, however they are split, into complete messages, one after another.
 
-    Not thread-safe. A message that raised HttpError leaves the stream without a known position: the caller
-    ends the connection.
+    Not thread-safe. After a message that raised HttpError the position in the stream is unknown: the caller
+    closes the connection.
     """
 
     _forbidden_prefixes: ClassVar[tuple[bytes, ...]] = ()
     _needs_length: ClassVar[bool] = False
 
-    def __init__(self, max_head_size: int, max_body_size: int) -> None:
-        self._max_head_size = max_head_size
-        self._max_body_size = max_body_size
+    def __init__(self, max_head_bytes: int, max_body_bytes: int) -> None:
+        self._max_head_bytes = max_head_bytes
+        self._max_body_bytes = max_body_bytes
         self._data = bytearray()
-        self._searched = 0  # bytes that hold no end of a head
+        self._searched_bytes = 0  # that have no end of a head
         self._head: Message[StartLineT] | None = None
         self._body_length = 0  # of the message whose head is parsed
 
     @property
-    def buffered_size(self) -> int:
+    def buffered_bytes(self) -> int:
         """Bytes received that belong to no message taken so far."""
         return len(self._data)
 
@@ -140,7 +140,7 @@
         return self._head is None and not self._data
 
     @property
-    def expected_body_size(self) -> int:
+    def expected_body_bytes(self) -> int:
         """Body length in bytes of the message whose head is parsed; 0 where there is none."""
         return self._body_length if self._head is not None else 0
 
@@ -148,7 +148,7 @@
         """Drops everything received so far."""
         self._data.clear()
         self._head = None
-        self._searched = 0
+        self._searched_bytes = 0
 
     def feed(self, data: bytes | memoryview) -> None:
         """Adds received bytes."""
@@ -170,17 +170,17 @@
     def _parse_head(self) -> None:
         if self._data.startswith(self._forbidden_prefixes):
             raise HttpError(400, "an empty line before a request")
-        # The end may have begun within the bytes that were searched.
-        end = self._data.find(END_OF_HEAD, max(0, self._searched - len(END_OF_HEAD) + 1))
-        head_size = end if end >= 0 else len(self._data)
-        if head_size > self._max_head_size:
+        # A part of the end may be among the bytes that were searched.
+        end = self._data.find(END_OF_HEAD, max(0, self._searched_bytes - len(END_OF_HEAD) + 1))
+        head_bytes = end if end >= 0 else len(self._data)
+        if head_bytes > self._max_head_bytes:
             raise HttpError(431, "header block too long")
         if end < 0:
-            self._searched = len(self._data)
+            self._searched_bytes = len(self._data)
             return
         first_line, *field_lines = bytes(self._data[:end]).split(END_OF_LINE)
         del self._data[: end + len(END_OF_HEAD)]
-        self._searched = 0
+        self._searched_bytes = 0
         head = Message(self._parse_start_line(first_line), parse_headers(field_lines), b"")
         self._body_length = self._read_body_length(head)
         self._head = head
@@ -198,7 +198,7 @@
         if not _CONTENT_LENGTH.fullmatch(text):
             raise HttpError(400, "bad length")
         length = int(text)
-        if length > self._max_body_size:
+        if length > self._max_body_bytes:
             raise HttpError(413, "body too long")
         return length
 
@@ -219,10 +219,10 @@
         words = line.split(b" ")
         if len(words) != 3 or not _TOKEN.fullmatch(words[0]) or not _REQUEST_TARGET.fullmatch(words[1]):
             raise HttpError(400, "bad request line")
-        method, target, version_word = words
-        version = VERSIONS.get(version_word)
+        method, target, version_token = words
+        version = VERSIONS.get(version_token)
         if version is None:
-            raise HttpError(505 if version_word.startswith(b"HTTP/") else 400, "bad version")
+            raise HttpError(505 if version_token.startswith(b"HTTP/") else 400, "bad version")
         return RequestLine(method.decode("ascii"), target.decode("ascii"), version)
 
 
@@ -240,7 +240,7 @@
 
     def _check_has_no_body(self, head: Message[StatusLine]) -> None:
         if head.start_line.status not in STATUSES_WITHOUT_BODY:
-            raise HttpError(400, "an answer of no known length")
+            raise HttpError(400, "a response without a length")
 
 
 def response_head(status: int, length: int | None, headers: Mapping[str, str], closes: bool) -> bytes:
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -10,7 +10,10 @@
 
 
 def check(holds: bool, name: str) -> bool:
-    """Records a violation where the invariant does not hold; returns whether it holds. Any thread."""
+    """Records a violation where the invariant does not hold; returns whether it holds.
+
+    Any thread may call it. Raises AssertionError in debug builds.
+    """
     if not holds:
         with _lock:
             _violations[name] += 1
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -1,4 +1,4 @@
-"""What each owner of memory in the process holds, beside what the budget allows it; for the metrics."""
+"""How much memory each owner in the process holds, beside what the budget allows it; for the metrics."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from olivepost.config.memory_budget import INVALIDATION_BYTES, NAME_BYTES
 from olivepost.proxy.parts import ProxyParts
 
-PENDING_REQUEST_BYTES = 3_072  # with its exchange, its attempts and their records
-TIMER_BYTES = 220
-ENDPOINT_BYTES = 1_536  # in the router and in the connection pool
+PENDING_REQUEST_BYTES = 3_072  # of a pending request with its exchange, its attempts and their records
+TIMER_BYTES = 220  # of one timer
+ENDPOINT_BYTES = 1_536  # of an endpoint in the router and in the connection pool
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerAccount:
     """One owner's bytes: estimated from its entries, or counted where it counts them itself."""
 
-    used: int
-    allowed: int
+    used_bytes: int
+    allowed_bytes: int
 
 
 def memory_account(parts: ProxyParts) -> dict[str, OwnerAccount]:
-    """All owners' accounts. Any thread may call it: it reads counts only."""
+    """Returns all owners' accounts by name. Any thread may call it: it reads counts only."""
     budget = parts.config.limits.memory
     loop = parts.event_loop
     state = loop.router.state
--- a/olivepost/proxy/memory_monitor.py
+++ b/olivepost/proxy/memory_monitor.py
@@ -1,4 +1,7 @@
-"""Watches the process's own memory as the platform counts it, and says at which level it gives way."""
+"""Reads the process's own memory as the platform counts it, and keeps the level of memory pressure.
+
+The levels are decided in `routing.memory_pressure`.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,18 @@
 from olivepost.routing import memory_pressure
 from olivepost.units import MILLISECOND, Duration
 
-STATM = "/proc/self/statm"  # sizes in pages, the second one the resident set with mapped files
-STATM_BYTES = 128
-RESIDENT_FIELD = 1
+STATM = "/proc/self/statm"  # sizes in pages
+STATM_READ_BYTES = 128  # more than its one line has
+RESIDENT_FIELD = 1  # index in that line of the resident set, which includes mapped files
 CHECK_INTERVAL: Duration = 100 * MILLISECOND
-# Under pressure what gave way shows late, and what comes on goes on.
-PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND
+PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # at any level but `NONE`
 
 
 def resident_bytes_reader() -> Callable[[], int]:
-    """A function that reads the resident set in bytes; it returns 0 where the system does not tell."""
+    """Makes a function that reads the resident set in bytes, or 0 where the system does not report it.
+
+    Its descriptor stays open, so that reading needs none when descriptors are short.
+    """
     page_size = os.sysconf("SC_PAGE_SIZE")
     try:
         descriptor = os.open(STATM, os.O_RDONLY | os.O_CLOEXEC)
@@ -29,16 +34,17 @@
 
     def read() -> int:
         with contextlib.suppress(OSError, ValueError, IndexError):
-            return int(os.pread(descriptor, STATM_BYTES, 0).split()[RESIDENT_FIELD]) * page_size
+            return int(os.pread(descriptor, STATM_READ_BYTES, 0).split()[RESIDENT_FIELD]) * page_size
         return 0
 
     return read
 
 
 class MemoryMonitor:
-    """The level of memory use.
+    """The level of memory pressure.
 
-    The main thread calls `check`; any thread may read `level` and `used_bytes`.
+    The main thread calls `check`, and `on_level` is called from there; any thread may read `level` and
+    `used_bytes`, which only `check` writes.
     """
 
     def __init__(
@@ -57,7 +63,7 @@
 
     @property
     def interval(self) -> Duration:
-        """Nanoseconds until the next check."""
+        """The time until the next check is due."""
         return PRESSURE_CHECK_INTERVAL if self.level else CHECK_INTERVAL
 
     def check(self) -> None:
--- a/olivepost/proxy/messages.py
+++ b/olivepost/proxy/messages.py
@@ -1,7 +1,7 @@
-"""Messages that other threads post to the event loop, beside those of their own modules.
+"""Events that other threads post to the event loop.
 
-`LoopEvent` names all of them: what a client asks, what became of an attempt, what service discovery and the
-shared store report, and the two messages of shutdown.
+`LoopEvent` names all kinds. Those of requests, attempts and service discovery stand in the modules that post
+them; those of the shared store, memory pressure and shutdown stand here.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 
 
 class StopEventLoop:
-    """The last message: the event loop's thread ends."""
+    """The last event: the event loop's thread ends."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownDeadline:
-    """The proxy shuts down: what is pending then, or comes later, gets its final response by this time."""
+    """The proxy shuts down: requests that are pending or arrive later get their final response by then."""
 
-    deadline: Instant  # nanoseconds on the proxy's clock
+    deadline: Instant
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressureReport:
-    """The process is at a level of memory use; sent again and again while it is."""
+    """The process is at a level of memory pressure; posted at each check while it is at one."""
 
     level: api.MemoryPressureLevel
 
--- a/olivepost/proxy/metrics.py
+++ b/olivepost/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics of one proxy, as its log's `metrics` event has them."""
+"""Collects the fields of the log's `metrics` event."""
 
 from __future__ import annotations
 
@@ -15,7 +15,10 @@
 
 
 def collect_metrics(parts: ProxyParts) -> dict[str, object]:
-    """The metrics since the last call (queue delays) or since the start (all others)."""
+    """Returns the metrics by name: queue delays since the last call, all others since the start or now.
+
+    The main thread calls it; what it reads may change meanwhile.
+    """
     delays = parts.event_loop.take_queue_delays()
     user_cpu_s, system_cpu_s, *_ = os.times()
     metrics: dict[str, object] = {
@@ -29,7 +32,8 @@
         "descriptors": count_descriptors(),
         **read_process_status(),
         "memory_by_owner": {
-            owner: [account.used, account.allowed] for owner, account in memory_account(parts).items()
+            owner: [account.used_bytes, account.allowed_bytes]
+            for owner, account in memory_account(parts).items()
         },
         "memory_level": parts.memory_monitor.level.name.lower(),
         "body_buffers": parts.body_buffers.in_use,
@@ -45,7 +49,7 @@
 
 
 def count_descriptors() -> int:
-    """Open descriptors of this process; -1 where the system does not tell."""
+    """Open descriptors of this process; -1, as the metric has it, where the system does not report them."""
     try:
         return sum(1 for _ in DESCRIPTORS.iterdir())
     except OSError:
@@ -53,7 +57,7 @@
 
 
 def read_process_status() -> dict[str, int]:
-    """Threads, and the memory in use now and at its peak in KB; empty where the system does not tell."""
+    """Threads, and the memory in use now and at its peak in KB; empty where the system reports none."""
     try:
         lines = PROCESS_STATUS.read_text().splitlines()
     except OSError:
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -159,7 +159,7 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Collects what the start has left, excludes what stays from later collections, and makes those rarer."""
+    """Collects the garbage of the start, excludes surviving objects from collection, and makes it rarer."""
     gc.collect()
     gc.set_threshold(GC_THRESHOLD, GC_GENERATION_THRESHOLD, GC_GENERATION_THRESHOLD)
     gc.freeze()
--- a/olivepost/proxy/signals.py
+++ b/olivepost/proxy/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the process, for the thread that waits for them."""
+"""Signals of the process: what each asks of the proxy, and how the main thread waits for them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from olivepost.units import SECOND, Duration
 
-WAKEUP_READ_BYTES = 4_096  # more signals than ever wait at once; one byte each
+WAKEUP_READ_BYTES = 4_096  # one byte for each signal that waits
 
 
 class SignalRequest(Enum):
@@ -23,8 +23,8 @@
     SHUT_DOWN = "shut down"
 
 
-WaitForSignal = Callable[[int], SignalRequest | None]
-"""Waits at most so many nanoseconds; None where no signal has come."""
+WaitForSignal = Callable[[Duration], SignalRequest | None]
+"""Waits for a signal up to a timeout; None where none was received."""
 
 REQUESTS = {
     signal.SIGHUP: SignalRequest.RELOAD,
@@ -34,10 +34,11 @@
 
 
 class SignalListener:
-    """Takes the process's signals; made by the main thread, which also waits.
+    """Receives the process's signals; the main thread makes it, and also waits.
 
-    The system hands a signal to any thread of the process, and one that comes right behind another mostly
-    not to the main thread, which then sleeps on; a byte in a pipe wakes it all the same.
+    The system delivers a signal to any thread of the process, which need not wake the main thread. So the
+    interpreter writes a byte to a pipe for each, on which the main thread waits. The pipe stays open
+    until the process exits.
     """
 
     def __init__(self) -> None:
@@ -53,7 +54,7 @@
         self._received.add(REQUESTS[signal.Signals(number)])
 
     def wait(self, timeout: Duration) -> SignalRequest | None:
-        """The next signal's request; None where none comes in time."""
+        """The next signal's request; None where none is received within the timeout."""
         until = time.monotonic_ns() + timeout
         while not self._received:
             remaining = until - time.monotonic_ns()
@@ -66,5 +67,5 @@
 
 
 def wait_without_signals(timeout: Duration) -> None:
-    """Waits, and no signal comes: for a proxy in a process whose signals are not its own."""
+    """Waits without receiving signals: for a proxy in a process whose signals are not its own."""
     threading.Event().wait(timeout / SECOND)
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -1,7 +1,7 @@
 """Blocking sockets of the proxy: options, timeouts, and calls that several of its parts need.
 
-Timeouts are nanoseconds. Several threads may use one socket, as the kernel allows; none of these functions
-keeps state.
+Several threads may use one socket, as the kernel allows; none of these functions keeps state. Each
+raises the system's `OSError` unless it says otherwise.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
 
 ResultT = TypeVar("ResultT")
 
-# Errors by which the system says that it is short of memory for this call, and may have it for the next.
+# Errors by which the system reports a shortage of memory, which may be over at the next call.
 SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
-SHORTAGE_TRIES = 20
-SHORTAGE_PAUSE_S = 0.005
-# Errors of making a connection that are this machine's own, and say nothing of the peer.
+SHORTAGE_ATTEMPTS = 20  # of a call that such an error ends
+SHORTAGE_PAUSE_S = 0.005  # between two of these attempts
+# Errors of connecting that this machine causes, and that indicate nothing about the remote side.
 LOCAL_FAILURES = (*SHORTAGES, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EAGAIN)
 
 NANOSECONDS_PER_MICROSECOND = 1_000
 MICROSECONDS_PER_SECOND = 1_000_000
 
 
-def set_send_buffer(sock: socket.socket, size: int) -> None:
-    """Asks for a send buffer that holds a whole body, so that a write seldom waits."""
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size)
+def set_send_buffer(sock: socket.socket, size_bytes: int) -> None:
+    """Requests a send buffer of a size; one that holds a whole body lets most writes end at once."""
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size_bytes)
 
 
 def configure(sock: socket.socket, receive_timeout: Duration, send_timeout: Duration) -> None:
     """Sets both timeouts of a blocking socket, 0: none, and has small writes sent at once.
 
-    The kernel's own timeouts, so that the two threads of one socket can wait for different times.
+    These are the kernel's timeouts: the two threads of one socket can wait for different times.
     """
     _retry_while_short(lambda: sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1))
     set_receive_timeout(sock, receive_timeout)
@@ -66,7 +66,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the peer has closed or reset the connection, with nothing left to read before that."""
+    """Whether the remote side has closed or reset the connection, with nothing left to read before that."""
     try:
         return not _retry_while_short(lambda: sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except BlockingIOError:
@@ -76,9 +76,9 @@
 
 
 def wait_readable(sock: socket.socket) -> bool:
-    """Waits until there are bytes, and reads none; false where the peer has closed its side.
+    """Waits until there are bytes, and reads none; false where the remote side has closed its direction.
 
-    An accepted socket has its listener's receive timeout until `configure` takes that off, which may fail.
+    An accepted socket has its listener's receive timeout, which `configure` may have failed to remove.
     """
     while True:
         try:
@@ -98,13 +98,13 @@
 
 
 def receive_at_once(sock: socket.socket, buffer: memoryview) -> int:
-    """Receives what has come already; BlockingIOError where nothing has."""
+    """Receives the bytes that are there without waiting; BlockingIOError where there are none."""
     return _retry_while_short(lambda: sock.recv_into(buffer, 0, socket.MSG_DONTWAIT))
 
 
 def _retry_while_short(call: Callable[[], ResultT]) -> ResultT:
-    """Repeats a call that the system refuses for want of memory; the connection is as good as before."""
-    for _ in range(SHORTAGE_TRIES):
+    """Repeats a call that fails by a shortage of memory, which leaves the connection as it was."""
+    for _ in range(SHORTAGE_ATTEMPTS):
         try:
             return call()
         except OSError as error:
@@ -135,7 +135,7 @@
 ) -> list[memoryview]:
     """Writes all parts, in as few calls as the kernel allows.
 
-    With MSG_DONTWAIT, returns what was not written at once; without it, nothing is left.
+    With MSG_DONTWAIT, returns what was not written at once. Without it, all is written, or an error raised.
     """
     remaining = [memoryview(part) for part in parts if part]
     while remaining:
@@ -150,6 +150,7 @@
 
 
 def _remove_sent(remaining: list[memoryview], sent: int) -> None:
+    """Removes the first `sent` bytes of the buffers."""
     while remaining and sent >= len(remaining[0]):
         sent -= len(remaining.pop(0))
     if remaining:
@@ -157,6 +158,6 @@
 
 
 def shutdown(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
-    """Closes a connection, also for a thread that reads it; one that has ended already is left alone."""
+    """Shuts down a connection, also for a thread that reads it; never raises."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/olivepost/proxy/threads.py
+++ b/olivepost/proxy/threads.py
@@ -1,4 +1,4 @@
-"""Starting threads where the system may have none to give for a while (`EAGAIN`)."""
+"""Starts threads where the system may have none for a while (`EAGAIN`)."""
 
 from __future__ import annotations
 
@@ -6,13 +6,15 @@
 import time
 from collections.abc import Callable
 
-RETRY_PAUSE_S = 0.01
-# For parts without which the process can't serve: a start that takes longer counts as failed anyway.
-START_TIMEOUT_S = 10.0
+RETRY_PAUSE_S = 0.01  # between two attempts to start a thread
+START_TIMEOUT_S = 10.0  # for parts without which the process can't serve
 
 
 def start_thread(target: Callable[[], object], name: str, timeout_s: float = 0.0) -> threading.Thread:
-    """Starts a daemon thread, and tries again until the timeout; RuntimeError where none can be had."""
+    """Starts a daemon thread, with retries until the timeout; then raises RuntimeError.
+
+    The caller owns the thread. Any thread may call it.
+    """
     until = time.monotonic() + timeout_s
     while True:
         thread = threading.Thread(target=target, name=name, daemon=True)
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -8,15 +8,15 @@
 
 from olivepost.units import Instant
 
-# Timers that nobody waits for any more, beside as many as there are live ones, before they are removed.
+# Stale timers, beyond as many as there are live ones, from which all stale ones are removed.
 MAX_STALE_TIMERS = 1_024
 
 
 class Timer(NamedTuple):
     """One timer; those that are due at one time fire in the order in which they were set."""
 
-    due_at: Instant  # nanoseconds on the proxy's clock
-    sequence: int
+    due_at: Instant
+    sequence: int  # in which they were set
     timer_id: int
     is_attempt_timeout: bool  # otherwise the router set it, under an id of its own
 
@@ -24,15 +24,15 @@
 class TimerQueue:
     """Timers by due time. Only the event loop's thread calls this.
 
-    Whoever no longer needs a timer ignores its id. Such timers leave the queue when they are due, or once
-    they outnumber those that `is_live` still knows.
+    A timer is not cancelled: its id is ignored when it fires. Such stale timers leave the queue when they are
+    due, or once they outnumber those for which `is_live` holds.
     """
 
     def __init__(self, is_live: Callable[[Timer], bool]) -> None:
         self._is_live = is_live
         self._heap: list[Timer] = []
         self._sequence = 0
-        self._next_cleaning = MAX_STALE_TIMERS  # length at which stale timers are looked for
+        self._cleaning_length = MAX_STALE_TIMERS  # of the heap, from which stale timers are removed
 
     def __len__(self) -> int:
         return len(self._heap)
@@ -51,7 +51,7 @@
         """Sets a timer."""
         self._sequence += 1
         heappush(self._heap, Timer(due_at, self._sequence, timer_id, is_attempt_timeout))
-        if len(self._heap) > self._next_cleaning:
+        if len(self._heap) > self._cleaning_length:
             self._remove_stale()
 
     def pop(self) -> Timer:
@@ -61,4 +61,4 @@
     def _remove_stale(self) -> None:
         self._heap = [timer for timer in self._heap if self._is_live(timer)]
         heapify(self._heap)
-        self._next_cleaning = 2 * len(self._heap) + MAX_STALE_TIMERS
+        self._cleaning_length = 2 * len(self._heap) + MAX_STALE_TIMERS
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -181,6 +181,6 @@
         assert client.request()[0] == 200
         account = memory_account(proxy.parts)
     assert set(account) >= {"connections", "bodies", "names", "requests", "endpoints", "routes", "log"}
-    assert all(owner.used <= owner.allowed for owner in account.values())
-    assert account["names"].used > 0
+    assert all(owner.used_bytes <= owner.allowed_bytes for owner in account.values())
+    assert account["names"].used_bytes > 0
     assert api.MemoryPressure(Level.NONE).level == 0
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -161,7 +161,7 @@
 
 
 def test_reservation_takes_from_the_budget_once_and_gives_it_back_once() -> None:
-    budget = LargeBodyBudget(max_bytes=100, small_body_size=10)
+    budget = LargeBodyBudget(max_bytes=100, small_body_bytes=10)
     first, second = LargeBodyReservation(budget), LargeBodyReservation(budget)
     assert first.reserve(60)
     assert first.reserve(60)
