--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -66,10 +66,10 @@
         """
         body = response.body
         generated_at = response.generated_at
-        if body is None or body.buffer_count > self._max_buffers:
-            return
         if generated_at is None or generated_at <= 0:
             return
+        if body is None or body.buffer_count > self._max_buffers:
+            return
         key = cache_key(exchange)
         self._evict(key)
         self._entries[key] = CacheEntry(exchange.group, response.etag, generated_at, body.share())
