--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -33,11 +33,15 @@
     return str(raised.value)
 
 
-def test_example_file_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
+def test_example_file_is_read() -> None:
     sharing = load(str(EXAMPLE)).sharing
+
     assert sharing is not None
     assert sharing.wait == 10_000_000
     assert sharing.stores[0].address == ("127.0.0.1", 7379)
+
+
+def test_example_file_can_be_used(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["check", "--config", str(CONFIG), "--operator", str(EXAMPLE)]) == 0
     assert main(["check", "--operator", str(EXAMPLE)]) == 0
     assert "can be used" in capsys.readouterr().out
@@ -93,6 +97,7 @@
 ) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text(f"sharing:\n  branch: w\n{STORE}  {section}:\n    enabled: {text}\n")
+
     sharing = load(str(path)).sharing
     assert sharing is not None
     assert getattr(sharing, section).enabled is is_enabled
@@ -100,11 +105,9 @@
 
 def test_all_faulty_keys_are_reported_at_once(tmp_path: Path) -> None:
     text = load_faults(tmp_path, "sharing:\n  on: 1\n  no: 2\n  branch: w\n  branch: x\n")
-    assert [line.split(": ")[1] for line in text.splitlines()] == [
-        "sharing.on",
-        "sharing.no",
-        "sharing.branch",
-    ]
+
+    keys = [line.split(": ")[1] for line in text.splitlines()]
+    assert keys == ["sharing.on", "sharing.no", "sharing.branch"]
 
 
 @pytest.mark.parametrize("text", ["", "\n", "# sharing:\n#   branch: west\n", "---\n...\n", "null\n", "{}\n"])
@@ -113,6 +116,7 @@
 ) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text(text)
+
     assert main(["check", "--operator", str(path)]) == 2
     assert capsys.readouterr().err == f"olivepost: {path}:1: the file: has no section; there are: sharing\n"
 
@@ -120,8 +124,14 @@
 def test_faulty_file_ends_the_command_with_code_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text("sharing: {}\n")
+
     assert main(["check", "--operator", str(path)]) == 2
     assert "sharing.branch: is missing" in capsys.readouterr().err
+
+
+def test_missing_file_ends_the_command_with_code_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     assert main(["serve", "--config", str(CONFIG), "--operator", str(tmp_path / "none")]) == 2
     assert "can't be read" in capsys.readouterr().err
 
@@ -228,13 +238,20 @@
         parse_address(value)
 
 
-def test_message_of_a_faulty_secret_does_not_contain_the_secret(tmp_path: Path) -> None:
+def test_secret_is_read_without_its_line_end(tmp_path: Path) -> None:
     path = tmp_path / "secret"
     path.write_bytes(b"hush\n")
+
     assert read_secret(path) == "hush"
+
+
+def test_message_of_a_faulty_secret_does_not_contain_the_secret(tmp_path: Path) -> None:
+    path = tmp_path / "secret"
     path.write_bytes(b"hush\nhush\n")
+
     with pytest.raises(ValueError, match="more than one line") as raised:
         read_secret(path)
+
     assert "hush" not in str(raised.value)
 
 
@@ -248,5 +265,7 @@
         "     for name in sys.modules))"
     )
     command = [sys.executable, "-c", code, str(CONFIG)]
+
     done = subprocess.run(command, capture_output=True, text=True, timeout=60)
+
     assert done.returncode == 0, done.stderr
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -99,17 +99,24 @@
     proxy.handle_routing_event(api.QuotaRequested(1, key, 1e12, proxy.clock(branch.now) + SECOND))
     donated = -capacity.transferred(proxy.router.state, proxy.clock(branch.now), key, 0.0)
     assert donated > 0
+
     proxy.restart()
-    endpoint, at = proxy.router.state.endpoints.by_id["c0"], proxy.clock(branch.now)
-    tier, window = branch.settings.caches, branch.settings.overload_window
+
+    state = proxy.router.state
+    at = proxy.clock(branch.now)
+    endpoint = state.endpoints.by_id["c0"]
+    tier = branch.settings.caches
+    window = branch.settings.overload_window
     part = (
         tier.overload_multiple
         * capacity.slow_start_share(at - window, endpoint)
         * window
-        * capacity.certain_link(proxy.router.state, endpoint)
+        * capacity.certain_link(state, endpoint)
     )
-    assert capacity.transferred(proxy.router.state, at, key, part) <= -donated
+    assert capacity.transferred(state, at, key, part) <= -donated
+
     branch.run(5 * SECOND)
+
     assert capacity.transferred(proxy.router.state, proxy.clock(branch.now), key, part) == 0
 
 
@@ -122,6 +129,7 @@
         for _ in range(120):
             branch.run(50 * MS)
             branch.check_quotas()
+
         assert not branch.counts.quotas_exceeded
         assert branch.counts.quota_checks
         return branch.counts.served
@@ -136,6 +144,7 @@
     branch.run(SECOND)
     key = api.QuotaKey(api.QuotaKind.SLOW_START, "c0", branch.caches["c0"].started)
     donor = branch.proxies[0]
+
     branch.links["s0"].cut = 1.0
     branch.proxies[1].handle_store_event(api.RequestQuota(key, 1e6))
     branch.run(60 * MS)
@@ -145,7 +154,10 @@
         branch.run(10 * MS)
         branch.links["s0"].cut = 1.0 if donor.router.state.quotas else 0.0
         branch.check_quotas()
+
     assert donor.router.state.quotas
     assert not branch.counts.quotas_exceeded
+
     branch.run(300 * MS)
+
     assert capacity.transferred(donor.router.state, donor.clock(branch.now), key, 0.0) < 0
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -17,11 +17,15 @@
 from tests.proxy_harness import OBJECT_NAME, WAIT_TIMEOUT_S, HttpClient, toy_config
 
 
-def test_version_and_help_are_printed(capsys: pytest.CaptureFixture[str]) -> None:
+def test_version_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["version"]) == 0
     assert capsys.readouterr().out == f"olivepost {__version__}\n"
+
+
+def test_help_is_printed(capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit) as ended:
         main(["--help"])
+
     assert not ended.value.code
     assert "Examples:" in capsys.readouterr().out
 
@@ -31,14 +35,21 @@
     assert "can be used" in capsys.readouterr().out
 
 
-def test_sharing_command_without_a_section_or_with_an_unknown_store_ends_with_code_2(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
+def test_sharing_command_without_a_section_ends_with_code_2(
+    monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.delenv("OLIVEPOST_OPERATOR", raising=False)
+
     assert main(["sharing", "ping"]) == 2
     assert "no section 'sharing'" in capsys.readouterr().err
+
+
+def test_sharing_command_with_an_unknown_store_ends_with_code_2(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     path = tmp_path / "operator.yaml"
     path.write_text("sharing:\n  branch: w\n  stores: [{name: s, address: '127.0.0.1:1'}]\n")
+
     assert main(["sharing", "ping", "--operator", str(path), "--store", "x"]) == 2
     assert capsys.readouterr().err == "olivepost: no store 'x'; there are s\n"
 
@@ -48,6 +59,7 @@
 ) -> None:
     monkeypatch.delitem(sys.modules, "olivepost.operator_config.loader", raising=False)
     monkeypatch.setitem(sys.modules, "yaml", None)
+
     assert main(["check", "--operator", "any.yaml"]) == 2
     assert capsys.readouterr().err == (
         "olivepost: an operator's file needs the package 'yaml': pip install .[all]\n"
@@ -65,7 +77,9 @@
 ) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(toy_config(listen="nowhere")))
+
     assert main([command, "--config", str(path)]) == 2
+
     error = capsys.readouterr().err
     assert "'listen'" in error
     assert error.count("\n") == 1
@@ -81,6 +95,7 @@
             text=True,
             timeout=60,
         )
+
     assert done.returncode == 1
     assert done.stderr.startswith("olivepost: can't listen on")
     assert done.stderr.count("\n") == 1
