--- a/benchmarks/branch/__init__.py
+++ b/benchmarks/branch/__init__.py
@@ -1,13 +1,15 @@
-"""An emulated branch, by decision parts alone: routers and store coordinators, modelled caches and stores.
+"""An emulated branch: real routers, store coordinators and scripts before modelled caches and stores.
 
-One process, no sockets, virtual time. Every proxy has a clock of its own (offset and rate); stores run the
-real scripts. Faults of the link to a store: replies lost, cut after the work was done, duplicated, late; of a
-store: silent, empty, back from a snapshot; of a proxy: paused, killed and started anew.
+One process, no sockets, virtual time. Each proxy has a clock of its own (offset and rate).
+
+Faults of the link to a store: commands lost, replies lost, duplicated, late. Faults of a store: unresponsive,
+empty, restored from a snapshot. Faults of a proxy: paused, restarted.
 """
 
-from benchmarks.branch.branch import Branch, BranchOptions
+from benchmarks.branch.branch import Branch
 from benchmarks.branch.cache import Cache
 from benchmarks.branch.counts import Counts
+from benchmarks.branch.options import BranchOptions
 from benchmarks.branch.proxy import EmulatedProxy
 from benchmarks.branch.settings import settings
 from benchmarks.branch.store_link import StoreLink
--- a/benchmarks/branch/budget_audit.py
+++ b/benchmarks/branch/budget_audit.py
@@ -1,4 +1,7 @@
-"""Whether proxies' parts of a cold cache's quota, with transfers, stay within the whole; how much is used."""
+"""Audits of a warming cache's quotas: the proxies' parts against the whole, and the use of its budget.
+
+Reads the proxies' routing state and changes nothing.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +12,18 @@
 from benchmarks.branch.proxy import EmulatedProxy
 from olivepost import interface as api
 from olivepost.routing import capacity
+from olivepost.units import Duration, Instant
 
 RELATIVE_TOLERANCE = 1e-9  # of sums of floating point numbers
 ABSOLUTE_TOLERANCE = 1e-6
-STEPS_PER_WINDOW = 4  # in which the use of a budget is looked at
+STEPS_PER_WINDOW = 4  # at which the use of a budget is sampled
 
 
 class QuotaSums(NamedTuple):
-    """What proxies may use of an endpoint's quota by parts and transfers, and the parts alone."""
+    """Sums over all proxies, of one quota of an endpoint."""
 
-    usable: float = 0.0
-    whole: float = 0.0
+    usable: float = 0.0  # the parts with what was transferred
+    whole: float = 0.0  # the parts alone
 
     def add(self, part: float, transferred: float) -> QuotaSums:
         """The sums with one more proxy's part."""
@@ -30,18 +34,17 @@
         return self.usable > self.whole * (1 + RELATIVE_TOLERANCE) + ABSOLUTE_TOLERANCE
 
 
-def count_exceeded_quotas(now: int, proxies: Sequence[EmulatedProxy], name: str, cache: Cache) -> int:
-    """How many of a cold cache's two quotas, slow start budget and concurrency, are exceeded now."""
+def count_exceeded_quotas(now: Instant, proxies: Sequence[EmulatedProxy], name: str, cache: Cache) -> int:
+    """How many of a cache's two quotas, slow start budget and concurrency, are exceeded now."""
     budget = QuotaSums()
     concurrency = QuotaSums()
-    started_at = cache.started or None
-    slow_start_key = api.QuotaKey(api.QuotaKind.SLOW_START, name, started_at)
-    concurrency_key = api.QuotaKey(api.QuotaKind.CONCURRENCY, name, started_at)
+    slow_start_key = api.QuotaKey(api.QuotaKind.SLOW_START, name, cache.started_at)
+    concurrency_key = api.QuotaKey(api.QuotaKind.CONCURRENCY, name, cache.started_at)
     for proxy in proxies:
         state = proxy.router.state
         local_now = proxy.clock(now)
         endpoint = state.endpoints.by_id.get(name)
-        if endpoint is None or endpoint.metadata.started_at != started_at:
+        if endpoint is None or endpoint.metadata.started_at != cache.started_at:
             continue
         window = state.settings.overload_window
         share = capacity.slow_start_share(local_now - window, endpoint)
@@ -54,28 +57,29 @@
 
 
 class BudgetUse(NamedTuple):
-    """Work that a cold cache was sent in the windows since its start, and its whole budget for them."""
+    """Work within the windows since a cache's start, as transfer time at full rate."""
 
-    used: float
-    whole: float
+    used: float  # ns
+    whole: float  # ns; the budget of all proxies for these windows
 
 
-def slow_start_use(now: int, settings: api.Settings, cache: Cache) -> BudgetUse:
-    """How much of a cold cache's budget was used so far."""
+def slow_start_use(now: Instant, settings: api.Settings, cache: Cache) -> BudgetUse:
+    """How much of a cache's slow start budget was used so far; its start is known."""
+    assert cache.started_at is not None
     window = settings.overload_window
     used = 0.0
     whole = 0.0
-    start = cache.started
-    end = min(now, cache.started + settings.caches.slow_start_duration)
+    start = cache.started_at
+    end = min(now, cache.started_at + settings.caches.slow_start_duration)
     while start + window <= end:
-        used += sum(work for sent_at, work in cache.work if start <= sent_at < start + window)
-        whole += _whole_budget(settings, cache, start - cache.started)
+        used += sum(work.amount for work in cache.work if start <= work.sent_at < start + window)
+        whole += _whole_budget(settings, cache, start - cache.started_at)
         start += window // STEPS_PER_WINDOW
     return BudgetUse(used, whole)
 
 
-def _whole_budget(settings: api.Settings, cache: Cache, age: int) -> float:
-    """The budget of all proxies together for a window, at an age of the cache."""
+def _whole_budget(settings: api.Settings, cache: Cache, age: Duration) -> float:
+    """The budget of all proxies together for one window, at an age of the cache."""
     tier = settings.caches
     initial_share = tier.slow_start_initial_share
     share = initial_share + (1 - initial_share) * age / tier.slow_start_duration
--- a/benchmarks/branch/cache.py
+++ b/benchmarks/branch/cache.py
@@ -1,4 +1,7 @@
-"""Modelled caches: what they store and fill, and how they answer an attempt."""
+"""Modelled caches: what they store and fill, and how they respond to an attempt.
+
+Owns the caches' contents and their fills. The simulation's owner calls it; proxies only get responses.
+"""
 
 from __future__ import annotations
 
@@ -9,13 +12,14 @@
 from benchmarks.branch.counts import Counts
 from benchmarks.branch.simulation import Simulation
 from olivepost import interface as api
-from olivepost.units import MILLISECOND, SECOND
+from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-MAX_CLOCK_DRIFT = 0.004  # share by which a proxy's clock runs fast or slow
-PARENT_LATENCY = 80 * MILLISECOND  # of an attempt that goes straight to a parent
-MISS_LATENCY = 2 * MILLISECOND
-TRANSFER_LATENCY = 5 * MILLISECOND  # of a response after its fill has ended
-INVALIDATION_DELAY = 300 * MILLISECOND  # that a proxy may take to learn of an invalidation
+PARENT_WEIGHT = 40.0  # concurrent transfers of the parent and of the origin
+PARENT_LATENCY: Duration = 80 * MILLISECOND  # of an attempt that goes straight to a parent
+MISS_LATENCY: Duration = 2 * MILLISECOND
+TRANSFER_LATENCY: Duration = 5 * MILLISECOND  # of a response after its fill has ended
+INVALIDATION_DELAY: Duration = 300 * MILLISECOND  # until a proxy has certainly received an invalidation
+MAX_CLOCK_DRIFT_SHARE = 0.004  # by which a proxy's clock runs fast or slow
 
 
 class CacheResponse(NamedTuple):
@@ -23,49 +27,65 @@
 
     status: api.AttemptStatus
     cache_status: api.CacheStatus
-    latency: int
+    latency: Duration
+
+
+class ReceivedWork(NamedTuple):
+    """Work that a cache was sent, as transfer time at full rate."""
 
+    sent_at: Instant
+    amount: float  # ns
 
-@dataclass
+
+@dataclass(slots=True)
 class Cache:
-    """The names that a cache stores since when, and its fills until when; least recently used first."""
+    """One cache, which evicts the least recently used name."""
 
     capacity: int  # names
-    weight: float  # transfers that it carries at once
-    started: int = 0  # 0: long ago
-    stored: dict[str, int] = field(default_factory=dict)
-    filling: dict[str, int] = field(default_factory=dict)
-    work: list[tuple[int, float]] = field(default_factory=list)  # sent to it: when, how much
-
-    def restart(self, now: int) -> None:
-        """Comes back empty and cold."""
+    weight: float  # concurrent transfers
+    started_at: Instant | None = None  # None: long ago
+    stored: dict[str, Instant] = field(default_factory=dict)  # by name, the least recently used first
+    filling: dict[str, Instant] = field(default_factory=dict)  # the end of the fill in flight, by name
+    work: list[ReceivedWork] = field(default_factory=list)  # since its start
+
+    def restart(self, now: Instant) -> None:
+        """Starts a new process, which is empty and warms up."""
         self.stored = {}
         self.filling = {}
         self.work = []
-        self.started = now
+        self.started_at = now
+
+    def look_up(self, now: Instant, name: str, max_age: Duration | None) -> Instant | None:
+        """When the response that may be served was stored; None: there is none. It becomes the last used.
 
-    def look_up(self, now: int, name: str, max_age: int | None) -> int | None:
-        """When the response that may be served was stored; it is the latest used now. No maximum: any age."""
+        Without a maximum age, a response of any age may be served.
+        """
         stored_at = self.stored.get(name)
         if stored_at is None or (max_age is not None and now - stored_at > max_age):
             return None
         self.stored[name] = self.stored.pop(name)
         return stored_at
 
-    def is_filling(self, now: int, name: str) -> bool:
-        """Whether a fill of the name is under way."""
-        return self.filling.get(name, 0) > now
+    def is_filling(self, now: Instant, name: str) -> bool:
+        """Whether a fill of the name is in flight."""
+        ends_at = self.filling.get(name)
+        return ends_at is not None and ends_at > now
 
-    def complete_fill(self, name: str, started_at: int) -> None:
-        """Stores what a fill brought, unless the cache was restarted meanwhile."""
-        if self.filling.pop(name, 0) and self.started <= started_at:
-            self.stored[name] = started_at
-            while len(self.stored) > self.capacity:
-                del self.stored[next(iter(self.stored))]
+    def complete_fill(self, name: str, fill_started_at: Instant) -> None:
+        """Stores a filled response, unless the cache was restarted since its fill began."""
+        is_in_flight = self.filling.pop(name, None) is not None
+        if not is_in_flight or (self.started_at is not None and self.started_at > fill_started_at):
+            return
+        self.stored[name] = fill_started_at
+        while len(self.stored) > self.capacity:
+            del self.stored[next(iter(self.stored))]
 
 
 class CacheTier:
-    """All caches of a branch, which know of each other what proxies don't."""
+    """All caches of a branch, with what no proxy knows: the others' contents and all invalidations.
+
+    Counts fills, double fills and responses that an invalidation should have kept from being served.
+    """
 
     def __init__(
         self,
@@ -73,23 +93,34 @@
         settings: api.Settings,
         counts: Counts,
         caches: dict[str, Cache],
-        fill_durations: tuple[int, int],
+        fill_durations: tuple[Duration, Duration],
     ) -> None:
         self.caches = caches
+        self.invalidated_at: dict[int, Instant] = {}  # the last invalidation of each group
         self._counts = counts
-        self.invalidated_at: dict[int, int] = {}  # the last invalidation of each group
         self._simulation = simulation
         self._settings = settings
         self._fill_durations = fill_durations
 
+    def listed_endpoints(self) -> tuple[api.EndpointMetadata, ...]:
+        """The endpoint list: the caches, one parent and the origin."""
+        ready = api.EndpointState.READY
+        caches = [
+            api.EndpointMetadata(name, ready, "standard", "west", 0, cache.weight, cache.started_at)
+            for name, cache in self.caches.items()
+        ]
+        parent = api.EndpointMetadata("p", ready, "parent", "hub", 0, PARENT_WEIGHT)
+        origin = api.EndpointMetadata("o", ready, "origin", "hub", 0, PARENT_WEIGHT)
+        return (*caches, parent, origin)
+
     def respond(self, request: api.Request, attempt: api.ForwardAttempt) -> CacheResponse:
-        """How a cache answers an attempt: from its store, by a fill under way, or by one of its own."""
+        """Takes an attempt; responds from the cache, or by a fill in flight or a new one."""
         now = self._simulation.now
         cache = self.caches.get(attempt.cache)
         if cache is None:
             return CacheResponse(api.AttemptStatus.OK, api.CacheStatus.FILLED, PARENT_LATENCY)
         work = self._work_of(request)
-        cache.work.append((now, work))
+        cache.work.append(ReceivedWork(now, work))
         name = f"{request.object}.{request.part}"
         max_age = attempt.max_age or self._settings.classes[request.class_name].freshness_lifetime
         stored_at = cache.look_up(now, name, max_age)
@@ -105,44 +136,54 @@
         return CacheResponse(api.AttemptStatus.OK, api.CacheStatus.FILLED, duration + TRANSFER_LATENCY)
 
     def _work_of(self, request: api.Request) -> float:
-        """The time that sending the response takes at full rate; a branch knows its requests' sizes."""
+        """The transfer time of the response at full rate; a branch knows its requests' sizes."""
         rate = self._settings.transfer_rate_kb_per_s
         assert request.size_kb is not None
         assert rate is not None
         return request.size_kb / rate * SECOND
 
-    def _start_fill(self, cache: Cache, name: str, group: int) -> int:
-        """Starts a fill; its duration."""
+    def _start_fill(self, cache: Cache, name: str, group: int) -> Duration:
+        """Starts a fill and returns its duration."""
         now = self._simulation.now
         self._counts.fills += 1
-        if self._has_other_copy(cache, name, self.invalidated_at.get(group, 0)):
+        if self._is_in_another_cache(cache, name, self.invalidated_at.get(group)):
             self._counts.double_fills += 1
         duration = self._simulation.draw.randrange(*self._fill_durations)
         cache.filling[name] = now + duration
         self._simulation.after(duration, None, lambda: cache.complete_fill(name, now))
         return duration
 
-    def _has_other_copy(self, cache: Cache, name: str, invalidated_at: int) -> bool:
+    def _is_in_another_cache(self, cache: Cache, name: str, invalidated_at: Instant | None) -> bool:
+        """Whether another cache is filling the name, or stores it since the last invalidation."""
         now = self._simulation.now
-        others = [other for other in self.caches.values() if other is not cache]
-        return any(
-            other.stored.get(name, 0) > invalidated_at or other.is_filling(now, name) for other in others
-        )
-
-    def _check_age(self, request: api.Request, stored_at: int) -> None:
-        """Rule 5, by as much as the proxy's clock may run wrong: it bounds the age by its own."""
+        for other in self.caches.values():
+            if other is cache:
+                continue
+            stored_at = other.stored.get(name)
+            is_stored = stored_at is not None and (invalidated_at is None or stored_at > invalidated_at)
+            if is_stored or other.is_filling(now, name):
+                return True
+        return False
+
+    def _check_age(self, request: api.Request, stored_at: Instant) -> None:
+        """The invalidation invariant: no response older than an invalidation that proxies have received.
+
+        A proxy bounds the age by its own clock, which may drift.
+        """
         now = self._simulation.now
-        invalidated_at = self.invalidated_at.get(request.group or 0, 0)
-        if not invalidated_at or now <= invalidated_at + INVALIDATION_DELAY:
+        invalidated_at = self.invalidated_at.get(request.group or 0)
+        if invalidated_at is None or now <= invalidated_at + INVALIDATION_DELAY:
             return
-        if now - stored_at > (now - invalidated_at) * (1 + MAX_CLOCK_DRIFT):
+        if now - stored_at > (now - invalidated_at) * (1 + MAX_CLOCK_DRIFT_SHARE):
             self._counts.served_invalidated += 1
 
-    def drop_stored_before(self, time: int, is_affected: Callable[[str], bool]) -> None:
-        """Removes the affected names that were stored before a time from all caches."""
+    def drop_stored_before(self, invalidated_at: Instant, is_affected: Callable[[str], bool]) -> None:
+        """Removes the affected names that were stored before an invalidation from all caches."""
         for cache in self.caches.values():
             stale = [
-                name for name, stored_at in cache.stored.items() if stored_at < time and is_affected(name)
+                name
+                for name, stored_at in cache.stored.items()
+                if stored_at < invalidated_at and is_affected(name)
             ]
             for name in stale:
                 del cache.stored[name]
--- a/benchmarks/branch/settings.py
+++ b/benchmarks/branch/settings.py
@@ -3,13 +3,13 @@
 from __future__ import annotations
 
 from olivepost import interface as api
-from olivepost.units import MILLISECOND, SECOND
+from olivepost.units import MILLISECOND, SECOND, Duration
 
-DEFAULT_STORE_TIMEOUT = 10 * MILLISECOND
+DEFAULT_STORE_TIMEOUT: Duration = 10 * MILLISECOND
 
 
 def request_class() -> api.ClassSettings:
-    """The one class of requests: idempotent reads that stay fresh."""
+    """The only class of requests: idempotent, with responses that stay fresh."""
     return api.ClassSettings(
         name="image",
         latency_objective=300 * MILLISECOND,
@@ -28,8 +28,8 @@
     )
 
 
-def settings(proxies: int, store_timeout: int = DEFAULT_STORE_TIMEOUT) -> api.Settings:
-    """A branch of so many proxies, whose endpoints' weights are known."""
+def settings(proxies: int, store_timeout: Duration = DEFAULT_STORE_TIMEOUT) -> api.Settings:
+    """Settings for a number of proxies, with known weights of endpoints."""
     only_class = request_class()
     return api.Settings(
         classes={only_class.name: only_class},
--- a/benchmarks/branch/store_link.py
+++ b/benchmarks/branch/store_link.py
@@ -1,4 +1,7 @@
-"""The way from proxies to stores, with its faults, and the stores' scripts at its end."""
+"""The links from proxies to stores, with their faults, and the run of scripts in the stores.
+
+A command is lost, or arrives after a latency and runs at once; its reply is lost, or arrives once or twice.
+"""
 
 from __future__ import annotations
 
@@ -10,12 +13,12 @@
 from benchmarks.branch.simulation import Simulation
 from olivepost.shared_store import messages, scripts
 from olivepost.shared_store.coordinator import StoreCoordinator
-from olivepost.units import MILLISECOND
+from olivepost.units import MILLISECOND, Duration, Instant
 from standins.redis.errors import CommandError
 from standins.redis.keyspace import Keyspace
 
-LOSS_TIMEOUT = 250 * MILLISECOND  # after which a proxy gives a reply up
-SLOW_FACTOR = 100
+LOSS_TIMEOUT: Duration = 250 * MILLISECOND  # after which a proxy counts a reply as lost
+SLOW_FACTOR = 100  # times the usual latency
 KEY_PREFIX = "t"
 
 
@@ -24,26 +27,26 @@
 
     coordinator: StoreCoordinator | None
     incarnation: int
-    paused_until: int
+    paused_until: Instant | None
 
     def handle_store_event(self, event: messages.Event) -> None:
-        """Takes a reply."""
+        """Passes a reply to the store coordinator."""
 
 
-@dataclass
+@dataclass(slots=True)
 class StoreLink:
-    """The link to one store: the chance of each fault for each command; times in nanoseconds."""
+    """The link to one store, with the chance of each fault for each command, from 0 to 1."""
 
-    lost: float = 0.0
-    cut: float = 0.0  # done, but its reply never comes
-    duplicated: float = 0.0
-    span: tuple[int, int] = (int(0.1 * MILLISECOND), int(0.6 * MILLISECOND))  # latency one way
-    slow: float = 0.0  # chance of a latency a hundred times as long
-    silent_until: int = 0
+    lost: float = 0.0  # the command never arrives
+    cut: float = 0.0  # the command runs, its reply never arrives
+    duplicated: float = 0.0  # the reply arrives twice
+    slow: float = 0.0  # the latency is a hundred times as long
+    latency_range: tuple[Duration, Duration] = (MILLISECOND // 10, 6 * MILLISECOND // 10)  # one way
+    unresponsive_until: Instant | None = None  # the store runs no command; None: it runs them
 
 
 class StoreLinks:
-    """The links of all proxies to all stores."""
+    """One link to each store, which all proxies share. Not thread-safe: the simulation's owner calls it."""
 
     def __init__(
         self,
@@ -57,7 +60,7 @@
         self._audit = audit
 
     def send(self, client: StoreClient, command: messages.StoreCommand) -> None:
-        """Carries a command to its store and the reply back, as far as the link's faults let it."""
+        """Sends a command to its store, and later the reply to the client, subject to the link's faults."""
         link = self.by_store[command.store]
         incarnation = client.incarnation
         if self._simulation.draw.random() < link.lost:
@@ -66,33 +69,33 @@
             arrive = partial(self._arrive, client, incarnation, command)
             self._simulation.after(self._latency(link), None, arrive)
 
-    def _latency(self, link: StoreLink) -> int:
+    def _latency(self, link: StoreLink) -> Duration:
         factor = SLOW_FACTOR if self._simulation.draw.random() < link.slow else 1
-        return int(self._simulation.draw.uniform(*link.span) * factor)
+        return int(self._simulation.draw.uniform(*link.latency_range) * factor)
 
     def _lose(self, client: StoreClient, incarnation: int, command: messages.StoreCommand) -> None:
         lost = messages.ReplyLost(command.ticket, "no answer")
         self._simulation.after(LOSS_TIMEOUT, client, partial(deliver, client, incarnation, lost))
 
     def _arrive(self, client: StoreClient, incarnation: int, command: messages.StoreCommand) -> None:
-        """The command is at its store, which runs it unless it is silent."""
+        """Runs a command that has arrived at its store, unless the store is unresponsive."""
         link = self.by_store[command.store]
-        if self._simulation.now < link.silent_until:
+        if link.unresponsive_until is not None and self._simulation.now < link.unresponsive_until:
             self._lose(client, incarnation, command)
             return
         reply = self.run_script(client, command)
         if self._simulation.draw.random() < link.cut:
             self._lose(client, incarnation, command)
             return
-        answer = partial(deliver, client, incarnation, reply)
-        self._simulation.after(self._latency(link), client, answer)
+        deliver_reply = partial(deliver, client, incarnation, reply)
+        self._simulation.after(self._latency(link), client, deliver_reply)
         if self._simulation.draw.random() < link.duplicated:
-            self._simulation.after(self._latency(link) + self._latency(link), client, answer)
+            self._simulation.after(self._latency(link) + self._latency(link), client, deliver_reply)
 
     def run_script(
         self, client: StoreClient, command: messages.StoreCommand
     ) -> messages.StoreReply | messages.ReplyLost:
-        """Runs a command's script in its store, and audits what it grants."""
+        """Runs a command's script in its store at once, and audits the reply."""
         assert client.coordinator is not None
         script = scripts.encode_operation(command.operation, KEY_PREFIX, client.coordinator.terms.incarnation)
         try:
@@ -105,15 +108,17 @@
 
 
 def deliver(client: StoreClient, incarnation: int, event: messages.Event) -> None:
-    """Hands a reply to the process that asked, if it still runs."""
+    """Passes a reply to the process that sent the command, if it still runs."""
     if incarnation == client.incarnation:
         client.handle_store_event(event)
 
 
 def run(store: Keyspace, script: scripts.ScriptCall) -> object:
-    """Runs a script by its digest, after loading it where the store lacks it."""
-    words = [word if isinstance(word, bytes) else str(word).encode() for word in script.arguments]
+    """Runs a script by its digest; loads it first where the store does not have it."""
+    arguments = [
+        argument if isinstance(argument, bytes) else str(argument).encode() for argument in script.arguments
+    ]
     digest = scripts.DIGESTS[script.name]
     if digest not in store.scripts:
         store.call([b"SCRIPT", b"LOAD", scripts.SCRIPT_TEXTS[script.name].encode()])
-    return store.call([b"EVALSHA", digest.encode(), b"1", script.key.encode(), *words])
+    return store.call([b"EVALSHA", digest.encode(), b"1", script.key.encode(), *arguments])
--- a/benchmarks/modelled_branch.py
+++ b/benchmarks/modelled_branch.py
@@ -70,7 +70,9 @@
     for _ in range(BUDGET_CHECKS):
         branch.run(BUDGET_CHECK_INTERVAL)
         branch.check_quotas()
-    uses = [branch.slow_start_use(name) for name, cache in branch.caches.items() if cache.started]
+    uses = [
+        branch.slow_start_use(name) for name, cache in branch.caches.items() if cache.started_at is not None
+    ]
     used_share = sum(use.used for use in uses) / sum(use.whole for use in uses)
     counts = branch.counts
     return BudgetRun(used_share, counts.quotas_exceeded, counts.served, counts.requests)
@@ -132,7 +134,7 @@
             2: self._change_link,
             3: partial(self._rarely, self._restore_snapshot),
             4: partial(self._rarely, self._store.lose),
-            5: self._silence_store,
+            5: self._make_store_unresponsive,
             6: partial(self._rarely, self._restart_cache),
             7: self._invalidate_group,
             8: self._store.snapshot,
@@ -172,8 +174,8 @@
     def _restore_snapshot(self) -> None:
         self._store.go_back(self._draw.randrange(MAX_SNAPSHOT_AGE_MS))
 
-    def _silence_store(self) -> None:
-        self._link.silent_until = self.branch.now + self._draw.randrange(MAX_SILENCE)
+    def _make_store_unresponsive(self) -> None:
+        self._link.unresponsive_until = self.branch.now + self._draw.randrange(MAX_SILENCE)
 
     def _restart_cache(self) -> None:
         self.branch.restart_cache(f"c{self._draw.randrange(HOSTILE_CACHES)}")
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -192,7 +192,7 @@
     (key,) = location_keys(branch)
     cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     branch.restart_cache(cache_with_name)
-    branch.caches[cache_with_name].started = branch.now - 3600 * SECOND  # warm: a lookup comes first
+    branch.caches[cache_with_name].started_at = branch.now - 3600 * SECOND  # warm: a lookup comes first
     branch.publish_endpoints()
     proxy = branch.proxies[1]
     proxy.handle_store_event(
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -65,7 +65,7 @@
 
     @rule(span=st.integers(50, 2000))
     def silence(self, span: int) -> None:
-        self.branch.links["s0"].silent_until = self.branch.now + span * MS
+        self.branch.links["s0"].unresponsive_until = self.branch.now + span * MS
 
     @rule(name=st.sampled_from(["c0", "c1"]))
     def restart_cache(self, name: str) -> None:
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -95,7 +95,7 @@
     branch.restart_cache("c0")
     branch.run(SECOND)
     proxy = branch.proxies[0]
-    key = api.QuotaKey(api.QuotaKind.SLOW_START, "c0", branch.caches["c0"].started)
+    key = api.QuotaKey(api.QuotaKind.SLOW_START, "c0", branch.caches["c0"].started_at)
     proxy.handle_routing_event(api.QuotaRequested(1, key, 1e12, proxy.clock(branch.now) + SECOND))
     donated = -capacity.transferred(proxy.router.state, proxy.clock(branch.now), key, 0.0)
     assert donated > 0
@@ -134,7 +134,7 @@
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
-    key = api.QuotaKey(api.QuotaKind.SLOW_START, "c0", branch.caches["c0"].started)
+    key = api.QuotaKey(api.QuotaKind.SLOW_START, "c0", branch.caches["c0"].started_at)
     donor = branch.proxies[0]
     branch.links["s0"].cut = 1.0
     branch.proxies[1].handle_store_event(api.RequestQuota(key, 1e6))
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -27,7 +27,7 @@
     branch = make_branch(2)
     branch.load(100, 10 * SECOND)
     branch.run(2 * SECOND)
-    branch.links["s0"].silent_until = branch.now + 6 * SECOND
+    branch.links["s0"].unresponsive_until = branch.now + 6 * SECOND
     branch.run(SECOND)
     before = branch.counts.lookups
 
@@ -112,7 +112,7 @@
     branch.load(100, 4 * SECOND)
     branch.run(SECOND)
 
-    branch.links["s1"].silent_until = branch.now + 60 * SECOND
+    branch.links["s1"].unresponsive_until = branch.now + 60 * SECOND
     branch.run(4 * SECOND)
 
     for proxy in branch.proxies:
@@ -125,7 +125,7 @@
 def test_reply_three_seconds_late_publishes_nothing() -> None:
     """Whether the lease was granted is unknown: the fill goes on as without a store, unpublished."""
     branch = make_branch()
-    branch.links["s0"].span = (1500 * MS, 1500 * MS + 1)
+    branch.links["s0"].latency_range = (1500 * MS, 1500 * MS + 1)
 
     branch.request(branch.proxies[0], NAME)
     branch.run(900 * MS)
