--- a/benchmarks/branch/lease_audit.py
+++ b/benchmarks/branch/lease_audit.py
@@ -10,7 +10,7 @@
 
 from benchmarks.branch.counts import Counts
 from benchmarks.branch.simulation import Simulation
-from olivepost.shared_store import messages
+from olivepost.shared_store import messages, operations
 from olivepost.shared_store.coordinator import StoreCoordinator
 from olivepost.units import MILLISECOND, Instant
 from standins.redis.keyspace import Keyspace
@@ -63,19 +63,19 @@
         """Records a script's reply."""
         outcome = reply.values[0] if reply.values else b""
         operation = command.operation
-        if outcome == GRANTED and isinstance(operation, messages.LookUp):
+        if outcome == GRANTED and isinstance(operation, operations.LookUp):
             self._record_grant(holder, command.store, operation, int(cast("bytes", reply.values[1])))
-        elif outcome == PUBLISHED and isinstance(operation, messages.PublishLocation):
+        elif outcome == PUBLISHED and isinstance(operation, operations.PublishLocation):
             self._record_publication(command.store, operation)
 
-    def _record_publication(self, store: str, publication: messages.PublishLocation) -> None:
+    def _record_publication(self, store: str, publication: operations.PublishLocation) -> None:
         number, _, _ = publication.lease.partition(b" ")
         last = self._grants.get((store, publication.name))
         if last is None or last.number != int(number):
             self._counts.stale_publications += 1
             self._counts.lease_conflicts += 1
 
-    def _record_grant(self, holder: LeaseHolder, store: str, lookup: messages.LookUp, number: int) -> None:
+    def _record_grant(self, holder: LeaseHolder, store: str, lookup: operations.LookUp, number: int) -> None:
         """Checks that a name's lease numbers grow and that no two leases of one generation overlap."""
         key = (store, lookup.name)
         last = self._grants.get(key)
@@ -94,7 +94,7 @@
         expires_at = self._simulation.now + lookup.lease.duration_ms * MILLISECOND
         self._grants[key] = Grant(number, expires_at, incarnation)
 
-    def _has_another_holder(self, holder: LeaseHolder, lookup: messages.LookUp) -> bool:
+    def _has_another_holder(self, holder: LeaseHolder, lookup: operations.LookUp) -> bool:
         """Whether the lease is active by the clock of a holder other than this one."""
         return any(
             other.coordinator is not None
--- a/benchmarks/branch/proxy.py
+++ b/benchmarks/branch/proxy.py
@@ -15,6 +15,7 @@
 from olivepost.router import Router
 from olivepost.shared_store import messages
 from olivepost.shared_store.coordinator import StoreCoordinator
+from olivepost.shared_store.terms import SharingTerms
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
 TICK_INTERVAL: Duration = 5 * MILLISECOND  # of the store coordinator
@@ -66,7 +67,7 @@
     def _start_coordinator(self, restored: api.EndpointUpdate) -> None:
         environment = self._environment
         draw = self._simulation.draw
-        terms = messages.SharingTerms(
+        terms = SharingTerms(
             proxy=f"n{self.number}",
             incarnation=f"{draw.getrandbits(INCARNATION_BITS):016x}",
             stores=tuple(environment.store_links.by_store),
--- a/tests/proxy/upstream/fakes.py
+++ b/tests/proxy/upstream/fakes.py
@@ -25,7 +25,7 @@
 )
 
 
-def make_exchange(etag: str = "", idempotency_key: str = "") -> Exchange:
+def make_exchange(etag: str | None = None, idempotency_key: str | None = None) -> Exchange:
     return Exchange(
         id=REQUEST_ID,
         class_name="segment",
