--- a/olivepost/action_emitter.py
+++ b/olivepost/action_emitter.py
@@ -20,11 +20,13 @@
         self._actions: list[api.Action] = []
         self.emit: Callable[[api.Action], None] = self._actions.append  # bound once: several calls a request
 
-    def take(self) -> list[api.Action]:
-        """Returns what was emitted since the last call."""
-        actions = self._actions.copy()
+    def start_event(self) -> None:
+        """Drops what is left of an event whose handling failed."""
         self._actions.clear()
-        return actions
+
+    def take(self) -> list[api.Action]:
+        """Returns what was emitted for the event in hand."""
+        return self._actions.copy()
 
     def set_timer(self, delay: Duration, callback: TimerCallback) -> int:
         """Emits a timer that calls back once it has fired; returns its id."""
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -44,6 +44,7 @@
 
     def handle(self, now: Instant, event: api.Event) -> list[api.Action]:
         """Takes one event and returns what to do, in order."""
+        self._actions.start_event()
         match event:
             case api.Request():
                 self.requests.arrive(now, event)
