--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -1,4 +1,4 @@
-"""Members, waits and delays that several tests of the whole proxy share."""
+"""Endpoints, waits and delays that several tests of the whole proxy share."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 from olivepost.proxy.upstream.writer import ConnectionWriter
 from tests.proxy_harness import WAIT_TIMEOUT_S, ProxyHarness, toy_config
 
+MS = 1_000_000
 UNCACHED_NAME = "0a3a9c21e0b4d655"  # no toy cache has it
 
 
@@ -22,17 +23,14 @@
     """An endpoint that accepts everything and does not respond."""
 
 
-MS = 1_000_000
-
-
 class DelayedReplies:
-    """Endpoints that respond once the gate is set."""
+    """Endpoints that respond once `may_reply` is set."""
 
     def __init__(self) -> None:
-        self.gate = threading.Event()
+        self.may_reply = threading.Event()
 
     def __call__(self, endpoint: ToyEndpoint, command: Command) -> None:
-        self.gate.wait(WAIT_TIMEOUT_S)
+        self.may_reply.wait(WAIT_TIMEOUT_S)
         respond_normally(endpoint, command)
 
 
@@ -51,6 +49,7 @@
 
 
 def no_attempt_was_sent(proxy: ProxyHarness) -> bool:
+    """Whether no endpoint has received a command."""
     return not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
--- a/tests/proxy/test_buffers.py
+++ b/tests/proxy/test_buffers.py
@@ -64,7 +64,7 @@
     assert len(set(map(id, pool.acquire(2) or []))) == 2
 
 
-def test_buffers_take_memory_from_their_first_use_on_and_give_it_back() -> None:
+def test_buffers_take_memory_from_their_first_use_until_they_are_trimmed() -> None:
     pool = BufferPool(100, 4_096)
     assert pool.touched_bytes == 0
     taken = pool.acquire(10)
--- a/tests/proxy/test_cached_responses.py
+++ b/tests/proxy/test_cached_responses.py
@@ -72,18 +72,18 @@
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
 
 
-def test_response_that_was_under_way_at_its_invalidation_is_not_stored() -> None:
-    held = DelayedReplies()
-    with running_proxy(held, **CACHE_CONFIG) as proxy, proxy.connect() as client:
+def test_response_in_flight_at_its_invalidation_is_not_stored() -> None:
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies, **CACHE_CONFIG) as proxy, proxy.connect() as client:
         assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
-        held.gate.set()
+        delayed_replies.may_reply.set()
         assert client.request()[0] == 200
-        held.gate.clear()
+        delayed_replies.may_reply.clear()
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches(2)
         proxy.coordinator.add(evict={"shard": 17, "unix_ms": time.time_ns() // 1_000_000})
         assert proxy.wait_until(lambda: len(proxy.parts.event_loop.router.state.invalidations) == 1)
-        held.gate.set()
+        delayed_replies.may_reply.set()
         assert client.read_response()[0] == 200
         assert len(proxy.parts.response_cache) == 0
 
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -25,12 +25,37 @@
             assert proxy.parts.event_loop.pending_count == 1
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         assert proxy.wait_until(lambda: any(cache.received("abort") for cache in proxy.caches))
-        assert [it.id for cache in proxy.caches for it in cache.received("abort")] == [command.id]
+        assert [command.id for cache in proxy.caches for command in cache.received("abort")] == [command.id]
 
 
 Disconnect = Callable[[socket.socket], object]
 
 
+def delay_abandonment(monkeypatch: pytest.MonkeyPatch, may_notice: threading.Event) -> None:
+    """The event loop ignores disconnects until the event is set."""
+    abandon = ExchangeLifecycle.abandon
+
+    def abandon_late(self: ExchangeLifecycle, now: int, exchange: Any, response: Any) -> None:
+        if response is not None or may_notice.is_set():
+            abandon(self, now, exchange, response)
+
+    monkeypatch.setattr(ExchangeLifecycle, "abandon", abandon_late)
+
+
+def delay_reader(monkeypatch: pytest.MonkeyPatch, may_notice: threading.Event) -> None:
+    """Readers of clients wait for the event before their second read."""
+    wait_readable = sockets.wait_readable
+    has_read = threading.Event()
+
+    def wait_longer(sock: socket.socket) -> bool:
+        if has_read.is_set() and threading.current_thread().name.startswith("Dummy"):
+            may_notice.wait(WAIT_TIMEOUT_S)
+        has_read.set()
+        return wait_readable(sock)
+
+    monkeypatch.setattr(sockets, "wait_readable", wait_longer)
+
+
 def reset(sock: socket.socket) -> None:
     """Closes with a reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -38,46 +63,35 @@
 
 
 @pytest.mark.parametrize(
-    "leave",
+    "disconnect",
     [socket.socket.close, reset, lambda sock: sock.shutdown(socket.SHUT_WR)],
     ids=["close", "reset", "half-close"],
 )
-@pytest.mark.parametrize("who", ["engine", "reader"])
+@pytest.mark.parametrize("late_thread", ["event loop", "reader"])
 def test_no_attempt_starts_for_a_client_that_has_disconnected(
-    delayed_connects: DelayedConnects, monkeypatch: pytest.MonkeyPatch, leave: Disconnect, who: str
+    delayed_connects: DelayedConnects,
+    monkeypatch: pytest.MonkeyPatch,
+    disconnect: Disconnect,
+    late_thread: str,
 ) -> None:
     """The disconnect has not been handled yet: it waits in the event loop's queue, or for its reader."""
-    late = threading.Event()
-    if who == "engine":
-        abandon = ExchangeLifecycle.abandon
-
-        def abandoned(self: ExchangeLifecycle, now: int, exchange: Any, answer: Any) -> None:
-            if answer is not None or late.is_set():
-                abandon(self, now, exchange, answer)
-
-        monkeypatch.setattr(ExchangeLifecycle, "abandon", abandoned)
+    may_notice = threading.Event()
+    if late_thread == "event loop":
+        delay_abandonment(monkeypatch, may_notice)
     else:
-        wait, asked = sockets.wait_readable, threading.Event()
-
-        def waits(sock: socket.socket) -> bool:
-            if asked.is_set() and threading.current_thread().name.startswith("Dummy"):
-                late.wait(WAIT_TIMEOUT_S)
-            asked.set()
-            return wait(sock)
-
-        monkeypatch.setattr(sockets, "wait_readable", waits)
+        delay_reader(monkeypatch, may_notice)
     with running_proxy() as proxy:
         client = proxy.connect()
         client.send(HttpClient.encode_request(timeout_ms=3000))
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 1)
         assert delayed_connects.has_started.wait(WAIT_TIMEOUT_S)
         (connection,) = proxy.parts.downstream.connections.snapshot()
-        leave(client.sock)
+        disconnect(client.sock)
         assert proxy.wait_until(connection.is_closed_by_client)
         delayed_connects.may_connect.set()
         assert proxy.wait_until(lambda: proxy.counter("requests_of_disconnected_clients") == 1)
         assert no_attempt_was_sent(proxy)
-        late.set()
+        may_notice.set()
         client.sock.close()
         with proxy.connect() as other:  # the upstream connection goes on
             assert other.request(part=7)[0] == 200
@@ -86,11 +100,13 @@
 
 
 def test_attempts_of_many_disconnected_clients_are_aborted() -> None:
-    def alive(endpoint: ToyEndpoint, command: Command) -> None:
+    def reply_to_liveness_checks(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "alive":
             respond_normally(endpoint, command)
 
-    with running_proxy(alive, settings=settings_with_idempotency("read_like", aim=15 * SECOND)) as proxy:
+    with running_proxy(
+        reply_to_liveness_checks, settings=settings_with_idempotency("read_like", aim=15 * SECOND)
+    ) as proxy:
         leaving = [proxy.connect() for _ in range(6)]
         for number, client in enumerate(leaving):
             client.send(HttpClient.encode_request(part=number, timeout_ms=15_000))
@@ -99,7 +115,7 @@
             client.sock.close()
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         assert proxy.wait_until(
-            lambda: {it.id for cache in proxy.caches for it in cache.received("abort")} == sent
+            lambda: {command.id for cache in proxy.caches for command in cache.received("abort")} == sent
         )
         assert not any(
             endpoint.failure_score
--- a/tests/proxy/test_client_limits.py
+++ b/tests/proxy/test_client_limits.py
@@ -2,14 +2,15 @@
 
 from __future__ import annotations
 
+import contextlib
 import threading
 import time
 
 import pytest
 
-from examples.toy_server import Command, Coordinator, ToyEndpoint, respond_normally
+from examples.toy_server import Coordinator
 from olivepost.proxy.downstream.connection_admission import SLOT_RETRY_INTERVAL_S
-from tests.proxy.fakes import MS, cache_a_is_draining, draining_entries, idle_connection
+from tests.proxy.fakes import MS, DelayedReplies, cache_a_is_draining, draining_entries, idle_connection
 from tests.proxy_harness import (
     WAIT_TIMEOUT_S,
     HttpClient,
@@ -20,12 +21,11 @@
 
 
 @pytest.mark.usefixtures("small_send_buffer")
-def test_client_that_does_not_read_delays_no_other() -> None:
+def test_client_that_does_not_read_delays_no_other_client() -> None:
     with running_proxy(reply_with_large_body) as proxy:
-        stuck = [
-            request_with_small_receive_buffer(proxy) for _ in range(8)
-        ]  # more than there are writer threads
-        assert proxy.wait_until(lambda: proxy.counter("slow_clients") == 8)
+        count = 8  # more than there are writer threads
+        stuck = [request_with_small_receive_buffer(proxy) for _ in range(count)]
+        assert proxy.wait_until(lambda: proxy.counter("slow_clients") == count)
         with proxy.connect() as client:
             assert client.request()[0] == 200
         for sock in stuck:
@@ -36,14 +36,12 @@
 def test_slow_reader_is_closed_at_an_absolute_limit() -> None:
     with running_proxy(reply_with_large_body, bounds={"slow_client_timeout": 300_000_000}) as proxy:
         sock = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
-        got, pause = 0, threading.Event()
-        try:
-            while piece := sock.recv(64):
-                got += len(piece)
-                pause.wait(0.005)
-        except ConnectionResetError:
-            pass
-        assert got < 240_000
+        received_bytes = 0
+        with contextlib.suppress(ConnectionResetError):
+            while chunk := sock.recv(64):
+                received_bytes += len(chunk)
+                time.sleep(0.005)
+        assert received_bytes < 240_000
         assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 0)
         sock.close()
 
@@ -82,29 +80,24 @@
             client.sock.close()
 
 
-def test_at_the_connection_limit_silent_clients_are_evicted_first() -> None:
+def test_at_the_connection_limit_clients_without_a_request_are_evicted_first() -> None:
     with running_proxy(
         limits={"sockets": 64, "memory_mb": 64}, bounds={"first_request_timeout": 60 * 10**9}
     ) as proxy:
         cap = proxy.parts.config.limits.max_client_connections
-        with proxy.connect() as usual:
-            assert usual.request()[0] == 200
-            quiet = [proxy.connect() for _ in range(2 * cap)]
-            assert all(client.is_closed_by_proxy() for client in quiet[:cap])
-            assert usual.request()[0] == 200
+        with proxy.connect() as served:
+            assert served.request()[0] == 200
+            unused = [proxy.connect() for _ in range(2 * cap)]
+            assert all(client.is_closed_by_proxy() for client in unused[:cap])
+            assert served.request()[0] == 200
             assert proxy.counter("connections_evicted") >= cap
-            for client in quiet:
+            for client in unused:
                 client.sock.close()
 
 
 def test_at_the_connection_limit_busy_clients_are_waited_for() -> None:
-    gate = threading.Event()
-
-    def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        gate.wait(WAIT_TIMEOUT_S)
-        respond_normally(endpoint, command)
-
-    with running_proxy(reply, limits={"sockets": 64, "memory_mb": 64}) as proxy:
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies, limits={"sockets": 64, "memory_mb": 64}) as proxy:
         clients = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
         for client in clients:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
@@ -112,7 +105,7 @@
         with proxy.connect() as late:
             late.send(HttpClient.encode_request())
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
-            gate.set()
+            delayed_replies.may_reply.set()
             assert late.read_response()[0] == 200
             assert [client.read_response()[0] for client in clients] == [200] * len(clients)
         for client in clients:
@@ -122,7 +115,7 @@
 SHORT_TIMEOUTS = {"first_request_timeout": 300_000_000, "keepalive_timeout": 300_000_000}
 
 
-def test_silent_client_is_closed_in_time() -> None:
+def test_idle_client_is_closed_at_its_deadline() -> None:
     with running_proxy(bounds=SHORT_TIMEOUTS) as proxy, proxy.connect() as client:
         assert client.is_closed_by_proxy()
         assert proxy.counter("connection_deadlines_exceeded") >= 1
@@ -132,23 +125,21 @@
 
 
 @pytest.mark.parametrize("data", [b"GET /api/v2/segm", HttpClient.encode_request(Content_Length="9")])
-def test_partial_request_gets_408_in_time_however_slowly_it_comes(data: bytes) -> None:
+def test_partial_request_gets_408_at_its_deadline_although_bytes_arrive(data: bytes) -> None:
     with running_proxy(bounds=SHORT_TIMEOUTS) as proxy, proxy.connect() as client:
         client.sock.settimeout(WAIT_TIMEOUT_S)
         client.send(data)
-        over = threading.Event()
+        is_over = threading.Event()
 
         def trickle() -> None:
-            try:
-                while not over.wait(0.02):
+            with contextlib.suppress(OSError):
+                while not is_over.wait(0.02):
                     client.send(b"x" if b"\r\n" not in data else b"")
-            except OSError:
-                pass
 
         thread = threading.Thread(target=trickle)
         thread.start()
         assert client.read_response()[0] == 408
-        over.set()
+        is_over.set()
         thread.join(WAIT_TIMEOUT_S)
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
@@ -178,12 +169,13 @@
 def test_idle_client_that_then_writes_slowly_has_time_for_its_request() -> None:
     with running_proxy(bounds={"keepalive_timeout": 800 * MS}) as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
-        connection, request = idle_connection(proxy), HttpClient.encode_request()
-        rests = connection.deadline
-        assert rests is not None
+        connection = idle_connection(proxy)
+        request = HttpClient.encode_request()
+        idle_deadline = connection.deadline
+        assert idle_deadline is not None
         client.send(request[:20])
         assert proxy.wait_until(lambda: not connection.parser.is_idle)
-        assert proxy.wait_until(lambda: proxy.parts.clock.now() > rests + 200 * MS)
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > idle_deadline + 200 * MS)
         client.send(request[20:])
         assert client.read_response()[0] == 200
 
@@ -192,19 +184,19 @@
     """A reset could overtake the response; at the limit another is evicted, or none yet."""
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         cap = proxy.parts.config.limits.max_client_connections
-        held = [proxy.connect() for _ in range(cap)]
-        for client in held:
+        served = [proxy.connect() for _ in range(cap)]
+        for client in served:
             assert client.request()[0] == 200
         now = proxy.parts.clock.now()
-        proxy.parts.downstream.context.clock = type("Still", (), {"now": staticmethod(lambda: now)})()
+        proxy.parts.downstream.context.clock = type("StoppedClock", (), {"now": staticmethod(lambda: now)})()
         for connection in proxy.parts.downstream.connections.snapshot():
             connection.idle_since = now
         with proxy.connect() as late:
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
             assert proxy.counter("connections_evicted") == 0
-            held[0].sock.close()
+            served[0].sock.close()
             assert late.request()[0] == 200
-        for client in held[1:]:
+        for client in served[1:]:
             assert client.request()[0] == 200
             client.sock.close()
 
@@ -228,27 +220,27 @@
 
 
 def test_idle_clients_at_the_limit_keep_out_neither_discovery_nor_upstream_nor_clients() -> None:
-    """Discovery is down meanwhile; when it is back, a descriptor is left to poll it."""
+    """Discovery is down meanwhile; when it is up again, a descriptor is left to poll it."""
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         assert proxy.coordinator.wait_for_poll(1)
         proxy.coordinator.close()
         assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 1)
         idle = [proxy.connect() for _ in range(3 * proxy.parts.config.limits.max_client_connections)]
-        for piece in range(6):
+        for part in range(6):
             with proxy.connect() as client:
-                assert client.request(part=piece)[0] == 200
+                assert client.request(part=part)[0] == 200
         assert proxy.parts.downstream.peak_count <= proxy.parts.config.limits.max_client_connections
-        again = Coordinator(int(proxy.coordinator.address.rpartition(":")[2]))
-        again.events = list(proxy.coordinator.events)
-        again.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
+        restarted = Coordinator(int(proxy.coordinator.address.rpartition(":")[2]))
+        restarted.events = list(proxy.coordinator.events)
+        restarted.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
-        again.close()
+        restarted.close()
         for client in idle:
             client.sock.close()
 
 
-def test_flood_of_idle_clients_is_taken_as_fast_as_places_come_free() -> None:
-    """A place that an evicted client leaves goes to the next one at once, not at the next look."""
+def test_flood_of_idle_clients_is_admitted_as_fast_as_slots_become_free() -> None:
+    """An evicted client's slot goes to the next one at once, not at the next check."""
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         flood = [proxy.connect() for _ in range(10 * proxy.parts.config.limits.max_client_connections)]
         began_at = time.monotonic()
--- a/tests/proxy/test_delay_histogram.py
+++ b/tests/proxy/test_delay_histogram.py
@@ -17,9 +17,9 @@
     for position in range(100):
         histogram.record(position * MS)
     expected = {"p50": 50.0, "p95": 95.0, "p99": 99.0}
-    figures = histogram.percentiles_ms()
-    assert figures.pop("max") == 99.0
-    assert figures == pytest.approx(expected, rel=PRECISION)
+    percentiles_ms = histogram.percentiles_ms()
+    assert percentiles_ms.pop("max") == 99.0
+    assert percentiles_ms == pytest.approx(expected, rel=PRECISION)
     assert DelayHistogram().percentiles_ms() == {}
 
 
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -1,4 +1,4 @@
-"""What may cross the close, the eviction or the limit of a client's connection."""
+"""Requests that arrive at the close, the eviction or the deadline of a client's connection."""
 
 from __future__ import annotations
 
@@ -13,68 +13,74 @@
 from tests.proxy_harness import WAIT_TIMEOUT_S, HttpClient, running_proxy
 
 
-@pytest.mark.parametrize("end", ["evict", "expire", "close_if_idle"])
-def test_request_that_crosses_its_connections_close_is_not_forwarded(
-    end: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("close", ["evict", "expire", "close_if_idle"])
+def test_request_that_arrives_during_the_close_is_not_forwarded(
+    close: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It waits in the kernel's buffer at the close: what is read after that is not forwarded."""
+    """It is in the kernel's buffer at the close: what is read after that is not forwarded."""
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
-        connection, hang_up = idle_connection(proxy), sockets.shutdown
-        before, sent, posted = len(proxy.wait_for_fetches()), list[bytes](), list[Any]()
+        connection = idle_connection(proxy)
+        shutdown = sockets.shutdown
+        fetches_before = len(proxy.wait_for_fetches())
+        sent: list[bytes] = []
+        posted: list[Any] = []
         proxy.parts.downstream.context.post = posted.append
 
-        def crossed(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
+        def send_then_shutdown(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
             if sock is connection.sock and not sent:
                 sent.append(HttpClient.encode_request())
                 client.send(sent[0])
                 proxy.wait_until(lambda: not sockets.has_nothing_unread(sock))
-            hang_up(sock, how)
+            shutdown(sock, how)
 
-        monkeypatch.setattr(sockets, "shutdown", crossed)
-        connection.deadline = 1 if end == "expire" else None
-        getattr(connection, end)()
+        monkeypatch.setattr(sockets, "shutdown", send_then_shutdown)
+        connection.deadline = 1 if close == "expire" else None
+        getattr(connection, close)()
         assert sent
         assert client.is_closed_by_proxy()
         client.sock.close()
         assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 0)
-        monkeypatch.setattr(sockets, "shutdown", hang_up)
+        monkeypatch.setattr(sockets, "shutdown", shutdown)
         assert not posted
-        assert len(proxy.wait_for_fetches()) == before
+        assert len(proxy.wait_for_fetches()) == fetches_before
 
 
 def test_connection_with_an_unread_request_is_not_evicted(monkeypatch: pytest.MonkeyPatch) -> None:
-    gate, wait = threading.Event(), sockets.wait_readable
+    is_delayed = threading.Event()
+    may_read = threading.Event()
+    wait_readable = sockets.wait_readable
 
-    def late(sock: socket.socket) -> bool:
-        came = wait(sock)
-        return (asked.is_set() and gate.wait(WAIT_TIMEOUT_S) and came) or came
+    def wait_longer(sock: socket.socket) -> bool:
+        is_readable = wait_readable(sock)
+        if is_delayed.is_set():
+            may_read.wait(WAIT_TIMEOUT_S)
+        return is_readable
 
-    asked = threading.Event()
-    monkeypatch.setattr(sockets, "wait_readable", late)
+    monkeypatch.setattr(sockets, "wait_readable", wait_longer)
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
         connection = idle_connection(proxy)
-        asked.set()
+        is_delayed.set()
         client.send(HttpClient.encode_request())
         assert proxy.wait_until(lambda: not connection.has_nothing_unread)
         assert not connection.evict()
-        gate.set()
+        may_read.set()
         assert client.read_response()[0] == 200
 
 
-def test_request_that_was_read_is_served_though_its_limit_has_passed() -> None:
-    """The limit was checked before the request came, and is applied after it."""
-    held = DelayedReplies()
-    with running_proxy(held) as proxy, proxy.connect() as client:
+def test_request_that_was_read_is_served_after_the_connection_deadline() -> None:
+    """The deadline was checked before the request was read, and is enforced after that."""
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
         only_connection(proxy).expire()
-        held.gate.set()
+        delayed_replies.may_reply.set()
         assert client.read_response()[0] == 200
 
 
-def test_connection_that_its_reader_holds_is_not_expired() -> None:
+def test_connection_whose_lock_its_reader_holds_is_not_expired() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
         connection = idle_connection(proxy)
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -29,7 +29,7 @@
     assert log.counters() == {"second": 1}
 
 
-def test_log_that_nobody_reads_drops_and_counts_lines() -> None:
+def test_log_without_a_reader_drops_and_counts_lines() -> None:
     read, write = os.pipe()
     log = EventLog(Clock(), "n1", max_bytes=3_600, descriptor=write)  # three lines
     for _ in range(2_000):
@@ -41,7 +41,7 @@
     os.close(write)
 
 
-def test_line_that_a_full_pipe_takes_in_pieces_is_written_whole() -> None:
+def test_line_is_complete_where_a_full_pipe_accepts_a_part_at_a_time() -> None:
     read, write = os.pipe()
     os.set_blocking(write, False)
     log = EventLog(Clock(), "n1", descriptor=write)
--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -31,13 +31,13 @@
 
 
 def parse(
-    pieces: list[bytes], make_parser: Callable[[int, int], Parser[Any]] = RequestParser
+    chunks: list[bytes], make_parser: Callable[[int, int], Parser[Any]] = RequestParser
 ) -> list[Message[Any]]:
-    """Feeds the pieces to a new parser, and takes all messages after each."""
+    """Feeds the chunks to a new parser, and takes all messages after each."""
     parser = make_parser(MAX_HEAD_SIZE, MAX_BODY_SIZE)
     messages = list[Message[Any]]()
-    for piece in pieces:
-        parser.feed(piece)
+    for chunk in chunks:
+        parser.feed(chunk)
         while (message := parser.take()) is not None:
             messages.append(message)
     return messages
@@ -74,10 +74,10 @@
     ),
 )
 def test_garbage_raises_only_http_error(
-    make_parser: Callable[[int, int], Parser[Any]], pieces: list[bytes]
+    make_parser: Callable[[int, int], Parser[Any]], chunks: list[bytes]
 ) -> None:
     with contextlib.suppress(HttpError):
-        parse(pieces, make_parser)
+        parse(chunks, make_parser)
 
 
 @pytest.mark.parametrize(
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -1,4 +1,4 @@
-"""Memory pressure: the levels, and what gives way at each of them."""
+"""Memory pressure: the levels, and what is freed at each of them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeMemory:
-    """A monitor whose memory in use is what the test says."""
+    """A monitor whose memory in use is set by the test."""
 
     def __init__(self) -> None:
         self.used = 0
@@ -56,7 +56,7 @@
     assert FakeMemory().at(share) is level
 
 
-def test_level_is_left_a_little_below_where_it_was_reached() -> None:
+def test_level_ends_a_margin_below_its_share() -> None:
     memory = FakeMemory()
     assert [memory.at(share) for share in (0.94, 0.92, 0.90, 0.87, 0.5)] == [
         Level.REJECT,
@@ -82,91 +82,91 @@
 def test_resident_memory_of_this_process_is_read() -> None:
     read = resident_bytes_reader()
     before = read()
-    held = bytearray(b"x") * 30_000_000
+    allocated = bytearray(b"x") * 30_000_000
     assert read() - before > 20_000_000
-    assert held
+    assert allocated
 
 
-def press(proxy: ProxyHarness, share: float) -> None:
-    """Has the proxy find so much of its memory in use, as its main thread does."""
+def set_memory_use(proxy: ProxyHarness, share: float) -> None:
+    """Has the proxy find this share of its memory in use, as its main thread does."""
     limit = proxy.parts.config.limits.memory.limit
     proxy.parts.memory_monitor.read_resident_bytes = lambda: int(share * limit)
     proxy.parts.memory_monitor.check()
 
 
-def test_own_cache_gives_way_first() -> None:
+def test_response_cache_is_evicted_first() -> None:
     with (
         running_proxy(flow_bytes_per_s=1_000_000, link_bytes_per_s=8_000_000) as proxy,
         proxy.connect() as client,
     ):
-        for piece in (0, 1, 2, 3) * 2:  # the second response of a name is stored
-            assert client.request(part=piece)[0] == 200
+        for part in (0, 1, 2, 3) * 2:  # the second response of a name is stored
+            assert client.request(part=part)[0] == 200
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 4)
-        press(proxy, 0.81)
+        set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 2)
-        press(proxy, 0.81)
-        press(proxy, 0.81)
+        set_memory_use(proxy, 0.81)
+        set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
         assert client.request()[0] == 200  # requests and connections go on
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use <= 60)
-        press(proxy, 0.81)
+        set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.touched_bytes < 300_000)
 
 
 def test_idle_connections_are_closed_under_pressure_and_busy_ones_kept() -> None:
-    held = DelayedReplies()
-    with running_proxy(held) as proxy, proxy.connect() as busy, proxy.connect() as idle:
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies) as proxy, proxy.connect() as busy, proxy.connect() as idle:
         idle.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
         assert idle.read_response()[0] == 200
         busy.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
-        assert proxy.wait_until(lambda: press_until_evicted(proxy))
+        assert proxy.wait_until(lambda: has_evicted_under_pressure(proxy))
         assert idle.is_closed_by_proxy()
-        held.gate.set()
+        delayed_replies.may_reply.set()
         assert busy.read_response()[0] == 200
 
 
-def press_until_evicted(proxy: ProxyHarness) -> bool:
-    """Whether a connection was closed: one that was just used is left alone for a while."""
-    press(proxy, 0.85)
+def has_evicted_under_pressure(proxy: ProxyHarness) -> bool:
+    """Whether a connection is closed under pressure: one that was just used is not, for a while."""
+    set_memory_use(proxy, 0.85)
     return proxy.counter("connections_evicted") > 0
 
 
 def test_requests_are_rejected_at_once_close_to_the_limit_and_served_again_below() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        press(proxy, 0.95)
+        set_memory_use(proxy, 0.95)
         status, headers, _ = client.request()
         assert status == 503
         assert int(headers["x-come-back-ms"]) > 0
         assert proxy.counter("given_up_memory") == 1
-        press(proxy, 0.5)
+        set_memory_use(proxy, 0.5)
         assert client.request()[0] == 200
 
 
 def test_names_are_frozen_and_halved_under_pressure() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        for piece in range(8):
-            client.request(part=piece)
+        for part in range(8):
+            client.request(part=part)
         names = proxy.parts.event_loop.router.state.names
         capacity = names.capacity
         names.capacity = 8
-        press(proxy, 0.88)
+        set_memory_use(proxy, 0.88)
         assert proxy.wait_until(lambda: len(names) == 4)
         client.request(part=20)
         assert len(names) <= 4
         names.capacity = capacity
-        press(proxy, 0.5)
+        set_memory_use(proxy, 0.5)
         assert client.request(part=21)[0] == 200
         assert proxy.wait_until(lambda: len(names) > 4 or proxy.parts.memory_monitor.level is Level.NONE)
 
 
-def test_client_over_the_lowered_connection_limit_waits_for_a_place() -> None:
+def test_client_over_the_lowered_connection_limit_waits_for_a_slot() -> None:
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         half = proxy.parts.config.limits.max_client_connections // 2
         clients = [proxy.connect() for _ in range(half + 2)]
         for client in clients:
             assert client.request()[0] == 200
-        press(proxy, 0.91)
+        set_memory_use(proxy, 0.91)
         proxy.parts.downstream.limit_connections(half)
         proxy.parts.downstream.evict_idle()
         with proxy.connect() as late:
@@ -176,7 +176,7 @@
             client.sock.close()
 
 
-def test_account_names_every_owner_within_what_it_may_take() -> None:
+def test_memory_account_names_every_owner_within_its_allowance() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
         account = memory_account(proxy.parts)
--- a/tests/proxy/test_pending_exchanges.py
+++ b/tests/proxy/test_pending_exchanges.py
@@ -48,7 +48,7 @@
     assert len(pending) == 0
 
 
-def test_attempt_is_found_by_its_timer_until_it_has_ended() -> None:
+def test_attempt_is_found_by_its_timer_until_its_timeout_is_discarded() -> None:
     pending = PendingExchanges()
     exchange = make_exchange([])
     attempt = make_attempt(exchange, 0)
@@ -66,9 +66,9 @@
     exchange = make_exchange([])
     attempt = make_attempt(exchange, 1)
     add(pending, exchange).deferred_attempt = attempt
-    assert pending.withdraw_deferred(lambda it: it.cache == "other") == []
-    assert pending.withdraw_deferred(lambda it: it.cache == "cache") == [attempt]
-    assert pending.withdraw_deferred(lambda it: it.cache == "cache") == []
+    assert pending.withdraw_deferred(lambda attempt: attempt.cache == "other") == []
+    assert pending.withdraw_deferred(lambda attempt: attempt.cache == "cache") == [attempt]
+    assert pending.withdraw_deferred(lambda attempt: attempt.cache == "cache") == []
 
 
 def test_expected_request_that_is_not_pending_violates_the_named_invariant() -> None:
--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -51,7 +51,7 @@
     assert proxy.counter(f"given_up_{given_up['reason']}") == 1
 
 
-def test_connection_that_ends_under_a_request_is_logged_with_its_id(
+def test_connection_that_ends_during_a_request_is_logged_with_its_id(
     log_lines: LogLines,
 ) -> None:
     with running_proxy(never_reply) as proxy:
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -2,13 +2,11 @@
 
 from __future__ import annotations
 
-import threading
-
 import pytest
 
-from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally, tag_of
-from tests.proxy.fakes import UNCACHED_NAME
-from tests.proxy_harness import OBJECT_NAME, WAIT_TIMEOUT_S, HttpClient, running_proxy
+from examples.toy_server import Command, ToyEndpoint, body_of, tag_of
+from tests.proxy.fakes import UNCACHED_NAME, DelayedReplies
+from tests.proxy_harness import OBJECT_NAME, HttpClient, running_proxy
 
 
 def test_response_body_is_complete_and_unchanged() -> None:
@@ -18,7 +16,9 @@
         assert headers["etag"] == f'"{tag_of(OBJECT_NAME, "3")}"'
         assert "connection" not in headers
         assert client.request(part=4)[2] == body_of(OBJECT_NAME, "4")
-        fields = next(it.fields for it in proxy.wait_for_fetches(2) if it.fields["piece"] == "3")
+        fields = next(
+            command.fields for command in proxy.wait_for_fetches(2) if command.fields["piece"] == "3"
+        )
         assert fields["lane"] == "segment"
         assert fields["name"] == OBJECT_NAME
         assert fields["piece"] == "3"
@@ -31,10 +31,10 @@
 def test_cache_miss_is_filled_from_the_parent() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request(UNCACHED_NAME)[2] == body_of(UNCACHED_NAME, "3")
-        look, fill = proxy.wait_for_fetches(2)
-        assert "miss" not in look.fields
+        lookup, fill = proxy.wait_for_fetches(2)
+        assert "miss" not in lookup.fields
         assert fill.fields["miss"] == "p"
-        assert look.id == fill.id
+        assert lookup.id == fill.id
         assert proxy.parent.received() == []
         assert proxy.origin.received() == []
 
@@ -65,7 +65,7 @@
         assert sum("mine" in command.fields for command in proxy.wait_for_fetches(6)) == 2
 
 
-def test_rejection_says_when_to_retry() -> None:
+def test_rejection_has_a_retry_time() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         status, headers, body = client.request("f" * 16)
         assert status == 503
@@ -75,19 +75,19 @@
         assert proxy.counter("rejected") == 1
 
 
-def test_request_may_come_in_any_pieces() -> None:
+def test_request_may_arrive_in_any_chunks() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        for piece in (1, 2):
-            data = client.encode_request(part=piece)
-            for at in range(0, len(data), 7):
-                client.send(data[at : at + 7])
-            assert client.read_response()[2] == body_of(OBJECT_NAME, str(piece))
+        for part in (1, 2):
+            data = client.encode_request(part=part)
+            for start in range(0, len(data), 7):
+                client.send(data[start : start + 7])
+            assert client.read_response()[2] == body_of(OBJECT_NAME, str(part))
         assert proxy.parts.downstream.open_count == 1
 
 
 def test_pipelined_requests_are_not_served() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        client.send(b"".join(client.encode_request(part=piece) for piece in range(300)))
+        client.send(b"".join(client.encode_request(part=part) for part in range(300)))
         status, headers, body = client.read_response()
         assert (status, headers["connection"], body) == (200, "close", body_of(OBJECT_NAME, "0"))
         assert client.is_closed_by_proxy()
@@ -145,10 +145,10 @@
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
-@pytest.mark.parametrize("patience", [0, 1])
-def test_request_without_time_left_is_rejected_at_once(patience: int) -> None:
+@pytest.mark.parametrize("timeout_ms", [0, 1])
+def test_request_without_time_left_is_rejected_at_once(timeout_ms: int) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request(timeout_ms=patience)[0] == 503
+        assert client.request(timeout_ms=timeout_ms)[0] == 503
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
@@ -159,19 +159,14 @@
 
 
 def test_duplicate_request_id_fails_and_the_first_request_is_served() -> None:
-    gate = threading.Event()
-
-    def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        gate.wait(WAIT_TIMEOUT_S)
-        respond_normally(endpoint, command)
-
-    with running_proxy(reply) as proxy, proxy.connect() as first, proxy.connect() as second:
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies) as proxy, proxy.connect() as first, proxy.connect() as second:
         request = HttpClient.encode_request(timeout_ms=15_000)
         first.send(request)
         proxy.wait_for_fetches()
         second.send(request)
         assert second.read_response()[0] == 502
-        gate.set()
+        delayed_replies.may_reply.set()
         assert first.read_response()[0] == 200
 
 
--- a/tests/proxy/test_response_cache.py
+++ b/tests/proxy/test_response_cache.py
@@ -1,4 +1,4 @@
-"""The proxy's response cache: on its own, and before a whole proxy."""
+"""The proxy's response cache on its own."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from examples.toy_server import Command, ToyEndpoint, body_of, respond_normally
+from examples.toy_server import body_of
 from olivepost.proxy import shutdown
 from olivepost.proxy.downstream.connection_admission import ConnectionAdmission
 from olivepost.proxy.downstream.response_delivery import ResponseDelivery
@@ -35,13 +35,8 @@
 
 
 def test_sigterm_loses_no_request() -> None:
-    gate = threading.Event()
-
-    def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        gate.wait(WAIT_TIMEOUT_S)
-        respond_normally(endpoint, command)
-
-    with running_proxy(reply) as proxy, proxy.connect() as client, proxy.connect() as idle:
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies) as proxy, proxy.connect() as client, proxy.connect() as idle:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
         ending = threading.Thread(target=proxy.server.shut_down)
@@ -49,7 +44,7 @@
         assert proxy.wait_until(lambda: proxy.parts.downstream.is_draining)
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
-            gate.set()
+            delayed_replies.may_reply.set()
             status, headers, body = late.read_response()
             assert (status, headers["connection"], body) == (200, "close", body_of(OBJECT_NAME, "3"))
         status, headers, _ = client.read_response()
@@ -65,22 +60,23 @@
 
 def test_connections_accepted_by_the_kernel_are_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     """A busy proxy has requests that wait to be read, and connections that wait to be accepted."""
-    gate, start = threading.Event(), ConnectionAdmission._start_connection
+    may_start = threading.Event()
+    start = ConnectionAdmission._start_connection
 
-    def late(self: ConnectionAdmission, sock: socket.socket) -> None:
-        gate.wait(WAIT_TIMEOUT_S)
+    def start_late(self: ConnectionAdmission, sock: socket.socket) -> None:
+        may_start.wait(WAIT_TIMEOUT_S)
         start(self, sock)
 
     with running_proxy() as proxy, proxy.connect() as idle:
         assert idle.request()[0] == 200
-        monkeypatch.setattr(ConnectionAdmission, "_start_connection", late)
+        monkeypatch.setattr(ConnectionAdmission, "_start_connection", start_late)
         waiting = [proxy.connect() for _ in range(5)]
         for client in waiting:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.parts.downstream.drain()
         stopping = threading.Thread(target=proxy.parts.downstream.stop_accepting)
         stopping.start()
-        gate.set()
+        may_start.set()
         for client in waiting:
             status, headers, _ = client.read_response()
             assert (status, headers["connection"]) == (200, "close")
@@ -122,8 +118,9 @@
 
 
 def start_shutdown(proxy: ProxyHarness) -> tuple[threading.Thread, int]:
-    """Starts the shutdown as SIGTERM does; returns its thread and its time."""
-    thread, at = threading.Thread(target=proxy.server.shut_down), proxy.parts.clock.now()
+    """Starts the shutdown as SIGTERM does; returns its thread and when it began."""
+    thread = threading.Thread(target=proxy.server.shut_down)
+    at = proxy.parts.clock.now()
     thread.start()
     assert proxy.wait_until(lambda: proxy.parts.downstream.is_draining)
     return thread, at
@@ -161,22 +158,22 @@
 
 @pytest.mark.usefixtures("short_shutdown")
 def test_queued_response_is_written_before_exit(monkeypatch: pytest.MonkeyPatch) -> None:
-    gate, write = threading.Event(), ResponseDelivery.write
+    may_write = threading.Event()
+    write = ResponseDelivery.write
 
-    def late(self: ResponseDelivery, *args: Any) -> Any:
-        gate.wait(WAIT_TIMEOUT_S)
+    def write_late(self: ResponseDelivery, *args: Any) -> Any:
+        may_write.wait(WAIT_TIMEOUT_S)
         return write(self, *args)
 
-    monkeypatch.setattr(ResponseDelivery, "write", late)
+    monkeypatch.setattr(ResponseDelivery, "write", write_late)
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         ending, began = start_shutdown(proxy)
-        assert proxy.wait_until(
-            lambda: proxy.parts.clock.now() > began + 600 * MS
-        )  # past the clients' time to close
-        gate.set()
+        past_client_close = began + 600 * MS
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > past_client_close)
+        may_write.set()
         assert client.read_response()[0] == 200
         client.sock.close()
         ending.join(WAIT_TIMEOUT_S)
@@ -185,10 +182,10 @@
 def test_client_that_waits_at_the_connection_limit_is_served_at_shutdown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The accept thread holds it while all connections are busy; closing the listener must not lose it."""
+    """The accept thread has accepted it while all slots are in use; closing the listener must not lose it."""
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
-    held = DelayedReplies()
-    with running_proxy(held, limits={"sockets": 64, "memory_mb": 64}) as proxy:
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies, limits={"sockets": 64, "memory_mb": 64}) as proxy:
         busy = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
         for client in busy:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
@@ -198,7 +195,7 @@
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
             ending, began = start_shutdown(proxy)
             assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 200 * MS)
-            held.gate.set()
+            delayed_replies.may_reply.set()
             for client in busy:
                 assert client.read_response()[0] in (200, 503)
                 client.sock.close()
@@ -235,8 +232,8 @@
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 400 * MS)
         assert ending.is_alive()
         got = b""
-        while piece := sock.recv(65_536):
-            got += piece
+        while chunk := sock.recv(65_536):
+            got += chunk
         assert got.count(b"x") >= 240_000
         sock.close()
         ending.join(WAIT_TIMEOUT_S)
@@ -260,8 +257,8 @@
 
 
 def test_second_sigterm_and_reload_during_draining_change_nothing() -> None:
-    held = DelayedReplies()
-    with running_proxy(held) as proxy, proxy.connect() as client:
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies) as proxy, proxy.connect() as client:
         requests = iter([SignalRequest.RELOAD, SignalRequest.SHUT_DOWN] * 2)
 
         def wait_for_signal(timeout: int) -> SignalRequest | None:
@@ -275,7 +272,7 @@
         proxy.wait_for_fetches()
         ending, _ = start_shutdown(proxy)
         assert proxy.wait_until(lambda: next(requests, None) is None)
-        held.gate.set()
+        delayed_replies.may_reply.set()
         assert client.read_response()[0] == 200
         client.sock.close()
         ending.join(WAIT_TIMEOUT_S)
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -1,10 +1,9 @@
-"""System calls and thread starts that fail for a while: what is owed is owed all the same."""
+"""System calls and thread starts that fail for a while lose no request."""
 
 from __future__ import annotations
 
 import _thread
 import errno
-import itertools
 import os
 import socket
 import threading
@@ -27,12 +26,12 @@
 
 
 def failing(call: Callable[..., Any], error: Exception, times: int, thread: str = "") -> Callable[..., Any]:
-    """The call, which fails so many times first, on threads whose names begin so."""
-    left = itertools.chain(range(times))
+    """The call, which fails so many times first, on threads with this name prefix."""
+    failures = iter(range(times))
 
     def fail_first(*args: Any, **kwargs: Any) -> Any:
         is_concerned = threading.current_thread().name.startswith(thread)
-        if is_concerned and next(left, None) is not None:
+        if is_concerned and next(failures, None) is not None:
             raise error
         return call(*args, **kwargs)
 
@@ -47,7 +46,7 @@
     "number",
     [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO, errno.EPERM],
 )
-def test_accept_that_fails_is_tried_again(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_accept_that_fails_is_repeated(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(socket.socket, "accept", failing(socket.socket.accept, os_error(number), 3, "accept"))
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request()[0] == 200
@@ -58,14 +57,14 @@
     with running_proxy() as proxy:
         start = failing(proxy.parts.downstream.admission._start_connection, MemoryError(), 1)
         monkeypatch.setattr(proxy.parts.downstream.admission, "_start_connection", start)
-        lost = proxy.connect()
+        closed = proxy.connect()
         assert proxy.wait_until(lambda: proxy.counter("accept_error") == 1)
-        assert lost.is_closed_by_proxy()
-        free = proxy.parts.downstream.admission._slots._value
-        assert free == proxy.parts.config.limits.max_client_connections
+        assert closed.is_closed_by_proxy()
+        free_slots = proxy.parts.downstream.admission._slots._value
+        assert free_slots == proxy.parts.config.limits.max_client_connections
         with proxy.connect() as client:
             assert client.request()[0] == 200
-        lost.sock.close()
+        closed.sock.close()
 
 
 def test_connection_is_served_though_no_thread_is_free_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -79,7 +78,7 @@
 
 @pytest.mark.parametrize("number", SHORTAGES)
 @pytest.mark.parametrize("name", ["recv", "recv_into", "send", "sendmsg"])
-def test_transfer_that_the_system_is_short_of_memory_for_goes_on(
+def test_transfer_continues_after_a_shortage_of_memory(
     name: str, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
@@ -96,8 +95,8 @@
             return call(sock, *args)
 
         monkeypatch.setattr(socket.socket, name, fail_at_times)
-        for piece in range(20):
-            status, _, body = client.request(part=piece)
+        for part in range(20):
+            status, _, body = client.request(part=part)
             assert (status, bool(body)) == (200, True)
 
 
@@ -114,16 +113,16 @@
 def test_request_is_answered_late_on_a_connection_whose_options_cannot_be_set(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    held = DelayedReplies()
-    with running_proxy(held) as proxy, proxy.connect() as first:
-        held.gate.set()
+    delayed_replies = DelayedReplies()
+    with running_proxy(delayed_replies) as proxy, proxy.connect() as first:
+        delayed_replies.may_reply.set()
         assert first.request()[0] == 200  # the connections to the caches are there
-        held.gate.clear()
+        delayed_replies.may_reply.clear()
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
         with proxy.connect() as client:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             time.sleep(2 * ACCEPT_TIMEOUT / SECOND)
-            held.gate.set()
+            delayed_replies.may_reply.set()
             assert client.read_response()[0] == 200
 
 
@@ -133,7 +132,7 @@
 
 
 @pytest.mark.parametrize("number", [*SHORTAGES, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL])
-def test_connect_that_fails_by_this_machine_is_tried_again_and_charged_to_no_endpoint(
+def test_connect_that_fails_by_a_local_error_is_repeated_and_charged_to_no_endpoint(
     number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     connect = failing(sockets.connect, os_error(number), 4, "upstream-writer-")
@@ -143,7 +142,7 @@
         assert failure_scores(proxy) == [0.0] * 4
 
 
-def test_want_of_threads_is_charged_to_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shortage_of_threads_is_charged_to_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     def start(*_: object) -> threading.Thread:
         raise RuntimeError("can't start new thread")
 
@@ -154,7 +153,7 @@
         assert failure_scores(proxy) == [0.0] * 4
 
 
-def test_want_of_a_thread_to_read_with_is_charged_to_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_shortage_of_reader_threads_is_charged_to_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     error = RuntimeError("can't start new thread")
     begin = threading.Thread.start
 
@@ -169,10 +168,10 @@
         assert failure_scores(proxy) == [0.0] * 4
 
 
-def test_address_that_is_held_a_little_longer_is_waited_for() -> None:
-    holder = socket.create_server(("127.0.0.1", 0))
-    port = holder.getsockname()[1]
-    threading.Timer(0.5, holder.close).start()
+def test_start_waits_for_an_address_that_is_in_use() -> None:
+    earlier = socket.create_server(("127.0.0.1", 0))
+    port = earlier.getsockname()[1]
+    threading.Timer(0.5, earlier.close).start()
     proxy = ProxyHarness(listen=f"127.0.0.1:{port}")
     with proxy.connect() as client:
         assert client.request()[0] == 200
@@ -195,7 +194,7 @@
         assert client.request()[0] == 200
 
 
-def test_reload_without_a_thread_leaves_discovery_as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reload_without_a_thread_leaves_discovery_unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
     def start(*_: object) -> threading.Thread:
         raise RuntimeError("can't start new thread")
 
@@ -216,13 +215,13 @@
     with running_proxy() as proxy, proxy.connect() as client:
         loop = proxy.parts.event_loop
         monkeypatch.setattr(loop, "_fire_due", failing(loop._fire_due, MemoryError(), 3))
-        for piece in range(5):
-            assert client.request(part=piece)[0] == 200
+        for part in range(5):
+            assert client.request(part=part)[0] == 200
         assert proxy.counter("event_loop_error") == 3
 
 
 def test_client_that_sends_beside_a_failing_poll_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery's own system calls fail for ever: requests go by the known list."""
+    """Discovery's own system calls always fail: requests are routed by the known list."""
     connect = failing(sockets.connect, os_error(errno.ENETUNREACH), 1_000_000, "discovery")
     monkeypatch.setattr(sockets, "connect", connect)
     with running_proxy() as proxy, proxy.connect() as client:
@@ -232,7 +231,7 @@
 
 
 def test_connection_that_waits_for_a_thread_is_not_evicted_for_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its request may come while it waits, and longer than an idle connection is left alone."""
+    """Its request may arrive while it waits, for longer than idle connections are spared."""
     start = failing(_thread.start_new_thread, RuntimeError("can't start new thread"), 30)
     with running_proxy() as proxy:
         monkeypatch.setattr(_thread, "start_new_thread", start)
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -20,7 +20,7 @@
     assert timers.next_due_at is None
 
 
-def test_timeout_of_an_attempt_is_told_from_a_timer_of_the_router() -> None:
+def test_timeout_of_an_attempt_differs_from_a_timer_of_the_router() -> None:
     timers = queue_of()
     timers.schedule(1, 7)
     timers.schedule(2, 7, is_attempt_timeout=True)
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -102,7 +102,7 @@
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
-def test_large_bodies_share_one_budget_and_release_it() -> None:
+def test_large_bodies_share_one_budget_and_release_their_parts() -> None:
     """One too many is rejected before it is read; a response and a client that closes release theirs."""
     gate = threading.Event()
 
@@ -160,7 +160,7 @@
         assert client.read_response()[0] == 200
 
 
-def test_reservation_takes_from_the_budget_once_and_gives_it_back_once() -> None:
+def test_reservation_is_counted_and_released_once() -> None:
     budget = LargeBodyBudget(max_bytes=100, small_body_bytes=10)
     first, second = LargeBodyReservation(budget), LargeBodyReservation(budget)
     assert first.reserve(60)
