--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 from itertools import islice
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 import orjson
@@ -36,6 +36,11 @@
 OPERATOR_INCARNATION = "operator"  # the calling process, for the scripts
 ENVELOPE_FIELDS = ("type", "v")  # of every stored record: its tag and its version
 
+LEASE_KIND = "c"  # of a key below the generation's prefix
+LOCATION_KIND = "h"
+NAME_PATTERN = f"[{LEASE_KIND}{LOCATION_KIND}]:*"
+LABELS = {LEASE_KIND: "claim", LOCATION_KIND: "holder"}  # as rows have them
+
 Row = dict[str, object]
 
 
@@ -57,13 +62,20 @@
         self.value = value
 
 
+class StoreFault(NamedTuple):
+    """Why a store could not be used."""
+
+    store: str
+    fault: str
+
+
 @dataclass(slots=True)
 class Report:
-    """The result of a command: its rows, and a row for each store that could not be used."""
+    """The result of a command: its rows, and the stores that could not be used."""
 
     verb: Verb
     rows: list[Row] = field(default_factory=list)
-    faults: list[Row] = field(default_factory=list)
+    faults: list[StoreFault] = field(default_factory=list)
 
 
 def run(settings: SharedStoreSettings, verb: Verb, names: list[str], store_name: str | None) -> Report:
@@ -79,7 +91,7 @@
             with client.create_client(settings, store) as connection:
                 rows = StoreInspector(settings, store, connection).run(verb, names)
         except (redis.RedisError, OSError, StoreContentError) as error:
-            report.faults.append({"store": store.name, "fault": f"{type(error).__name__}: {error}"})
+            report.faults.append(StoreFault(store.name, f"{type(error).__name__}: {error}"))
         else:
             report.rows.extend({"store": store.name, **row} for row in rows)
     return report
@@ -88,12 +100,13 @@
 def print_report(report: Report, as_json: bool) -> None:
     """Prints a report as one JSON object, or as a table with the faults on standard error."""
     if as_json:
-        fields = {"verb": report.verb.value, "rows": report.rows, "faults": report.faults}
+        faults = [fault._asdict() for fault in report.faults]
+        fields = {"verb": report.verb.value, "rows": report.rows, "faults": faults}
         print(orjson.dumps(fields).decode())
         return
     _print_table(report.rows)
-    for row in report.faults:
-        print(f"olivepost: store {row['store']}: {row['fault']}", file=sys.stderr)
+    for fault in report.faults:
+        print(f"olivepost: store {fault.store}: {fault.fault}", file=sys.stderr)
 
 
 class StoreInspector:
@@ -112,7 +125,7 @@
             case Verb.PING:
                 return [self._ping()]
             case Verb.CLAIMS:
-                return [self._describe_name(key) for key in sorted(self._scan("[ch]:*"))]
+                return [self._describe_name(key) for key in sorted(self._scan(NAME_PATTERN))]
             case Verb.PURGES:
                 return list(self._invalidations())
             case Verb.FORGET if names:
@@ -145,10 +158,10 @@
     def _describe_name(self, key: bytes) -> Row:
         """Returns a fill lease or a cache location; what can't be read is shown with the reason."""
         kind, _, name = key[len(self._prefix) :].decode(errors="replace").partition(":")
-        row: Row = {"name": name, "kind": "claim" if kind == "c" else "holder"}
+        row: Row = {"name": name, "kind": LABELS[kind]}
         try:
             row["ends_ms"] = self._connection.pttl(key)
-            row |= self._lease_fields(key) if kind == "c" else self._location_fields(key)
+            row |= self._lease_fields(key) if kind == LEASE_KIND else self._location_fields(key)
         except (RecordError, redis.ResponseError) as error:
             row["odd"] = str(error)
         return row
@@ -180,7 +193,8 @@
         ]
 
     def _delete_name(self, name: str) -> object:
-        return self._connection.delete(f"{self._prefix}c:{name}", f"{self._prefix}h:{name}")
+        keys = [f"{self._prefix}{kind}:{name}" for kind in (LEASE_KIND, LOCATION_KIND)]
+        return self._connection.delete(*keys)
 
     def _advance_generation(self) -> Row:
         """Makes everything in the store unreachable."""
