--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -21,7 +21,7 @@
         """Asks for a hint; it comes back as a `StoreEvent`."""
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None, /) -> None:
-        """Releases a fill lease; `generated_at` is that of the response, None: unknown."""
+        """Releases a fill lease; `generated_at` is that of the response in Unix time, None: unknown."""
 
     def notify(
         self,
