--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -50,8 +50,9 @@
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
-def test_commands_reply_as_the_library_expects(server: Server, protocol: int) -> None:
+def test_commands_on_strings_reply_as_the_library_expects(server: Server, protocol: int) -> None:
     client = client_of(server, protocol)
+
     assert client.set("a", "1", nx=True, px=5000)
     assert client.set("a", "2", nx=True) is None
     assert client.set("a", "3", get=True) == b"1"
@@ -59,30 +60,57 @@
     assert client.get("none") is None
     assert client.incr("n") == 1
     assert client.incrby("n", 41) == 42
+    assert client.incr("z2") == 1
+
+
+@pytest.mark.parametrize("protocol", [2, 3])
+def test_commands_on_hashes_sets_and_lists_reply_as_the_library_expects(
+    server: Server, protocol: int
+) -> None:
+    client = client_of(server, protocol)
+
     assert client.hset("h", mapping={"x": "1", "y": "2"}) == 2
     assert client.hgetall("h") == {b"x": b"1", b"y": b"2"}
     assert client.hmget("h", "x", "z") == [b"1", None]
     assert client.hincrby("h", "x", 4) == 5
-    assert client.pexpire("h", 10_000)
-    assert 0 < client.pttl("h") <= 10_000
-    assert client.ttl("a") == -1
-    assert client.persist("h")
-    assert client.pttl("gone") == -2
     assert client.zadd("z", {"p": 2, "q": 1}) == 2
     assert client.zrangebyscore("z", 1, 5) == [b"q", b"p"]
+    assert client.type("z") == b"zset"
     assert client.rpush("l", "u", "v") == 2
     assert client.lrange("l", 0, -1) == [b"u", b"v"]
+
+
+@pytest.mark.parametrize("protocol", [2, 3])
+def test_commands_on_keys_reply_as_the_library_expects(server: Server, protocol: int) -> None:
+    client = client_of(server, protocol)
+    client.set("a", "1", px=5000)
+    client.set("a", "3")
+    client.hset("h", mapping={"x": "1"})
+    client.incr("n")
+    client.rpush("l", "u")
+    client.zadd("z", {"p": 2})
+
+    assert client.pexpire("h", 10_000)
+    assert 0 < client.pttl("h") <= 10_000
+    assert client.ttl("a") == -1
+    assert client.persist("h")
+    assert client.pttl("missing") == -2
     assert sorted(client.scan_iter("?", 2)) == [b"a", b"h", b"l", b"n", b"z"]
-    assert client.type("z") == b"zset"
+    assert client.exists("a", "h", "missing") == 2
+    assert client.delete("a", "missing") == 1
+    assert client.dbsize() >= 4
+
+
+@pytest.mark.parametrize("protocol", [2, 3])
+def test_commands_on_values_of_another_type_fail(server: Server, protocol: int) -> None:
+    client = client_of(server, protocol)
+    client.hset("h", mapping={"x": "1"})
+    assert client.set("t", "x")
+
     with pytest.raises(redis.ResponseError, match="WRONGTYPE"):
         client.get("h")
-    assert client.incr("z2") == 1
-    assert client.set("t", "x")
     with pytest.raises(redis.ResponseError, match="not an integer"):
         client.incr("t")
-    assert client.exists("a", "h", "gone") == 2
-    assert client.delete("a", "gone") == 1
-    assert client.dbsize() >= 4
 
 
 @pytest.mark.parametrize("protocol", [2, 3])
@@ -146,16 +174,20 @@
         client_of(server, password="new").ping()
     with pytest.raises(redis.AuthenticationError):
         client_of(server).ping()
+
     server.call(lambda: server.change({"password": "new", "cut_all": True}))
+
     assert client_of(server, password="new").ping()
 
 
 def test_unresponsive_server_times_out_and_is_connected_to_again(server: Server) -> None:
     client = client_of(server)
     client.set("a", "1")
+
     server.faults.silent = True
     with pytest.raises(redis.TimeoutError):
         client.set("a", "2")
+
     server.faults.silent = False
     assert client.ping()
 
@@ -163,37 +195,46 @@
 def test_paused_server_runs_the_received_commands(server: Server) -> None:
     client = client_of(server)
     assert client.ping()  # connected before the fault
+
     server.faults.pause = True
     with pytest.raises(redis.TimeoutError):
         client.set("a", "3")
+
     server.faults.pause = False
     assert client.get("a") == b"3"
 
 
-def test_full_or_read_only_server_rejects_writes(server: Server) -> None:
+@pytest.mark.parametrize(
+    ("fault", "error"),
+    [("full", redis.exceptions.OutOfMemoryError), ("read_only", redis.exceptions.ReadOnlyError)],
+)
+def test_full_or_read_only_server_rejects_writes(
+    server: Server, fault: str, error: type[redis.ResponseError]
+) -> None:
     client = client_of(server)
     assert client.ping()  # connected before the fault
-    server.faults.full = True
-    with pytest.raises(redis.exceptions.OutOfMemoryError):
-        client.set("b", "1")
-    server.faults.full = False
-    server.faults.read_only = True
-    with pytest.raises(redis.exceptions.ReadOnlyError):
+
+    setattr(server.faults, fault, True)
+
+    with pytest.raises(error):
         client.set("b", "1")
 
 
 def test_command_whose_reply_was_cut_has_run(server: Server) -> None:
     client = client_of(server)
     assert client.ping()  # connected before the fault
+
     server.faults.cut = 1.0
     with pytest.raises(redis.ConnectionError):
         client.set("a", "4")
+
     server.faults.cut = 0.0
     assert client_of(server).get("a") == b"4"
 
 
 def test_server_that_refuses_connections_can_not_be_connected_to(server: Server) -> None:
     server.call(lambda: server.change({"refuse": True}))
+
     with pytest.raises(redis.ConnectionError):
         client_of(server).ping()
 
@@ -204,7 +245,9 @@
     server.call(server.keyspace.snapshot)
     time.sleep(0.02)
     client.set("a", "new")
+
     server.call(lambda: server.change({"back_s": 0.01}))
+
     assert client_of(server).get("a") == b"old"
 
 
@@ -231,6 +274,7 @@
         sock.shutdown(socket.SHUT_WR)
         while sock.recv(4096):
             pass
+
     assert client_of(fuzzed_server).ping()
 
 
