--- a/benchmarks/__main__.py
+++ b/benchmarks/__main__.py
@@ -1,14 +1,14 @@
-"""Measurements, each in pairs with the program without the subsystem: `python -m benchmarks`.
+"""Benchmarks, each in pairs of runs without and with a subsystem: `python -m benchmarks`.
 
 Usage:
   benchmarks NAME [--quick] [--seed N] [--out FILE]
 
 Options:
-  --quick     Ends within 50 s.
-  --seed N    For loads, faults and clocks [default: 1].
-  --out FILE  Also writes the result there.
+  --quick     Few and short runs, within 50 s.
+  --seed N    Of loads, faults and clocks [default: 1].
+  --out FILE  Writes the result to this file, too.
 
-NAME is one of: sharing. The last line of standard output is one JSON object of figures.
+NAME is one of: sharing. The last line of standard output is the result, a JSON object of metrics.
 """
 
 from __future__ import annotations
@@ -36,12 +36,12 @@
     seed = options["--seed"]
     if name not in NAMES or not seed.isdigit():
         print(
-            f"no benchmark '{name}', or a seed that is no number; there are: {', '.join(NAMES)}",
+            f"no benchmark '{name}', or a seed that is not a number; available: {', '.join(NAMES)}",
             file=sys.stderr,
         )
         return EXIT_USAGE
-    figures = import_module(f"benchmarks.{name}").run(options["--quick"], int(seed))
-    line = json.dumps(figures)
+    metrics = import_module(f"benchmarks.{name}").run(options["--quick"], int(seed))
+    line = json.dumps(metrics)
     if options["--out"]:
         Path(options["--out"]).write_text(line + "\n")
     print(line)
--- a/benchmarks/branch/lease_audit.py
+++ b/benchmarks/branch/lease_audit.py
@@ -15,7 +15,7 @@
 from olivepost.units import MILLISECOND, Instant
 from standins.redis.keyspace import Keyspace
 
-GRANTED = b"mine"  # first word of the scripts' replies
+GRANTED = b"mine"  # first value of the scripts' replies
 PUBLISHED = b"done"
 
 
--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -2,10 +2,12 @@
 
     python -m benchmarks.caches COUNT CAPACITY WEIGHT
 
-Caches store names by least recent use, fill in a time that follows from the name, join fills under way,
-honour the age that a proxy allows, and count: fills, fills of what another cache had or was filling, hits
-served from a response older than an invalidation that was announced more than 350 ms ago. Commands, a line
-each: `stats`, `restart CACHE`, `purge GROUP ...`; each is answered by a line of the counts.
+Caches evict the least recently used name, fill in a time that follows from the name, join fills in flight and
+honour the maximum age of an attempt. They count fills, double fills (of a name that another cache has or is
+filling) and hits that are older than an invalidation which proxies have received.
+
+Commands on standard input, one a line: `stats`, `restart CACHE`, `purge GROUP ...`. The response to each is a
+line with the counts, as JSON.
 """
 
 from __future__ import annotations
@@ -25,17 +27,17 @@
 
 GROUPS = 16
 INVALIDATION_LIFETIME_S = 6.0  # until caches have carried an invalidation out, as in the proxies' settings
-INVALIDATION_GRACE_MS = 350  # a proxy is bound by an invalidation after 300 ms; 50 ms for the way
+INVALIDATION_GRACE_MS = 350  # until a proxy has certainly received an invalidation
 HIT_LATENCY_S = 0.004
 MISS_LATENCY_S = 0.001
 MIN_FILL_S = 0.08
-FILL_RANGE_S = 0.25  # over which fills vary beyond that
-PARENT_WEIGHT = 40
+FILL_RANGE_S = 0.25  # between the shortest and the longest fill
+PARENT_WEIGHT = 40  # concurrent transfers
 
 
-@dataclass
+@dataclass(slots=True)
 class Counts:
-    """What the caches did; the names are those of the process's output."""
+    """Counters of all caches; the names are those of the process's output."""
 
     fills: int = 0
     double_fills: int = 0
@@ -46,30 +48,33 @@
 
 
 class PendingFill(NamedTuple):
-    """A fill under way."""
+    """A fill in flight."""
 
-    ends_at: float  # monotonic
-    started_ms: int  # Unix
+    ends_at_s: float  # by the monotonic clock
+    started_unix_ms: int
 
 
-@dataclass
+@dataclass(slots=True)
 class CacheState:
-    """What one cache stores since which Unix millisecond, least recently used first, and what it fills."""
+    """The contents of one cache, and its fills in flight."""
+
+    stored: dict[str, int] = field(default_factory=dict)  # Unix ms by name, the least recently used first
+    fills: dict[str, PendingFill] = field(default_factory=dict)  # by name
 
-    stored: dict[str, int] = field(default_factory=dict)
-    fills: dict[str, PendingFill] = field(default_factory=dict)
+    def look_up(self, now_ms: int, name: str, max_age_ms: int | None) -> int | None:
+        """When the response that may be served was stored; None: there is none. It becomes the last used.
 
-    def look_up(self, now_ms: int, name: str, max_age_ms: int) -> int | None:
-        """When the response that may be served was stored; it is then the most recently used. 0: any age."""
+        Without a maximum age, a response of any age may be served.
+        """
         stored_ms = self.stored.get(name)
-        if stored_ms is None or (max_age_ms and now_ms - stored_ms > max_age_ms):
+        if stored_ms is None or (max_age_ms is not None and now_ms - stored_ms > max_age_ms):
             return None
         self.stored[name] = self.stored.pop(name)
         return stored_ms
 
 
 class Scheduler:
-    """A thread that calls back later; `condition` guards its queue and may guard its user's state."""
+    """A thread that calls back later. `condition` guards its queue, and may guard its user's state."""
 
     def __init__(self) -> None:
         self.condition = threading.Condition()
@@ -78,7 +83,7 @@
         threading.Thread(target=self._run, name="scheduler", daemon=True).start()
 
     def after(self, delay_s: float, callback: Callable[[], None]) -> None:
-        """Calls back on the scheduler's thread; the caller holds the condition."""
+        """Calls back on the scheduler's thread, without the condition. The caller holds the condition."""
         self._last_number += 1
         heappush(self._queue, (time.monotonic() + delay_s, self._last_number, callback))
         self.condition.notify()
@@ -92,17 +97,17 @@
             callback()
 
     def _delay_s(self) -> float | None:
-        """The time until something is due; None: nothing is."""
+        """The time until the first callback is due; None: there is none."""
         if not self._queue:
             return None
         return max(0.0, self._queue[0][0] - time.monotonic())
 
 
-class Origins:
-    """All caches with the parent and the origin, and what they know of each other, which proxies don't.
+class CacheTier:
+    """All caches with their parent, the origin and the coordinator.
 
-    The scheduler's condition guards `states`, `invalidated_ms` and `counts`: each cache's connections have
-    threads of their own.
+    The scheduler's condition guards `counts`, the caches' states and the invalidations, since each connection
+    of a cache has a thread of its own.
     """
 
     def __init__(self, count: int, capacity: int, weight: int) -> None:
@@ -123,7 +128,7 @@
         self.coordinator.add(endpoints={"version": 1, "full": True, "servers": self._entries})
 
     def read_counts(self) -> dict[str, int]:
-        """The counts at one moment."""
+        """A consistent copy of the counts."""
         with self._scheduler.condition:
             return asdict(self.counts)
 
@@ -135,23 +140,26 @@
                 self._fetch(cache, command)
 
     def _fetch(self, cache: ToyEndpoint, command: Command) -> None:
-        """Answers later: from the store, by a fill under way, or by one of its own."""
+        """Responds later: from the cache, by a fill in flight or a new one; the caller has the condition."""
         fields = command.fields
         name = f"{fields['name']}.{fields['piece']}"
         now_ms = unix_ms()
         state = self._states[cache.id]
-        stored_ms = state.look_up(now_ms, name, int(fields.get("within", 0)))
+        max_age_ms = int(fields["within"]) if "within" in fields else None
+        stored_ms = state.look_up(now_ms, name, max_age_ms)
         if stored_ms is not None:
             self.counts.hits += 1
             invalidated_ms = self._invalidated_ms.get(group_of(fields["name"]), 0)
             if stored_ms < invalidated_ms and now_ms > invalidated_ms + INVALIDATION_GRACE_MS:
                 self.counts.older_than_purge += 1
-            self._scheduler.after(HIT_LATENCY_S, partial(send_answer, command, name, stored_ms, "warm"))
+            self._scheduler.after(HIT_LATENCY_S, partial(send_response, command, name, stored_ms, "warm"))
         elif name in state.fills:
             fill = state.fills[name]
             self.counts.joined += 1
-            remaining_s = fill.ends_at - time.monotonic()
-            self._scheduler.after(remaining_s, partial(send_answer, command, name, fill.started_ms, "piggy"))
+            remaining_s = fill.ends_at_s - time.monotonic()
+            self._scheduler.after(
+                remaining_s, partial(send_response, command, name, fill.started_unix_ms, "piggy")
+            )
         elif "miss" not in fields:
             self.counts.misses += 1
             self._scheduler.after(MISS_LATENCY_S, partial(command.respond, "NONE"))
@@ -160,16 +168,17 @@
 
     def _start_fill(self, cache: ToyEndpoint, command: Command, name: str, now_ms: int) -> None:
         self.counts.fills += 1
-        if self._has_other_copy(cache, name, group_of(command.fields["name"])):
+        if self._is_in_another_cache(cache, name, group_of(command.fields["name"])):
             self.counts.double_fills += 1
         duration_s = fill_duration_s(name)
         fill = PendingFill(time.monotonic() + duration_s, now_ms)
         self._states[cache.id].fills[name] = fill
         self._scheduler.after(duration_s, partial(self._complete_fill, cache, command, name, now_ms))
 
-    def _has_other_copy(self, cache: ToyEndpoint, name: str, group: int) -> bool:
+    def _is_in_another_cache(self, cache: ToyEndpoint, name: str, group: int) -> bool:
+        """Whether another cache is filling the name, or stores it since the last invalidation."""
         invalidated_ms = self._invalidated_ms.get(group, 0)
-        others = [state for id_, state in self._states.items() if id_ != cache.id]
+        others = [state for endpoint_id, state in self._states.items() if endpoint_id != cache.id]
         return any(state.stored.get(name, 0) > invalidated_ms or name in state.fills for state in others)
 
     def _complete_fill(self, cache: ToyEndpoint, command: Command, name: str, started_ms: int) -> None:
@@ -179,19 +188,19 @@
                 state.stored[name] = started_ms
                 while len(state.stored) > self._capacity:
                     del state.stored[next(iter(state.stored))]
-        send_answer(command, name, started_ms, "fill")
+        send_response(command, name, started_ms, "fill")
 
-    def restart(self, id_: str) -> None:
-        """A cache comes back cold and empty; the endpoint list says so at once."""
+    def restart(self, cache_id: str) -> None:
+        """Restarts a cache, which is empty and warms up; publishes its start time."""
         with self._scheduler.condition:
-            self._states[id_].stored.clear()
-            self._states[id_].fills.clear()
-        row = next(row for row in self._entries if row["id"] == id_)
+            self._states[cache_id].stored.clear()
+            self._states[cache_id].fills.clear()
+        row = next(row for row in self._entries if row["id"] == cache_id)
         row["started_ms"] = unix_ms()
         self.coordinator.add(endpoints={"version": 2, "full": False, "servers": [row]})
 
     def purge(self, groups: list[int]) -> None:
-        """Invalidates groups: announced at once, carried out within the invalidation's lifetime."""
+        """Invalidates groups: published at once, carried out by the caches at the end of its lifetime."""
         now_ms = unix_ms()
         with self._scheduler.condition:
             self._invalidated_ms |= dict.fromkeys(groups, now_ms)
@@ -201,7 +210,7 @@
             self.coordinator.add(evict={"shard": group, "unix_ms": now_ms})
 
     def _drop_groups(self, groups: frozenset[int], invalidated_ms: int) -> None:
-        """No cache has such responses from here on, as the proxies' settings say."""
+        """Removes the groups' names that were stored before an invalidation from all caches."""
         with self._scheduler.condition:
             for state in self._states.values():
                 stale = [
@@ -214,23 +223,23 @@
 
 
 def unix_ms() -> int:
-    """The present time."""
+    """The present Unix time."""
     return int(time.time() * 1000)
 
 
 def group_of(name: str) -> int:
-    """The group that an object belongs to."""
+    """The group with which an object is invalidated."""
     return int(name, 16) % GROUPS
 
 
 def fill_duration_s(name: str) -> float:
-    """How long a fill takes, by a hash of its name."""
+    """The duration of a fill, by a hash of its name."""
     (byte,) = blake2b(name.encode(), digest_size=1).digest()
     return MIN_FILL_S + byte / 256 * FILL_RANGE_S
 
 
-def send_answer(command: Command, name: str, stored_ms: int, why: str) -> None:
-    """Sends a body of 2 KB that follows from the name, unless the connection has closed."""
+def send_response(command: Command, name: str, stored_ms: int, why: str) -> None:
+    """Sends a body of 2 KB that follows from the name; does nothing if the connection was closed."""
     body = blake2b(name.encode()).digest() * 32
     entity = blake2b(name.encode(), digest_size=8).hexdigest()
     try:
@@ -240,22 +249,22 @@
 
 
 def main() -> None:
-    """Runs until standard input ends."""
+    """Serves and executes commands until standard input ends."""
     count, capacity, weight = map(int, sys.argv[1:4])
-    origins = Origins(count, capacity, weight)
+    tier = CacheTier(count, capacity, weight)
     config: dict[str, Any] = {
-        "coordinator": origins.coordinator.address,
-        "known": origins.coordinator.listed(),
+        "coordinator": tier.coordinator.address,
+        "known": tier.coordinator.listed(),
     }
     print(json.dumps(config), flush=True)
     for line in sys.stdin:
-        verb, *words = line.split()
+        verb, *arguments = line.split()
         match verb:
             case "restart":
-                origins.restart(words[0])
+                tier.restart(arguments[0])
             case "purge":
-                origins.purge([int(word) for word in words])
-        print(json.dumps(origins.read_counts()), flush=True)
+                tier.purge([int(group) for group in arguments])
+        print(json.dumps(tier.read_counts()), flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,4 +1,8 @@
-"""Real proxies, stand-in caches and a stand-in store as processes of their own."""
+"""Real proxies and stand-in caches as processes.
+
+Owns the processes: each is killed at the end of its context. Standard output is a process's result or its
+log.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 CONNECT_TIMEOUT_S = 1.0
 START_POLL_S = 0.05
 FIRST_SEED = 7  # of the proxies' configurations
-CACHE_WEIGHT = 4  # transfers that a cache carries at once
+CACHE_WEIGHT = 4  # concurrent transfers of a cache
 
 
 class Address(NamedTuple):
@@ -42,9 +46,9 @@
 
 
 class Process:
-    """A process that writes one JSON line when it is ready, and one for each line it is sent.
+    """A process that writes one JSON line when it is ready, and one for each line that it reads.
 
-    It is a context manager, which kills it.
+    A context manager, which kills it. One thread may call `ask`.
     """
 
     def __init__(self, *words: str, log: Path | None = None) -> None:
@@ -64,19 +68,19 @@
         self.end()
 
     def read_line(self) -> Any:
-        """The next line of its output."""
+        """Waits for the next line of its output and decodes it."""
         assert self._process.stdout is not None
         return json.loads(self._process.stdout.readline())
 
     def ask(self, text: str) -> Any:
-        """Sends a line; the line that answers it."""
+        """Sends a line; waits for the response and decodes it."""
         assert self._process.stdin is not None
         self._process.stdin.write(f"{text}\n".encode())
         self._process.stdin.flush()
         return self.read_line()
 
     def cpu_s(self) -> float:
-        """CPU time so far, the system's for it included."""
+        """User and system CPU time so far."""
         text = Path(f"/proc/{self._process.pid}/stat").read_text()
         # After the name in parentheses: state, ppid ..., utime (12th), stime (13th); proc(5).
         words = text.rpartition(")")[2].split()
@@ -91,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """How many proxies and caches, and how many names a cache stores."""
+    """Numbers of proxies and caches, and the names that a cache stores."""
 
     proxies: int
     caches: int
@@ -99,7 +103,7 @@
 
 
 class Fleet:
-    """The proxies of one branch and their caches; with a store, its address is in their operator's file."""
+    """The proxies of one branch and their caches. With a store, the operator's file has its address."""
 
     def __init__(self, folder: Path, options: FleetOptions, store: Address | None) -> None:
         self.caches = Process(
@@ -126,7 +130,7 @@
         self._logs.append(log)
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Lines of all proxies' logs of one event, each with its proxy's number."""
+        """All proxies' log entries of one event, each with its proxy's number."""
         rows = []
         for number, log in enumerate(self._logs):
             for line in log.read_bytes().splitlines():
@@ -146,7 +150,7 @@
 
 
 def proxy_config(number: int, proxies: int, upstream: dict[str, Any]) -> dict[str, Any]:
-    """The configuration of one of so many proxies before these caches."""
+    """The configuration of one proxy; `upstream` has the caches' part."""
     config: dict[str, Any] = json.loads(CONFIG.read_text())
     config |= {"name": f"n{number}", "seed": f"{number + FIRST_SEED:x}", **upstream}
     config["settings"] |= {"siblings": proxies}
@@ -155,21 +159,21 @@
 
 
 def write_operator_file(folder: Path, store: Address) -> list[str]:
-    """Writes an operator's file that names the store; the arguments that name the file."""
+    """Writes an operator's file that names the store; returns the arguments for `olivepost serve`."""
     path = folder / "operator.yaml"
     path.write_text(f"sharing:\n  branch: bench\n  stores: [{{name: s, address: '{store}'}}]\n")
     return ["--operator", str(path)]
 
 
 def find_free_address() -> Address:
-    """An address on loopback that nothing listens at."""
+    """An address on loopback at which no process listens."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return Address(*sock.getsockname())
 
 
 def wait_until_listening(address: Address) -> None:
-    """Returns once a process accepts connections; raises TimeoutError."""
+    """Waits until a process accepts connections; raises TimeoutError."""
     end = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end:
         try:
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,8 @@
-"""Clients that ask proxies for Zipf names at a rate, on connections that they keep, and measure."""
+"""A load of Zipf names at a fixed rate, on kept connections, and the latency that clients see.
+
+The calling thread queues jobs as they become due; worker threads send the requests, so that a slow response
+delays no other request. Latency counts from the time at which a job was due.
+"""
 
 from __future__ import annotations
 
@@ -15,22 +19,22 @@
 from benchmarks.caches import group_of
 from benchmarks.fleet import Address
 
-SERVICE_OBJECTIVE_S = 1.0  # a response that took longer is of no service here
-TIMEOUT_MS = 3000  # that clients tell
+LATENCY_OBJECTIVE_S = 1.0  # a slower response does not count as served in time
+TIMEOUT_MS = 3000  # that clients send with a request
 SOCKET_TIMEOUT_S = 4.0
 WORKERS = 48  # connections to each proxy at most
 WORKER_JOIN_S = 10.0
 ZIPF_EXPONENT = 0.8
-NAME_MULTIPLIER = 2_654_435_761  # Knuth's, so that ranks give names spread over all groups
+NAME_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash: names of all ranks spread over the groups
 NAME_RANGE = 2**64
-FIRST_ID_BITS = 32  # request ids of different seeds differ
-ATTEMPTS = 2  # a kept connection may have been closed
+FIRST_ID_BITS = 32  # below the seed in a request's id, so that seeds share no ids
+ATTEMPTS = 2  # since a kept connection may have been closed
 RECEIVE_BYTES = 65_536
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOptions:
-    """A load, the same for a seed."""
+    """A load; equal options give equal requests."""
 
     seed: int
     rate: float  # requests a second
@@ -39,14 +43,14 @@
 
 
 class Step(NamedTuple):
-    """What is done at a time of the load."""
+    """An action at a time of the load."""
 
     at_s: float
     action: Callable[[], object]
 
 
 class Job(NamedTuple):
-    """One request to make."""
+    """A request to make."""
 
     due: float  # monotonic
     proxy: int
@@ -55,7 +59,7 @@
 
 @dataclass
 class LoadResult:
-    """What clients saw. The lock guards both fields while the load runs."""
+    """The latencies that clients saw. The lock guards the other fields while the load runs."""
 
     latencies_s: list[float] = field(default_factory=list)  # of requests that were served
     request_count: int = 0
@@ -64,11 +68,11 @@
     @property
     def service_share(self) -> float:
         """The share of requests served in time."""
-        in_time = sum(latency <= SERVICE_OBJECTIVE_S for latency in self.latencies_s)
+        in_time = sum(latency <= LATENCY_OBJECTIVE_S for latency in self.latencies_s)
         return in_time / max(1, self.request_count)
 
     def quantile_ms(self, share: float) -> float:
-        """A quantile of the latencies; not a number where nothing was served."""
+        """A quantile of the latencies; not a number if no request was served."""
         if not self.latencies_s:
             return float("nan")
         ordered = sorted(self.latencies_s)
@@ -76,7 +80,7 @@
 
 
 class Client:
-    """One worker's connections, one to each proxy. A context manager, which closes them."""
+    """One worker's connections, one to each proxy. A context manager, which closes them. Not thread-safe."""
 
     def __init__(self, addresses: Sequence[Address]) -> None:
         self._addresses = addresses
@@ -89,10 +93,10 @@
         for sock in self._sockets.values():
             sock.close()
 
-    def request(self, proxy: int, name: str, id_: int) -> bool:
-        """One request; whether it was served."""
+    def request(self, proxy: int, name: str, request_id: int) -> bool:
+        """Makes one request; returns whether its response was complete, with status 200."""
         text = (
-            f"GET /api/v2/segment/{name}/slice-0 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {id_:016x}\r\n"
+            f"GET /api/v2/segment/{name}/slice-0 HTTP/1.1\r\nHost: b\r\nX-Call-Id: {request_id:016x}\r\n"
             f"X-Patience-Ms: {TIMEOUT_MS}\r\nX-Set: {group_of(name)}\r\n\r\n"
         )
         for _ in range(ATTEMPTS):
@@ -116,7 +120,7 @@
 
 
 def read_response(sock: socket.socket) -> bool:
-    """Reads one response; whether its status is 200. Raises OSError where it is not complete."""
+    """Reads one response; returns whether its status is 200. Raises OSError if it is not complete."""
     data = b""
     while b"\r\n\r\n" not in data:
         data += receive(sock)
@@ -128,7 +132,7 @@
 
 
 def content_length(head: bytes) -> int:
-    """The length that a response's head gives, or 0."""
+    """The Content-Length of a response's head; 0 if it has none."""
     for line in head.lower().split(b"\r\n"):
         if line.startswith(b"content-length"):
             return int(line.split(b":")[1])
@@ -136,7 +140,7 @@
 
 
 def receive(sock: socket.socket) -> bytes:
-    """The next bytes; raises ConnectionError at the connection's end."""
+    """Reads some bytes; raises ConnectionError if the connection was closed."""
     data = sock.recv(RECEIVE_BYTES)
     if not data:
         raise ConnectionError("closed")
@@ -144,7 +148,7 @@
 
 
 def run_load(addresses: Sequence[Address], options: LoadOptions, steps: Sequence[Step]) -> LoadResult:
-    """Makes requests to proxies that are drawn evenly; takes the steps on the way."""
+    """Makes requests to proxies that are sampled evenly; takes the steps as they become due."""
     result = LoadResult()
     jobs = queue.SimpleQueue[Job | None]()
     ids = itertools.count(options.seed << FIRST_ID_BITS)
@@ -171,7 +175,7 @@
 def put_jobs(
     jobs: queue.SimpleQueue[Job | None], proxies: int, options: LoadOptions, steps: Sequence[Step]
 ) -> int:
-    """Puts jobs as they become due; how many there were."""
+    """Queues jobs and takes steps as they become due; returns the number of jobs."""
     draw = random.Random(options.seed)
     ranks = range(options.names)
     weights = list(itertools.accumulate(1 / (rank + 1) ** ZIPF_EXPONENT for rank in ranks))
--- a/benchmarks/modelled_branch.py
+++ b/benchmarks/modelled_branch.py
@@ -1,4 +1,7 @@
-"""Runs of the emulated branch: use of slow start budgets, double fills, long histories with every fault."""
+"""Runs of the emulated branch: use of slow start budgets, double fills, long histories with every fault.
+
+Each run has a branch of its own and depends on its job alone, so that runs may be made in several processes.
+"""
 
 from __future__ import annotations
 
@@ -9,39 +12,41 @@
 from typing import NamedTuple
 
 from benchmarks.branch import Branch, StoreLink, settings
-from olivepost.units import MILLISECOND, SECOND
+from olivepost.units import MILLISECOND, SECOND, Duration
 
 PROXIES = 12
-BUSY_WEIGHT = 100  # of one proxy's requests, where each other has 1
+BUDGET_LOAD_DURATION: Duration = 10 * SECOND
 BUDGET_CHECKS = 200
-BUDGET_CHECK_INTERVAL = 50 * MILLISECOND
+BUDGET_CHECK_INTERVAL: Duration = 50 * MILLISECOND
+BUSY_PROXY_WEIGHT = 100  # of the busy proxy's share of requests; each other proxy has 1
+BUDGET_START_DURATION: Duration = 7 * SECOND  # before the load
 
 HOSTILE_PROXIES = 4
 HOSTILE_CACHES = 4
-MAX_PAUSE = 3 * SECOND
-MAX_SILENCE = SECOND
+MAX_PAUSE: Duration = 3 * SECOND
+MAX_STORE_OUTAGE: Duration = SECOND
 MAX_SNAPSHOT_AGE_MS = 3_000
-MAX_GAP = 20 * MILLISECOND  # between two moves
+MAX_MOVE_INTERVAL: Duration = 20 * MILLISECOND
 RARE_FAULT_CHANCE = 0.3
-LINK_FAULT_CHANCES = (0.0, 0.0, 0.3)  # one of them each time
-MOVE_KINDS = 40  # nine are faults, the rest requests
-QUIET_END = 8 * SECOND
+LINK_FAULT_CHANCES = (0.0, 0.0, 0.3)  # of which a change of the link takes one for each fault
+MOVE_KINDS = 40  # nine are faults, the others requests
+RECOVERY_DURATION: Duration = 8 * SECOND  # after the last fault, until each request must have its response
 
 
 class BudgetJob(NamedTuple):
     """One run for `measure_budget_use`."""
 
     has_store: bool
-    are_all_cold: bool  # else one cache is
+    are_all_restarted: bool  # False: one cache is
     seed: int
     rate: int  # requests a second
 
 
 class BudgetRun(NamedTuple):
-    """How much of the cold caches' budgets was used, and what was served."""
+    """How much of the restarted caches' slow start budgets was used, and what was served."""
 
     used_share: float
-    exceeded: int
+    exceeded: int  # checks that found more than the whole of a quota
     served: int
     requests: int
 
@@ -52,20 +57,25 @@
 
 
 def measure_budget_use(job: BudgetJob) -> BudgetRun:
-    """A branch of 12, one proxy busy, one cache or all of them cold."""
+    """A branch of 12 proxies of which one is busy; one cache or all of them are restarted under load."""
     branch = Branch(
         settings(PROXIES), PROXIES, job.seed, has_store=job.has_store, names=4_000, size_kb=100.0, weight=4.0
     )
-    branch.run(7 * SECOND)
-    weights = [BUSY_WEIGHT] + [1] * (PROXIES - 1)
+    branch.run(BUDGET_START_DURATION)
+    weights = [BUSY_PROXY_WEIGHT] + [1] * (PROXIES - 1)
 
     def select_proxy() -> int:
         (number,) = branch.draw.choices(range(PROXIES), weights)
         return number
 
-    branch.load(job.rate, 10 * SECOND, select_proxy)
-    branch.run(0 if job.are_all_cold else 2 * SECOND)
-    for name in list(branch.caches) if job.are_all_cold else ["c1"]:
+    branch.load(job.rate, BUDGET_LOAD_DURATION, select_proxy)
+    if job.are_all_restarted:
+        branch.run(0)
+        restarted = list(branch.caches)
+    else:
+        branch.run(2 * SECOND)
+        restarted = ["c1"]
+    for name in restarted:
         branch.restart_cache(name)
     for _ in range(BUDGET_CHECKS):
         branch.run(BUDGET_CHECK_INTERVAL)
@@ -87,7 +97,10 @@
 
 
 def measure_double_fills(job: DoubleFillJob) -> float:
-    """The double fills' share in a branch of 12, one cache restarted, half of the groups invalidated."""
+    """The share of double fills in a branch of 12 proxies.
+
+    Under load one cache is restarted, then half of the groups are invalidated.
+    """
     branch = Branch(settings(PROXIES), PROXIES, job.seed, has_store=job.has_store)
     branch.run(4 * SECOND)
     branch.load(job.rate, 16 * SECOND)
@@ -108,9 +121,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryRun:
-    """What must not be, in one history, and how much was played."""
+    """Violations of invariants in one history, and its extent."""
 
-    steps: int
+    steps: int  # events that routers and store coordinators handled
     leases: int
     lease_conflicts: int
     budgets_exceeded: int
@@ -119,7 +132,7 @@
 
 
 class HostileHistory:
-    """A branch of four under every fault at once."""
+    """A branch of four proxies under every fault at once."""
 
     def __init__(self, seed: int) -> None:
         self.branch = Branch(
@@ -141,16 +154,15 @@
         }
 
     def move(self) -> None:
-        """One fault or request, and some time."""
-        act = self._moves.get(self._draw.randrange(MOVE_KINDS), self._request)
-        act()
-        self.branch.run(self._draw.randrange(MAX_GAP))
+        """Makes one fault or request and lets some time pass."""
+        make_move = self._moves.get(self._draw.randrange(MOVE_KINDS), self._request)
+        make_move()
+        self.branch.run(self._draw.randrange(MAX_MOVE_INTERVAL))
         self.branch.check_quotas()
 
-    def _rarely(self, act: Callable[[], None]) -> None:
-        is_due = self._draw.random() < RARE_FAULT_CHANCE
-        if is_due:
-            act()
+    def _rarely(self, make_fault: Callable[[], None]) -> None:
+        if self._draw.random() < RARE_FAULT_CHANCE:
+            make_fault()
         else:
             self._request()
 
@@ -175,7 +187,7 @@
         self._store.go_back(self._draw.randrange(MAX_SNAPSHOT_AGE_MS))
 
     def _make_store_unresponsive(self) -> None:
-        self._link.unresponsive_until = self.branch.now + self._draw.randrange(MAX_SILENCE)
+        self._link.unresponsive_until = self.branch.now + self._draw.randrange(MAX_STORE_OUTAGE)
 
     def _restart_cache(self) -> None:
         self.branch.restart_cache(f"c{self._draw.randrange(HOSTILE_CACHES)}")
@@ -185,13 +197,13 @@
 
 
 def play_hostile_history(job: HistoryJob) -> HistoryRun:
-    """So many moves, then a quiet end in which every request must get its response."""
+    """Makes a number of moves, then lets the branch recover: each request gets its final response by then."""
     history = HostileHistory(job.seed)
     branch = history.branch
     branch.restart_cache("c0")
     for _ in range(job.moves):
         history.move()
-    branch.run(QUIET_END)
+    branch.run(RECOVERY_DURATION)
     return HistoryRun(
         steps=branch.counts.steps,
         leases=branch.counts.leases,
--- a/benchmarks/real_fleet.py
+++ b/benchmarks/real_fleet.py
@@ -1,4 +1,7 @@
-"""Real proxies before stand-in caches, without a store or with one that has a fault for half of the run."""
+"""Runs of real proxies before stand-in caches, without a store, or with one that fails for half of the run.
+
+A scenario names the store's fault. The stand-in store takes its faults as JSON lines while the load runs.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +19,13 @@
 PROXIES = 4
 FLEET_OPTIONS = FleetOptions(PROXIES, caches=6, cache_capacity=150)
 NAMES = 1_200
-STORE_START_S = 0.5  # for proxies to connect to the store
+STORE_CONNECT_S = 0.5  # for proxies to connect to the store
 
-# When things happen, as shares of a run.
-FAULT_START = 0.25
-CACHE_RESTART = 0.4
-INVALIDATION = 0.6
-FAULT_END = 0.75
-RECOVERY_MARGIN_MS = 50  # by which a log's clock may be ahead of the fault's end
+FAULT_START_SHARE = 0.25  # of a run's duration
+CACHE_RESTART_SHARE = 0.4
+INVALIDATION_SHARE = 0.6
+FAULT_END_SHARE = 0.75
+RECOVERY_MARGIN_MS = 50  # by which a log's time may be before the fault's end
 
 Change = dict[str, Any]  # an entry of a stand-in store's fault schedule
 
@@ -40,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetRun:
-    """What one run gave; CPU times in microseconds a request."""
+    """The metrics of one run; CPU times are for each request."""
 
     service_share: float
     p99_ms: float
@@ -49,12 +51,12 @@
     double_fill_share: float
     served_older_than_purge: int
     proxy_cpu_us: float
-    store_cpu_us: float  # 0: no store
-    recovery_ms: float  # from the fault's end until the last proxy used the store again; 0: no fault
+    store_cpu_us: float  # 0 without a store
+    recovery_ms: float  # from the fault's end until the last proxy uses the store again; 0 without a fault
 
 
 def run_fleet(scenario: str, load: LoadOptions) -> FleetRun:
-    """One run: without a store, or with one that has a fault from a quarter to three quarters of it."""
+    """Runs a fleet with the store of a scenario."""
     with ExitStack() as stack:
         if scenario == NO_STORE:
             fleet = stack.enter_context(running_fleet(FLEET_OPTIONS))
@@ -62,15 +64,15 @@
         store = stack.enter_context(Process("standins", "redis", "--seed", str(load.seed)))
         address = Address.parse(store.read_line()["address"])
         fleet = stack.enter_context(running_fleet(FLEET_OPTIONS, address))
-        time.sleep(STORE_START_S)
+        time.sleep(STORE_CONNECT_S)
         return measure(fleet, store, FAULTS[scenario], load)
 
 
 def measure(fleet: Fleet, store: Process | None, changes: list[Change], load: LoadOptions) -> FleetRun:
-    """Puts the load on a fleet, with a restarted cache, invalidations and the store's fault on the way."""
+    """Puts the load on a fleet; meanwhile a cache restarts, groups are invalidated and the store fails."""
     proxy_cpu_before_s = fleet.cpu_s()
     store_cpu_before_s = store.cpu_s() if store else 0.0
-    fault_end_ms = (time.time() + load.duration_s * FAULT_END) * 1000
+    fault_end_ms = (time.time() + load.duration_s * FAULT_END_SHARE) * 1000
     steps = fleet_steps(fleet, load.duration_s)
     if store is not None:
         steps += fault_steps(store, changes, load.duration_s)
@@ -92,28 +94,28 @@
 
 
 def fleet_steps(fleet: Fleet, duration_s: float) -> list[Step]:
-    """One cache is restarted, and half of the groups are invalidated."""
+    """The restart of one cache, and the invalidation of half of the groups."""
     groups = " ".join(str(group) for group in range(0, GROUPS, 2))
     return [
-        Step(duration_s * CACHE_RESTART, partial(fleet.caches.ask, "restart c1")),
-        Step(duration_s * INVALIDATION, partial(fleet.caches.ask, f"purge {groups}")),
+        Step(duration_s * CACHE_RESTART_SHARE, partial(fleet.caches.ask, "restart c1")),
+        Step(duration_s * INVALIDATION_SHARE, partial(fleet.caches.ask, f"purge {groups}")),
     ]
 
 
 def fault_steps(store: Process, changes: list[Change], duration_s: float) -> list[Step]:
-    """The changes of a fault, evenly over its time, and its end."""
+    """The changes of a fault, at equal intervals, and its end."""
     if not changes:
         return []
-    interval = (FAULT_END - FAULT_START) / len(changes)
+    interval = (FAULT_END_SHARE - FAULT_START_SHARE) / len(changes)
     steps = [
-        Step(duration_s * (FAULT_START + number * interval), partial(store.ask, json.dumps(change)))
+        Step(duration_s * (FAULT_START_SHARE + number * interval), partial(store.ask, json.dumps(change)))
         for number, change in enumerate(changes)
     ]
-    return [*steps, Step(duration_s * FAULT_END, partial(store.ask, json.dumps(FAULT_OVER)))]
+    return [*steps, Step(duration_s * FAULT_END_SHARE, partial(store.ask, json.dumps(FAULT_OVER)))]
 
 
 def recovery_ms(fleet: Fleet, fault_end_ms: float) -> float:
-    """The time from the fault's end until the last proxy used the store again."""
+    """The time from the fault's end until the last proxy uses the store again."""
     times = [row["at_ms"] for row in fleet.events("store_available")]
     delays = [at_ms - fault_end_ms for at_ms in times if at_ms > fault_end_ms - RECOVERY_MARGIN_MS]
     return max(delays, default=0.0)
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -1,7 +1,8 @@
-"""The shared store off and on: double fills, service and latency under its faults, budgets, leases, recovery.
+"""Benchmark of the shared store: pairs of runs without a store and with one, healthy or with a fault.
 
-Real proxies before stand-in caches for what clients see (`real_fleet`); an emulated branch of 12 proxies for
-budgets, and long seeded runs of one of four with every fault for what must never happen (`modelled_branch`).
+Real proxies before stand-in caches show what clients see (`real_fleet`). An emulated branch of 12 proxies
+shows the use of slow start budgets, and long seeded histories of a branch of four with every fault show
+violations of invariants (`modelled_branch`).
 """
 
 from __future__ import annotations
@@ -12,9 +13,8 @@
 from collections.abc import Callable, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import dataclass
-from typing import Any
+from typing import Any, NamedTuple
 
-from benchmarks.branch import settings
 from benchmarks.load import LoadOptions
 from benchmarks.modelled_branch import (
     BudgetJob,
@@ -28,38 +28,62 @@
 )
 from benchmarks.real_fleet import FAULTS, NAMES, NO_STORE, PROXIES, FleetRun, run_fleet
 
-__all__ = ["run", "settings"]
-
 WORKER_PROCESSES = 8
-HISTORY_SEEDS_PER_SEED = 1_000  # histories of different seeds of the benchmark differ
+HISTORY_SEEDS_PER_SEED = 1_000  # more than a plan has, so that no two seeds share a history
+MIN_SERVICE_SHARE = 1e-9  # stands in for 0, by which no ratio can be taken
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How much is measured."""
-
-    pairs: int
-    duration_s: float
-    rate: float
-    jobs: int  # runs of the modelled branch for each figure
-    busy_rate: int
-    usual_rate: int
+    """Numbers and sizes of the runs."""
+
+    pairs: int  # of runs of the real fleet, for each scenario
+    duration_s: float  # of each such run
+    rate: float  # its requests a second
+    jobs: int  # runs of the emulated branch for each metric
+    budget_rate: int  # requests a second in runs for budgets
+    double_fill_rate: int  # requests a second in runs for double fills
     histories: int
-    moves: int
-    has_all_cold: bool  # whether budgets are also measured with all caches cold
+    moves: int  # faults and requests of a history
+    restarts_all_caches: bool  # whether budgets also come from runs in which all caches are restarted
 
 
 FULL_PLAN = Plan(
-    5, 8.0, 150.0, 5, busy_rate=600, usual_rate=300, histories=96, moves=6_000, has_all_cold=True
+    pairs=5,
+    duration_s=8.0,
+    rate=150.0,
+    jobs=5,
+    budget_rate=600,
+    double_fill_rate=300,
+    histories=96,
+    moves=6_000,
+    restarts_all_caches=True,
+)
+QUICK_PLAN = Plan(
+    pairs=1,
+    duration_s=3.0,
+    rate=120.0,
+    jobs=1,
+    budget_rate=150,
+    double_fill_rate=100,
+    histories=8,
+    moves=150,
+    restarts_all_caches=False,
 )
-QUICK_PLAN = Plan(1, 3.0, 120.0, 1, busy_rate=150, usual_rate=100, histories=8, moves=150, has_all_cold=False)
+
+
+class BudgetCase(NamedTuple):
+    """A kind of runs for budgets."""
+
+    has_store: bool
+    are_all_restarted: bool  # False: one cache is
 
 
 @dataclass(frozen=True, slots=True)
 class ModelRuns:
-    """All runs of the modelled branch."""
+    """All runs of the emulated branch."""
 
-    budgets: dict[tuple[bool, bool], list[BudgetRun]]  # by whether there is a store, whether all are cold
+    budgets: dict[BudgetCase, list[BudgetRun]]
     double_fill_shares: dict[bool, list[float]]  # by whether there is a store
     histories: list[HistoryRun]
 
@@ -70,35 +94,36 @@
     def __init__(self, by_scenario: dict[str, list[FleetRun]]) -> None:
         self.by_scenario = by_scenario
 
-    def median(self, scenario: str, figure: Callable[[FleetRun], float]) -> float:
-        """The median of a figure over a scenario's runs."""
-        return statistics.median(figure(run) for run in self.by_scenario[scenario])
+    def median(self, scenario: str, metric: Callable[[FleetRun], float]) -> float:
+        """The median of a metric over a scenario's runs."""
+        return statistics.median(metric(run) for run in self.by_scenario[scenario])
 
     def added_p99_ms(self, scenario: str) -> list[float]:
-        """What a scenario adds to the 99th percentile of latency, for each pair."""
+        """The 99th percentile of latency in a scenario less that without a store, for each pair."""
         pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
         return [with_store.p99_ms - without.p99_ms for without, with_store in pairs]
 
     def service_ratio(self, scenario: str) -> float:
-        """Service of a scenario over that without a store, median of the pairs."""
+        """The share of requests served in a scenario over that without a store, median of the pairs."""
         pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
         return statistics.median(
-            with_store.service_share / max(1e-9, without.service_share) for without, with_store in pairs
+            with_store.service_share / max(MIN_SERVICE_SHARE, without.service_share)
+            for without, with_store in pairs
         )
 
 
 def run(is_quick: bool, seed: int) -> dict[str, Any]:
-    """All of it; medians of pairs, and the worst of what must not be."""
+    """Makes all runs; returns the metrics by name: medians of pairs, and counts of violated invariants."""
     plan = QUICK_PLAN if is_quick else FULL_PLAN
     fleet_runs = run_fleets(plan, seed)
-    report_progress("the modelled branch")
+    report_progress("the emulated branch")
     start = time.monotonic()
     model_runs = run_models(plan, seed)
     report_progress(f"which took {time.monotonic() - start:.0f} s")
     return {
-        **fleet_figures(plan, fleet_runs, model_runs),
-        **model_figures(fleet_runs, model_runs),
-        **cost_figures(fleet_runs),
+        **fleet_metrics(plan, fleet_runs, model_runs),
+        **model_metrics(fleet_runs, model_runs),
+        **cost_metrics(fleet_runs),
     }
 
 
@@ -108,7 +133,7 @@
 
 
 def run_fleets(plan: Plan, seed: int) -> FleetRuns:
-    """All scenarios one after another, as often as there are pairs."""
+    """Runs all scenarios one after another, once for each pair."""
     by_scenario: dict[str, list[FleetRun]] = {name: [] for name in (NO_STORE, *FAULTS)}
     for pair in range(plan.pairs):
         load = LoadOptions(seed + pair, plan.rate, plan.duration_s, NAMES)
@@ -119,21 +144,22 @@
 
 
 def run_models(plan: Plan, seed: int) -> ModelRuns:
-    """All runs of the modelled branch, in processes of their own."""
+    """Makes all runs of the emulated branch, in worker processes."""
     seeds = [seed + number for number in range(plan.jobs)]
     first_history = seed * HISTORY_SEEDS_PER_SEED
     history_jobs = [HistoryJob(first_history + number, plan.moves) for number in range(plan.histories)]
-    cases = [(has_store, False) for has_store in (False, True)]
-    if plan.has_all_cold:
-        cases += [(has_store, True) for has_store in (False, True)]
+    cases = [BudgetCase(has_store, are_all_restarted=False) for has_store in (False, True)]
+    if plan.restarts_all_caches:
+        cases += [BudgetCase(has_store, are_all_restarted=True) for has_store in (False, True)]
     with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
         budgets = {
-            case: pool.map(measure_budget_use, [BudgetJob(*case, each, plan.busy_rate) for each in seeds])
+            case: pool.map(measure_budget_use, [BudgetJob(*case, each, plan.budget_rate) for each in seeds])
             for case in cases
         }
         double_fills = {
             has_store: pool.map(
-                measure_double_fills, [DoubleFillJob(has_store, each, plan.usual_rate) for each in seeds]
+                measure_double_fills,
+                [DoubleFillJob(has_store, each, plan.double_fill_rate) for each in seeds],
             )
             for has_store in (False, True)
         }
@@ -145,15 +171,15 @@
         )
 
 
-def fleet_figures(plan: Plan, fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
-    """Double fills, service and latency, without a store and with one."""
+def fleet_metrics(plan: Plan, fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
+    """Double fills, the share of requests served and latency, without a store and with one."""
     ratios = {name: fleet_runs.service_ratio(name) for name in ("dead", "silent", "slow", "flapping")}
     worst = max(ratios, key=lambda name: abs(ratios[name] - 1))
     double_fills = {
         has_store: statistics.median(shares) for has_store, shares in model_runs.double_fill_shares.items()
     }
     added_healthy_ms = fleet_runs.added_p99_ms("healthy")
-    added_silent_ms = fleet_runs.added_p99_ms("silent")
+    added_unresponsive_ms = fleet_runs.added_p99_ms("silent")
     p50_off_ms = fleet_runs.median(NO_STORE, lambda run: run.p50_ms)
     p50_healthy_ms = fleet_runs.median("healthy", lambda run: run.p50_ms)
     double_fills_off = fleet_runs.median(NO_STORE, lambda run: run.double_fill_share)
@@ -172,17 +198,17 @@
         "service_off": round(fleet_runs.median(NO_STORE, lambda run: run.service_share), 4),
         "answer_p99_ms_off": round(fleet_runs.median(NO_STORE, lambda run: run.p99_ms), 2),
         "answer_p99_added_ms_healthy": round(statistics.median(added_healthy_ms), 2),
-        "answer_p99_added_ms_silent": round(statistics.median(added_silent_ms), 2),
+        "answer_p99_added_ms_silent": round(statistics.median(added_unresponsive_ms), 2),
         "answer_p99_added_ms_silent_spread": [
-            round(min(added_silent_ms), 2),
-            round(max(added_silent_ms), 2),
+            round(min(added_unresponsive_ms), 2),
+            round(max(added_unresponsive_ms), 2),
         ],
         "answer_p50_added_ms_healthy": round(p50_healthy_ms - p50_off_ms, 2),
     }
 
 
-def model_figures(fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
-    """What must never happen, and the use of slow start budgets."""
+def model_metrics(fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
+    """Violated invariants, and the use of slow start budgets."""
     histories = model_runs.histories
     budget_runs = [run for runs in model_runs.budgets.values() for run in runs]
     off_runs = fleet_runs.by_scenario[NO_STORE]
@@ -200,31 +226,33 @@
         "served_older_than_purge_off": sum(run.served_older_than_purge for run in off_runs),
         "served_older_than_purge": served_invalidated,
         "budget_sum_over_whole": exceeded,
-        **budget_figures(model_runs),
+        **budget_metrics(model_runs),
     }
 
 
-def budget_figures(model_runs: ModelRuns) -> dict[str, float | None]:
-    """Shares of budgets used and of requests served; None for what this plan leaves out."""
-    figures: dict[str, float | None] = {}
-    for are_all_cold, prefixes in ((False, ("", "one_cold_")), (True, ("all_", "all_cold_"))):
-        used_prefix, served_prefix = prefixes
-        off = model_runs.budgets.get((False, are_all_cold), [])
-        on = model_runs.budgets.get((True, are_all_cold), [])
-        figures[f"{used_prefix}cold_budget_used_share_off"] = median_or_none([run.used_share for run in off])
-        figures[f"{used_prefix}cold_budget_used_share_on"] = median_or_none([run.used_share for run in on])
-        figures[f"{served_prefix}served_share_off"] = median_or_none([run.served_share for run in off])
-        figures[f"{served_prefix}served_share_on"] = median_or_none([run.served_share for run in on])
-    return figures
+def budget_metrics(model_runs: ModelRuns) -> dict[str, float | None]:
+    """Shares of budgets used and of requests served; None for runs that the plan leaves out."""
+    metrics: dict[str, float | None] = {}
+    for are_all_restarted, used_prefix, served_prefix in (
+        (False, "", "one_cold_"),
+        (True, "all_", "all_cold_"),
+    ):
+        off = model_runs.budgets.get(BudgetCase(False, are_all_restarted), [])
+        on = model_runs.budgets.get(BudgetCase(True, are_all_restarted), [])
+        metrics[f"{used_prefix}cold_budget_used_share_off"] = median_or_none([run.used_share for run in off])
+        metrics[f"{used_prefix}cold_budget_used_share_on"] = median_or_none([run.used_share for run in on])
+        metrics[f"{served_prefix}served_share_off"] = median_or_none([run.served_share for run in off])
+        metrics[f"{served_prefix}served_share_on"] = median_or_none([run.served_share for run in on])
+    return metrics
 
 
 def median_or_none(values: Sequence[float]) -> float | None:
-    """The median to four places; None where nothing was measured."""
+    """The median, rounded to four places; None without values."""
     return round(statistics.median(values), 4) if values else None
 
 
-def cost_figures(fleet_runs: FleetRuns) -> dict[str, Any]:
-    """Recovery after the store's faults, and CPU time a request."""
+def cost_metrics(fleet_runs: FleetRuns) -> dict[str, Any]:
+    """Time to recover from the store's faults, and CPU time for each request."""
     recoveries_ms = [fleet_runs.median(name, lambda run: run.recovery_ms) for name in ("silent", "dead")]
     cpu_off_us = fleet_runs.median(NO_STORE, lambda run: run.proxy_cpu_us)
     cpu_healthy_us = fleet_runs.median("healthy", lambda run: run.proxy_cpu_us)
--- a/tests/shared_store/model.py
+++ b/tests/shared_store/model.py
@@ -4,8 +4,7 @@
 
 from typing import Any
 
-from benchmarks.branch import Branch
-from benchmarks.sharing import settings
+from benchmarks.branch import Branch, settings
 from tests.router_harness import SECOND
 
 NAME = "000007"  # an object that no cache has at the start
