--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request on the event loop: from its arrival, by its attempts' outcomes, to its response.
+"""A request on the event loop: its arrival, the outcomes of its attempts, its response.
 
 Each step gives the router one event and has its actions carried out; no decision is taken here.
 """
@@ -16,13 +16,17 @@
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# After service discovery was last heard: less than the time in which its events must take effect. Without
-# word of it an invalidation may have been missed, and no cached response is used.
+# After the last response of service discovery: less than the time in which its events must take effect. Later
+# an invalidation may have been missed, and no cached response is used.
 DISCOVERY_VALID_FOR: Duration = 2 * SECOND
 
 
 class ExchangeLifecycle:
-    """The requests of one proxy. Only the event loop's thread calls this."""
+    """Takes requests and attempts through their events; `PendingExchanges` holds them.
+
+    Only the event loop's thread calls this. It also owns the two times that a request's arrival depends on:
+    `discovery_received_at` and `shutdown_at`.
+    """
 
     def __init__(
         self, resources: EventLoopResources, pending: PendingExchanges, executor: ActionExecutor
@@ -35,64 +39,72 @@
         self._upstream = resources.upstream
         self._pending = pending
         self._executor = executor
-        self.discovery_heard_at = 0
-        # When all that is pending gets its final response; 0: no shutdown, or it is past.
-        self.shutdown_at = 0
-        self._is_shut_down = False  # what comes now gets its final response at once
+        # When service discovery last responded; None: not since the start.
+        self.discovery_received_at: Instant | None = None
+        # When all pending requests get their final response; None: no shutdown, or that time has passed.
+        self.shutdown_at: Instant | None = None
+        self._is_shut_down = False  # a request that arrives now gets its final response at once
 
     # Arrival and shutdown
 
     def receive(self, now: Instant, exchange: Exchange) -> None:
-        """A client's request has come."""
+        """A client's request has been read to its end."""
         if exchange.id in self._pending:
             self._log.increment("duplicate_request_ids")
             exchange.close(Response(ResponseKind.FAILED))
             return
         entry = self._cache_entry(now, exchange)
         self._pending.add(exchange, entry)
-        request = api.Request(
+        self._executor.execute(self._router.handle(now, self._router_request(now, exchange, entry)))
+
+    def _router_request(self, now: Instant, exchange: Exchange, entry: CacheEntry | None) -> api.Request:
+        """The request as routing sees it: with the remaining time, and without what only the wire needs."""
+        return api.Request(
             exchange.id,
             exchange.class_name,
             exchange.object,
-            self._timeout(now, exchange),
+            self._remaining_time(now, exchange),
             group=exchange.group,
             part=exchange.part,
             cached_response=None if entry is None else self._cached_response(now, entry),
             is_write=exchange.is_write,
         )
-        self._executor.execute(self._router.handle(now, request))
 
     def _cache_entry(self, now: Instant, exchange: Exchange) -> CacheEntry | None:
         """The proxy's cached response, where it has a cache and is up to date with service discovery."""
-        if self._transfer_bytes_per_s is None or now - self.discovery_heard_at >= DISCOVERY_VALID_FOR:
+        if self._transfer_bytes_per_s is None or not self._is_discovery_current(now):
             return None
         return self._response_cache.get(exchange)
 
+    def _is_discovery_current(self, now: Instant) -> bool:
+        received_at = self.discovery_received_at
+        return received_at is not None and now - received_at < DISCOVERY_VALID_FOR
+
     def _cached_response(self, now: Instant, entry: CacheEntry) -> api.CachedResponse:
         age = max(0, now - entry.generated_at)
         assert self._transfer_bytes_per_s is not None  # else there is no response cache
-        transfer_time = int(entry.body.length / self._transfer_bytes_per_s * 1e9)
+        transfer_time = int(entry.body.length / self._transfer_bytes_per_s * SECOND)
         return api.CachedResponse(age, transfer_time)
 
-    def _timeout(self, now: Instant, exchange: Exchange) -> Duration:
-        """What is left of the client's timeout, and at shutdown of the proxy's own."""
+    def _remaining_time(self, now: Instant, exchange: Exchange) -> Duration:
+        """What is left of the client's timeout, and during shutdown of the proxy's own time."""
         if self._is_shut_down:
             return 0
         deadline = exchange.received_at + exchange.timeout
-        if self.shutdown_at:
+        if self.shutdown_at is not None:
             deadline = min(deadline, self.shutdown_at)
         return max(0, deadline - now)
 
     def finish_all(self, now: Instant) -> None:
-        """The shutdown deadline has come: every pending request gets its final response."""
-        self.shutdown_at = 0
+        """The shutdown deadline has passed: every pending request gets its final response."""
+        self.shutdown_at = None
         self._is_shut_down = True
         self._executor.execute(self._router.handle(now, api.Shutdown()))
 
     def abandon(self, now: Instant, exchange: Exchange, response: Response | None) -> None:
         """Ends a request, if it is still pending, and has the router cancel its attempts.
 
-        None in place of the response: the client has disconnected.
+        None in place of the response means that the client has disconnected.
         """
         pending = self._pending.of_exchange(exchange)
         if pending is not None:
@@ -102,13 +114,13 @@
     # Attempts
 
     def reroute(self, attempt: UpstreamRequest) -> None:
-        """An attempt's connection broke before its first byte was written: another one takes it."""
+        """An attempt's connection was lost before its first byte was written: another one takes it."""
         if self._pending.of_attempt(attempt) is not None:
             attempt.is_rerouted = True
             self._upstream.forward(attempt)
 
     def forward_deferred(self, exchange: Exchange) -> None:
-        """An abort has been written: once none is left, the attempt that waited for it goes out."""
+        """An abort has been written: once none is left, the attempt that waited for it is forwarded."""
         pending = self._pending.of_exchange(exchange)
         if pending is None:
             return
@@ -121,7 +133,7 @@
             self._upstream.forward(attempt)
 
     def time_out_attempt(self, now: Instant, timer_id: int) -> None:
-        """An attempt's timer has fired; one that has ended before left none."""
+        """An attempt's timer has fired; where the attempt has ended before, nothing happens."""
         attempt = self._pending.attempt_of_timer(timer_id)
         if attempt is None:
             return
@@ -130,9 +142,9 @@
         self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.TIMED_OUT, now))
 
     def withdraw(self, now: Instant, concerns: Callable[[UpstreamRequest], bool]) -> None:
-        """Takes back attempts that nobody has begun to write, for the router to decide anew.
+        """Withdraws attempts that no connection has begun to write, for the router to decide anew.
 
-        An attempt may wait for its connection; rules 3 and 5 count its first byte, not its decision.
+        An attempt may wait for its connection; draining and invalidations apply until its first byte.
         """
         withdrawn = self._pending.withdraw_deferred(concerns)
         withdrawn += self._upstream.withdraw(concerns)
@@ -140,7 +152,7 @@
             self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.NOT_SENT, now))
 
     def complete_attempt(self, now: Instant, event: UpstreamCompleted) -> None:
-        """An attempt's outcome; the first good response goes to the client at once."""
+        """Handles an attempt's outcome; the first usable response goes to the client at once."""
         attempt = event.request
         response = event.response
         self._pending.discard_timeout(attempt)
@@ -153,11 +165,11 @@
         if event.status is not api.AttemptStatus.OK:
             self._record_failed_attempt(event)
         pending.generated_at = None if response is None else response.generated_at
-        actions = self._deliver(now, pending, event)
+        actions = self._close_with_response(now, pending, event)
         self._executor.execute(actions, pending)
 
     def _record_failed_attempt(self, event: UpstreamCompleted) -> None:
-        """Counts an attempt without a response, and logs it; a miss is no failure, and is only counted."""
+        """Counts an attempt without a response, and logs it unless the cache had only reported a miss."""
         attempt = event.request
         self._log.increment(f"attempts_{event.status.name.lower()}")
         if event.status is not api.AttemptStatus.NOT_CACHED:
@@ -172,11 +184,13 @@
                 elapsed_ms=(event.completed_at - attempt.forwarded_at) // MILLISECOND,
             )
 
-    def _deliver(self, now: Instant, pending: PendingExchange, event: UpstreamCompleted) -> list[api.Action]:
-        """Closes the request where there is a response, and returns what the router makes of the outcome.
+    def _close_with_response(
+        self, now: Instant, pending: PendingExchange, event: UpstreamCompleted
+    ) -> list[api.Action]:
+        """Closes the request where there is a response, and returns the router's actions on the outcome.
 
-        The body is shared meanwhile: the client's side may have released it before the router says whether
-        the response is to be stored.
+        The body has a second holder meanwhile: the client's side may release it before the router decides
+        whether the response is stored.
         """
         response = event.response
         outcome = _outcome(event)
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -79,12 +79,12 @@
     request: UpstreamRequest, line: ResponseLine, clock: Clock, completed_at: Instant
 ) -> Response | None:
     """Returns the response for the client; None where the endpoint served none."""
-    etag = line.fields.get("entity", "")
+    etag = line.fields.get("entity") or None
     if line.status == "HIT" and request.body is not None:
         generated_at = _generated_at(line.fields.get("issued", ""), clock, completed_at)
         return Response(ResponseKind.SERVED, etag, request.body, generated_at)
     # Only the response that the client has cached, by its tag, may be reported as not modified.
-    if line.status == "VALID" and etag and etag == request.exchange.etag:
+    if line.status == "VALID" and etag is not None and etag == request.exchange.etag:
         return Response(ResponseKind.NOT_MODIFIED, etag)
     return None
 
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -85,7 +85,7 @@
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None) -> None:
         """Releases a fill lease; `generated_at` is that of the response in Unix time, None: unknown."""
-        generated_at_ms = None if generated_at is None else generated_at // MILLISECOND or None
+        generated_at_ms = None if generated_at is None else generated_at // MILLISECOND
         self._queue_event(messages.LeaseReleased(release, generated_at_ms))
 
     def notify(
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -66,7 +66,7 @@
 def test_write_is_not_answered_from_the_response_cache() -> None:
     rates: dict[str, Any] = {"flow_bytes_per_s": 100_000_000, "link_bytes_per_s": 400_000_000}
     with running_proxy(serve_writes, settings=write_settings(), **rates) as proxy, proxy.connect() as client:
-        assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_heard_at)
+        assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
         for count in range(1, 5):
             client.send(put_request())
             assert client.read_response()[0] == 200
@@ -102,7 +102,7 @@
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
-def test_large_bodies_share_one_budget_and_release_it() -> None:
+def test_large_bodies_share_one_budget_and_release_their_parts() -> None:
     """One too many is rejected before it is read; a response and a client that closes release theirs."""
     gate = threading.Event()
 
@@ -160,8 +160,8 @@
         assert client.read_response()[0] == 200
 
 
-def test_reservation_takes_from_the_budget_once_and_gives_it_back_once() -> None:
-    budget = LargeBodyBudget(max_bytes=100, small_body_size=10)
+def test_reservation_is_counted_and_released_once() -> None:
+    budget = LargeBodyBudget(max_bytes=100, small_body_bytes=10)
     first, second = LargeBodyReservation(budget), LargeBodyReservation(budget)
     assert first.reserve(60)
     assert first.reserve(60)
