--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -1,7 +1,7 @@
 """The router: events in, actions out.
 
-It asks the decisions of olivepost/routing and carries out what they say; none is taken here, and no tuned
-value stands here. Settings, events and actions stand in olivepost/interface. No clock, no I/O.
+It asks the decisions of olivepost/routing and carries out what they say: nothing is decided here, and no
+decision's values stand here. Settings, events and actions stand in olivepost/interface. No clock, no I/O.
 
 Which decision leads to which action (all are emitted here or by `RequestLifecycle`):
 
@@ -44,6 +44,7 @@
 
     def handle(self, now: Instant, event: api.Event) -> list[api.Action]:
         """Takes one event and returns what to do, in order."""
+        self._actions.start_event()
         match event:
             case api.Request():
                 self.requests.arrive(now, event)
