--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -16,7 +16,7 @@
 
 START_KIND = "Spawn"
 STOP_KIND = "Halt"
-IGNORED_KINDS = frozenset({"ProbeDone", "Message"})  # responses to what a router never requests
+IGNORED_KINDS = frozenset({"ProbeDone", "Message"})  # responses to requests that no router makes
 
 # Bits of an attempt's `mode`: how its cache is to serve it.
 MODE_COLLAPSE_FILLS = 1
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """One line of input: messages that arrive at the same time."""
+    """One line of input: messages that arrive at one time, in order."""
 
     now: Instant
     turn: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterStart:
-    """What a router is started with."""
+    """The settings and the random seed of a router to be started."""
 
     settings: api.Settings
     seed: int
@@ -83,7 +83,7 @@
 
 
 def read_message(item: object) -> Message:
-    """Parses the fields that messages of all kinds have."""
+    """Parses the fields that are common to messages of all kinds."""
     fields = FieldReader("message", item)
     return Message(fields.text("kind"), fields.integer("front"), fields)
 
@@ -138,7 +138,7 @@
             return {"kind": "Timer", "delay": action.delay, "ref": action.timer_id}
         case api.Subscribe():
             return {"kind": "Watch", "want": True}
-        case _:  # those of the response cache and the shared store, which a simulated proxy is without
+        case _:  # actions of the response cache and the shared store: a simulated proxy has neither
             raise ValueError(f"no message for {type(action).__name__} on the simulator's wire")
 
 
--- a/olivepost/simulator_adapter/host.py
+++ b/olivepost/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""The simulator's batch loop: one router per proxy, nothing shared between them."""
+"""Runs the simulator's proxies: reads batches, has each proxy's router handle its messages, replies."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class RouterHost:
-    """The routers that run, by proxy. Single-threaded."""
+    """The running routers, by proxy; they share nothing. Single-threaded."""
 
     def __init__(self) -> None:
         self._routers: dict[int, Router] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Plays one batch and returns the line to reply with; a ConfigError says what is malformed."""
+        """Handles one batch and returns the reply's line; a ConfigError says what is malformed."""
         batch = codec.read_batch(line)
         actions: list[dict[str, object]] = []
         for message in batch.messages:
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -1,4 +1,4 @@
-"""What the router makes of a shared store's hints, and what quota it donates."""
+"""How a router uses the shared store: lookups and hints, quota transfers, outlier reports."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 
 from olivepost import interface as api
 from olivepost.routing import capacity, health
+from olivepost.units import Duration
 from tests.router_harness import (
     FLEET,
     MS,
@@ -18,12 +19,12 @@
     make_settings,
 )
 
-WAIT = 10 * MS
+STORE_TIMEOUT = 10 * MS
 
 
 def proxy_with_store(**changes: object) -> RouterDriver:
     """Returns a proxy whose store is available."""
-    proxy = RouterDriver(make_settings(**{"shared_store_timeout": WAIT, **changes}))
+    proxy = RouterDriver(make_settings(**{"shared_store_timeout": STORE_TIMEOUT, **changes}))
     proxy.advance(5 * SECOND)
     proxy.handle(api.StoreAvailability(True))
     return proxy
@@ -37,14 +38,14 @@
     proxy = proxy_with_store()
     (lookup,) = lookups(proxy.request("1"))
     assert lookup.source is None
-    assert lookup.timeout == WAIT
+    assert lookup.timeout == STORE_TIMEOUT
     proxy.handle(api.CacheHint("1"))
     proxy.complete_attempt("1", 0, api.AttemptStatus.OK, cache_status=api.CacheStatus.HIT)
     assert not lookups(proxy.request("2"))
 
 
 def test_without_a_store_nothing_is_looked_up() -> None:
-    proxy = RouterDriver(make_settings(shared_store_timeout=WAIT))
+    proxy = RouterDriver(make_settings(shared_store_timeout=STORE_TIMEOUT))
     assert forwarded_attempts(proxy.request("1"))
     assert not lookups(proxy.request("2", "y"))
 
@@ -66,45 +67,45 @@
 def test_late_hint_changes_nothing() -> None:
     proxy = proxy_with_store()
     proxy.request("1")
-    proxy.advance(WAIT)
+    proxy.advance(STORE_TIMEOUT)
     assert not proxy.handle(api.CacheHint("1", "c:1"))
     assert not proxy.handle(api.CacheHint("none", "c:1"))
 
 
-@pytest.mark.parametrize("address", ["a:1", "b:1", "c:1"])
-def test_cache_location_is_tried_first_and_reported_stale_on_a_miss(address: str) -> None:
+@pytest.mark.parametrize("endpoint_id", ["a:1", "b:1", "c:1"])
+def test_cache_location_is_tried_first_and_reported_stale_on_a_miss(endpoint_id: str) -> None:
     proxy = proxy_with_store()
     proxy.request("1")
-    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", address)))
-    assert fetch.cache == address
-    assert fetch.source is None
+    (attempt,) = forwarded_attempts(proxy.handle(api.CacheHint("1", endpoint_id)))
+    assert attempt.cache == endpoint_id
+    assert attempt.source is None
     actions = proxy.complete_attempt("1", 0, api.AttemptStatus.NOT_CACHED)
-    assert [a for a in actions if isinstance(a, api.ReportStaleHint)] == [
-        api.ReportStaleHint("1", "x.0", address)
+    assert [action for action in actions if isinstance(action, api.ReportStaleHint)] == [
+        api.ReportStaleHint("1", "x.0", endpoint_id)
     ]
 
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
 def test_location_in_a_draining_or_removed_cache_is_not_tried(state: api.EndpointState) -> None:
-    """Rule 3, whatever a store says."""
+    """The draining invariant holds whatever a store's hint names."""
     proxy = proxy_with_store()
     proxy.request("1")
     proxy.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache("b:1", state),)))
-    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))
-    assert "b:1" not in (fetch.cache, fetch.source)
+    (attempt,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))
+    assert "b:1" not in (attempt.cache, attempt.source)
 
 
-@pytest.mark.parametrize("address", ["p:1", "origin:1", "nobody:1"])
-def test_hint_that_names_no_cache_is_ignored(address: str) -> None:
+@pytest.mark.parametrize("endpoint_id", ["p:1", "origin:1", "unlisted:1"])
+def test_hint_that_names_no_cache_is_ignored(endpoint_id: str) -> None:
     proxy = proxy_with_store()
     proxy.request("1")
-    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", address)))
-    assert fetch.cache in ("a:1", "b:1", "c:1")
+    (attempt,) = forwarded_attempts(proxy.handle(api.CacheHint("1", endpoint_id)))
+    assert attempt.cache in ("a:1", "b:1", "c:1")
 
 
 def test_location_in_an_ejected_cache_is_not_tried() -> None:
     proxy = proxy_with_store()
-    health.record_failure(proxy.router.state.endpoints.by_id["b:1"], proxy.now, 1.0)
+    health.record_failure(proxy.endpoint("b:1"), proxy.now, 1.0)
     proxy.request("1")
     assert forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))[0].cache != "b:1"
 
@@ -112,10 +113,10 @@
 def test_fill_in_flight_is_joined() -> None:
     proxy = proxy_with_store()
     proxy.request("1")
-    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1", True, 200 * MS)))
-    assert fetch.cache == "b:1"
-    assert fetch.source not in (None, "b:1")
-    assert fetch.collapse_fills
+    (attempt,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1", True, 200 * MS)))
+    assert attempt.cache == "b:1"
+    assert attempt.source not in (None, "b:1")
+    assert attempt.collapse_fills
 
 
 def test_fill_that_cant_be_joined_is_waited_for() -> None:
@@ -123,13 +124,13 @@
     proxy.request("1")
     assert not forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1", True, 200 * MS)))
     assert not forwarded_attempts(proxy.advance(199 * MS))
-    (fetch,) = forwarded_attempts(proxy.advance(1 * MS))
-    assert fetch.cache == "b:1"
-    assert fetch.source is None
+    (attempt,) = forwarded_attempts(proxy.advance(1 * MS))
+    assert attempt.cache == "b:1"
+    assert attempt.source is None
 
 
 def test_fill_that_never_ends_delays_nobody_past_half_of_the_timeout() -> None:
-    """Rule 1: half of the remaining time at most, then as without a store."""
+    """Half of the remaining time at most, then the attempt goes on as without a store."""
     proxy = proxy_with_store(can_collapse_fills=False)
     proxy.request("1", timeout=SECOND)
     proxy.handle(api.CacheHint("1", "b:1", True, 3600 * SECOND))
@@ -147,28 +148,30 @@
         (fill,) = forwarded_attempts(proxy.handle(api.CacheHint("1")))
         actions = proxy.complete_attempt("1", 1, status, cache_status=api.CacheStatus.FILLED)
         actions += proxy.handle(api.ClientDisconnected("1"))
-        (release,) = [a for a in actions if isinstance(a, api.ReleaseLease)]
+        (release,) = [action for action in actions if isinstance(action, api.ReleaseLease)]
         assert release.cache == (fill.cache if status is api.AttemptStatus.OK else None)
 
 
 def test_invalidation_bounds_the_age_at_a_cache_location_too() -> None:
-    """Rule 5: no hint makes a copy acceptable that is older than this front's own bound."""
+    """No hint allows a response that is older than this proxy's own age bound."""
     proxy = proxy_with_store()
     proxy.handle(api.Invalidation(None, 1, 100 * MS))
     proxy.request("1")
-    (fetch,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))
-    assert fetch.max_age is not None
-    assert 0 < fetch.max_age <= 100 * MS
+    (attempt,) = forwarded_attempts(proxy.handle(api.CacheHint("1", "b:1")))
+    assert attempt.max_age is not None
+    assert 0 < attempt.max_age <= 100 * MS
 
 
 def test_classes_with_a_freshness_lifetime_ask_for_the_lease_at_once() -> None:
-    proxy = RouterDriver(make_settings(make_class(freshness_lifetime=8 * SECOND), shared_store_timeout=WAIT))
+    proxy = RouterDriver(
+        make_settings(make_class(freshness_lifetime=8 * SECOND), shared_store_timeout=STORE_TIMEOUT)
+    )
     proxy.handle(api.StoreAvailability(True))
     (lookup,) = lookups(proxy.request("1"))
     assert lookup.source is not None
 
 
-def proxy_with_cold_cache(**changes: object) -> RouterDriver:
+def proxy_with_starting_cache(**changes: object) -> RouterDriver:
     proxy = proxy_with_store(
         has_endpoint_weights=True, caches=api.TierSettings(4, 0.2, 20 * SECOND, 3.0), **changes
     )
@@ -181,39 +184,38 @@
 
 
 def slow_start_key(proxy: RouterDriver) -> api.QuotaKey:
-    """The key of the cold cache, which has started just now."""
+    """The key of the cache that has started just now."""
     return api.QuotaKey(api.QuotaKind.SLOW_START, "a:1", proxy.now)
 
 
-def donated_amount(proxy: RouterDriver, key: api.QuotaKey, most: float = 1e12, span: int = SECOND) -> float:
-    (action,) = proxy.handle(api.QuotaRequested(1, key, most, proxy.now + span))
+def donated_amount(
+    proxy: RouterDriver, key: api.QuotaKey, max_amount: float = 1e12, duration: Duration = SECOND
+) -> float:
+    """How much the proxy donates to another one that requests quota."""
+    (action,) = proxy.handle(api.QuotaRequested(1, key, max_amount, proxy.now + duration))
     assert isinstance(action, api.DonateQuota)
     return action.amount
 
 
 def test_part_is_donated_once_and_comes_back_a_window_after_the_transfer_expired() -> None:
-    proxy = proxy_with_cold_cache()
+    proxy = proxy_with_starting_cache()
     key = slow_start_key(proxy)
     amount = donated_amount(proxy, key)
     assert amount > 0
     assert donated_amount(proxy, key) == pytest.approx(0, abs=1)
     proxy.advance(SECOND + proxy.router.settings.overload_window - MS)
-    assert capacity.transferred(proxy.router.state, proxy.now, key, 0) == -amount
+    assert capacity.transferred(proxy.state, proxy.now, key, 0) == -amount
     proxy.advance(2 * MS)
-    assert capacity.transferred(proxy.router.state, proxy.now, key, 0) == 0
+    assert capacity.transferred(proxy.state, proxy.now, key, 0) == 0
 
 
 def test_quota_that_was_used_is_not_donated() -> None:
-    """Rule 4 over windows that begin before the transfer."""
-    proxy, other = proxy_with_cold_cache(), proxy_with_cold_cache()
+    """The slow start invariant holds over windows that begin before the transfer."""
+    proxy = proxy_with_starting_cache()
+    other = proxy_with_starting_cache()
     key = slow_start_key(proxy)
-    endpoint = proxy.router.state.endpoints.by_id["a:1"]
-    part = (
-        3.0
-        * 0.2
-        * proxy.router.settings.overload_window
-        * capacity.certain_link(proxy.router.state, endpoint)
-    )
+    endpoint = proxy.endpoint("a:1")
+    part = 3.0 * 0.2 * proxy.router.settings.overload_window * capacity.certain_link(proxy.state, endpoint)
     endpoint.work.add(proxy.now, 0.9 * part)
     assert donated_amount(proxy, key) < 0.11 * part < donated_amount(other, key)
 
@@ -231,64 +233,70 @@
     ],
 )
 def test_nothing_is_donated_of_an_unknown_quota(key: api.QuotaKey) -> None:
-    assert donated_amount(proxy_with_cold_cache(), key) == 0
+    assert donated_amount(proxy_with_starting_cache(), key) == 0
 
 
 def test_transfer_longer_than_the_longest_is_rejected() -> None:
-    proxy = proxy_with_cold_cache()
-    assert donated_amount(proxy, slow_start_key(proxy), span=3 * SECOND) == 0
+    proxy = proxy_with_starting_cache()
+    assert donated_amount(proxy, slow_start_key(proxy), duration=3 * SECOND) == 0
 
 
 def test_proxy_that_has_just_started_donates_nothing() -> None:
-    proxy = RouterDriver(make_settings(shared_store_timeout=WAIT))
+    proxy = RouterDriver(make_settings(shared_store_timeout=STORE_TIMEOUT))
     assert donated_amount(proxy, api.RETRY_QUOTA) == 0
 
 
 def test_returned_donation_leaves_no_trace() -> None:
-    proxy = proxy_with_cold_cache()
+    proxy = proxy_with_starting_cache()
     key = slow_start_key(proxy)
     (action,) = proxy.handle(api.QuotaRequested(1, key, 1e12, proxy.now + SECOND))
     assert isinstance(action, api.DonateQuota)
     proxy.handle(api.QuotaReceived(key, action.amount, action.expires_at))
-    assert not proxy.router.state.quotas
+    assert not proxy.state.quotas
     assert donated_amount(proxy, key) == action.amount
 
 
 def test_retry_quota_moves_from_one_proxy_to_the_other() -> None:
-    donor, receiver = proxy_with_store(), proxy_with_store()
-    receiver.router.state.retry_balance = 0.0
+    donor = proxy_with_store()
+    receiver = proxy_with_store()
+    receiver.state.retry_balance = 0.0
     amount = donated_amount(donor, api.RETRY_QUOTA, 2.0)
     assert amount == 2.0
-    assert donor.router.state.retry_balance == 8.0
+    assert donor.state.retry_balance == 8.0
     receiver.handle(api.QuotaReceived(api.RETRY_QUOTA, amount, receiver.now + SECOND))
-    assert receiver.router.state.retry_balance == 2.0
+    assert receiver.state.retry_balance == 2.0
 
 
-def test_proxy_that_lacks_quota_requests_it() -> None:
+def test_proxy_requests_quota_that_was_short() -> None:
     proxy = RouterDriver(
         make_settings(
             has_endpoint_weights=True,
             caches=api.TierSettings(64, 0.2, 20 * SECOND, 2.0),
             allows_direct_forwarding=False,
-            shared_store_timeout=WAIT,
+            shared_store_timeout=STORE_TIMEOUT,
         ),
         FLEET,
     )
     proxy.handle(api.StoreAvailability(True))
-    cold = tuple(cache(f"{name}:1", started_at=proxy.now) for name in "abc")
-    proxy.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, cold))
+    starting = tuple(cache(f"{name}:1", started_at=proxy.now) for name in "abc")
+    proxy.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, starting))
+
     requests = [
-        a for n in range(8) for a in proxy.request(str(n), f"n{n}") if isinstance(a, api.RequestQuota)
+        action
+        for number in range(8)
+        for action in proxy.request(str(number), f"n{number}")
+        if isinstance(action, api.RequestQuota)
     ]
+
     assert requests
     assert all(request.key.kind is not api.QuotaKind.RETRY for request in requests)
     assert all(request.amount > 0 for request in requests)
 
 
-def test_reports_of_others_alone_eject_nobody() -> None:
+def test_outlier_reports_alone_eject_no_endpoint() -> None:
     proxy = proxy_with_store()
     for _ in range(50):
         proxy.handle(api.OutlierReported("a:1"))
-    assert health.is_available(proxy.router.state.endpoints.by_id["a:1"], proxy.now)
-    assert proxy.router.state.endpoints.by_id["a:1"].failure_score < 1
-    assert not proxy.handle(api.OutlierReported("nobody"))
+    assert health.is_available(proxy.endpoint("a:1"), proxy.now)
+    assert proxy.endpoint("a:1").failure_score < 1
+    assert not proxy.handle(api.OutlierReported("unlisted"))
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 from collections.abc import Mapping
+from typing import NamedTuple
 
 import pytest
 
@@ -14,7 +15,7 @@
 from olivepost.simulator_adapter import codec
 from olivepost.simulator_adapter.host import run
 
-INFO = {
+SETTINGS = {
     "classes": [
         {"name": "image", "aim": 300000000, "aim-stretch": 2, "deadline": 3000000000, "effect": "read_like"},
         {
@@ -45,8 +46,8 @@
     "tick": 2000000,
     "a-key-of-tomorrow": {"x": 1},
 }
-SPAWN = {"kind": "Spawn", "front": 1, "entropy": 5, "info": INFO}
-MEMBERS = {
+START = {"kind": "Spawn", "front": 1, "entropy": 5, "info": SETTINGS}
+ENDPOINT_LIST = {
     "kind": "Registry",
     "front": 1,
     "scope": "disk",
@@ -57,7 +58,7 @@
         {"cache": "10.0.0.3:1", "condition": "in_service", "family-type": "origin", "area": "hub"},
     ],
 }
-QUERY = {
+REQUEST = {
     "kind": "Query",
     "front": 1,
     "ticket": "c:1",
@@ -71,19 +72,32 @@
 }
 
 
-def lines(*batches: list[dict[str, object]]) -> bytes:
-    made = [{"ts": 10**12 + n, "turn": n, "input": batch} for n, batch in enumerate(batches, 1)]
-    return b"".join(json.dumps(line).encode() + b"\n" for line in made)
+class AdapterRun(NamedTuple):
+    """What a run of the adapter replied, and how it ended."""
 
+    exit_code: int
+    replies: list[dict[str, object]]
+    errors: str
 
-def play(data: bytes) -> tuple[int, list[dict[str, object]], str]:
-    sink, errors = io.BytesIO(), io.StringIO()
-    code = run(io.BytesIO(data), sink, errors)
-    return code, [json.loads(line) for line in sink.getvalue().splitlines()], errors.getvalue()
+
+def encode_batches(*batches: list[dict[str, object]]) -> bytes:
+    """One line for each batch, in consecutive turns."""
+    lines = [{"ts": 10**12 + turn, "turn": turn, "input": batch} for turn, batch in enumerate(batches, 1)]
+    return b"".join(json.dumps(line).encode() + b"\n" for line in lines)
+
+
+def run_adapter(data: bytes) -> AdapterRun:
+    """Runs the adapter over an input."""
+    sink = io.BytesIO()
+    errors = io.StringIO()
+    exit_code = run(io.BytesIO(data), sink, errors)
+    replies = [json.loads(line) for line in sink.getvalue().splitlines()]
+    return AdapterRun(exit_code, replies, errors.getvalue())
 
 
 def read_event(message: Mapping[str, object]) -> api.Event | None:
-    return codec.read_event(codec.read_message({"front": 1, **message}), read_settings(INFO))
+    """Reads a message for a router with the settings above."""
+    return codec.read_event(codec.read_message({"front": 1, **message}), read_settings(SETTINGS))
 
 
 def test_request_is_forwarded_and_its_outcome_is_accepted() -> None:
@@ -99,10 +113,12 @@
         "remark": 1,
     }
     stop: dict[str, object] = {"kind": "Halt", "front": 1}
-    code, replies, errors = play(lines([], [SPAWN, MEMBERS, QUERY], [outcome], [stop]))
-    assert (code, errors) == (0, "")
-    assert [reply["turn"] for reply in replies] == [1, 2, 3, 4]
-    output = replies[1]["output"]
+
+    result = run_adapter(encode_batches([], [START, ENDPOINT_LIST, REQUEST], [outcome], [stop]))
+
+    assert (result.exit_code, result.errors) == (0, "")
+    assert [reply["turn"] for reply in result.replies] == [1, 2, 3, 4]
+    output = result.replies[1]["output"]
     assert isinstance(output, list)
     attempt = next(action for action in output if action["kind"] == "AnswerFrom")
     assert attempt["cache"] == "10.0.0.1:1"
@@ -110,11 +126,11 @@
     assert attempt["timeout"] == 240000000
     assert attempt["oldness"] == 8
     assert attempt["mode"] == codec.MODE_COLLAPSE_FILLS | codec.MODE_REFRESH == 9
-    assert replies[2]["output"] == []
+    assert result.replies[2]["output"] == []
 
 
 def test_settings_are_read_from_the_platforms_keys() -> None:
-    settings = read_settings(INFO)
+    settings = read_settings(SETTINGS)
     assert settings.parent_kind == "parent"
     assert settings.origin_kind == "origin"
     assert settings.caches.proxies == 2
@@ -164,7 +180,45 @@
     assert codec.write_action(2, action) == expected
 
 
+@pytest.mark.parametrize(
+    ("source", "max_age", "expected_source", "expected_age"),
+    [(None, None, "cache-1", 0), ("parent-1", 9, "parent-1", 9)],
+)
+def test_what_is_not_set_in_an_attempt_is_written_as_the_wire_has_it(
+    source: str | None, max_age: int | None, expected_source: str, expected_age: int
+) -> None:
+    attempt = api.ForwardAttempt("a", "cache-1", source, 2, timeout=5, max_age=max_age)
+
+    assert codec.write_action(2, attempt) == {
+        "front": 2,
+        "kind": "AnswerFrom",
+        "ticket": "a",
+        "cache": "cache-1",
+        "feeder": expected_source,
+        "admit": 2,
+        "timeout": 5,
+        "oldness": expected_age,
+        "mode": 0,
+    }
+
+
+def test_what_the_wire_has_as_not_set_is_read_as_none() -> None:
+    request = read_event({**REQUEST, "bytes-k": 0})
+    update = read_event({**ENDPOINT_LIST, "members": [{"cache": "c", "up-since": 0}]})
+
+    assert isinstance(request, api.Request)
+    assert request.size_kb is None
+    assert isinstance(update, api.EndpointUpdate)
+    assert update.endpoints[0].started_at is None
+
+
+def test_rejection_without_retry_after_is_written_with_a_wait_of_zero() -> None:
+    expected = {"front": 2, "kind": "Decline", "ticket": "a", "wait": 0}
+    assert codec.write_action(2, api.Reject("a")) == expected
+
+
 def changed(message: dict[str, object], **changes: object) -> dict[str, object]:
+    """A message with other fields; a field that is `...` is left out."""
     return {key: value for key, value in {**message, **changes}.items() if value is not ...}
 
 
@@ -178,37 +232,41 @@
         b'{"ts":1,"turn":1,"input":null}\n',
         b'{"ts":true,"turn":1,"input":[]}\n',
         b'{"ts":1,"turn":1,"input":[3]}\n',
-        lines([QUERY]),
-        lines([SPAWN, changed(QUERY, ttl=...)]),
-        lines([SPAWN, changed(QUERY, grade="nobody")]),
-        lines([SPAWN, changed(QUERY, ttl="soon")]),
-        lines([SPAWN, changed(QUERY, kind="Riddle")]),
-        lines([SPAWN, changed(QUERY, kind="two\nlines")]),
-        lines([changed(SPAWN, info=...)]),
-        lines([SPAWN, {"kind": "Returned", "front": 1, "ticket": "x", "rc": "SHRUG", "took": 1}]),
-        lines([SPAWN, {"kind": "Halt", "front": 1}, QUERY]),
+        encode_batches([REQUEST]),
+        encode_batches([START, changed(REQUEST, ttl=...)]),
+        encode_batches([START, changed(REQUEST, grade="nobody")]),
+        encode_batches([START, changed(REQUEST, ttl="soon")]),
+        encode_batches([START, changed(REQUEST, kind="Riddle")]),
+        encode_batches([START, changed(REQUEST, kind="two\nlines")]),
+        encode_batches([changed(START, info=...)]),
+        encode_batches([START, {"kind": "Returned", "front": 1, "ticket": "x", "rc": "SHRUG", "took": 1}]),
+        encode_batches([START, {"kind": "Halt", "front": 1}, REQUEST]),
     ],
 )
 def test_malformed_input_ends_with_one_line_of_error(data: bytes) -> None:
-    code, _, errors = play(data)
-    assert code == 2
-    assert errors.startswith("olivepost.simulator_adapter: line ")
-    assert errors.count("\n") == 1
+    result = run_adapter(data)
+
+    assert result.exit_code == 2
+    assert result.errors.startswith("olivepost.simulator_adapter: line ")
+    assert result.errors.count("\n") == 1
 
 
 def test_stopped_router_can_start_again_in_the_same_batch() -> None:
     stop: dict[str, object] = {"kind": "Halt", "front": 1}
-    code, replies, _ = play(lines([SPAWN, MEMBERS, QUERY, stop, SPAWN, MEMBERS, QUERY]))
-    assert code == 0
-    assert len(replies) == 1
+
+    result = run_adapter(encode_batches([START, ENDPOINT_LIST, REQUEST, stop, START, ENDPOINT_LIST, REQUEST]))
+
+    assert result.exit_code == 0
+    assert len(result.replies) == 1
 
 
 def test_actions_do_not_depend_on_the_hash_seed() -> None:
-    queries = [changed(QUERY, ticket=f"c:{n}", resource=f"k{n % 9}") for n in range(80)]
+    requests = [changed(REQUEST, ticket=f"c:{number}", resource=f"k{number % 9}") for number in range(80)]
     error: dict[str, object] = {"kind": "Returned", "front": 1, "attempt": 0, "rc": "INTERNAL", "took": 5}
-    outcomes = [{**error, "ticket": f"c:{n}"} for n in range(0, 80, 3)]
-    data = lines([SPAWN, MEMBERS], queries, outcomes)
-    runs = [
+    outcomes = [{**error, "ticket": f"c:{number}"} for number in range(0, 80, 3)]
+    data = encode_batches([START, ENDPOINT_LIST], requests, outcomes)
+
+    outputs = [
         subprocess.run(
             [sys.executable, "-m", "olivepost.simulator_adapter"],
             input=data,
@@ -218,5 +276,6 @@
         ).stdout
         for seed in ("0", "1", "4242")
     ]
-    assert runs[0] == runs[1] == runs[2]
-    assert runs[0].count(b"\n") == 3
+
+    assert outputs[0] == outputs[1] == outputs[2]
+    assert outputs[0].count(b"\n") == 3
