--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -1,7 +1,7 @@
 """The memory budget: how many bytes each owner of memory in the process may use.
 
 The platform ends a process over its limit. So every owner has a bound that follows from the limit, and all
-bounds together with the program stay below the usable part of it. `olivepost/proxy/memory_account.py`
+bounds together with the program stay below the usable part of it; at the smallest limits the minimums win. `olivepost/proxy/memory_account.py`
 estimates what each owner uses; `docs/capacity.md` says how each value was sized.
 """
 
@@ -26,9 +26,13 @@
 BYTES_PER_MB = 1_048_576
 
 # The whole process.
-USABLE_SHARE = Share(9, 10)  # of the limit; the rest is for fragments of the allocator and objects in transit
+USABLE_SHARE = Share(
+    9, 10
+)  # of the limit; the rest is for fragments of the allocator and short-lived objects
 PROGRAM_BYTES = 22 * BYTES_PER_MB  # before the first connection, with the interpreter's mapped files
-MIN_SPARE_BYTES = 4 * BYTES_PER_MB  # planned for the owners even where the limit leaves less
+MIN_SPARE_BYTES = (
+    4 * BYTES_PER_MB
+)  # that the owners get at least, even where the total then exceeds the limit
 
 # One entry or message.
 NAME_BYTES = 360
--- a/olivepost/proxy/discovery_changes.py
+++ b/olivepost/proxy/discovery_changes.py
@@ -64,15 +64,15 @@
         self._executor.execute(self._router.handle(now, update))
         if update.kind is not api.EndpointUpdateKind.RESTORED:
             self._log_update(event, update)
-        closed = {address.id for address in event.addresses if address.state is not api.EndpointState.READY}
+        unready = {address.id for address in event.addresses if address.state is not api.EndpointState.READY}
 
-        def is_for_closed_endpoint(attempt: UpstreamRequest) -> bool:
-            return attempt.cache in closed or attempt.source in closed
+        def is_for_unready_endpoint(attempt: UpstreamRequest) -> bool:
+            return attempt.cache in unready or attempt.source in unready
 
-        self._lifecycle.withdraw(now, is_for_closed_endpoint)
+        self._lifecycle.withdraw(now, is_for_unready_endpoint)
 
     def _usable_addresses(self, event: DiscoveryEvent, update: api.EndpointUpdate) -> list[EndpointAddress]:
-        """The addresses of endpoints that routing may use, and of those that are removed."""
+        """The addresses of endpoints that routing may use, and of removed ones, which the pool then drops."""
         settings = self._router.settings
         return [
             address
--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -21,7 +21,7 @@
 
 
 class DownstreamConnection:
-    """A connection with a reader thread of its own, which calls `run` and owns the socket.
+    """A client's connection. Its reader thread calls `run` and owns the socket.
 
     `lifecycle` is what other threads see of it: state, lock and closes. Requests are read by `RequestReader`
     on the reader thread, responses are written by `ResponseDelivery` on writer threads.
@@ -64,10 +64,10 @@
             self._on_closed(self.lifecycle)
 
     def _configure_socket(self) -> None:
-        """Sets the options that the system accepts; requests are served without them, too."""
+        """Tries to set the socket's options; requests are served without them, too."""
         limits = self._context.limits
         with contextlib.suppress(OSError):
-            sockets.configure(self._sock, 0, limits.write_stall_timeout)
+            sockets.configure(self._sock, receive_timeout=0, send_timeout=limits.write_stall_timeout)
         with contextlib.suppress(OSError):
             sockets.set_send_buffer(self._sock, limits.max_response_body_bytes)
 
--- a/olivepost/proxy/downstream/eviction.py
+++ b/olivepost/proxy/downstream/eviction.py
@@ -11,8 +11,8 @@
 # and a reset could overtake its response.
 MIN_IDLE_BEFORE_EVICTION: Duration = 50 * MILLISECOND
 MAX_EVICTIONS_AT_ONCE = 8  # idle connections that one call of `evict_idle` closes
-# From this part of the cap on (1/4), connections without any request yet are a flood: their own deadlines end
-# them, and connections that have had requests are evicted only below it.
+# Once connections without any request reach a quarter of the cap, they count as a flood: their deadlines end
+# them, and no connection that has had requests is evicted for them.
 UNUSED_FLOOD_DIVISOR = 4
 
 
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -49,7 +49,7 @@
     pending.storing_cache = attempt.cache if is_hit or is_filled else None
     if pending.storing_cache is None:
         return
-    if outcome.elapsed < 2 * timeout:  # a later one was recorded as late by its silence check
+    if outcome.elapsed < 2 * timeout:  # else `record_silence` has recorded it as late
         endpoint_id = attempt.cache if is_hit else attempt.source_or_cache
         record_lateness(state, endpoint_id, _is_late(state, pending, outcome))
     if pending.rank:
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -30,12 +30,12 @@
 
 
 def quota_part(state: RoutingState) -> QuotaPart:
-    """What may be donated of the budget to other proxies."""
+    """What may be donated of the budget: the floor that is never donated counts as used."""
     return QuotaPart(MAX_RETRIES, (1 + DONATION_FLOOR) * MAX_RETRIES - state.retry_balance)
 
 
 def cost_of(pending: PendingRequest, outcome: api.AttemptOutcome) -> int:
-    """What a retry costs: one for all attempts that a connection's end lost, none to confirm an error."""
+    """What a retry costs: 1, or 0 where the connection's loss is paid already, or to confirm an error."""
     return 0 if outcome.is_repeated_loss or pending.possible_fault is not None else 1
 
 
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -20,8 +20,8 @@
 class SilenceCheck(NamedTuple):
     """What was found of the cache of an attempt that is past its silence timeout."""
 
-    is_cache_ejected: bool
-    ejection: Ejection | None = None  # by this check, to be reported
+    is_cache_ejected: bool  # also while its half-open trial is due
+    ejection: Ejection | None = None  # to be reported; also of a cache that an earlier check ejected
 
 
 @dataclass(slots=True)
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -1,7 +1,7 @@
 """Fill leases by way of the stores: requests them with lookups, and releases them when their fills end.
 
-A lease that has expired, by the owner's clock or by the store's current number, publishes nothing. No clock,
-no I/O.
+A lease that has expired by the owner's clock, or whose fencing number is not the store's current one,
+publishes nothing. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -70,7 +70,7 @@
             del self._pending[request_id]
 
     def acquire(self, pending: PendingLease, fencing_number: int) -> bool:
-        """Adds a lease that the store granted; False where a later one of the name is known."""
+        """Adds a lease that the store granted; False where a later one is known, or there are too many."""
         lookup = pending.lookup
         lease = OwnedLease(
             request_id=lookup.request_id,
@@ -99,7 +99,7 @@
             pending.release = event
 
     def _release_owned(self, now: Instant, lease: OwnedLease, event: LeaseReleased) -> None:
-        """Publishes the cache location that the fill led to, or just frees the name for others."""
+        """Publishes the cache location that the fill led to; without one, only ends the lease."""
         if now >= lease.expires_at:
             self._context.counts["leases_expired"] += 1
             return
--- a/olivepost/shared_store/lease_table.py
+++ b/olivepost/shared_store/lease_table.py
@@ -24,7 +24,7 @@
     stored: bytes  # number and record, as the store has them
     fencing_number: int
     cache: str
-    requested_at: Instant  # the store counts the duration from a later instant
+    requested_at: Instant  # before the store grants it, so that it expires here first
     expires_at: Instant
 
 
