--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -1,8 +1,9 @@
 """The memory budget: how many bytes each owner of memory in the process may use.
 
 The platform ends a process over its limit. So every owner has a bound that follows from the limit, and all
-bounds together with the program stay below the usable part of it; at the smallest limits the minimums win. `olivepost/proxy/memory_account.py`
-estimates what each owner uses; `docs/capacity.md` says how each value was sized.
+bounds together with the program stay below the usable part of it; at the smallest limits the minimums win.
+`olivepost/proxy/memory_account.py` estimates what each owner uses; `docs/capacity.md` says how each value was
+sized.
 """
 
 from __future__ import annotations
