--- a/tests/proxy/test_cached_responses.py
+++ b/tests/proxy/test_cached_responses.py
@@ -19,7 +19,7 @@
     """The first response is for a new name, the second is stored, the third comes from the cache."""
     assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
     for _ in range(3):
-        assert client.request()[2] == body_of(OBJECT_NAME, "3")
+        assert client.request().body == body_of(OBJECT_NAME, "3")
     assert proxy.counter("cached_responses_served") == 1
     assert len(proxy.wait_for_fetches(2)) == 2
 
@@ -38,7 +38,7 @@
         request_until_cached(proxy, client)
         proxy.coordinator.add(evict={"shard": 17, "unix_ms": time.time_ns() // 1_000_000 + 1})
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert len(proxy.wait_for_fetches(3)) == 3
 
 
@@ -50,7 +50,7 @@
         proxy.parts.event_loop._lifecycle.discovery_received_at = (
             proxy.parts.clock.now() - DISCOVERY_VALID_FOR
         )
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert proxy.counter("cached_responses_served") == 1
 
 
@@ -77,14 +77,14 @@
     with running_proxy(delayed_replies, **CACHE_CONFIG) as proxy, proxy.connect() as client:
         assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
         delayed_replies.may_reply.set()
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         delayed_replies.may_reply.clear()
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches(2)
         proxy.coordinator.add(evict={"shard": 17, "unix_ms": time.time_ns() // 1_000_000})
         assert proxy.wait_until(lambda: len(proxy.parts.event_loop.router.state.invalidations) == 1)
         delayed_replies.may_reply.set()
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
         assert len(proxy.parts.response_cache) == 0
 
 
@@ -92,5 +92,5 @@
     """Asks until a response is stored."""
     assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
     for _ in range(2):
-        assert client.request()[0] == 200
+        assert client.request().status == 200
     assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 1)
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -94,7 +94,7 @@
         may_notice.set()
         client.sock.close()
         with proxy.connect() as other:  # the upstream connection goes on
-            assert other.request(part=7)[0] == 200
+            assert other.request(part=7).status == 200
         assert proxy.parts.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
         assert proxy.parts.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
 
--- a/tests/proxy/test_client_limits.py
+++ b/tests/proxy/test_client_limits.py
@@ -27,7 +27,7 @@
         stuck = [request_with_small_receive_buffer(proxy) for _ in range(count)]
         assert proxy.wait_until(lambda: proxy.counter("slow_clients") == count)
         with proxy.connect() as client:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
         for sock in stuck:
             sock.close()
 
@@ -51,7 +51,7 @@
     with running_proxy() as proxy, proxy.connect() as client:
         taken = proxy.parts.body_buffers.acquire(proxy.parts.config.limits.body_buffers)
         assert taken is not None
-        assert client.request(timeout_ms=15_000)[0] == 503
+        assert client.request(timeout_ms=15_000).status == 503
         assert proxy.counter("pool_empty") >= 1
         assert not any(
             endpoint.failure_score
@@ -59,9 +59,9 @@
         )
         with proxy.connect() as other:
             other.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
-            assert other.read_response()[0] == 200
+            assert other.read_response().status == 200
         proxy.parts.body_buffers.release(taken)
-        assert client.request()[0] == 200
+        assert client.request().status == 200
 
 
 def test_at_the_connection_limit_the_longest_idle_is_evicted() -> None:
@@ -69,12 +69,12 @@
         cap = proxy.parts.config.limits.max_client_connections
         clients = [proxy.connect() for _ in range(cap)]
         for client in clients:
-            assert client.request()[0] == 200
-        assert clients[0].request()[0] == 200  # no longer the longest idle
+            assert client.request().status == 200
+        assert clients[0].request().status == 200  # no longer the longest idle
         with proxy.connect() as late:
-            assert late.request()[0] == 200
+            assert late.request().status == 200
         assert clients[1].is_closed_by_proxy()
-        assert clients[0].request()[0] == 200
+        assert clients[0].request().status == 200
         assert proxy.parts.downstream.open_count <= cap
         for client in clients:
             client.sock.close()
@@ -86,10 +86,10 @@
     ) as proxy:
         cap = proxy.parts.config.limits.max_client_connections
         with proxy.connect() as served:
-            assert served.request()[0] == 200
+            assert served.request().status == 200
             unused = [proxy.connect() for _ in range(2 * cap)]
             assert all(client.is_closed_by_proxy() for client in unused[:cap])
-            assert served.request()[0] == 200
+            assert served.request().status == 200
             assert proxy.counter("connections_evicted") >= cap
             for client in unused:
                 client.sock.close()
@@ -106,8 +106,8 @@
             late.send(HttpClient.encode_request())
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
             delayed_replies.may_reply.set()
-            assert late.read_response()[0] == 200
-            assert [client.read_response()[0] for client in clients] == [200] * len(clients)
+            assert late.read_response().status == 200
+            assert [client.read_response().status for client in clients] == [200] * len(clients)
         for client in clients:
             client.sock.close()
 
@@ -120,7 +120,7 @@
         assert client.is_closed_by_proxy()
         assert proxy.counter("connection_deadlines_exceeded") >= 1
     with running_proxy(bounds=SHORT_TIMEOUTS) as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert client.is_closed_by_proxy()  # after one request, idle
 
 
@@ -138,7 +138,7 @@
 
         thread = threading.Thread(target=trickle)
         thread.start()
-        assert client.read_response()[0] == 408
+        assert client.read_response().status == 408
         is_over.set()
         thread.join(WAIT_TIMEOUT_S)
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
@@ -161,14 +161,14 @@
 def test_client_that_never_closes_is_closed() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(b"nonsense\r\n\r\n")
-        assert client.read_response()[0] == 400
+        assert client.read_response().status == 400
         assert client.is_closed_by_proxy()
         assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 0)
 
 
 def test_idle_client_that_then_writes_slowly_has_time_for_its_request() -> None:
     with running_proxy(bounds={"keepalive_timeout": 800 * MS}) as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         connection = idle_connection(proxy)
         request = HttpClient.encode_request()
         idle_deadline = connection.deadline
@@ -177,7 +177,7 @@
         assert proxy.wait_until(lambda: not connection.parser.is_idle)
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > idle_deadline + 200 * MS)
         client.send(request[20:])
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
 
 
 def test_client_that_was_just_served_is_not_evicted() -> None:
@@ -186,7 +186,7 @@
         cap = proxy.parts.config.limits.max_client_connections
         served = [proxy.connect() for _ in range(cap)]
         for client in served:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
         now = proxy.parts.clock.now()
         proxy.parts.downstream.context.clock = type("StoppedClock", (), {"now": staticmethod(lambda: now)})()
         for connection in proxy.parts.downstream.connections.snapshot():
@@ -195,9 +195,9 @@
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
             assert proxy.counter("connections_evicted") == 0
             served[0].sock.close()
-            assert late.request()[0] == 200
+            assert late.request().status == 200
         for client in served[1:]:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
             client.sock.close()
 
 
@@ -228,7 +228,7 @@
         idle = [proxy.connect() for _ in range(3 * proxy.parts.config.limits.max_client_connections)]
         for part in range(6):
             with proxy.connect() as client:
-                assert client.request(part=part)[0] == 200
+                assert client.request(part=part).status == 200
         assert proxy.parts.downstream.peak_count <= proxy.parts.config.limits.max_client_connections
         restarted = Coordinator(int(proxy.coordinator.address.rpartition(":")[2]))
         restarted.events = list(proxy.coordinator.events)
@@ -245,7 +245,7 @@
         flood = [proxy.connect() for _ in range(10 * proxy.parts.config.limits.max_client_connections)]
         began_at = time.monotonic()
         with proxy.connect() as client:
-            assert client.request(timeout_ms=15_000)[0] == 200
+            assert client.request(timeout_ms=15_000).status == 200
         assert time.monotonic() - began_at < len(flood) * SLOT_RETRY_INTERVAL_S / 2
         for idle in flood:
             idle.sock.close()
--- a/tests/proxy/test_discovery_changes.py
+++ b/tests/proxy/test_discovery_changes.py
@@ -34,7 +34,7 @@
         placed = proxy.parts.event_loop._router.state.endpoints.by_id
         assert proxy.wait_until(lambda: placed is not proxy.parts.event_loop._router.state.endpoints.by_id)
         for piece in range(20):
-            assert client.request(part=piece)[0] == 200
+            assert client.request(part=piece).status == 200
         assert proxy.caches[0].received() == []
         assert len(proxy.caches[1].received()) == 20
 
@@ -42,7 +42,7 @@
 def test_new_endpoint_on_an_old_address_gets_new_connections() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         for piece in range(12):
-            assert client.request(part=piece)[0] == 200
+            assert client.request(part=piece).status == 200
         old = proxy.caches[0]
         before = len(old.connections)
         assert before == 1
@@ -58,7 +58,7 @@
         )
         assert proxy.wait_until(lambda: "new" in proxy.parts.event_loop._router.state.endpoints.by_id)
         for piece in range(12):
-            assert client.request(part=piece)[0] == 200
+            assert client.request(part=piece).status == 200
         assert len(old.connections) == 2
 
 
@@ -69,7 +69,7 @@
 def test_invalidations_bound_the_age_of_cached_responses(clock_error_ms: int) -> None:
     """They count from when they were told, whatever this process's wall clock was at its start."""
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         told_at = time.monotonic()
         proxy.coordinator.add(
             evict={"ref": OBJECT_NAME, "unix_ms": time.time_ns() // 1_000_000 + clock_error_ms}
@@ -77,8 +77,8 @@
         proxy.coordinator.add(evict={"shard": 18, "unix_ms": time.time_ns() // 1_000_000})
         purges = proxy.parts.event_loop._router.state.invalidations
         assert proxy.wait_until(lambda: len(purges) == 2)
-        assert client.request()[0] == 200
-        assert client.request("1" * 16)[0] == 200
+        assert client.request().status == 200
+        assert client.request("1" * 16).status == 200
         first, bounded, other = (
             proxy.wait_for_fetches(3)
             if len(proxy.caches[0].received()) in (0, 3)
@@ -101,7 +101,7 @@
             ]
             proxy.coordinator._change.notify_all()
         assert proxy.wait_until(lambda: "a" not in proxy.parts.event_loop._router.state.endpoints.by_id)
-        assert client.request()[0] == 200
+        assert client.request().status == 200
 
 
 def test_invalid_events_do_not_stop_later_ones() -> None:
@@ -111,7 +111,7 @@
         proxy.coordinator.add(evict={"ref": OBJECT_NAME, "unix_ms": time.time_ns() // 1_000_000})
         assert proxy.wait_until(lambda: len(proxy.parts.event_loop._router.state.invalidations) == 1)
         assert proxy.counter("invalid_events") == 2
-        assert client.request()[0] == 200
+        assert client.request().status == 200
 
 
 def test_last_endpoint_list_holds_while_the_coordinator_is_down() -> None:
@@ -119,7 +119,7 @@
         assert proxy.coordinator.wait_for_poll(1)
         proxy.coordinator.close()
         assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 2)
-        assert client.request()[0] == 200
+        assert client.request().status == 200
 
 
 def test_new_coordinator_is_polled_at_once_from_the_last_index() -> None:
@@ -235,7 +235,7 @@
         other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
         proxy.parts.discovery.switch_coordinator(read_address(other.address))
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert proxy.caches[0].received() == []
         other.close()
 
@@ -254,7 +254,7 @@
         before = len(proxy.caches[0].received())
         # On a busy machine the one cache that is left may stall for a moment: a rejection then
         # is not discovery's doing. What counts is that nothing goes to the draining one.
-        assert 200 in {client.request(part=piece)[0] for piece in range(12)}
+        assert 200 in {client.request(part=piece).status for piece in range(12)}
         assert len(proxy.caches[0].received()) == before
         other.over.set()
         other.close()
@@ -286,8 +286,8 @@
         proxy = ProxyServer(read_config(config, {}), nowhere)
         with HttpClient(proxy.start()) as client:
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
-            assert client.read_response()[0] == 200
-            assert client.request()[0] == 200
+            assert client.read_response().status == 200
+            assert client.request().status == 200
         proxy.parts.discovery.stop()
         proxy.parts.downstream.stop_accepting()
         proxy.parts.downstream.stop_watching()
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -19,7 +19,7 @@
 ) -> None:
     """It is in the kernel's buffer at the close: what is read after that is not forwarded."""
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         connection = idle_connection(proxy)
         shutdown = sockets.shutdown
         fetches_before = len(proxy.wait_for_fetches())
@@ -59,14 +59,14 @@
 
     monkeypatch.setattr(sockets, "wait_readable", wait_longer)
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         connection = idle_connection(proxy)
         is_delayed.set()
         client.send(HttpClient.encode_request())
         assert proxy.wait_until(lambda: not connection.has_nothing_unread)
         assert not connection.evict()
         may_read.set()
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
 
 
 def test_request_that_was_read_is_served_after_the_connection_deadline() -> None:
@@ -77,15 +77,15 @@
         proxy.wait_for_fetches()
         only_connection(proxy).expire()
         delayed_replies.may_reply.set()
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
 
 
 def test_connection_whose_lock_its_reader_holds_is_not_expired() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         connection = idle_connection(proxy)
         connection.deadline = 1
         with connection.lock:
             connection.expire()
         connection.deadline = None
-        assert client.request()[0] == 200
+        assert client.request().status == 200
--- a/tests/proxy/test_error_isolation.py
+++ b/tests/proxy/test_error_isolation.py
@@ -23,7 +23,7 @@
     with running_proxy() as proxy, proxy.connect() as faulty, proxy.connect() as other:
         faulty.send(b"GET /fault HTTP/1.1\r\n\r\n")
         assert faulty.is_closed_by_proxy()
-        assert other.request()[0] == 200
+        assert other.request().status == 200
         assert proxy.counter("downstream_connection_error") == 1
 
 
@@ -37,6 +37,6 @@
             return handle(now, event)
 
         monkeypatch.setattr(proxy.parts.event_loop._router, "handle", handle_with_fault)
-        assert client.request(part=13)[0] == 502
-        assert client.request()[0] == 200
+        assert client.request(part=13).status == 502
+        assert client.request().status == 200
         assert proxy.counter("event_loop_error") == 1
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -100,14 +100,14 @@
         proxy.connect() as client,
     ):
         for part in (0, 1, 2, 3) * 2:  # the second response of a name is stored
-            assert client.request(part=part)[0] == 200
+            assert client.request(part=part).status == 200
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 4)
         set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 2)
         set_memory_use(proxy, 0.81)
         set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
-        assert client.request()[0] == 200  # requests and connections go on
+        assert client.request().status == 200  # requests and connections go on
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use <= 60)
         set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.touched_bytes < 300_000)
@@ -117,13 +117,13 @@
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies) as proxy, proxy.connect() as busy, proxy.connect() as idle:
         idle.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
-        assert idle.read_response()[0] == 200
+        assert idle.read_response().status == 200
         busy.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
         assert proxy.wait_until(lambda: has_evicted_under_pressure(proxy))
         assert idle.is_closed_by_proxy()
         delayed_replies.may_reply.set()
-        assert busy.read_response()[0] == 200
+        assert busy.read_response().status == 200
 
 
 def has_evicted_under_pressure(proxy: ProxyHarness) -> bool:
@@ -140,7 +140,7 @@
         assert int(headers["x-come-back-ms"]) > 0
         assert proxy.counter("given_up_memory") == 1
         set_memory_use(proxy, 0.5)
-        assert client.request()[0] == 200
+        assert client.request().status == 200
 
 
 def test_names_are_frozen_and_halved_under_pressure() -> None:
@@ -156,7 +156,7 @@
         assert len(names) <= 4
         names.capacity = capacity
         set_memory_use(proxy, 0.5)
-        assert client.request(part=21)[0] == 200
+        assert client.request(part=21).status == 200
         assert proxy.wait_until(lambda: len(names) > 4 or proxy.parts.memory_monitor.level is Level.NONE)
 
 
@@ -165,20 +165,20 @@
         half = proxy.parts.config.limits.max_client_connections // 2
         clients = [proxy.connect() for _ in range(half + 2)]
         for client in clients:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
         set_memory_use(proxy, 0.91)
         proxy.parts.downstream.limit_connections(half)
         proxy.parts.downstream.evict_idle()
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
-            assert late.read_response()[0] == 200
+            assert late.read_response().status == 200
         for client in clients:
             client.sock.close()
 
 
 def test_memory_account_names_every_owner_within_its_allowance() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         account = memory_account(proxy.parts)
     assert set(account) >= {"connections", "bodies", "names", "requests", "endpoints", "routes", "log"}
     assert all(owner.used_bytes <= owner.allowed_bytes for owner in account.values())
--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -41,7 +41,7 @@
     log_lines: LogLines,
 ) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request(name=REJECTED_BY_ALL, X_Call_Id="00000000000000aa")[0] == 503
+        assert client.request(name=REJECTED_BY_ALL, X_Call_Id="00000000000000aa").status == 503
         given_up = first_event(proxy, log_lines, "request_given_up")
         failed = first_event(proxy, log_lines, "attempt_failed")
     assert given_up["request"] == failed["request"] == "00000000000000aa"
@@ -65,7 +65,7 @@
 
 def test_evicted_connection_is_counted_with_its_reason() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert only_connection(proxy).evict()
         assert client.is_closed_by_proxy()
         assert proxy.wait_until(lambda: proxy.counter("connections_closed_evicted") == 1)
@@ -76,7 +76,7 @@
         respond_normally(endpoint, command)
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         counts = proxy.parts.event_loop.event_counts()
     assert counts["RequestReceived"] == 1
     assert counts["UpstreamCompleted"] >= 1
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -15,7 +15,7 @@
         assert (status, body) == (200, body_of(OBJECT_NAME, "3"))
         assert headers["etag"] == f'"{tag_of(OBJECT_NAME, "3")}"'
         assert "connection" not in headers
-        assert client.request(part=4)[2] == body_of(OBJECT_NAME, "4")
+        assert client.request(part=4).body == body_of(OBJECT_NAME, "4")
         fields = next(
             command.fields for command in proxy.wait_for_fetches(2) if command.fields["piece"] == "3"
         )
@@ -30,7 +30,7 @@
 
 def test_cache_miss_is_filled_from_the_parent() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request(UNCACHED_NAME)[2] == body_of(UNCACHED_NAME, "3")
+        assert client.request(UNCACHED_NAME).body == body_of(UNCACHED_NAME, "3")
         lookup, fill = proxy.wait_for_fetches(2)
         assert "miss" not in lookup.fields
         assert fill.fields["miss"] == "p"
@@ -51,7 +51,7 @@
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
         for name, body in sizes.items():
-            assert client.request(name)[2] == body
+            assert client.request(name).body == body
 
 
 def test_current_copy_of_the_client_gets_304() -> None:
@@ -60,7 +60,7 @@
         assert client.request(If_None_Match=f'"{tag}"') == (304, {"etag": f'"{tag}"'}, b"")
         assert proxy.wait_for_fetches()[0].fields["mine"] == tag
         for other in ('"old"', f'W/"{tag}"', f'"{tag}", "x"', "*", '"a,b"'):
-            assert client.request(If_None_Match=other)[0] == 200
+            assert client.request(If_None_Match=other).status == 200
         assert [command.fields.get("mine") for command in proxy.wait_for_fetches(6)[1:]].count("old") == 1
         assert sum("mine" in command.fields for command in proxy.wait_for_fetches(6)) == 2
 
@@ -71,7 +71,7 @@
         assert status == 503
         assert body == b""
         assert 1 <= int(headers["x-come-back-ms"]) <= 1000
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert proxy.counter("rejected") == 1
 
 
@@ -81,7 +81,7 @@
             data = client.encode_request(part=part)
             for start in range(0, len(data), 7):
                 client.send(data[start : start + 7])
-            assert client.read_response()[2] == body_of(OBJECT_NAME, str(part))
+            assert client.read_response().body == body_of(OBJECT_NAME, str(part))
         assert proxy.parts.downstream.open_count == 1
 
 
@@ -97,14 +97,14 @@
 
 def test_connection_close_is_honoured() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request(Connection="close")[1]["connection"] == "close"
+        assert client.request(Connection="close").headers["connection"] == "close"
         assert client.is_closed_by_proxy()
 
 
 def test_health_check_fails_while_draining() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
         proxy.parts.downstream.drain()
         client.send(b"GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
         status, headers, _ = client.read_response()
@@ -148,13 +148,13 @@
 @pytest.mark.parametrize("timeout_ms", [0, 1])
 def test_request_without_time_left_is_rejected_at_once(timeout_ms: int) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request(timeout_ms=timeout_ms)[0] == 503
+        assert client.request(timeout_ms=timeout_ms).status == 503
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
 def test_timeout_beyond_the_deadline_is_accepted() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request(timeout_ms=999_999_999)[0] == 200
+        assert client.request(timeout_ms=999_999_999).status == 200
         assert proxy.parts.event_loop.pending_count == 0
 
 
@@ -165,9 +165,9 @@
         first.send(request)
         proxy.wait_for_fetches()
         second.send(request)
-        assert second.read_response()[0] == 502
+        assert second.read_response().status == 502
         delayed_replies.may_reply.set()
-        assert first.read_response()[0] == 200
+        assert first.read_response().status == 200
 
 
 def test_only_the_etag_that_the_client_sent_gets_304() -> None:
@@ -181,6 +181,6 @@
             command.respond("VALID", why="warm", issued="1", **fields)
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        assert client.request(If_None_Match='"mine"')[0] != 304
+        assert client.request(If_None_Match='"mine"').status != 304
         assert proxy.counter("unexpected_responses") == 2
-        assert client.request(If_None_Match='"mine"')[0] == 304
+        assert client.request(If_None_Match='"mine"').status == 304
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -68,7 +68,7 @@
         start(self, sock)
 
     with running_proxy() as proxy, proxy.connect() as idle:
-        assert idle.request()[0] == 200
+        assert idle.request().status == 200
         monkeypatch.setattr(ConnectionAdmission, "_start_connection", start_late)
         waiting = [proxy.connect() for _ in range(5)]
         for client in waiting:
@@ -89,7 +89,7 @@
 
 def test_connection_with_an_unread_request_is_not_closed_as_idle() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         (connection,) = proxy.parts.downstream.connections.snapshot()
         with connection.lock:  # its reader has to wait
             client.send(HttpClient.encode_request(timeout_ms=15_000))
@@ -105,11 +105,11 @@
 def test_proxy_restarts_at_once_on_the_same_address() -> None:
     with running_proxy() as proxy:
         client = proxy.connect()
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         proxy.parts.downstream.stop_accepting()
         again = ProxyHarness(listen=f"127.0.0.1:{proxy.address[1]}")
         with again.connect() as other:
-            assert other.request()[0] == 200
+            assert other.request().status == 200
         again.close()
         client.sock.close()
 
@@ -134,7 +134,7 @@
         ending, began = start_shutdown(proxy)
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
-            assert (client.read_response()[0], late.read_response()[0]) == (503, 503)
+            assert (client.read_response().status, late.read_response().status) == (503, 503)
             assert proxy.parts.clock.now() < began + KILLED_AFTER
         ending.join(WAIT_TIMEOUT_S)
         assert proxy.parts.event_loop.pending_count == 0
@@ -149,7 +149,7 @@
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 1)
         assert delayed_connects.has_started.wait(WAIT_TIMEOUT_S)
         ending, began = start_shutdown(proxy)
-        assert client.read_response()[0] == 503
+        assert client.read_response().status == 503
         assert proxy.parts.clock.now() < began + KILLED_AFTER
         ending.join(WAIT_TIMEOUT_S)
         delayed_connects.may_connect.set()
@@ -174,7 +174,7 @@
         past_client_close = began + 600 * MS
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > past_client_close)
         may_write.set()
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
         client.sock.close()
         ending.join(WAIT_TIMEOUT_S)
 
@@ -197,9 +197,9 @@
             assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 200 * MS)
             delayed_replies.may_reply.set()
             for client in busy:
-                assert client.read_response()[0] in (200, 503)
+                assert client.read_response().status in (200, 503)
                 client.sock.close()
-            assert late.read_response()[0] == 200
+            assert late.read_response().status == 200
         ending.join(WAIT_TIMEOUT_S)
 
 
@@ -212,7 +212,7 @@
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
         ending, _ = start_shutdown(proxy)
-        assert client.read_response()[0] == 502
+        assert client.read_response().status == 502
         ending.join(WAIT_TIMEOUT_S)
 
 
@@ -273,7 +273,7 @@
         ending, _ = start_shutdown(proxy)
         assert proxy.wait_until(lambda: next(requests, None) is None)
         delayed_replies.may_reply.set()
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
         client.sock.close()
         ending.join(WAIT_TIMEOUT_S)
         assert proxy.parts.downstream.open_count == 0
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -49,7 +49,7 @@
 def test_accept_that_fails_is_repeated(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(socket.socket, "accept", failing(socket.socket.accept, os_error(number), 3, "accept"))
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert proxy.counter("accept_failed") == 3
 
 
@@ -63,7 +63,7 @@
         free_slots = proxy.parts.downstream.admission._slots._value
         assert free_slots == proxy.parts.config.limits.max_client_connections
         with proxy.connect() as client:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
         closed.sock.close()
 
 
@@ -72,7 +72,7 @@
     with running_proxy() as proxy:
         monkeypatch.setattr(_thread, "start_new_thread", start)
         with proxy.connect() as client:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
         assert proxy.counter("threads_short") == 5
 
 
@@ -82,7 +82,7 @@
     name: str, number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         call = getattr(socket.socket, name)
         fails = threading.local()
 
@@ -104,10 +104,10 @@
     with running_proxy() as proxy:
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
         with proxy.connect() as client:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
             # Longer than the listener's receive timeout, which accepted sockets inherit.
             time.sleep(4 * ACCEPT_TIMEOUT / SECOND)
-            assert client.request(part=4)[0] == 200
+            assert client.request(part=4).status == 200
 
 
 def test_request_is_answered_late_on_a_connection_whose_options_cannot_be_set(
@@ -116,14 +116,14 @@
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies) as proxy, proxy.connect() as first:
         delayed_replies.may_reply.set()
-        assert first.request()[0] == 200  # the connections to the caches are there
+        assert first.request().status == 200  # the connections to the caches are there
         delayed_replies.may_reply.clear()
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
         with proxy.connect() as client:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             time.sleep(2 * ACCEPT_TIMEOUT / SECOND)
             delayed_replies.may_reply.set()
-            assert client.read_response()[0] == 200
+            assert client.read_response().status == 200
 
 
 def failure_scores(proxy: ProxyHarness) -> list[float]:
@@ -138,7 +138,7 @@
     connect = failing(sockets.connect, os_error(number), 4, "upstream-writer-")
     monkeypatch.setattr(sockets, "connect", connect)
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert failure_scores(proxy) == [0.0] * 4
 
 
@@ -148,7 +148,7 @@
 
     monkeypatch.setattr(writer, "start_thread", start)
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 503
+        assert client.request().status == 503
         assert no_attempt_was_sent(proxy)
         assert failure_scores(proxy) == [0.0] * 4
 
@@ -164,7 +164,7 @@
 
     monkeypatch.setattr(threading.Thread, "start", start)
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request(timeout_ms=4_000)[0] == 503
+        assert client.request(timeout_ms=4_000).status == 503
         assert failure_scores(proxy) == [0.0] * 4
 
 
@@ -174,7 +174,7 @@
     threading.Timer(0.5, earlier.close).start()
     proxy = ProxyHarness(listen=f"127.0.0.1:{port}")
     with proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
     proxy.close()
 
 
@@ -191,7 +191,7 @@
 
     monkeypatch.setattr(threading.Thread, "start", start_late)
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
 
 
 def test_reload_without_a_thread_leaves_discovery_unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -216,7 +216,7 @@
         loop = proxy.parts.event_loop
         monkeypatch.setattr(loop, "_fire_due", failing(loop._fire_due, MemoryError(), 3))
         for part in range(5):
-            assert client.request(part=part)[0] == 200
+            assert client.request(part=part).status == 200
         assert proxy.counter("event_loop_error") == 3
 
 
@@ -227,7 +227,7 @@
     with running_proxy() as proxy, proxy.connect() as client:
         assert proxy.wait_until(lambda: proxy.counter("poll_failures") >= 2)
         client.send(HttpClient.encode_request())
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
 
 
 def test_connection_that_waits_for_a_thread_is_not_evicted_for_one(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -238,5 +238,5 @@
         with proxy.connect() as client:
             assert proxy.wait_until(lambda: proxy.counter("threads_short") >= 20)
             client.send(HttpClient.encode_request(timeout_ms=15_000))
-            assert client.read_response()[0] == 200
+            assert client.read_response().status == 200
         assert proxy.counter("connections_evicted") == 0
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -69,7 +69,7 @@
         assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
         for count in range(1, 5):
             client.send(put_request())
-            assert client.read_response()[0] == 200
+            assert client.read_response().status == 200
             assert len(proxy.wait_for_fetches(count)) == count
         assert proxy.counter("cached_responses_served") == 0
 
@@ -87,7 +87,7 @@
 def test_rejected_write_is_not_forwarded(request_: bytes, status: int) -> None:
     with running_proxy(serve_writes, settings=write_settings()) as proxy, proxy.connect() as client:
         client.send(request_)
-        assert client.read_response()[0] == status
+        assert client.read_response().status == status
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
@@ -98,7 +98,7 @@
     assert limits.large_body_bytes == 0
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(put_request())
-        assert client.read_response()[0] == 405
+        assert client.read_response().status == 405
         assert not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
@@ -119,15 +119,15 @@
         leaving.send(put_request(largest_body, "0" * 16)[: -MAX_OBJECT_BYTES // 2])
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 2 * MAX_OBJECT_BYTES)
         late.send(put_request(largest_body, "1" * 16)[:-MAX_OBJECT_BYTES])
-        assert late.read_response()[0] == 503
+        assert late.read_response().status == 503
         assert late.is_closed_by_proxy()
         leaving.sock.close()
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == MAX_OBJECT_BYTES)
         gate.set()
-        assert first.read_response()[0] == 200
+        assert first.read_response().status == 200
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 0)
         first.send(put_request(largest_body))
-        assert first.read_response()[0] == 200
+        assert first.read_response().status == 200
         assert [len(command.body) for command in proxy.wait_for_fetches(2) if command.body] == [
             MAX_OBJECT_BYTES,
             MAX_OBJECT_BYTES,
@@ -146,9 +146,9 @@
         client.send(b"GET /-/healthy HTTP/1.1\r\nContent-Length: 100000\r\n\r\n")
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 100_000)
         client.send(b"x" * 100_000)
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 0)
-        assert client.request()[0] == 200
+        assert client.request().status == 200
 
 
 def test_small_body_needs_no_reservation() -> None:
@@ -157,7 +157,7 @@
         proxy.connect() as client,
     ):
         client.send(put_request(b"x" * SMALL_BODY_BYTES))
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
 
 
 def test_reservation_is_counted_and_released_once() -> None:
--- a/tests/proxy/upstream/test_connections.py
+++ b/tests/proxy/upstream/test_connections.py
@@ -47,7 +47,7 @@
         for part, client in enumerate(clients):
             client.send(HttpClient.encode_request(part=part, timeout_ms=15_000))
         for part, client in enumerate(clients):
-            assert client.read_response()[2] == body_of(OBJECT_NAME, str(part))
+            assert client.read_response().body == body_of(OBJECT_NAME, str(part))
             client.sock.close()
 
 
@@ -61,7 +61,7 @@
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
         for part in range(12):
-            assert client.request(part=part)[2] == body_of(OBJECT_NAME, str(part))
+            assert client.request(part=part).body == body_of(OBJECT_NAME, str(part))
         assert proxy.counter("upstream_connections_lost") == 0
         assert proxy.counter("unmatched_responses") >= 12
         assert proxy.wait_until(lambda: proxy.counter("duplicate_responses") >= 11)
@@ -78,7 +78,7 @@
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
         for part in range(6):
-            assert client.request(UNCACHED_NAME, part=part)[2] == body_of(UNCACHED_NAME, str(part))
+            assert client.request(UNCACHED_NAME, part=part).body == body_of(UNCACHED_NAME, str(part))
         assert len(proxy.wait_for_fetches(12)) == 12
         assert proxy.counter("attempts_not_cached") == 6
 
@@ -103,7 +103,7 @@
         running_proxy(reply, bounds={"liveness_check_delay": 100 * MILLISECOND}) as proxy,
         proxy.connect() as client,
     ):
-        assert client.request(timeout_ms=15_000)[2] == body_of(OBJECT_NAME, "3")
+        assert client.request(timeout_ms=15_000).body == body_of(OBJECT_NAME, "3")
         assert proxy.counter("liveness_checks_sent") >= 2
         assert proxy.counter("upstream_connections_lost") == 0
 
@@ -125,13 +125,13 @@
             proxy.wait_for_fetches()
         assert proxy.wait_until(lambda: any(cache.received("abort") for cache in proxy.caches))
         with proxy.connect() as client:
-            assert client.request()[0] == 200
+            assert client.request().status == 200
         assert proxy.counter("upstream_connections_lost") == 0
 
 
 def test_all_upstream_connections_together_are_bounded() -> None:
     with running_proxy(bounds={"max_upstream_connections": 1}) as proxy, proxy.connect() as client:
-        assert {client.request(part=part, timeout_ms=15_000)[0] for part in range(12)} <= {200, 503}
+        assert {client.request(part=part, timeout_ms=15_000).status for part in range(12)} <= {200, 503}
         assert proxy.counter("upstream_connections_opened") == 1
         assert proxy.counter("upstream_connections_full") >= 1
 
@@ -164,7 +164,7 @@
             )
         )
         may_notice_close.set()
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
         sending.join(WAIT_TIMEOUT_S)
 
 
@@ -190,7 +190,7 @@
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > window_end)
         delayed_connects.may_connect.set()
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
-        assert client.read_response()[0] == 200  # it was not executed: another attempt may be
+        assert client.read_response().status == 200  # it was not executed: another attempt may be
         assert len(proxy.wait_for_fetches()) == 1
 
 
@@ -226,7 +226,7 @@
         assert proxy.wait_until(lambda: any(exchange.deferred_attempt for exchange in list(pending.values())))
         assert {endpoint.id for endpoint in proxy.caches if endpoint.received()} == {slow.first}
         delayed_aborts.may_abort.set()
-        assert client.read_response()[0] == 200
+        assert client.read_response().status == 200
 
 
 def test_attempt_that_waits_for_an_abort_is_withdrawn_when_its_cache_drains(
@@ -242,7 +242,7 @@
         proxy.coordinator.add(endpoints={"version": 2, "full": False, "servers": rows})
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
         delayed_aborts.may_abort.set()
-        assert client.read_response()[0] in (200, 503)
+        assert client.read_response().status in (200, 503)
         assert not other.received()
 
 
@@ -274,13 +274,13 @@
             post(event)
 
         resources.post = record_and_post
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert was_closed == [True]
 
 
 def test_rerouted_request_is_not_sent_to_a_draining_endpoint() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         request = forwarded_request(proxy, client)
         draining = [
             dataclasses.replace(endpoint.address, state=api.EndpointState.DRAINING)
@@ -311,14 +311,14 @@
         forward(request)
 
     proxy.parts.upstream.forward = record_and_forward  # type: ignore[method-assign]
-    assert client.request(part=9)[0] == 200
+    assert client.request(part=9).status == 200
     proxy.parts.upstream.forward = forward  # type: ignore[method-assign]
     return forwarded[0]
 
 
 def test_every_socket_sends_small_writes_at_once() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        assert client.request()[0] == 200
+        assert client.request().status == 200
         assert proxy.coordinator.wait_for_poll(1)
         long_poll = proxy.parts.discovery._long_poll
         upstream = [
--- a/tests/proxy/upstream/test_endpoint_failures.py
+++ b/tests/proxy/upstream/test_endpoint_failures.py
@@ -17,7 +17,7 @@
 def test_request_to_unresponsive_caches_gets_a_final_response_within_its_timeout() -> None:
     with running_proxy(never_reply) as proxy, proxy.connect() as client:
         started_at = time.monotonic()
-        assert client.request(timeout_ms=300)[0] == 503
+        assert client.request(timeout_ms=300).status == 503
         assert time.monotonic() - started_at < WAIT_TIMEOUT_S
         assert proxy.wait_until(lambda: any(cache.received("abort") for cache in proxy.caches))
 
@@ -39,7 +39,7 @@
             command.respond(status_word)
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        assert client.request()[0] == http_status
+        assert client.request().status == http_status
         assert len(proxy.wait_for_fetches()) >= 1
 
 
@@ -61,7 +61,7 @@
             command.sock.sendall(line.replace(b"{id}", command.id.encode()))
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        assert client.request()[0] == 503
+        assert client.request().status == 503
         assert proxy.counter("upstream_connections_lost") >= 1
 
 
@@ -87,7 +87,7 @@
         for part, client in enumerate(clients):
             client.send(HttpClient.encode_request(part=part, timeout_ms=15_000))
         for part, client in enumerate(clients):
-            assert client.read_response()[2] == body_of(OBJECT_NAME, str(part))
+            assert client.read_response().body == body_of(OBJECT_NAME, str(part))
             client.sock.close()
         assert proxy.counter("upstream_connections_lost") == 1
         assert proxy.counter("attempts_timed_out") == 0
@@ -114,7 +114,7 @@
         running_proxy(reply, bounds={"response_timeout": 300 * MILLISECOND}) as proxy,
         proxy.connect() as client,
     ):
-        assert client.request(timeout_ms=15_000)[2] == body_of(OBJECT_NAME, "3")
+        assert client.request(timeout_ms=15_000).body == body_of(OBJECT_NAME, "3")
         assert proxy.counter("upstream_connections_lost") == 1
         is_over.set()
 
@@ -139,7 +139,7 @@
         first_losses = [outcome for outcome in outcomes if not outcome.is_repeated_loss]
         assert len(first_losses) == proxy.counter("upstream_connections_lost") == 2
         for client in clients:
-            assert client.read_response()[0] in (200, 503)
+            assert client.read_response().status in (200, 503)
             client.sock.close()
 
 
@@ -177,7 +177,7 @@
             respond_normally(endpoint, command)
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
-        assert client.request(timeout_ms=15_000)[2] == body_of(OBJECT_NAME, "3")
+        assert client.request(timeout_ms=15_000).body == body_of(OBJECT_NAME, "3")
         assert proxy.counter("upstream_connections_lost") == 1
 
 
@@ -185,7 +185,7 @@
     with running_proxy() as proxy, proxy.connect() as client:
         for cache in proxy.caches:
             cache.close()
-        assert client.request()[0] == 503
+        assert client.request().status == 503
         assert proxy.counter("connect_failed") >= 1
 
 
@@ -196,4 +196,4 @@
 
     with running_proxy(reply) as proxy, proxy.connect() as client:
         for part in range(12):
-            assert client.request(part=part, timeout_ms=15_000)[0] == 200
+            assert client.request(part=part, timeout_ms=15_000).status == 200
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import replace
-from typing import Any
+from typing import Any, NamedTuple
 
 from examples.toy_server import (
     CONFIG,
@@ -29,8 +29,8 @@
 from tests.closed_at_exit import ClosedAtExit
 
 OBJECT_NAME = "7f3a9c21e0b4d655"
-WAIT_TIMEOUT_S = 20.0  # seconds that a test waits for what must come
-CHECK_INTERVAL_S = 0.005  # between two checks whether it has
+WAIT_TIMEOUT_S = 20.0  # of every wait of a test
+CHECK_INTERVAL_S = 0.005  # between two checks of a condition
 
 
 def toy_config(**changes: Any) -> dict[str, Any]:
@@ -39,6 +39,14 @@
     return {**data, "listen": "127.0.0.1:0", "limits": {"memory_mb": 64, "sockets": 1024}, **changes}
 
 
+class HttpResponse(NamedTuple):
+    """A response as the client read it; the names of its headers are in lower case."""
+
+    status: int
+    headers: dict[str, str]
+    body: bytes
+
+
 class HttpClient(ClosedAtExit):
     """One connection to a proxy."""
 
@@ -76,8 +84,8 @@
         """Sends bytes as they are."""
         self.sock.sendall(data)
 
-    def read_response(self) -> tuple[int, dict[str, str], bytes]:
-        """The next response: status, headers with lower-case names, body."""
+    def read_response(self) -> HttpResponse:
+        """The next response."""
         while b"\r\n\r\n" not in self._data:
             self._receive()
         head, _, self._data = self._data.partition(b"\r\n\r\n")
@@ -87,7 +95,7 @@
         while len(self._data) < length:
             self._receive()
         body, self._data = self._data[:length], self._data[length:]
-        return int(first.split()[1]), headers, body
+        return HttpResponse(int(first.split()[1]), headers, body)
 
     def _receive(self) -> None:
         data = self.sock.recv(65_536)
@@ -95,7 +103,7 @@
             raise ConnectionError("closed by the proxy")
         self._data += data
 
-    def request(self, *args: Any, **kwargs: Any) -> tuple[int, dict[str, str], bytes]:
+    def request(self, *args: Any, **kwargs: Any) -> HttpResponse:
         """Sends one request and reads its response."""
         self.send(self.encode_request(*args, **kwargs))
         return self.read_response()
@@ -125,7 +133,8 @@
     ) -> None:
         self.coordinator = Coordinator()
         self.caches = [ToyEndpoint("a", reply=reply), ToyEndpoint("b", reply=reply)]
-        self.parent, self.origin = ToyEndpoint("p", reply=reply), ToyEndpoint("o", reply=reply)
+        self.parent = ToyEndpoint("p", reply=reply)
+        self.origin = ToyEndpoint("o", reply=reply)
         self.endpoints = [*self.caches, self.parent, self.origin]
         self.listed_endpoints = [listed_endpoint(cache) for cache in self.caches]
         self.listed_endpoints += [
@@ -139,7 +148,7 @@
         limits = replace(read.limits, **(bounds or {}))
         self.server = ProxyServer(replace(read, limits=limits), self._devnull)
         self.parts = self.server.parts
-        # This process holds the tests as well: its memory says nothing of the proxy's.
+        # This process runs the tests as well: its memory is not the proxy's.
         self.parts.memory_monitor.read_resident_bytes = lambda: 0
         self.attempt_outcomes: list[api.AttemptOutcome] = []
         self._record_outcomes(self.parts.event_loop._router)
@@ -160,16 +169,16 @@
         return HttpClient(self.address)
 
     def wait_for_fetches(self, count: int = 1) -> list[Any]:
-        """All fetch commands that the caches have received, once there are so many in all."""
+        """All fetch commands that the caches have received, once there are at least so many."""
         if not self.wait_until(lambda: len(self._received_fetches()) >= count):
-            raise AssertionError(f"fewer than {count} fetches came")
+            raise AssertionError(f"the caches received fewer than {count} fetches")
         return self._received_fetches()
 
     def _received_fetches(self) -> list[Any]:
         return [command for cache in self.caches for command in cache.received()]
 
     def wait_until(self, holds: Callable[[], object]) -> bool:
-        """Waits until something holds; false where it does not within `WAIT_TIMEOUT_S`."""
+        """Waits until a condition holds; false where it does not within `WAIT_TIMEOUT_S`."""
         pause = threading.Event()
         for _ in range(int(WAIT_TIMEOUT_S / CHECK_INTERVAL_S)):
             if holds():
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -98,7 +98,7 @@
     def request(self, proxy: int, name: str, **fields: Any) -> int:
         """Sends a request to one of the proxies; returns the status."""
         with HttpClient(self.addresses[proxy]) as client:
-            return client.request(name, **fields)[0]
+            return client.request(name, **fields).status
 
     def close(self) -> None:
         for proxy in self.proxies:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -147,9 +147,9 @@
         assert started["event"] == "started"
         host, _, port = started["listen"].rpartition(":")
         with HttpClient((host, int(port))) as client:
-            assert client.request()[2] == body_of(OBJECT_NAME, "3")
-            assert client.request(If_None_Match=f'"{tag_of(OBJECT_NAME, "3")}"')[0] == 304
-            assert client.request("f" * 16)[0] == 503
+            assert client.request().body == body_of(OBJECT_NAME, "3")
+            assert client.request(If_None_Match=f'"{tag_of(OBJECT_NAME, "3")}"').status == 304
+            assert client.request("f" * 16).status == 503
             assert_logs_one_rejected_request(proxy.stdout)
             path.write_text("{")
             proxy.send_signal(signal.SIGHUP)
@@ -169,7 +169,7 @@
             assert needs_restart["event"] == "reload_needs_restart"
             assert needs_restart["keys"] == ["limits"]
             assert other.wait_for_poll(1)
-            assert client.request()[2] == body_of(OBJECT_NAME, "3")
+            assert client.request().body == body_of(OBJECT_NAME, "3")
         proxy.send_signal(signal.SIGTERM)
         proxy.send_signal(signal.SIGHUP)  # does not end the process, during the shutdown either
         rest = [json.loads(line) for line in proxy.stdout]
