--- a/olivepost/proxy/downstream/context.py
+++ b/olivepost/proxy/downstream/context.py
@@ -16,9 +16,9 @@
 
 @dataclass(slots=True, eq=False)
 class DownstreamContext:
-    """The services and limits that connections use; `post` hands an event to the event loop.
+    """The services and limits that connections use.
 
-    Any thread may read it. Only `is_draining` changes, once, when the graceful shutdown begins.
+    Any thread may read it. Only `is_draining` changes, once: the main thread sets it at the shutdown.
     """
 
     limits: ResourceLimits
@@ -26,7 +26,7 @@
     read_buffers: BufferPool
     clock: Clock
     log: EventLog
-    post: Callable[[RequestReceived | RequestAbandoned], None]
+    post: Callable[[RequestReceived | RequestAbandoned], None]  # to the event loop
     is_draining: bool = False  # every response from now on ends its connection
     large_bodies: LargeBodyBudget = field(init=False)
 
--- a/olivepost/proxy/downstream/request_reader.py
+++ b/olivepost/proxy/downstream/request_reader.py
@@ -18,7 +18,7 @@
 class RequestReader:
     """The requests of one connection; all methods are the connection's reader thread's.
 
-    It goes on reading while a request is in flight, so that a client's close is noticed at once. The lock of
+    It reads also while a request is in flight, so that a client's close is noticed at once. The lock of
     the connection's lifecycle guards `_dropped_bytes` too. `deliver` is given to each exchange, for the event
     loop's thread to call with the final response.
     """
--- a/olivepost/proxy/downstream/routes.py
+++ b/olivepost/proxy/downstream/routes.py
@@ -13,17 +13,18 @@
 HEALTH_TARGET = "/-/healthy"
 METHODS = ("GET", "PUT")
 ALLOW_HEADER = {"Allow": ", ".join(METHODS)}  # of each response with status 405
-MAX_GROUP = 255
+MAX_GROUP = 255  # the largest number that a group of objects has
 _OBJECT_TARGET = re.compile(r"/api/v2/([^/]+)/([0-9a-f]{16})/slice-(0|[1-9][0-9]{0,8})", re.ASCII)
 _CALL_ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
 _TIMEOUT_MS = re.compile(r"[0-9]{1,9}", re.ASCII)
 _GROUP = re.compile(r"[0-9]{1,3}", re.ASCII)
 _IDEMPOTENCY_KEY = re.compile(r"[!#-*\-.0-9:;<>-~]{1,128}", re.ASCII)
-_STRONG_ETAG = re.compile(r'"([!#-+\--<>-~]{1,128})"', re.ASCII)  # that a field of the line protocol can hold
+# Without the characters that a field of the line protocol can't hold.
+_STRONG_ETAG = re.compile(r'"([!#-+\--<>-~]{1,128})"', re.ASCII)
 
 
 def is_health_check(request_line: RequestLine) -> bool:
-    """Whether the proxy answers the request itself, with its health."""
+    """Whether a request asks for the proxy's health, which the proxy answers itself."""
     return request_line.target == HEALTH_TARGET and request_line.method in METHODS
 
 
@@ -47,7 +48,7 @@
         raise HttpError(404, "unknown target")
     is_write = method == "PUT"
     if is_write and not classes[match[1]].is_uncacheable:
-        raise HttpError(405, "a class that nobody writes")
+        raise HttpError(405, "a class without writes")
     return Exchange(
         id=_required_field(message, "x-call-id", _CALL_ID),
         class_name=match[1],
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -18,7 +18,7 @@
     """The shared store as the event loop sees it: no call here waits for it."""
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
-        """Asks for a hint; it comes back as a `StoreEvent`."""
+        """Requests a hint, which is posted as a `StoreEvent`."""
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None, /) -> None:
         """Releases a fill lease; `generated_at` is that of the response in Unix time, None: unknown."""
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -55,7 +55,7 @@
     body: bytes
     timeout: Duration  # from `received_at`
     received_at: Instant  # when the last byte was read
-    deliver: Callable[[Exchange, Response], None]  # hands the response to the client's connection
+    deliver: Callable[[Exchange, Response], None]  # gives the response to the client's connection
     is_client_disconnected: Callable[[], bool]  # asks the client's connection; no attempt begins then
     is_write: bool = False  # it changes the object, at the origin
     idempotency_key: str | None = None  # by which caches know a retry, as the client gave it
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -152,7 +152,7 @@
             self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.NOT_SENT, now))
 
     def complete_attempt(self, now: Instant, event: UpstreamCompleted) -> None:
-        """Handles an attempt's outcome; the first usable response goes to the client at once."""
+        """Handles an attempt's outcome; the first usable response is delivered to the client at once."""
         attempt = event.request
         response = event.response
         self._pending.discard_timeout(attempt)
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -86,7 +86,7 @@
         """Returns the value of a field, None where it is absent; raises HttpError where it is repeated."""
         values = self.headers.get(name, ())
         if len(values) > 1:
-            raise HttpError(400, f"'{name}' came {len(values)} times")
+            raise HttpError(400, f"'{name}' is there {len(values)} times")
         return values[0] if values else None
 
     @property
--- a/olivepost/proxy/memory_monitor.py
+++ b/olivepost/proxy/memory_monitor.py
@@ -19,6 +19,7 @@
 RESIDENT_FIELD = 1  # index in that line of the resident set, which includes mapped files
 CHECK_INTERVAL: Duration = 100 * MILLISECOND
 PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # at any level but `NONE`
+BYTES_PER_KB = 1_024
 
 
 def resident_bytes_reader() -> Callable[[], int]:
@@ -64,7 +65,9 @@
     @property
     def interval(self) -> Duration:
         """The time until the next check is due."""
-        return PRESSURE_CHECK_INTERVAL if self.level else CHECK_INTERVAL
+        if self.level is api.MemoryPressureLevel.NONE:
+            return CHECK_INTERVAL
+        return PRESSURE_CHECK_INTERVAL
 
     def check(self) -> None:
         """Reads the memory in use; reports each change of the level, and each check under pressure."""
@@ -77,8 +80,8 @@
                 "memory_pressure",
                 level=self.level.name.lower(),
                 previous=previous.name.lower(),
-                used_kb=self.used_bytes >> 10,
-                limit_kb=self._limit_bytes >> 10,
+                used_kb=self.used_bytes // BYTES_PER_KB,
+                limit_kb=self._limit_bytes // BYTES_PER_KB,
             )
-        if self.level or previous:
+        if self.level is not api.MemoryPressureLevel.NONE or self.level is not previous:
             self._on_level(self.level)
--- a/olivepost/proxy/memory_shedding.py
+++ b/olivepost/proxy/memory_shedding.py
@@ -1,4 +1,4 @@
-"""Frees memory at each level of memory pressure: tells every owner of memory what the level asks of it."""
+"""Frees memory at each level of memory pressure, by calls and a message to the owners of memory."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
         self._buffer_pools = buffer_pools
 
     def shed(self, level: api.MemoryPressureLevel) -> None:
-        """Frees what the level asks for; called again for as long as the process is at a level."""
+        """Frees what the level requires; called at each check while the process is at a level."""
         self._post(MemoryPressureReport(level))
         limit = memory_pressure.connection_limit(level, self._max_client_connections)
         self._downstream.limit_connections(limit)
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -89,7 +89,7 @@
         GracefulShutdown(self.parts, self._wait_until, self._log_metrics).run()
 
     def reload(self) -> None:
-        """Reads the configuration again; an invalid one leaves everything as it was."""
+        """Reads the configuration again; an invalid one changes nothing."""
         log = self.parts.log
         try:
             config = self._source.read_config()
