--- a/tests/proxy/test_discovery_changes.py
+++ b/tests/proxy/test_discovery_changes.py
@@ -31,21 +31,22 @@
                 "servers": [{**proxy.listed_endpoints[0], "state": "terminating"}],
             }
         )
-        placed = proxy.parts.event_loop._router.state.endpoints.by_id
-        assert proxy.wait_until(lambda: placed is not proxy.parts.event_loop._router.state.endpoints.by_id)
-        for piece in range(20):
-            assert client.request(part=piece).status == 200
+        endpoints_before = proxy.parts.event_loop._router.state.endpoints.by_id
+        assert proxy.wait_until(
+            lambda: endpoints_before is not proxy.parts.event_loop._router.state.endpoints.by_id
+        )
+        for part in range(20):
+            assert client.request(part=part).status == 200
         assert proxy.caches[0].received() == []
         assert len(proxy.caches[1].received()) == 20
 
 
 def test_new_endpoint_on_an_old_address_gets_new_connections() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
-        for piece in range(12):
-            assert client.request(part=piece).status == 200
+        for part in range(12):
+            assert client.request(part=part).status == 200
         old = proxy.caches[0]
-        before = len(old.connections)
-        assert before == 1
+        assert len(old.connections) == 1
         proxy.coordinator.add(
             endpoints={
                 "version": 2,
@@ -57,8 +58,8 @@
             }
         )
         assert proxy.wait_until(lambda: "new" in proxy.parts.event_loop._router.state.endpoints.by_id)
-        for piece in range(12):
-            assert client.request(part=piece).status == 200
+        for part in range(12):
+            assert client.request(part=part).status == 200
         assert len(old.connections) == 2
 
 
@@ -67,37 +68,37 @@
 
 @pytest.mark.parametrize("clock_error_ms", [0, -500, 5_000, -5_000, HOUR_MS, -HOUR_MS])
 def test_invalidations_bound_the_age_of_cached_responses(clock_error_ms: int) -> None:
-    """They count from when they were told, whatever this process's wall clock was at its start."""
+    """The age counts from the invalidation, whatever this process's wall clock was at its start."""
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
-        told_at = time.monotonic()
+        invalidated_at = time.monotonic()
         proxy.coordinator.add(
             evict={"ref": OBJECT_NAME, "unix_ms": time.time_ns() // 1_000_000 + clock_error_ms}
         )
         proxy.coordinator.add(evict={"shard": 18, "unix_ms": time.time_ns() // 1_000_000})
-        purges = proxy.parts.event_loop._router.state.invalidations
-        assert proxy.wait_until(lambda: len(purges) == 2)
+        invalidations = proxy.parts.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: len(invalidations) == 2)
         assert client.request().status == 200
         assert client.request("1" * 16).status == 200
         first, bounded, other = (
             proxy.wait_for_fetches(3)
             if len(proxy.caches[0].received()) in (0, 3)
-            else sorted(proxy.wait_for_fetches(3), key=lambda it: it.id)
+            else sorted(proxy.wait_for_fetches(3), key=lambda command: command.id)
         )
         assert "within" not in first.fields
         assert "within" not in other.fields
-        assert 1 <= int(bounded.fields["within"]) <= (time.monotonic() - told_at) * 1000
+        assert 1 <= int(bounded.fields["within"]) <= (time.monotonic() - invalidated_at) * 1000
 
 
 def test_gap_in_the_events_is_resynced() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert proxy.coordinator.wait_for_poll(1)
-        late = listed_endpoint(proxy.caches[0], state="terminating")
-        whole = {"version": 3, "full": True, "servers": proxy.listed_endpoints[1:]}
+        draining = listed_endpoint(proxy.caches[0], state="terminating")
+        full_list = {"version": 3, "full": True, "servers": proxy.listed_endpoints[1:]}
         with proxy.coordinator._change:
             proxy.coordinator.events[:] = [
-                {"index": 5, "endpoints": {"version": 2, "full": False, "servers": [late]}},
-                {"index": 6, "endpoints": whole},
+                {"index": 5, "endpoints": {"version": 2, "full": False, "servers": [draining]}},
+                {"index": 6, "endpoints": full_list},
             ]
             proxy.coordinator._change.notify_all()
         assert proxy.wait_until(lambda: "a" not in proxy.parts.event_loop._router.state.endpoints.by_id)
@@ -126,19 +127,19 @@
     with running_proxy() as proxy:
         other = Coordinator()
         proxy.coordinator.add(evict={"shard": 1, "unix_ms": time.time_ns() // 1_000_000})
-        purges = proxy.parts.event_loop._router.state.invalidations
-        assert proxy.wait_until(lambda: len(purges) == 1)
+        invalidations = proxy.parts.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: len(invalidations) == 1)
         other.events = list(proxy.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         assert proxy.parts.discovery.switch_coordinator(read_address(other.address))
         assert not proxy.parts.discovery.switch_coordinator(read_address(other.address))
-        proxy.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # to nobody
-        assert proxy.wait_until(lambda: len(purges) == 2)
+        proxy.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # no longer polled
+        assert proxy.wait_until(lambda: len(invalidations) == 2)
         assert other.wait_for_poll(2)
         assert other.follows[0] == 2
         other.add(evict={"shard": 4, "unix_ms": time.time_ns() // 1_000_000})
-        assert proxy.wait_until(lambda: ("group", 4) in purges._times)
-        assert set(purges._times) == {("group", 1), ("group", 2), ("group", 4)}
+        assert proxy.wait_until(lambda: ("group", 4) in invalidations._times)
+        assert set(invalidations._times) == {("group", 1), ("group", 2), ("group", 4)}
         assert proxy.counter("discovery_error") == 0
         other.close()
 
@@ -147,16 +148,18 @@
     """Sends half a response to its first poll, then nothing or a byte now and then, and stays open."""
 
     def __init__(self, trickles: bool) -> None:
-        self.trickles, self.stopped, self.over = trickles, False, threading.Event()
+        self.trickles = trickles
+        self.has_stalled = False
+        self.is_over = threading.Event()
         super().__init__()
 
     def reply(self, sock: socket.socket, data: bytes) -> None:
-        if self.stopped:
+        if self.has_stalled:
             super().reply(sock, data)
             return
-        self.stopped = True
+        self.has_stalled = True
         sock.sendall(data[: len(data) // 2])
-        while self.trickles and not self.over.wait(0.1):
+        while self.trickles and not self.is_over.wait(0.1):
             sock.sendall(b" ")
 
 
@@ -166,14 +169,14 @@
         other = StallingCoordinator(trickles)
         other.events = list(proxy.coordinator.events)
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        began = time.monotonic()
+        started_at = time.monotonic()
         proxy.parts.discovery.switch_coordinator(read_address(other.address))
-        purges = proxy.parts.event_loop._router.state.invalidations
-        assert proxy.wait_until(lambda: ("group", 2) in purges._times)
-        assert other.stopped
-        assert time.monotonic() - began >= 1
+        invalidations = proxy.parts.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: ("group", 2) in invalidations._times)
+        assert other.has_stalled
+        assert time.monotonic() - started_at >= 1
         assert proxy.counter("poll_failures") <= 2
-        other.over.set()
+        other.is_over.set()
         other.close()
 
 
@@ -195,8 +198,8 @@
         assert proxy.wait_until(lambda: proxy.parts.discovery._watch_state.lagging_responses >= 1)
         lagging.events = list(proxy.coordinator.events)
         lagging.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
-        purges = proxy.parts.event_loop._router.state.invalidations
-        assert proxy.wait_until(lambda: ("group", 2) in purges._times)
+        invalidations = proxy.parts.event_loop._router.state.invalidations
+        assert proxy.wait_until(lambda: ("group", 2) in invalidations._times)
         assert (
             proxy.parts.event_loop._router.state.endpoints.by_id["a"].metadata.state
             is api.EndpointState.DRAINING
@@ -209,26 +212,27 @@
     """Sends its responses a byte at a time."""
 
     def reply(self, sock: socket.socket, data: bytes) -> None:
-        for at in range(len(data)):
-            sock.sendall(data[at : at + 1])
+        for position in range(len(data)):
+            sock.sendall(data[position : position + 1])
 
 
-class SilentCoordinator(Coordinator):
+class UnresponsiveCoordinator(Coordinator):
     """Accepts so many polls and does not respond to them; each stays open."""
 
     def __init__(self, polls: int) -> None:
-        self.left, self.over = polls, threading.Event()
+        self.polls_left = polls
+        self.is_over = threading.Event()
         super().__init__()
 
     def reply(self, sock: socket.socket, data: bytes) -> None:
-        self.left -= 1
-        if self.left >= 0:
-            self.over.wait(WAIT_TIMEOUT_S)
+        self.polls_left -= 1
+        if self.polls_left >= 0:
+            self.is_over.wait(WAIT_TIMEOUT_S)
         else:
             super().reply(sock, data)
 
 
-def test_endpoint_list_may_come_in_pieces() -> None:
+def test_endpoint_list_may_arrive_in_chunks() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         other = BytewiseCoordinator()
         other.events = list(proxy.coordinator.events)
@@ -240,12 +244,12 @@
         other.close()
 
 
-def test_drain_during_silent_polls_is_applied_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_drain_during_unresponsive_polls_is_applied_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     """The open poll gets no response, nor the next one; the cache drains meanwhile and stays up."""
     monkeypatch.setattr(long_poll, "POLL_WAIT", 100 * MS)
     monkeypatch.setattr(poll_backoff, "FIRST_RESPONSE_TIMEOUT", 100 * MS)
     with running_proxy() as proxy, proxy.connect() as client:
-        other = SilentCoordinator(2)
+        other = UnresponsiveCoordinator(2)
         other.events = list(proxy.coordinator.events)
         proxy.parts.discovery.switch_coordinator(read_address(other.address))
         assert other.wait_for_poll(1)
@@ -254,9 +258,9 @@
         before = len(proxy.caches[0].received())
         # On a busy machine the one cache that is left may stall for a moment: a rejection then
         # is not discovery's doing. What counts is that nothing goes to the draining one.
-        assert 200 in {client.request(part=piece).status for piece in range(12)}
+        assert 200 in {client.request(part=part).status for part in range(12)}
         assert len(proxy.caches[0].received()) == before
-        other.over.set()
+        other.is_over.set()
         other.close()
 
 
@@ -282,8 +286,8 @@
     coordinator.close()
     with running_proxy() as other:
         config = toy_config(coordinator=coordinator.address, known=other.coordinator.listed())
-        nowhere = os.open(os.devnull, os.O_WRONLY)
-        proxy = ProxyServer(read_config(config, {}), nowhere)
+        devnull = os.open(os.devnull, os.O_WRONLY)
+        proxy = ProxyServer(read_config(config, {}), devnull)
         with HttpClient(proxy.start()) as client:
             client.send(b"GET /-/healthy HTTP/1.1\r\n\r\n")
             assert client.read_response().status == 200
@@ -293,7 +297,7 @@
         proxy.parts.downstream.stop_watching()
         proxy.parts.event_loop.post(StopEventLoop())
         proxy.parts.log.close(WAIT_TIMEOUT_S)
-        os.close(nowhere)
+        os.close(devnull)
 
 
 @pytest.mark.parametrize("clock_error_ms", [0, 5_000, -5_000, HOUR_MS, -HOUR_MS])
