--- a/olivepost/action_emitter.py
+++ b/olivepost/action_emitter.py
@@ -1,11 +1,18 @@
-"""The actions of the event that a router is handling, in order: what `Router` and `RequestLifecycle` emit."""
+"""The actions of the event that a router is handling, in order: what the router and the life cycles emit."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from olivepost import interface as api
-from olivepost.routing_state import Ejection, QuotaShortage, RoutingState, TimerCallback, TimerTable
+from olivepost.routing_state import (
+    Ejection,
+    PendingRequest,
+    QuotaShortage,
+    RoutingState,
+    TimerCallback,
+    TimerTable,
+)
 from olivepost.units import Duration
 
 
@@ -34,6 +41,10 @@
         self.emit(api.SetTimer(delay, timer_id))
         return timer_id
 
+    def set_request_timer(self, delay: Duration, callback: TimerCallback, pending: PendingRequest) -> None:
+        """Emits a timer that is discarded with its request."""
+        pending.timer_ids.append(self.set_timer(delay, callback))
+
     def request_quotas(self, shortages: tuple[QuotaShortage, ...]) -> None:
         """Asks other proxies for quotas that were short."""
         for shortage in shortages:
--- /dev/null
+++ b/olivepost/attempt_lifecycle.py
@@ -0,0 +1,91 @@
+"""The life of an attempt: sent, checked for silence, abandoned or closed.
+
+It asks the decisions of olivepost/routing and emits the actions for attempts: router.py lists which decision
+leads to which action. Nothing is decided here, and no decision's values stand here. No clock, no I/O.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from olivepost import interface as api
+from olivepost.action_emitter import ActionEmitter
+from olivepost.routing import invalidation, outcomes, retries
+from olivepost.routing_state import Attempt, ExecutedAttempt, PendingRequest, RoutingState
+from olivepost.units import Instant
+
+
+class AttemptLifecycle:
+    """The attempts in flight of one router's requests. Not thread-safe: the router's owner calls it.
+
+    `retry` is called for a request whose attempt was abandoned.
+    """
+
+    def __init__(
+        self,
+        state: RoutingState,
+        actions: ActionEmitter,
+        retry: Callable[[Instant, PendingRequest], None],
+    ) -> None:
+        self._state = state
+        self._settings = state.settings
+        self._actions = actions
+        self._retry = retry
+
+    def send(self, now: Instant, pending: PendingRequest, cache: str, source: str | None) -> None:
+        """Sends a request's next attempt; without a source, it only looks the name up in the cache."""
+        state = self._state
+        request_class = pending.request_class
+        hint = pending.hint
+        pending.hint = None
+        pending.hinted_cache = cache if hint is not None and hint.cache == cache else None
+        forward = api.ForwardAttempt(
+            pending.request.id,
+            cache,
+            source,
+            pending.rank,
+            timeout=pending.deadline - now,
+            max_age=invalidation.max_age(state, now, pending, source or cache),
+            # A response that is not cached can't be shared, and neither can a write.
+            collapse_fills=self._settings.can_collapse_fills and pending.rank > 0,
+            refresh=request_class.freshness_lifetime is not None and source is not None,
+            start_before=retries.latest_start(state, pending),
+        )
+        timeout = outcomes.silence_timeout(state, pending)
+        attempt = Attempt(pending.attempt_count, cache, source, now, timeout)
+        state.endpoints.open_attempt(now, attempt, state.mean_work(request_class))
+        pending.in_flight[attempt.number] = attempt
+        pending.attempt_count += 1
+        self._actions.emit(forward)
+        self._set_silence_timer(pending, attempt)
+
+    def close(self, pending: PendingRequest, attempt: Attempt) -> None:
+        """An attempt is no longer in flight."""
+        pending.in_flight.pop(attempt.number, None)
+        self._state.endpoints.close_attempt(attempt)
+
+    def close_all(self, pending: PendingRequest) -> None:
+        """Cancels all attempts of a request that is over."""
+        for attempt in list(pending.in_flight.values()):
+            if self._settings.can_cancel_attempts:
+                self._actions.emit(api.CancelAttempt(pending.request.id, attempt.number))
+            self.close(pending, attempt)
+
+    def _set_silence_timer(self, pending: PendingRequest, attempt: Attempt) -> None:
+        check = partial(self._check_silence, pending=pending, attempt=attempt)
+        self._actions.set_request_timer(attempt.silence_timeout, check, pending)
+
+    def _check_silence(self, now: Instant, pending: PendingRequest, attempt: Attempt) -> None:
+        """An attempt's silence timeout is over: it is abandoned for a retry if its cache is ejected."""
+        if pending.is_response_started or attempt.number not in pending.in_flight:
+            return
+        check = outcomes.record_silence(self._state, now, pending, attempt)
+        self._actions.report_outlier(check.ejection)
+        if not (check.is_cache_ejected and retries.may_abandon_attempt(self._state, pending)):
+            self._set_silence_timer(pending, attempt)
+            return
+        self._actions.emit(api.CancelAttempt(pending.request.id, attempt.number))
+        self.close(pending, attempt)
+        pending.executed.append(ExecutedAttempt(attempt.sent_at, attempt.cache))
+        self._retry(now, pending)
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -11,6 +11,7 @@
 
 from olivepost import interface as api
 from olivepost.action_emitter import ActionEmitter
+from olivepost.attempt_lifecycle import AttemptLifecycle
 from olivepost.routing import (
     adaptive_ttl,
     admission,
@@ -28,7 +29,6 @@
     OverloadLevel,
     PendingRequest,
     RoutingState,
-    TimerCallback,
     TimerTable,
 )
 from olivepost.units import Duration, Instant
@@ -43,6 +43,7 @@
         self._settings = state.settings
         self._timers = timers
         self._actions = actions
+        self._attempts = AttemptLifecycle(state, actions, self._retry_abandoned)
 
     # Arrival
 
@@ -75,13 +76,9 @@
         """The deadline invariant: the final response goes out before the client's time is up."""
         delay = max(0, timeout - self._settings.deadline_margin)
         give_up = partial(self.give_up, pending=pending, reason=api.GiveUpReason.DEADLINE)
-        self._set_timer(delay, give_up, pending)
+        self._actions.set_request_timer(delay, give_up, pending)
 
-    def _set_timer(self, delay: Duration, callback: TimerCallback, pending: PendingRequest) -> None:
-        """Sets a timer that is discarded with its request."""
-        pending.timer_ids.append(self._actions.set_timer(delay, callback))
-
-    # Attempts
+    # Forwarding
 
     def _forward(
         self,
@@ -111,56 +108,12 @@
             self._look_up(now, pending, route.cache, route.source, retry_cost)
         else:
             state.retry_balance -= retry_cost
-            self._send_attempt(now, pending, route.cache, route.source)
-
-    def _send_attempt(self, now: Instant, pending: PendingRequest, cache: str, source: str | None) -> None:
-        state = self._state
-        request_class = pending.request_class
-        hint = pending.hint
-        pending.hint = None
-        pending.hinted_cache = cache if hint is not None and hint.cache == cache else None
-        forward = api.ForwardAttempt(
-            pending.request.id,
-            cache,
-            source,
-            pending.rank,
-            timeout=pending.deadline - now,
-            max_age=invalidation.max_age(state, now, pending, source or cache),
-            # A response that is not cached can't be shared, and neither can a write.
-            collapse_fills=self._settings.can_collapse_fills and pending.rank > 0,
-            refresh=request_class.freshness_lifetime is not None and source is not None,
-            start_before=retries.latest_start(state, pending),
-        )
-        timeout = outcomes.silence_timeout(state, pending)
-        attempt = Attempt(pending.attempt_count, cache, source, now, timeout)
-        state.endpoints.open_attempt(now, attempt, state.mean_work(request_class))
-        pending.in_flight[attempt.number] = attempt
-        pending.attempt_count += 1
-        self._actions.emit(forward)
-        self._set_silence_timer(pending, attempt)
+            self._attempts.send(now, pending, route.cache, route.source)
 
-    def _set_silence_timer(self, pending: PendingRequest, attempt: Attempt) -> None:
-        check = partial(self._check_silence, pending=pending, attempt=attempt)
-        self._set_timer(attempt.silence_timeout, check, pending)
-
-    def _check_silence(self, now: Instant, pending: PendingRequest, attempt: Attempt) -> None:
-        """An attempt's silence timeout is over: it is abandoned for a retry if its cache is ejected."""
-        if pending.is_response_started or attempt.number not in pending.in_flight:
-            return
-        check = outcomes.record_silence(self._state, now, pending, attempt)
-        self._actions.report_outlier(check.ejection)
-        if not (check.is_cache_ejected and retries.may_abandon_attempt(self._state, pending)):
-            self._set_silence_timer(pending, attempt)
-            return
-        self._actions.emit(api.CancelAttempt(pending.request.id, attempt.number))
-        self._close_attempt(pending, attempt)
-        pending.executed.append(ExecutedAttempt(attempt.sent_at, attempt.cache))
+    def _retry_abandoned(self, now: Instant, pending: PendingRequest) -> None:
+        """An attempt of the request was abandoned at an unresponsive cache."""
         self._forward(now, pending, retry_cost=1)
 
-    def _close_attempt(self, pending: PendingRequest, attempt: Attempt) -> None:
-        pending.in_flight.pop(attempt.number, None)
-        self._state.endpoints.close_attempt(attempt)
-
     # Hints of the shared store
 
     def _look_up(
@@ -188,7 +141,8 @@
         """Has the attempt wait; after the timeout it goes on with the default hint."""
         wait = HintWait(now, retry_cost)
         pending.hint_wait = wait
-        self._set_timer(timeout, partial(self.resume, pending=pending, hint=default, wait=wait), pending)
+        resume = partial(self.resume, pending=pending, hint=default, wait=wait)
+        self._actions.set_request_timer(timeout, resume, pending)
 
     def resume(
         self, now: Instant, pending: PendingRequest, hint: api.CacheHint, wait: HintWait | None
@@ -214,7 +168,7 @@
         attempt = pending.in_flight.get(outcome.attempt) if pending is not None else None
         if pending is None or attempt is None:
             return
-        self._close_attempt(pending, attempt)
+        self._attempts.close(pending, attempt)
         is_ok = outcome.status is api.AttemptStatus.OK
         if is_ok:
             outcomes.record_response(self._state, now, pending, attempt, outcome)
@@ -274,7 +228,4 @@
             self._actions.emit(api.ReleaseLease(request_id, pending.storing_cache, pending.rank))
         self._actions.report_outlier(outcomes.record_unconfirmed_fault(self._state, now, pending))
         self._timers.discard(pending.timer_ids)
-        for attempt in list(pending.in_flight.values()):
-            if self._settings.can_cancel_attempts:
-                self._actions.emit(api.CancelAttempt(request_id, attempt.number))
-            self._close_attempt(pending, attempt)
+        self._attempts.close_all(pending)
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -3,7 +3,7 @@
 It asks the decisions of olivepost/routing and carries out what they say: nothing is decided here, and no
 decision's values stand here. Settings, events and actions stand in olivepost/interface. No clock, no I/O.
 
-Which decision leads to which action (all are emitted here or by `RequestLifecycle`):
+Which decision leads to which action (emitted here, by `RequestLifecycle` or by `AttemptLifecycle`):
 
 | decision | action |
 | --- | --- |
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -13,22 +13,19 @@
 WORK_STEP = 0.05  # weight of a new sample in a class's mean work
 RATE_MEMORY: Duration = 10 * SECOND  # over which the work of warm endpoints fades
 MIN_LINK_TRANSFERS = 2.0  # at once, by all proxies together, that every endpoint can carry
-DEFAULT_LINK_TRANSFERS = {
-    Role.CACHE: 6.5,
-    Role.PARENT: 32.0,
-}  # of an endpoint that is listed without a weight
-IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}
+DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}  # where endpoints have no weights
+IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}  # attempts for each transfer of a link
 LIMIT_DEVIATIONS = 3.0  # standard deviations above the mean: one of many proxies sees bursts
 MIN_LIMIT_FACTOR = 0.5  # of the concurrency limit, at a high late share
 MAX_LIMIT_FACTOR = 1.5  # of the concurrency limit, at a late share of 0
 LIMIT_FACTOR_SLOPE = 2.5  # by which the limit factor falls for each unit of the late share
-MAX_LISTING_DELAY: Duration = 20 * SECOND  # from an endpoint's start to its first listing
+MAX_LISTING_DELAY: Duration = 20 * SECOND  # after an endpoint's start; a later listing counts as its start
 DONATED_SHARE = 0.75  # of a proxy's part, at most
 MAX_TRANSFER_DURATION: Duration = 2 * SECOND
 
 
 def slow_start_share(now: Instant, endpoint: Endpoint) -> float:
-    """The share of its capacity that an endpoint has after this part of its slow start."""
+    """The share of its capacity that an endpoint has by now; below 1 during its slow start."""
     if endpoint.started_at is None or endpoint.role is Role.ORIGIN:
         return 1.0
     tier = endpoint.tier
@@ -39,19 +36,21 @@
 
 def has_slow_start_budget(state: RoutingState, now: Instant, endpoint: Endpoint, work: float) -> bool:
     """The slow start invariant: whether an endpoint's budget allows this proxy one more attempt."""
+    if endpoint.started_at is None:
+        return True
     window = state.settings.overload_window
     share = slow_start_share(now - window, endpoint)
     multiple = endpoint.tier.overload_multiple
-    if share >= 1 or not multiple or endpoint.started_at is None:
+    if share >= 1 or not multiple:
         return True
     first_listed_at = state.endpoints.first_listed_at
     is_known = first_listed_at is not None and first_listed_at <= max(endpoint.started_at, now - window)
     budget_per_link = multiple * share * window if is_known else 0.0
-    link = certain_link(state, endpoint)
+    certain = certain_link(state, endpoint)
     extra = 0.0
     if state.settings.shared_store_timeout is not None:
-        extra = transferred(state, now, slow_start_key(endpoint), budget_per_link * link)
-    link = max(link, state.warm_rates[endpoint.role].per_nanosecond(now))
+        extra = transferred(state, now, slow_start_key(endpoint), budget_per_link * certain)
+    link = max(certain, state.warm_rates[endpoint.role].per_nanosecond(now))
     return endpoint.work.total(now) + work <= budget_per_link * link + extra
 
 
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -9,8 +9,8 @@
 EJECTION_SCORE = 1.0  # failure score from which an endpoint is ejected
 FIRST_EJECTION: Duration = 1 * SECOND
 MAX_EJECTION: Duration = 4 * SECOND
-SILENCE_EJECTION_ODDS = 200.0  # against chance, at which silences alone eject
-MIN_SLOW_SHARE = 0.02  # of good responses, assumed to outlast their silence timeout
+SILENCE_EJECTION_ODDS = 200.0  # odds against chance from which silences alone eject
+MIN_SLOW_SHARE = 0.02  # the lowest share of slow good responses that a silence is compared with
 REPORTED_SCORE = 0.4  # failure score after reports of other proxies, too low to eject
 LATE_STEP = 0.1  # weight of a new sample in the late share
 INITIAL_LATE_SHARE = 0.2
@@ -29,10 +29,12 @@
 def record_failure(endpoint: Endpoint, now: Instant, score: float) -> None:
     """Adds to the failure score; from the ejection score on, or in a trial, the endpoint is ejected."""
     endpoint.failure_score += score
-    is_ejected_now = endpoint.ejected_until is not None and now < endpoint.ejected_until
-    is_due = endpoint.failure_score >= EJECTION_SCORE and not is_ejected_now
+    if endpoint.has_trial_in_flight:
+        eject_endpoint(endpoint, now)
+        return
     # Failures of attempts that were in flight before an ejection don't lengthen it.
-    if endpoint.has_trial_in_flight or is_due:
+    is_ejected = endpoint.ejected_until is not None and now < endpoint.ejected_until
+    if endpoint.failure_score >= EJECTION_SCORE and not is_ejected:
         eject_endpoint(endpoint, now)
 
 
@@ -53,8 +55,9 @@
 
 def is_available(endpoint: Endpoint, now: Instant) -> bool:
     """Whether the endpoint is not ejected, or is due for its one trial request."""
-    until = endpoint.ejected_until
-    return until is None or (now >= until and not endpoint.has_trial_in_flight)
+    if endpoint.ejected_until is None:
+        return True
+    return now >= endpoint.ejected_until and not endpoint.has_trial_in_flight
 
 
 def silence_score(slow_share: float) -> float:
--- a/olivepost/routing/initial_state.py
+++ b/olivepost/routing/initial_state.py
@@ -12,9 +12,7 @@
         ranks=adaptive_ttl.RANK_TOP + 1,
         max_names=_bounded(adaptive_ttl.MAX_NAMES, settings.max_names),
         max_invalidations=_bounded(invalidation.MAX_INVALIDATIONS, settings.max_invalidations),
-        max_order_bytes=(
-            selection.MAX_ORDER_BYTES if settings.max_order_bytes is None else settings.max_order_bytes
-        ),
+        max_order_bytes=settings.max_order_bytes or selection.MAX_ORDER_BYTES,
         order_entry_bytes=selection.ORDER_ENTRY_BYTES,
         order_reference_bytes=selection.ORDER_REFERENCE_BYTES,
         work_step=capacity.WORK_STEP,
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -59,7 +59,9 @@
 
     After an invalidation that came later than the attempt was sent it does not: it may be older.
     """
-    is_repeat = pending.name_remaining is not None and pending.storing_cache is not None
+    if not pending.rank or state.settings.local_transfer_capacity <= 0:
+        return False
+    if pending.name_remaining is None or pending.storing_cache is None:
+        return False
     invalidated_at = state.invalidations.latest(pending.request)
-    is_current = invalidated_at is None or invalidated_at < sent_at
-    return pending.rank > 0 and is_repeat and is_current and state.settings.local_transfer_capacity > 0
+    return invalidated_at is None or invalidated_at < sent_at
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -39,9 +39,9 @@
 
 def apply_level(state: RoutingState, level: api.MemoryPressureLevel) -> None:
     """Sets the level; as it reaches FREEZE_NAMES, routing sheds names and orders."""
-    is_new = state.memory_pressure < api.MemoryPressureLevel.FREEZE_NAMES <= level
+    previous = state.memory_pressure
     state.memory_pressure = level
-    if is_new:
+    if previous < api.MemoryPressureLevel.FREEZE_NAMES <= level:
         state.names.shrink(int(KEPT_NAMES_SHARE * state.names.capacity))
         state.orders.clear()
 
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -17,7 +17,7 @@
 
 
 def earn_retries(state: RoutingState) -> None:
-    """Adds what a request that has come earns to the retry budget: less under overload."""
+    """Adds to the retry budget what an arriving request earns: less under overload."""
     earned = RETRIES_PER_REQUEST * (1 - state.arrivals.level)
     state.retry_balance = min(MAX_RETRIES, state.retry_balance + earned)
 
@@ -42,7 +42,7 @@
 def allows_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, target: str, cost: int
 ) -> bool:
-    """Whether one more attempt, at this target, is in time, within the budget and idempotent enough."""
+    """Whether one more attempt, at this target, is in time, within the retry budget and idempotent there."""
     is_late = pending.deadline - now <= state.settings.deadline_margin
     if is_late or not has_attempts_left(state, pending) or state.retry_balance < cost:
         return False
@@ -50,7 +50,7 @@
 
 
 def has_attempts_left(state: RoutingState, pending: PendingRequest) -> bool:
-    """Whether the request may have one more attempt by their number and by what is known of its error."""
+    """Whether attempts are left, and no error is attributed to the request itself."""
     return pending.is_retryable and pending.attempt_count < state.settings.max_attempts
 
 
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -44,5 +44,5 @@
     in_flight: int = 0
 
     def has_succeeded_since(self, instant: Instant) -> bool:
-        """Whether it has answered at or after an instant."""
+        """Whether it has responded at or after an instant."""
         return self.last_success_at is not None and self.last_success_at >= instant
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class EndpointTable:
-    """All listed endpoints by id, and the ids of the ready ones by role, sorted."""
+    """All listed endpoints by id, and the ids of the ready ones by role, sorted. Not thread-safe."""
 
     work_window: Duration  # over which an endpoint's work is summed
     initial_late_share: float
--- a/olivepost/routing_state/levels.py
+++ b/olivepost/routing_state/levels.py
@@ -1,4 +1,4 @@
-"""The adaptive levels of one class."""
+"""Levels that adapt to outcomes: of f-TTL for each class, and of overload."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True)
 class ClassLevels:
-    """ϑ and ϑs of f-TTL, and the mean size of what was asked for."""
+    """The f-TTL levels of one class, and the mean size of its responses."""
 
-    level: float
-    first_seen_level: float
-    mean_size: float = 0.0
+    level: float  # ϑ of the paper
+    first_seen_level: float  # ϑs of the paper
+    mean_size: float = 0.0  # KB; at 0 the next sample is the mean
 
 
 @dataclass(slots=True)
 class OverloadLevel:
-    """How overloaded a way to serve requests is, and the mean cost of the requests that came."""
+    """How overloaded caches are for arriving requests, or their sources for fills."""
 
-    level: float = 0.0
-    mean_cost: float = 0.0
+    level: float = 0.0  # from 0; the higher, the fewer expensive requests are admitted
+    mean_cost: float = 0.0  # of the requests that were measured; at 0 the next sample is the mean
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -73,11 +73,11 @@
             tuning.max_order_bytes, tuning.order_entry_bytes, tuning.order_reference_bytes
         )
         self.memory_pressure = api.MemoryPressureLevel.NONE
-        self.arrivals = OverloadLevel()
-        self.fills = OverloadLevel()
+        self.arrivals = OverloadLevel()  # raised by requests that find all caches full
+        self.fills = OverloadLevel()  # raised by fills that are late or rejected
         self.quotas = QuotaLedger()
         self.is_store_available = False
-        self.retry_balance = tuning.initial_retries
+        self.retry_balance = tuning.initial_retries  # retries that the budget holds now
         self.transfer_ends: list[Instant] = []  # of responses that are served from the proxy's own cache
         self.class_work = MovingAverages(tuning.work_step)  # mean transfer time of a response, by class
         # The work that one endpoint which started long ago does, by role.
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -13,7 +13,9 @@
 MECHANICS = [
     ROOT / "olivepost" / "router.py",
     ROOT / "olivepost" / "request_lifecycle.py",
+    ROOT / "olivepost" / "attempt_lifecycle.py",
     ROOT / "olivepost" / "action_emitter.py",
+    ROOT / "olivepost" / "attempt_lifecycle.py",
     ROOT / "olivepost" / "action_emitter.py",
     *(ROOT / "olivepost" / "routing_state").glob("*.py"),
 ]
