--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -1,8 +1,8 @@
 """Benchmark of the shared store: pairs of runs without a store and with one, healthy or with a fault.
 
-Real proxies before stand-in caches show what clients see (`real_fleet`). An emulated branch of 12 proxies
+Real proxies before stand-in caches show what clients see (`fleet_runs`). An emulated branch of 12 proxies
 shows the use of slow start budgets, and long seeded histories of a branch of four with every fault show
-violations of invariants (`modelled_branch`).
+violations of invariants (`branch_runs`).
 """
 
 from __future__ import annotations
@@ -15,8 +15,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from benchmarks.load import LoadOptions
-from benchmarks.modelled_branch import (
+from benchmarks.branch_runs import (
     BudgetJob,
     BudgetRun,
     DoubleFillJob,
@@ -26,7 +25,8 @@
     measure_double_fills,
     play_hostile_history,
 )
-from benchmarks.real_fleet import FAULTS, NAMES, NO_STORE, PROXIES, FleetRun, run_fleet
+from benchmarks.fleet_runs import FAULTS, NAMES, NO_STORE, PROXIES, FleetRun, run_fleet
+from benchmarks.load import LoadOptions
 
 WORKER_PROCESSES = 8
 HISTORY_SEEDS_PER_SEED = 1_000  # more than a plan has, so that no two seeds share a history
@@ -80,7 +80,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ModelRuns:
+class BranchRuns:
     """All runs of the emulated branch."""
 
     budgets: dict[BudgetCase, list[BudgetRun]]
@@ -118,11 +118,11 @@
     fleet_runs = run_fleets(plan, seed)
     report_progress("the emulated branch")
     start = time.monotonic()
-    model_runs = run_models(plan, seed)
+    branch_runs = run_branches(plan, seed)
     report_progress(f"which took {time.monotonic() - start:.0f} s")
     return {
-        **fleet_metrics(plan, fleet_runs, model_runs),
-        **model_metrics(fleet_runs, model_runs),
+        **fleet_metrics(plan, fleet_runs, branch_runs),
+        **branch_metrics(fleet_runs, branch_runs),
         **cost_metrics(fleet_runs),
     }
 
@@ -143,7 +143,7 @@
     return FleetRuns(by_scenario)
 
 
-def run_models(plan: Plan, seed: int) -> ModelRuns:
+def run_branches(plan: Plan, seed: int) -> BranchRuns:
     """Makes all runs of the emulated branch, in worker processes."""
     seeds = [seed + number for number in range(plan.jobs)]
     first_history = seed * HISTORY_SEEDS_PER_SEED
@@ -164,19 +164,19 @@
             for has_store in (False, True)
         }
         histories = pool.map(play_hostile_history, history_jobs)
-        return ModelRuns(
+        return BranchRuns(
             budgets={case: list(runs) for case, runs in budgets.items()},
             double_fill_shares={has_store: list(shares) for has_store, shares in double_fills.items()},
             histories=list(histories),
         )
 
 
-def fleet_metrics(plan: Plan, fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
+def fleet_metrics(plan: Plan, fleet_runs: FleetRuns, branch_runs: BranchRuns) -> dict[str, Any]:
     """Double fills, the share of requests served and latency, without a store and with one."""
     ratios = {name: fleet_runs.service_ratio(name) for name in ("dead", "silent", "slow", "flapping")}
     worst = max(ratios, key=lambda name: abs(ratios[name] - 1))
     double_fills = {
-        has_store: statistics.median(shares) for has_store, shares in model_runs.double_fill_shares.items()
+        has_store: statistics.median(shares) for has_store, shares in branch_runs.double_fill_shares.items()
     }
     added_healthy_ms = fleet_runs.added_p99_ms("healthy")
     added_unresponsive_ms = fleet_runs.added_p99_ms("silent")
@@ -207,10 +207,10 @@
     }
 
 
-def model_metrics(fleet_runs: FleetRuns, model_runs: ModelRuns) -> dict[str, Any]:
+def branch_metrics(fleet_runs: FleetRuns, branch_runs: BranchRuns) -> dict[str, Any]:
     """Violated invariants, and the use of slow start budgets."""
-    histories = model_runs.histories
-    budget_runs = [run for runs in model_runs.budgets.values() for run in runs]
+    histories = branch_runs.histories
+    budget_runs = [run for runs in branch_runs.budgets.values() for run in runs]
     off_runs = fleet_runs.by_scenario[NO_STORE]
     all_runs = [run for runs in fleet_runs.by_scenario.values() for run in runs]
     served_invalidated = sum(run.served_older_than_purge for run in all_runs)
@@ -226,19 +226,19 @@
         "served_older_than_purge_off": sum(run.served_older_than_purge for run in off_runs),
         "served_older_than_purge": served_invalidated,
         "budget_sum_over_whole": exceeded,
-        **budget_metrics(model_runs),
+        **budget_metrics(branch_runs),
     }
 
 
-def budget_metrics(model_runs: ModelRuns) -> dict[str, float | None]:
+def budget_metrics(branch_runs: BranchRuns) -> dict[str, float | None]:
     """Shares of budgets used and of requests served; None for runs that the plan leaves out."""
     metrics: dict[str, float | None] = {}
     for are_all_restarted, used_prefix, served_prefix in (
         (False, "", "one_cold_"),
         (True, "all_", "all_cold_"),
     ):
-        off = model_runs.budgets.get(BudgetCase(False, are_all_restarted), [])
-        on = model_runs.budgets.get(BudgetCase(True, are_all_restarted), [])
+        off = branch_runs.budgets.get(BudgetCase(False, are_all_restarted), [])
+        on = branch_runs.budgets.get(BudgetCase(True, are_all_restarted), [])
         metrics[f"{used_prefix}cold_budget_used_share_off"] = median_or_none([run.used_share for run in off])
         metrics[f"{used_prefix}cold_budget_used_share_on"] = median_or_none([run.used_share for run in on])
         metrics[f"{served_prefix}served_share_off"] = median_or_none([run.served_share for run in off])
