--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -149,8 +149,7 @@
         stored_ms = state.look_up(now_ms, name, max_age_ms)
         if stored_ms is not None:
             self.counts.hits += 1
-            invalidated_ms = self._invalidated_ms.get(group_of(fields["name"]), 0)
-            if stored_ms < invalidated_ms and now_ms > invalidated_ms + INVALIDATION_GRACE_MS:
+            if self._is_older_than_invalidation(now_ms, fields["name"], stored_ms):
                 self.counts.older_than_purge += 1
             self._scheduler.after(HIT_LATENCY_S, partial(send_response, command, name, stored_ms, "warm"))
         elif name in state.fills:
@@ -166,6 +165,13 @@
         else:
             self._start_fill(cache, command, name, now_ms)
 
+    def _is_older_than_invalidation(self, now_ms: int, name: str, stored_ms: int) -> bool:
+        """Whether proxies have received an invalidation of the object that is later than its response."""
+        invalidated_ms = self._invalidated_ms.get(group_of(name))
+        if invalidated_ms is None or now_ms <= invalidated_ms + INVALIDATION_GRACE_MS:
+            return False
+        return stored_ms < invalidated_ms
+
     def _start_fill(self, cache: ToyEndpoint, command: Command, name: str, now_ms: int) -> None:
         self.counts.fills += 1
         if self._is_in_another_cache(cache, name, group_of(command.fields["name"])):
@@ -177,9 +183,15 @@
 
     def _is_in_another_cache(self, cache: ToyEndpoint, name: str, group: int) -> bool:
         """Whether another cache is filling the name, or stores it since the last invalidation."""
-        invalidated_ms = self._invalidated_ms.get(group, 0)
-        others = [state for endpoint_id, state in self._states.items() if endpoint_id != cache.id]
-        return any(state.stored.get(name, 0) > invalidated_ms or name in state.fills for state in others)
+        invalidated_ms = self._invalidated_ms.get(group)
+        for endpoint_id, state in self._states.items():
+            if endpoint_id == cache.id:
+                continue
+            stored_ms = state.stored.get(name)
+            is_stored = stored_ms is not None and (invalidated_ms is None or stored_ms > invalidated_ms)
+            if is_stored or name in state.fills:
+                return True
+        return False
 
     def _complete_fill(self, cache: ToyEndpoint, command: Command, name: str, started_ms: int) -> None:
         state = self._states[cache.id]
--- a/benchmarks/fleet_runs.py
+++ b/benchmarks/fleet_runs.py
@@ -51,8 +51,8 @@
     double_fill_share: float
     served_older_than_purge: int
     proxy_cpu_us: float
-    store_cpu_us: float  # 0 without a store
-    recovery_ms: float  # from the fault's end until the last proxy uses the store again; 0 without a fault
+    store_cpu_us: float | None  # None without a store
+    recovery_ms: float | None  # from the fault's end until all proxies use the store; None without a fault
 
 
 def run_fleet(scenario: str, load: LoadOptions) -> FleetRun:
@@ -71,7 +71,7 @@
 def measure(fleet: Fleet, store: Process | None, changes: list[Change], load: LoadOptions) -> FleetRun:
     """Puts the load on a fleet; meanwhile a cache restarts, groups are invalidated and the store fails."""
     proxy_cpu_before_s = fleet.cpu_s()
-    store_cpu_before_s = store.cpu_s() if store else 0.0
+    store_cpu_before_s = store.cpu_s() if store is not None else 0.0
     fault_end_ms = (time.time() + load.duration_s * FAULT_END_SHARE) * 1000
     steps = fleet_steps(fleet, load.duration_s)
     if store is not None:
@@ -79,7 +79,9 @@
     result = run_load(fleet.addresses, load, steps)
     counts = fleet.caches.ask("stats")
     requests = max(1, result.request_count)
-    store_cpu_s = store.cpu_s() - store_cpu_before_s if store else 0.0
+    store_cpu_us = None
+    if store is not None:
+        store_cpu_us = (store.cpu_s() - store_cpu_before_s) / requests * 1e6
     return FleetRun(
         service_share=result.service_share,
         p99_ms=result.quantile_ms(0.99),
@@ -88,8 +90,8 @@
         double_fill_share=counts["double_fills"] / max(1, counts["fills"]),
         served_older_than_purge=counts["older_than_purge"],
         proxy_cpu_us=(fleet.cpu_s() - proxy_cpu_before_s) / requests * 1e6,
-        store_cpu_us=store_cpu_s / requests * 1e6,
-        recovery_ms=recovery_ms(fleet, fault_end_ms) if changes else 0.0,
+        store_cpu_us=store_cpu_us,
+        recovery_ms=recovery_ms(fleet, fault_end_ms) if changes else None,
     )
 
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -94,9 +94,10 @@
     def __init__(self, by_scenario: dict[str, list[FleetRun]]) -> None:
         self.by_scenario = by_scenario
 
-    def median(self, scenario: str, metric: Callable[[FleetRun], float]) -> float:
-        """The median of a metric over a scenario's runs."""
-        return statistics.median(metric(run) for run in self.by_scenario[scenario])
+    def median(self, scenario: str, metric: Callable[[FleetRun], float | None]) -> float:
+        """The median of a metric over a scenario's runs that have it; there must be one."""
+        values = [metric(run) for run in self.by_scenario[scenario]]
+        return statistics.median(value for value in values if value is not None)
 
     def added_p99_ms(self, scenario: str) -> list[float]:
         """The 99th percentile of latency in a scenario less that without a store, for each pair."""
