--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -106,8 +106,8 @@
 def _select_endpoint(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> Selection:
     """The first endpoint of a tier within all its limits.
 
-    Where there is none, the others count no more, one after another: late share, concurrency limit, ejection,
-    failures of this request. The slow start budget always counts.
+    Where there is none, limits are dropped one by one: the late share, the concurrency limit, ejection,
+    earlier failures of this request. The slow start budget always counts.
     """
     order = _cached_order(state, pending.name, role)
     if not order:
@@ -117,25 +117,23 @@
     home = by_id[order[0]]
     if _is_unrestricted(state, now, pending, home) and capacity.has_slow_start_budget(state, now, home, work):
         return Selection(order[0])  # the result of the rest, in a fraction of its time
+    endpoints = [by_id[endpoint_id] for endpoint_id in order]
     usable = [
-        endpoint_id
-        for endpoint_id in order
-        if capacity.has_slow_start_budget(state, now, by_id[endpoint_id], work)
-    ]
-    unfailed = [endpoint_id for endpoint_id in usable if endpoint_id not in pending.avoided]
-    available = [endpoint_id for endpoint_id in unfailed if health.is_available(by_id[endpoint_id], now)]
-    below_limit = [
-        endpoint_id for endpoint_id in available if _is_below_limit(state, now, by_id[endpoint_id])
+        endpoint for endpoint in endpoints if capacity.has_slow_start_budget(state, now, endpoint, work)
     ]
+    unfailed = [endpoint for endpoint in usable if endpoint.metadata.id not in pending.avoided]
+    available = [endpoint for endpoint in unfailed if health.is_available(endpoint, now)]
+    below_limit = [endpoint for endpoint in available if _is_below_limit(state, now, endpoint)]
     shortages: tuple[QuotaShortage, ...] = ()
     if state.is_store_available:
-        if order[0] in available and order[0] not in below_limit:
+        if home in available and home not in below_limit:
             shortages = (QuotaShortage(concurrency_key(home), 1.0),)
-        elif order[0] not in usable:
+        elif home not in usable:
             shortages = (QuotaShortage(slow_start_key(home), work),)
-    prompt = _without_shed_names(state, below_limit, pending.name)
-    candidates = prompt or below_limit or available or unfailed or usable
-    return Selection(candidates[0] if candidates else None, shortages)
+    candidates = (
+        _without_shed_names(below_limit, pending.name) or below_limit or available or unfailed or usable
+    )
+    return Selection(candidates[0].metadata.id if candidates else None, shortages)
 
 
 def _is_unrestricted(state: RoutingState, now: Instant, pending: PendingRequest, home: Endpoint) -> bool:
@@ -145,18 +143,18 @@
     return health.is_available(home, now) and _is_below_limit(state, now, home)
 
 
-def _without_shed_names(state: RoutingState, endpoint_ids: list[str], name: str) -> list[str]:
+def _without_shed_names(endpoints: list[Endpoint], name: str) -> list[Endpoint]:
     """Leaves out the endpoints that shed this name, since they are late more often than the best of them.
 
     The share of names that an endpoint sheds grows with its late share; a name's hash decides for it.
     """
-    late_shares = [state.endpoints.by_id[endpoint_id].late_share for endpoint_id in endpoint_ids]
+    late_shares = [endpoint.late_share for endpoint in endpoints]
     tolerated = min(late_shares, default=0.0) + LATE_SHARE_TOLERANCE
     if max(late_shares, default=0.0) <= tolerated:
-        return endpoint_ids
+        return endpoints
     name_share = crc32(name.encode()) / 2**32
     return [
-        endpoint_id
-        for endpoint_id, late_share in zip(endpoint_ids, late_shares, strict=True)
-        if min(MAX_SHED_SHARE, (late_share - tolerated) / LATE_SHARE_SHEDDING_RANGE) <= name_share
+        endpoint
+        for endpoint in endpoints
+        if min(MAX_SHED_SHARE, (endpoint.late_share - tolerated) / LATE_SHARE_SHEDDING_RANGE) <= name_share
     ]
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -26,7 +26,7 @@
     endpoint_id: str
 
 
-@dataclass(slots=True)
+@dataclass(slots=True, eq=False)
 class Endpoint:
     """A cache, parent or origin: its metadata, its health, and the work that it was sent."""
 
