--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -15,8 +15,6 @@
     ROOT / "olivepost" / "request_lifecycle.py",
     ROOT / "olivepost" / "attempt_lifecycle.py",
     ROOT / "olivepost" / "action_emitter.py",
-    ROOT / "olivepost" / "attempt_lifecycle.py",
-    ROOT / "olivepost" / "action_emitter.py",
     *(ROOT / "olivepost" / "routing_state").glob("*.py"),
 ]
 ALLOWED_PACKAGES = ("olivepost.routing", "olivepost.routing_state", "olivepost.units")
