--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -8,7 +8,7 @@
 import pytest
 
 from examples.toy_server import Command, ToyEndpoint, respond_normally
-from tests.proxy.fakes import never_reply, only_connection
+from tests.proxy.fakes import idle_connection, never_reply
 from tests.proxy_harness import HttpClient, ProxyHarness, running_proxy
 
 LogLines = list[dict[str, object]]
@@ -66,7 +66,7 @@
 def test_evicted_connection_is_counted_with_its_reason() -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
-        assert only_connection(proxy).evict()
+        assert idle_connection(proxy).evict()
         assert client.is_closed_by_proxy()
         assert proxy.wait_until(lambda: proxy.counter("connections_closed_evicted") == 1)
 
