--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -4,7 +4,7 @@
 
 import socket
 import threading
-from typing import Any
+from typing import Any, NamedTuple
 
 import pytest
 
@@ -13,7 +13,7 @@
 from olivepost.proxy.downstream.connection_admission import ConnectionAdmission
 from olivepost.proxy.downstream.response_delivery import ResponseDelivery
 from olivepost.proxy.signals import SignalRequest, wait_without_signals
-from olivepost.units import SECOND
+from olivepost.units import SECOND, Instant
 from tests.proxy.fakes import (
     MS,
     DelayedConnects,
@@ -117,13 +117,20 @@
 KILLED_AFTER = 1500 * MS  # after SIGTERM, with `short_shutdown`
 
 
-def start_shutdown(proxy: ProxyHarness) -> tuple[threading.Thread, int]:
-    """Starts the shutdown as SIGTERM does; returns its thread and when it began."""
+class StartedShutdown(NamedTuple):
+    """The thread of a shutdown, and when it began."""
+
+    thread: threading.Thread
+    began_at: Instant
+
+
+def start_shutdown(proxy: ProxyHarness) -> StartedShutdown:
+    """Starts the shutdown as SIGTERM does."""
     thread = threading.Thread(target=proxy.server.shut_down)
-    at = proxy.parts.clock.now()
+    began_at = proxy.parts.clock.now()
     thread.start()
     assert proxy.wait_until(lambda: proxy.parts.downstream.is_draining)
-    return thread, at
+    return StartedShutdown(thread, began_at)
 
 
 @pytest.mark.usefixtures("short_shutdown")
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -114,7 +114,9 @@
     with running_proxy(
         reply, settings=write_settings("read_like"), bounds={"large_body_bytes": 2 * MAX_OBJECT_BYTES}
     ) as proxy:
-        first, leaving, late = proxy.connect(), proxy.connect(), proxy.connect()
+        first = proxy.connect()
+        leaving = proxy.connect()
+        late = proxy.connect()
         first.send(put_request(largest_body))
         leaving.send(put_request(largest_body, "0" * 16)[: -MAX_OBJECT_BYTES // 2])
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 2 * MAX_OBJECT_BYTES)
@@ -162,7 +164,9 @@
 
 def test_reservation_is_counted_and_released_once() -> None:
     budget = LargeBodyBudget(max_bytes=100, small_body_bytes=10)
-    first, second = LargeBodyReservation(budget), LargeBodyReservation(budget)
+    first = LargeBodyReservation(budget)
+    second = LargeBodyReservation(budget)
+
     assert first.reserve(60)
     assert first.reserve(60)
     assert budget.reserved_bytes == 60
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -94,7 +94,8 @@
         length = int(headers.get("content-length", 0))
         while len(self._data) < length:
             self._receive()
-        body, self._data = self._data[:length], self._data[length:]
+        body = self._data[:length]
+        self._data = self._data[length:]
         return HttpResponse(int(first.split()[1]), headers, body)
 
     def _receive(self) -> None:
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -11,7 +11,8 @@
 from olivepost.routing_state import Endpoint, RoutingState
 from olivepost.units import Duration, Instant
 
-MS, SECOND = 1_000_000, 1_000_000_000
+MS: Duration = 1_000_000
+SECOND: Duration = 1_000_000_000
 START = 1_000 * SECOND
 
 
