--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -11,11 +11,10 @@
 
 from olivepost.config import Address
 from tests.soak.oracle import ClientRequest, Oracle, Outcome
+from tests.soak.traffic import object_name, reset_on_close
 
 SOCKET_TIMEOUT_S = 8.0
-RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # value of SO_LINGER
 NAMES = 400
-NAME_MULTIPLIER = 2_654_435_761
 MIN_TIMEOUT_S = 1.2
 TIMEOUT_RANGE_S = 1.3
 CLASSES = ("segment", "image", "order")  # the last one is not idempotent
@@ -68,7 +67,7 @@
             request_id = f"{self._seed:04x}{next(self._ids):012x}"
         # The smaller of two draws: some names are requested more often.
         number = min(random_source.randrange(NAMES), random_source.randrange(NAMES))
-        name = f"{number * NAME_MULTIPLIER % 2**64:016x}"
+        name = object_name(number)
         timeout_s = MIN_TIMEOUT_S + random_source.random() * TIMEOUT_RANGE_S
         return ClientRequest(request_id, name, random_source.choice(CLASSES), 0.0, timeout_s)
 
@@ -110,7 +109,7 @@
             send_request(self._oracle, sock, request)
             time.sleep(random_source.choice((0.0, 0.0, 0.002, 0.02, 0.2)))
             if random_source.random() < 0.5:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                reset_on_close(sock)
             request.outcome = Outcome.DISCONNECTED
             sock.close()
             request.ended_at = time.monotonic()
--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -14,12 +14,12 @@
 from examples.toy_server import Coordinator, Server, listed_endpoint, skip_headers
 from tests.soak.faults import DiscoveryMode, EndpointFault, FaultPlan
 from tests.soak.oracle import Arrival, Execution, Oracle
+from tests.soak.traffic import reset_on_close
 
 ENDPOINT_IDS = ("c0", "c1", "c2", "c3", "p0", "p1", "o0")  # caches, parents, the origin
 BODY_REPEATS = 40
 MAX_INVALIDATION_DELAY_S = 5.5  # less than the settings' invalidation lifetime
 SILENCE_POLL_S = 0.05
-RESET_ON_CLOSE = b"\1\0\0\0\0\0\0\0"  # value of SO_LINGER
 TRUNCATED_BYTES = 60
 STATUS_WORDS = {
     EndpointFault.ERROR: "FAULT",
@@ -81,7 +81,7 @@
                 sock.sendall(self._response(request_id, name, fields)[:TRUNCATED_BYTES])
                 return False
             case EndpointFault.RESET:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                reset_on_close(sock)
                 return False
             case EndpointFault.HANG:
                 return True
--- a/tests/soak/fault_injector.py
+++ b/tests/soak/fault_injector.py
@@ -7,11 +7,12 @@
 import time
 from collections.abc import Callable
 
-from tests.soak.clients import NAME_MULTIPLIER, NAMES
+from tests.soak.clients import NAMES
 from tests.soak.environment import SoakEnvironment
 from tests.soak.faults import DiscoveryMode, EndpointFault
 from tests.soak.oracle import Oracle
 from tests.soak.proxy_process import ProxyProcess
+from tests.soak.traffic import object_name
 
 COMMON_FAULT_SHARE = 0.15  # of endpoint faults, that all endpoints show
 FAULT_SHARES = (0.1, 0.5, 1.0)  # of an endpoint's commands
@@ -91,7 +92,7 @@
     def _invalidate_objects(self) -> None:
         for _ in range(INVALIDATIONS):
             number = min(self._random_source.randrange(NAMES), self._random_source.randrange(NAMES))
-            self._environment.invalidate(f"{number * NAME_MULTIPLIER % 2**64:016x}")
+            self._environment.invalidate(object_name(number))
 
     def _reload_repeatedly(self) -> None:
         for _ in range(self._random_source.randrange(1, 6)):
--- a/tests/soak/load_process.py
+++ b/tests/soak/load_process.py
@@ -16,11 +16,10 @@
 
 from olivepost.config import Address
 from tests.soak.child_process import ChildProcess
+from tests.soak.traffic import object_name
 
 EXIT_TIMEOUT_S = 60.0  # beyond the load's duration
 RECEIVE_BYTES = 262_144
-NAME_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash: spreads consecutive numbers
-NAME_RANGE = 2**64
 END_OF_HEAD = b"\r\n\r\n"
 
 
@@ -60,7 +59,7 @@
 
     def send(self, name: int, request_id: int, options: LoadOptions) -> None:
         """Sends the next request."""
-        text = f"{name * NAME_MULTIPLIER % NAME_RANGE:016x}"
+        text = object_name(name)
         head = (
             f"GET /api/v2/{options.class_name}/{text}/slice-0 HTTP/1.1\r\nHost: b\r\n"
             f"X-Call-Id: {request_id:016x}\r\nX-Patience-Ms: {options.timeout_ms}\r\nX-Set: 17\r\n\r\n"
--- a/tests/soak/misbehaving_clients_process.py
+++ b/tests/soak/misbehaving_clients_process.py
@@ -19,6 +19,7 @@
 
 from olivepost.config import Address
 from tests.soak.child_process import ChildProcess
+from tests.soak.traffic import reset_on_close
 
 CONNECTION_TIMEOUT_S = 5.0
 RECONNECT_PAUSE_S = 0.02  # between two connections of one thread
@@ -68,7 +69,7 @@
     """Resets or closes right behind a request."""
     sock.sendall(request(random_source))
     if random_source.random() < 0.5:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        reset_on_close(sock)
 
 
 def send_endless_head(sock: socket.socket, random_source: random.Random) -> None:
