--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""A proxy to try on loopback, with toy endpoints and a toy coordinator."""
+"""Example of a proxy on loopback, with toy endpoints and a toy coordinator."""
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,9 +1,10 @@
-"""A toy coordinator and toy endpoints, to try a proxy with: loopback only, one thread a connection.
+"""Toy coordinator and toy endpoints to try a proxy with: loopback only, one thread for each connection.
 
     python examples/toy_server.py
 
-Endpoints hold every object: its bytes follow from its name. Caches don't keep objects whose name begins with
-`0`, so that they fill from a parent; objects whose name begins with `f` are rejected by every endpoint.
+Endpoints have every object, since they compute its bytes from its name. Caches don't keep objects whose name
+begins with `0`, so that these are filled from a parent. Every endpoint rejects requests for objects whose
+name begins with `f`.
 """
 
 from __future__ import annotations
@@ -27,24 +28,24 @@
 MAX_POLL_WAIT_S = 5.0
 NO_FIELDS = "-"
 NANOSECONDS_PER_MS = 1_000_000
-NOT_CACHED_PREFIX = "0"  # of names that caches don't keep
-REJECTED_PREFIX = "f"  # of names that every endpoint rejects
+NOT_CACHED_PREFIX = "0"  # begins the names of objects that caches don't keep
+REJECTED_PREFIX = "f"  # begins the names of objects that every endpoint rejects
 
 
 def body_of(name: str, part: str) -> bytes:
-    """The bytes of an object's part: up to 64 KB, every value of a byte among them."""
+    """Returns the bytes of an object's part: up to 64 KB, which include every byte value."""
     digest = blake2b(f"{name} {part}".encode()).digest()
     repeats = 1 + digest[0] % 200
     return (digest + bytes(range(256))) * repeats
 
 
 def tag_of(name: str, part: str) -> str:
-    """The entity tag of an object's part."""
+    """Returns the entity tag of an object's part."""
     return blake2b(body_of(name, part), digest_size=8).hexdigest()
 
 
 def listen(port: int) -> socket.socket:
-    """A listener on loopback; port 0 lets the system choose."""
+    """Returns a listener on loopback; with port 0 the system chooses the port."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((LOOPBACK, port))
@@ -53,13 +54,13 @@
 
 
 def address_of(listener: socket.socket) -> str:
-    """The listener's address as configurations have it."""
+    """Returns a listener's address in the form that configurations use."""
     host, port = listener.getsockname()
     return f"{host}:{port}"
 
 
 class Server:
-    """Accepts connections and serves each in a thread of its own."""
+    """A TCP server that serves each connection in its own thread."""
 
     def __init__(self, port: int = 0) -> None:
         self._listener = listen(port)
@@ -83,11 +84,11 @@
         sock.close()
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        """Serves one connection until its end; `lines` reads from it."""
+        """Serves one connection until it ends; `lines` is a file object that reads from it."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """Closes the listener and all connections, as the end of a process does."""
+        """Closes the listener and all connections, as happens when a process ends."""
         for sock in (self._listener, *self.connections):
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
@@ -99,7 +100,7 @@
 
 @dataclass(slots=True, eq=False)
 class Command:
-    """One command of a proxy, on the connection that takes its response."""
+    """A proxy's command, with the connection on which its response is sent."""
 
     sock: socket.socket
     verb: str
@@ -108,13 +109,13 @@
     body: bytes
 
     def respond(self, status_word: str, body: bytes = b"", /, **fields: str) -> None:
-        """Sends a response: its status word, fields and body."""
+        """Sends a response with a status word, fields and a body."""
         fields_text = ",".join(f"{name}={value}" for name, value in fields.items()) or NO_FIELDS
         self.sock.sendall(f"{self.id} {status_word} {fields_text} {len(body)}\r\n".encode() + body + b"\r\n")
 
 
 def respond_normally(_endpoint: ToyEndpoint, command: Command) -> None:
-    """An endpoint's ordinary response to each command."""
+    """Sends an endpoint's usual response to an `alive` or `fetch` command; ignores other commands."""
     if command.verb == "alive":
         command.sock.sendall(f"{command.id} PONG\r\n".encode())
     if command.verb == "fetch":
@@ -122,7 +123,7 @@
 
 
 def respond_to_fetch(command: Command) -> None:
-    """Responds to a fetch as its object's name asks for."""
+    """Responds to a fetch; the first character of the object's name can cause a rejection or a cache miss."""
     name = command.fields["name"]
     part = command.fields["piece"]
     is_cached = not name.startswith(NOT_CACHED_PREFIX)
@@ -138,7 +139,7 @@
 
 
 def read_command(sock: socket.socket, lines: Any) -> Command | None:
-    """The next command of a connection; None at its end."""
+    """Returns the next command of a connection; None at the connection's end."""
     line = lines.readline()
     if not line:
         return None
@@ -153,7 +154,7 @@
 
 
 class ToyEndpoint(Server):
-    """An endpoint: a cache, a parent or an origin. `_received` guards `commands`."""
+    """An endpoint, which may act as a cache, a parent or an origin. `_received` guards `commands`."""
 
     def __init__(self, endpoint_id: str, port: int = 0, reply: Reply = respond_normally) -> None:
         self.id = endpoint_id
@@ -163,7 +164,7 @@
         super().__init__(port)
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        """Records each command, then has `reply` respond to it."""
+        """Records each command, then calls `reply` to respond to it."""
         while (command := read_command(sock, lines)) is not None:
             with self._received:
                 self.commands.append(command)
@@ -171,38 +172,38 @@
             self.reply(self, command)
 
     def wait_for(self, count: int, verb: str = "fetch", timeout_s: float = 20.0) -> list[Command]:
-        """The commands with this verb, once there are `count` or after `timeout_s`."""
+        """Returns the commands with this verb, once there are `count` of them or `timeout_s` has passed."""
         with self._received:
             self._received.wait_for(lambda: len(self.received(verb)) >= count, timeout_s)
             return self.received(verb)
 
     def received(self, verb: str = "fetch") -> list[Command]:
-        """The commands with this verb so far."""
+        """Returns the commands with this verb that have been received so far."""
         return [command for command in self.commands if command.verb == verb]
 
 
 class Coordinator(Server):
-    """Service discovery: numbered events by long poll. `_change` guards the other fields."""
+    """Service discovery that serves numbered events by long poll. `_change` guards the other fields."""
 
     def __init__(self, port: int = 0) -> None:
         self.events: list[dict[str, Any]] = []
         self.polls = 0
-        self.follows: list[int] = []  # the index that each poll asked to follow
+        self.follows: list[int] = []  # the index after which each poll asked for events
         self._change = threading.Condition()
         super().__init__(port)
 
     def add(self, **event: Any) -> None:
-        """Publishes an event under the next index."""
+        """Publishes an event with the next index."""
         with self._change:
             self.events.append({"index": len(self.events) + 1, **event})
             self._change.notify_all()
 
     def listed(self) -> dict[str, Any]:
-        """All events so far, as a configuration's `known` has them."""
+        """Returns all events so far, in the form of the key `known` of a configuration."""
         return {"index": len(self.events), "updates": list(self.events)}
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        """Responds to each poll with the events after the index it asks for."""
+        """Responds to each poll with the events after the index that the poll names."""
         while line := lines.readline():
             skip_headers(lines)
             _, _, query = line.split()[1].decode().partition("?")
@@ -225,7 +226,7 @@
         self._change.wait_for(lambda: len(self.events) > after, wait_s)
 
     def wait_for_poll(self, count: int, timeout_s: float = 20.0) -> bool:
-        """Whether there were so many polls within `timeout_s`."""
+        """Waits for `count` polls in total; returns whether they arrived within `timeout_s`."""
         with self._change:
             return self._change.wait_for(lambda: self.polls >= count, timeout_s)
 
@@ -237,7 +238,7 @@
 
 
 class ListedServer(Protocol):
-    """What an endpoint list needs of an endpoint."""
+    """The attributes of an endpoint that its entry in an endpoint list needs."""
 
     id: str
     address: str
@@ -246,7 +247,7 @@
 def listed_endpoint(
     endpoint: ListedServer, kind: str = "standard", zone: str = "west", **more: Any
 ) -> dict[str, Any]:
-    """An endpoint as the coordinator's endpoint list has it."""
+    """Returns an endpoint's entry in the coordinator's endpoint list."""
     defaults = {
         "id": endpoint.id,
         "addr": endpoint.address,
@@ -261,12 +262,12 @@
 
 
 def port_of(address: str) -> int:
-    """The port of an address like 127.0.0.1:7371."""
+    """Returns the port of an address like 127.0.0.1:7371."""
     return int(address.rpartition(":")[2])
 
 
 def main() -> int:
-    """Serves what the example's configuration names, until the process is ended."""
+    """Runs the coordinator and the endpoints of the example's configuration until the process is ended."""
     config = json.loads(CONFIG.read_text())
     updates = config["known"]["updates"]
     servers = updates[0]["endpoints"]["servers"]
--- a/olivepost/__main__.py
+++ b/olivepost/__main__.py
@@ -9,4 +9,5 @@
     exit_code = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    os._exit(exit_code)  # without waiting for threads that wait for unresponsive clients, endpoints or stores
+    # Exits without joining threads, since these may wait for unresponsive clients, endpoints or stores.
+    os._exit(exit_code)
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -14,8 +14,8 @@
   check    Reads the configuration, and the operator's file if one is named; reports whether they can be used.
   schema   Prints the JSON Schema of the operator's file.
   sharing  Inspects the shared stores: reachability and state (ping), fill leases and cache locations
-           (claims), invalidations (purges); deletes what they hold of names, or without a name everything,
-           for all proxies (forget). Stores hold only hints: requests go on without them.
+           (claims), invalidations (purges). Deletes, for all proxies, the records of the given names, or all
+           records if no name is given (forget). Stores hold only hints: requests are served without them.
   version  Prints the version.
 
 Options:
@@ -30,11 +30,11 @@
   olivepost check --config examples/config.json --operator deploy/examples/sharing.yaml
   olivepost sharing claims --operator deploy/examples/sharing.yaml --json
 
-Exit codes: 0 done, 1 failed (port in use, store not reached), 2 a faulty file or command line.
+Exit codes: 0 success, 1 failure (port in use, store unreachable), 2 invalid file or command line.
 """
 
 # The docstring above is also the grammar that docopt parses. Subsystems of the operator's file are imported
-# only where such a file is named: a proxy without one needs neither their memory nor their start-up time.
+# only if such a file is named, since a proxy without one needs neither their memory nor their start-up time.
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class ExitCode(IntEnum):
-    """The process's exit codes; scripts rely on them."""
+    """Exit codes of the process, which scripts rely on."""
 
     DONE = 0
     FAILED = 1
@@ -68,11 +68,11 @@
 
 
 class CommandError(Exception):
-    """A command can't be run as it was given; the message says what is missing or allowed."""
+    """A command that can't be run as given; the message says what is missing or allowed."""
 
 
 class MissingPackageError(CommandError):
-    """A package that only the operator's file needs isn't installed."""
+    """A package that isn't installed and that only the operator's file needs."""
 
     def __init__(self, package: str | None) -> None:
         super().__init__(f"an operator's file needs the package '{package}': pip install .[all]")
@@ -80,17 +80,19 @@
 
 
 class MissingSectionError(CommandError):
-    """The operator's file has no section `sharing`, or none is named."""
+    """A missing section `sharing`: the operator's file has none, or no such file is named."""
 
     def __init__(self) -> None:
-        super().__init__("no section 'sharing': name an operator's file that has one by --operator")
+        super().__init__(
+            "no section 'sharing': --operator or OLIVEPOST_OPERATOR must name a file that has one"
+        )
 
 
 class UnknownStoreError(CommandError):
-    """`--store` names a store that the operator's file doesn't have."""
+    """A store that `--store` names and that the operator's file doesn't have."""
 
     def __init__(self, name: str, known: list[str]) -> None:
-        super().__init__(f"no store '{name}'; there are {', '.join(known)}")
+        super().__init__(f"no store '{name}'; known stores: {', '.join(known)}")
         self.name = name
         self.known = known
 
@@ -109,7 +111,7 @@
 
     @classmethod
     def parse(cls, arguments: list[str] | None) -> CommandLine:
-        """Parses arguments, where None those of the process; raises DocoptExit with the usage."""
+        """Parses `arguments`, or those of the process if they are None; raises DocoptExit with the usage."""
         assert __doc__
         parsed = docopt(__doc__, arguments)
         return cls(
@@ -123,11 +125,11 @@
         )
 
     def load_config(self) -> ProxyConfig:
-        """Reads the configuration, at each call anew; raises ConfigError."""
+        """Reads the configuration again at each call; raises ConfigError."""
         return load(os.environ, self.config_path)
 
     def load_operator(self) -> OperatorSettings | None:
-        """Reads the operator's file, at each call anew; None where none is named.
+        """Reads the operator's file again at each call; returns None if no file is named.
 
         Raises ConfigError or MissingPackageError.
         """
@@ -142,7 +144,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Runs a command; returns the process's exit code."""
+    """Runs a command and returns the process's exit code."""
     try:
         command_line = CommandLine.parse(arguments)
     except DocoptExit as error:
@@ -206,7 +208,7 @@
 def _serve(command_line: CommandLine) -> int:
     from olivepost.proxy.signals import SignalListener
 
-    signals = SignalListener()  # first: a signal during the start must not end the process
+    signals = SignalListener()  # created first, so that a signal during the start does not end the process
     operator = command_line.load_operator()
     from olivepost.proxy.server import ConfigurationSource, serve
 
--- a/olivepost/config/__init__.py
+++ b/olivepost/config/__init__.py
@@ -1,7 +1,7 @@
-"""Configuration: the platform's JSON read into typed settings and resource limits, with errors by key.
+"""Configuration: typed settings and resource limits, read from the platform's JSON; errors name the key.
 
-`load` reads the configuration of a proxy process; `read_settings` reads the router settings alone, also for
-the simulator's adapter.
+`load` reads the configuration of a proxy process. `read_settings` reads the router settings alone, for the
+simulator's adapter, too.
 """
 
 from olivepost.config.fields import Address, ConfigError, FieldReader, read_address
--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -10,8 +10,10 @@
 
 from olivepost.units import Duration
 
-MAX_DURATION: Duration = 1 << 62  # an instant plus a longer one would overflow 64 bits
-MAX_NUMBER = sys.float_info.max  # JSON may hold larger ones, and Python's decoder takes Infinity and NaN
+# The sum of an instant and a longer duration would overflow 64 bits.
+MAX_DURATION: Duration = 1 << 62
+# JSON can hold larger numbers, and Python's decoder also accepts Infinity and NaN.
+MAX_NUMBER = sys.float_info.max
 MAX_OCTET = 255
 MAX_PORT = 65_535
 IPV4_ADDRESS = re.compile(r"([0-9]{1,3}(?:\.[0-9]{1,3}){3}):([0-9]{1,5})", re.ASCII)
@@ -20,10 +22,11 @@
 
 
 class ConfigError(Exception):
-    """A configuration cannot be used.
+    """A fault that makes a configuration unusable.
 
-    `where` names the object that holds the fault and `key` its field; None where the fault is not in an
-    object, or not in one field of it. `reason` says what is wrong and what is allowed.
+    `where` names the object that holds the fault; it is None if the fault is not in an object. `key` names
+    the faulty field; it is None if the fault is not in one field. `reason` says what is wrong and what is
+    allowed.
     """
 
     def __init__(self, reason: str, *, where: str | None = None, key: str | None = None) -> None:
@@ -39,14 +42,14 @@
 
 
 class Address(NamedTuple):
-    """An IPv4 address and a TCP port, as a socket takes them."""
+    """An IPv4 address and a TCP port, in the form that sockets accept."""
 
     host: str
     port: int
 
 
 def read_address(text: str) -> Address:
-    """Parses `10.0.0.4:8080`; a ValueError says what is allowed."""
+    """Parses an address like `10.0.0.4:8080`; raises a ValueError that says what is allowed."""
     match = IPV4_ADDRESS.fullmatch(text)
     if match is None:
         raise ValueError(f"must be an IPv4 address and a port like 10.0.0.4:8080, not {_shorten(text)}")
@@ -62,8 +65,9 @@
 class FieldReader:
     """Typed access to the fields of one JSON object.
 
-    A null counts as missing. A ConfigError that names the object and the field is raised for a field that is
-    missing without a default, or of another type than expected. Immutable, so any thread may use it.
+    A null counts as missing. Methods raise a ConfigError that names the object and the field if a required
+    field is missing or a field has an unexpected type. A field is required if the caller gives no default.
+    Immutable, so any thread may use it.
     """
 
     def __init__(self, where: str, data: object) -> None:
@@ -73,35 +77,35 @@
         self.data: dict[str, Any] = data
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """A whole number, also one that is written with a decimal point."""
+        """Returns a whole number, which may be written with a decimal point, like `2.0`."""
         value = self._get(key, (int, float), "a whole number", default)
         if isinstance(value, float) and not value.is_integer():
             raise self.error(key, f"must be a whole number, not {value:g}")
         return int(value)
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Any finite number."""
+        """Returns a finite number."""
         value = self._get(key, (int, float), "a number", default)
         if not -MAX_NUMBER <= value <= MAX_NUMBER:
             raise self.error(key, f"must be a finite number, not {_shorten(str(value))}")
         return float(value)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """A string."""
+        """Returns a string."""
         return str(self._get(key, (str,), "a string", default))
 
     def boolean(self, key: str) -> bool:
-        """A boolean; false where it is missing."""
+        """Returns a boolean; false if the field is missing."""
         return bool(self._get(key, (bool,), "true or false", False))
 
     def items(self, key: str) -> list[Any]:
-        """The elements of a list, unchecked; none where it is missing."""
+        """Returns the elements of a list without checking them; an empty list if the field is missing."""
         return list(self._get(key, (list,), "a list", []))
 
     def element(self, key: str, index: int | None) -> FieldReader:
-        """One element of a list, as an object whose only field has the list's name.
+        """Returns one element of a list, as an object whose only field has the list's name.
 
-        The object is empty where the list is shorter or `index` is None, so that the field's default applies.
+        The object is empty if `index` is None or outside the list, so that the field's default applies.
         """
         values = self.items(key)
         where = f"{self.where}.{key}[{index}]"
@@ -110,32 +114,32 @@
         return FieldReader(where, {key: values[index]})
 
     def section(self, key: str) -> FieldReader:
-        """A nested object; an empty one where it is missing."""
+        """Returns a nested object; an empty one if the field is missing."""
         return FieldReader(f"{self.where}.{key}", self._get(key, (dict,), "an object", {}))
 
     def one_of(self, key: str, choices: Mapping[str, ChoiceT], default: str | None = None) -> ChoiceT:
-        """The value of `choices` that the field's string selects."""
+        """Returns the value of `choices` that the field's string selects."""
         value = self.text(key, default)
         if value not in choices:
             raise self.error(key, f"must be one of {', '.join(choices)}, not {_shorten(value)}")
         return choices[value]
 
     def number_within(self, key: str, minimum: float, maximum: float, default: float | None = None) -> float:
-        """A number within both bounds, which are allowed themselves."""
+        """Returns a number from `minimum` to `maximum`, both included."""
         value = self.number(key, default)
         if not minimum <= value <= maximum:
             raise self.error(key, f"must be from {minimum:g} to {maximum:g}, not {value:g}")
         return value
 
     def duration(self, key: str, default: Duration | None = None, minimum: Duration = 0) -> Duration:
-        """A span in whole nanoseconds, `minimum` at least."""
+        """Returns a duration in whole nanoseconds, from `minimum` to `MAX_DURATION`."""
         value = self.integer(key, default)
         if not minimum <= value <= MAX_DURATION:
             raise self.error(key, f"must be from {minimum} to {MAX_DURATION} ns, not {value}")
         return value
 
     def address(self, key: str, default: str | None = None) -> Address:
-        """An IPv4 address and a port."""
+        """Returns an IPv4 address and a port."""
         text = self.text(key, default)
         try:
             return read_address(text)
@@ -143,7 +147,7 @@
             raise self.error(key, str(error)) from error
 
     def error(self, key: str, reason: str) -> ConfigError:
-        """The error to raise for a field of this object."""
+        """Returns the error to raise for a field of this object."""
         return ConfigError(reason, where=self.where, key=key)
 
     def _get(self, key: str, types: tuple[type, ...], expected: str, default: Any) -> Any:
@@ -152,12 +156,12 @@
             if default is None:
                 raise self.error(key, f"is missing; it must be {expected}")
             return default
-        is_unexpected_boolean = isinstance(value, bool) and bool not in types  # a bool is an int as well
+        is_unexpected_boolean = isinstance(value, bool) and bool not in types  # bool is a subclass of int
         if is_unexpected_boolean or not isinstance(value, types):
             raise self.error(key, f"must be {expected}, not {_shorten(value)}")
         return value
 
 
 def _shorten(value: object) -> str:
-    """The value on one line of a message, cut where it is long."""
+    """Returns the value for a one-line message, cut if it is long."""
     return reprlib.repr(value)
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -1,6 +1,6 @@
 """Resource limits of a proxy process, derived from the memory and descriptors that the platform allows.
 
-`docs/capacity.md` says how each value was sized and what it costs.
+`docs/capacity.md` explains how each value is sized and what it costs.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from olivepost.config.memory_budget import BUFFER_OVERHEAD_BYTES, BYTES_PER_KB, MemoryBudget, Share
 from olivepost.units import MILLISECOND, SECOND, Duration
 
-# Values that the configuration's keys may have, and the defaults of missing ones.
+# Allowed ranges of the configuration's keys, and the defaults of missing keys.
 MIN_MEMORY_MB = 16
 MAX_MEMORY_MB = 1 << 20
 DEFAULT_MEMORY_MB = 192
@@ -27,37 +27,43 @@
 DEFAULT_CONNECT_TIMEOUT: Duration = 400 * MILLISECOND
 
 # Messages.
-MAX_OBJECT_BYTES = 240_000  # the platform's largest object
-SMALL_BODY_BYTES = 16_384  # of a request's body that needs no reservation
+MAX_OBJECT_BYTES = 240_000  # size of the platform's largest object
+SMALL_BODY_BYTES = 16_384  # size of the largest request body that needs no memory reservation
 
 # Buffers.
-BUFFER_BYTES = 16_384  # full size; less where memory is short, since each connection holds a buffer
-FULL_BUFFER_MEMORY_MB = 128  # the least memory with buffers of full size
-HALF_BUFFER_MEMORY_MB = 48  # the least memory with buffers of half the size; below it they have a quarter
+# Full size. Buffers are smaller if the memory limit is low, since each connection holds one.
+BUFFER_BYTES = 16_384
+FULL_BUFFER_MEMORY_MB = 128  # smallest memory limit with buffers of full size
+# Smallest memory limit with buffers of half the full size; below it they have a quarter.
+HALF_BUFFER_MEMORY_MB = 48
 
 # Connections.
 CLIENT_CONNECTION_BYTES = 36 * BYTES_PER_KB  # a thread, the parser and a request, without the read buffer
 UPSTREAM_CONNECTION_BYTES = 64 * BYTES_PER_KB  # two threads and pending requests, without the read buffer
-CLIENTS_PER_UPSTREAM = Share(3, 2)  # client connections that fit into memory for each upstream connection
-CLIENT_SOCKETS_SHARE = Share(15, 32)  # of the descriptors
-UPSTREAM_SOCKETS_SHARE = Share(3, 8)  # of the descriptors; the rest is for listener, discovery and files
-ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # of the descriptors, to one endpoint
+# Client connections for each upstream connection, when the memory for connections is divided.
+CLIENTS_PER_UPSTREAM = Share(3, 2)
+# Shares of the file descriptors. The listener, discovery and files use those that client and upstream
+# connections leave.
+CLIENT_SOCKETS_SHARE = Share(15, 32)  # for all client connections
+UPSTREAM_SOCKETS_SHARE = Share(3, 8)  # for all upstream connections
+ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # for the upstream connections to one endpoint
 MAX_CLIENT_CONNECTIONS = 4_096
 MIN_CONNECTIONS_PER_ENDPOINT = 3
-SPARE_CONNECTIONS_PER_ENDPOINT = 2  # beyond those that carry one request of each client connection
+SPARE_CONNECTIONS_PER_ENDPOINT = 2  # added to those that carry one request of each client connection
 
 # Bodies.
-LARGE_BODY_MEMORY_SHARE = Share(1, 5)  # of the memory for bodies, where a class writes
+LARGE_BODY_MEMORY_SHARE = Share(1, 5)  # share of the memory for bodies, if a class writes
 MIN_LARGE_BODY_BYTES = 2 * MAX_OBJECT_BYTES
-LARGE_BODY_COPIES = 2  # a large body may be held twice for a moment
-CACHE_BUFFERS_SHARE = Share(2, 3)  # of the body buffers
+# A large body is in memory twice while it is taken out of the received bytes or encoded into a command.
+LARGE_BODY_COPIES = 2
+CACHE_BUFFERS_SHARE = Share(2, 3)  # share of the body buffers that the response cache may hold
 MIN_BODY_BUFFERS = 64
 MAX_BODY_BUFFERS = 8_192
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceLimits:
-    """Limits of one proxy process."""
+    """Resource limits and timeouts of one proxy process."""
 
     # Memory and descriptors
     memory_mb: int
@@ -65,50 +71,52 @@
     max_sockets: int
 
     # Connections
-    max_client_connections: int  # open; at the cap the connection idle longest is closed for a new one
-    max_connections_per_endpoint: int  # as many as carry one request of each client connection
-    max_upstream_connections: int  # with those that are closing, so that descriptors are left for clients
+    # Open connections. At the cap, the connection that has been idle longest is closed to admit a new one.
+    max_client_connections: int
+    max_connections_per_endpoint: int  # enough to carry one request of each client connection
+    max_upstream_connections: int  # including closing ones, so that descriptors are left for clients
 
     # Buffers
-    read_buffers: int  # buffers to receive into, one for each client and upstream connection
-    body_buffers: int  # a pool of their own, so that clients that hold bodies can't stop the proxy reading
-    cache_buffers: int  # of the body buffers, those that the response cache may hold
+    read_buffers: int  # receive buffers, one for each client and upstream connection
+    body_buffers: int  # a separate pool, so that the proxy can read even if clients hold all bodies
+    cache_buffers: int  # the part of the body buffers that the response cache may hold
     buffer_bytes: int
 
     # Messages
-    large_body_bytes: int  # of all request bodies beyond the small ones together; 0 where no class writes
-    max_request_body_bytes: int  # an object's size where a class writes
-    max_head_bytes: int = 8_192  # of a request's line and headers
-    small_body_bytes: int = SMALL_BODY_BYTES  # that any connection may hold
+    large_body_bytes: int  # total of all request bodies that are not small; 0 if no class writes
+    max_request_body_bytes: int  # `MAX_OBJECT_BYTES` if a class writes, else `SMALL_BODY_BYTES`
+    max_head_bytes: int = 8_192  # size of the request line and the headers together
+    small_body_bytes: int = SMALL_BODY_BYTES  # body size that any connection may hold without a reservation
     max_response_body_bytes: int = MAX_OBJECT_BYTES
 
     # Client connections
-    first_request_timeout: Duration = 2 * SECOND  # from connecting to a complete request
-    keepalive_timeout: Duration = 5 * SECOND  # from a response to the next complete request
-    write_stall_timeout: Duration = 2 * SECOND  # without a byte accepted by a client or an endpoint
-    slow_client_timeout: Duration = 10 * SECOND  # at most, to write a complete response
+    # Time from connecting, or from the first byte of a later request, to the complete request.
+    first_request_timeout: Duration = 2 * SECOND
+    keepalive_timeout: Duration = 5 * SECOND  # from a response to the first byte of the next request
+    write_stall_timeout: Duration = 2 * SECOND  # time in which a client or an endpoint accepts no byte
+    slow_client_timeout: Duration = 10 * SECOND  # upper bound on the time to write a complete response
 
     # Upstream connections
-    max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # in flight
+    max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # requests in flight
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
     upstream_idle_timeout: Duration = DEFAULT_UPSTREAM_IDLE_TIMEOUT
-    response_pause_timeout: Duration = 200 * MILLISECOND  # within a response; a longer one means a stall
-    response_timeout: Duration = 2 * SECOND  # for a whole response, from its first byte
-    liveness_check_delay: Duration = 200 * MILLISECOND  # without a byte while requests are pending
-    liveness_check_timeout: Duration = (
-        200 * MILLISECOND
-    )  # to the endpoint's reply; then the connection closes
-    receive_poll_interval: Duration = 50 * MILLISECOND  # how often a connection without a byte is checked
+    response_pause_timeout: Duration = 200 * MILLISECOND  # a longer pause within a response counts as a stall
+    response_timeout: Duration = 2 * SECOND  # from the first byte of a response to its last
+    # A liveness check is sent if no byte arrives for this long while requests are pending.
+    liveness_check_delay: Duration = 200 * MILLISECOND
+    # The connection is closed if the endpoint does not reply to a liveness check within this time.
+    liveness_check_timeout: Duration = 200 * MILLISECOND
+    receive_poll_interval: Duration = 50 * MILLISECOND  # between checks of a connection that receives nothing
 
     # Threads and listener
-    stack_bytes: int = 262_144  # of each thread
-    writer_threads: int = 1  # none of them blocks
-    backlog: int = 512  # connections that the kernel accepts ahead
+    stack_bytes: int = 262_144  # stack size of each thread
+    writer_threads: int = 1  # none of them waits for a client
+    backlog: int = 512  # connections that the kernel queues until the proxy accepts them
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformLimits:
-    """What the platform allows the process, as its configuration says."""
+    """Limits that the platform sets for the process in its configuration."""
 
     memory_mb: int
     max_sockets: int
@@ -119,26 +127,26 @@
 
 
 class ConnectionPlan(NamedTuple):
-    """How many connections of each kind the process may have."""
+    """Maximum numbers of client and upstream connections of the process."""
 
     client: int
     upstream: int
 
     @property
     def total(self) -> int:
-        """All connections; each has a read buffer."""
+        """Returns the number of all connections, each of which has a read buffer."""
         return self.client + self.upstream
 
 
 class BodyPlan(NamedTuple):
-    """How the memory for bodies is divided."""
+    """Division of the memory for bodies between body buffers and large request bodies."""
 
     buffers: int
     large_body_bytes: int
 
 
 def read_limits(configuration: FieldReader, settings: FieldReader) -> ResourceLimits:
-    """Derives the limits from the configuration's own `limits` and from those of its settings."""
+    """Derives the limits from the section `limits` of the configuration and that of its settings."""
     return derive_limits(_read_platform_limits(configuration, settings))
 
 
@@ -170,7 +178,7 @@
 
 
 def choose_buffer_bytes(memory_mb: int) -> int:
-    """The size of one buffer: the less memory there is, the smaller."""
+    """Returns the size of one buffer, which is smaller if the memory limit is low."""
     if memory_mb >= FULL_BUFFER_MEMORY_MB:
         return BUFFER_BYTES
     if memory_mb >= HALF_BUFFER_MEMORY_MB:
@@ -179,7 +187,10 @@
 
 
 def plan_connections(available_bytes: int, buffer_bytes: int, max_sockets: int) -> ConnectionPlan:
-    """Divides what memory and descriptors allow; upstream connections may use what clients leave."""
+    """Divides memory and descriptors between client and upstream connections.
+
+    Upstream connections may use the memory that client connections leave.
+    """
     client_bytes = CLIENT_CONNECTION_BYTES + buffer_bytes
     upstream_bytes = UPSTREAM_CONNECTION_BYTES + buffer_bytes
     group_bytes = (
@@ -196,7 +207,10 @@
 
 
 def plan_connections_per_endpoint(max_sockets: int, clients: int, requests_per_connection: int) -> int:
-    """Connections to one endpoint: enough for one request of each client, within a share of descriptors."""
+    """Returns the maximum number of connections to one endpoint.
+
+    They carry one request of each client connection if the endpoint's share of the descriptors allows it.
+    """
     for_all_clients = -(-clients // requests_per_connection)  # rounded up
     wanted = for_all_clients + SPARE_CONNECTIONS_PER_ENDPOINT
     return max(MIN_CONNECTIONS_PER_ENDPOINT, min(ENDPOINT_SOCKETS_SHARE.of(max_sockets), wanted))
@@ -232,5 +246,5 @@
 
 
 def _read_bound(fields: FieldReader, key: str, maximum: int, default: int) -> int:
-    """A whole bound; the default where the key is missing or 0, by which the platform sets no bound."""
+    """Returns a whole bound; the default if the key is missing or 0, since 0 means that no bound is set."""
     return int(fields.number_within(key, 0, maximum, default)) or default
--- a/olivepost/config/loader.py
+++ b/olivepost/config/loader.py
@@ -1,4 +1,4 @@
-"""Configuration of a proxy process: read from its file and the environment, checked, with defaults."""
+"""Configuration of a proxy process, read from its file and the environment, validated, with defaults."""
 
 from __future__ import annotations
 
@@ -20,12 +20,14 @@
 NAME_VARIABLE = "BALANCER_NAME"
 DEFAULT_NAME = "front"
 
-# The time before a deadline in which a proxy with a full core can still deliver the router's final response.
+# If the router gives its final response this long before the deadline, a proxy whose CPU core is fully loaded
+# can still deliver it in time.
 MAX_DEADLINE_MARGIN: Duration = 100 * MILLISECOND
-DEADLINES_PER_MARGIN = 8  # the margin is at most this fraction of the shortest deadline
+DEADLINES_PER_MARGIN = 8  # the computed margin is at most the shortest deadline divided by this
 
 MAX_BYTES_PER_S = 1e15
-CLASS_NAME = re.compile(r"[!#-*\-.0-9:-<>-~]{0,200}", re.ASCII)  # what a request's target and field can hold
+# Names that can be written in a request's target and in a field of the endpoints' line protocol.
+CLASS_NAME = re.compile(r"[!#-*\-.0-9:-<>-~]{0,200}", re.ASCII)
 
 # Fields of ProxyConfig that a running proxy can't change, and the keys that they are read from.
 RESTART_KEYS = {
@@ -40,20 +42,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyConfig:
-    """All that a proxy process is configured with."""
+    """The complete configuration of a proxy process."""
 
     name: str
     listen: Address
     seed: int
     coordinator: Address
-    known_events: object | None  # the coordinator's events up to the start, decoded but unchecked
+    known_events: object | None  # the coordinator's events before the start, decoded but not validated
     settings: api.Settings
     limits: ResourceLimits
-    transfer_bytes_per_s: float | None  # of one transfer on the proxy's own link; None: unknown
+    transfer_bytes_per_s: float | None  # rate of one transfer on the proxy's own link; None if unknown
 
 
 def load(environment: Mapping[str, str], path: str | None = None) -> ProxyConfig:
-    """Reads the file that `path` or the variable `BALANCER_CONFIG` names; a ConfigError names the fault."""
+    """Reads the file that `path`, or else the variable `BALANCER_CONFIG`, names.
+
+    Raises a ConfigError that names the fault.
+    """
     file_path = path or environment.get(CONFIG_VARIABLE)
     if not file_path:
         raise ConfigError(
@@ -63,7 +68,9 @@
         data = orjson.loads(Path(file_path).read_bytes())
     except OSError as error:
         raise ConfigError(
-            f"names a file that can't be read: {error.strerror}", where="environment", key=CONFIG_VARIABLE
+            f"names a file that can't be read: {file_path}: {error.strerror}",
+            where="environment",
+            key=CONFIG_VARIABLE,
         ) from error
     except orjson.JSONDecodeError as error:
         raise ConfigError(f"is not JSON: {error}", where="configuration") from error
@@ -71,7 +78,10 @@
 
 
 def read_config(data: object, environment: Mapping[str, str]) -> ProxyConfig:
-    """Checks a decoded configuration; the variables take precedence over its `name` and `listen`."""
+    """Validates a decoded configuration.
+
+    The variables `BALANCER_NAME` and `BALANCER_LISTEN` take precedence over its `name` and `listen`.
+    """
     configuration = FieldReader("configuration", data)
     listen = _read_listen(configuration, environment)
     settings = read_settings(configuration.data.get("settings"))
@@ -96,7 +106,7 @@
 
 
 def keys_needing_restart(old: ProxyConfig, new: ProxyConfig) -> list[str]:
-    """The keys whose values differ and that a running proxy can't change."""
+    """Returns the changed keys that a running proxy can't apply."""
     return [key for field, key in RESTART_KEYS.items() if getattr(old, field) != getattr(new, field)]
 
 
@@ -111,9 +121,11 @@
 
 
 def _check_class_names(settings: api.Settings) -> None:
-    """A process needs a class, and each name must fit into a request."""
+    """Raises ConfigError if there is no class or if a class name doesn't fit into a request."""
     if not settings.classes:
-        raise ConfigError("is missing or empty; it must list a class", where="settings", key="classes")
+        raise ConfigError(
+            "is missing or empty; it must list at least one class", where="settings", key="classes"
+        )
     for name in settings.classes:
         if not CLASS_NAME.fullmatch(name):
             raise ConfigError(
@@ -125,13 +137,13 @@
 
 
 def _compute_deadline_margin(settings: api.Settings) -> Duration:
-    """How long before a request's deadline the router gives its final response at the latest."""
+    """Returns the least time that the router leaves between its final response and a request's deadline."""
     shortest_deadline = min(spec.deadline for spec in settings.classes.values())
     return min(MAX_DEADLINE_MARGIN, shortest_deadline // DEADLINES_PER_MARGIN)
 
 
 def _read_seed(configuration: FieldReader) -> int:
-    """The seed: a string of hexadecimal digits, or a whole number."""
+    """Returns the seed, which the configuration has as hexadecimal digits or as a whole number."""
     value = configuration.data.get("seed", 0)
     if isinstance(value, int) and not isinstance(value, bool):
         return value
--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -1,9 +1,11 @@
-"""The memory budget: how many bytes each owner of memory in the process may use.
+"""Memory budget: the number of bytes that each owner of memory in the process may use.
 
-The platform ends a process over its limit. So every owner has a bound that follows from the limit, and all
-bounds together with the program stay below the usable part of it; at the smallest limits the minimums win.
-`olivepost/proxy/memory_account.py` estimates what each owner uses; `docs/capacity.md` says how each value was
-sized.
+The platform ends a process that exceeds its memory limit. Every owner therefore has a bound that is derived
+from the limit. The sum of all bounds and the program's own memory stays below the usable part of the limit.
+At the smallest limits the minimums take precedence, and the sum may exceed that part.
+
+`olivepost/proxy/memory_account.py` estimates each owner's use, and `docs/capacity.md` explains how each value
+is sized.
 """
 
 from __future__ import annotations
@@ -19,7 +21,7 @@
     denominator: int
 
     def of(self, amount: int) -> int:
-        """The share, rounded down."""
+        """Returns this fraction of `amount`, rounded down."""
         return amount * self.numerator // self.denominator
 
 
@@ -27,22 +29,22 @@
 BYTES_PER_MB = 1_048_576
 
 # The whole process.
-USABLE_SHARE = Share(
-    9, 10
-)  # of the limit; the rest is for fragments of the allocator and short-lived objects
-PROGRAM_BYTES = 22 * BYTES_PER_MB  # before the first connection, with the interpreter's mapped files
-MIN_SPARE_BYTES = (
-    4 * BYTES_PER_MB
-)  # that the owners get at least, even where the total then exceeds the limit
+# Share of the limit. The rest is for the allocator's fragmentation and for short-lived objects.
+USABLE_SHARE = Share(9, 10)
+# Memory in use before the first connection, including the interpreter's mapped files.
+PROGRAM_BYTES = 22 * BYTES_PER_MB
+# Minimum that all owners share, even if the total then exceeds the limit.
+MIN_SPARE_BYTES = 4 * BYTES_PER_MB
 
 # One entry or message.
 NAME_BYTES = 360
 INVALIDATION_BYTES = 320
-BUFFER_OVERHEAD_BYTES = 1_024  # of a body's buffer: its view, and the body and cache entry that hold it
-DISCOVERY_RESPONSE_SHARE = Share(1, 32)  # of the limit, for the body of one response before it is decoded
+# For each body buffer: its memoryview, and the body and the cache entry that hold it.
+BUFFER_OVERHEAD_BYTES = 1_024
+DISCOVERY_RESPONSE_SHARE = Share(1, 32)  # share of the limit for one response body before decoding
 MIN_DISCOVERY_RESPONSE_BYTES = 2 * BYTES_PER_MB
 
-# The owners: shares of the usable memory beyond the program. They sum to one.
+# Each owner's share of the usable memory that the program leaves. The shares add up to one.
 CONNECTIONS_SHARE = Share(42, 100)
 BODIES_SHARE = Share(28, 100)
 NAMES_SHARE = Share(11, 100)
@@ -57,35 +59,35 @@
 class MemoryBudget:
     """Bytes that each owner may use."""
 
-    limit: int  # of the platform, for the whole process
+    limit: int  # set by the platform for the whole process
     program: int
-    connections: int  # threads, buffers to read into, parsers, requests of client and upstream connections
+    connections: int  # threads, read buffers, parsers and requests of client and upstream connections
     bodies: int  # request and response bodies, and the response cache
     names: int  # the router's table of names
     requests: int  # pending requests, attempts and timers
-    endpoints: int  # the endpoint list, as the router and the connection pool have it
-    routes: int  # orders of endpoints that the router has computed
+    endpoints: int  # entries of the endpoint list in the router and in the connection pool
+    routes: int  # endpoint orders that the router has computed
     invalidations: int
-    log: int  # lines that wait to be written
+    log: int  # log lines that wait to be written
 
     @property
     def max_names(self) -> int:
-        """How many names the router may keep."""
+        """Returns the number of names that the router may keep."""
         return max(1, self.names // NAME_BYTES)
 
     @property
     def max_invalidations(self) -> int:
-        """How many invalidations the router may keep."""
+        """Returns the number of invalidations that the router may keep."""
         return max(1, self.invalidations // INVALIDATION_BYTES)
 
     @property
     def max_discovery_response(self) -> int:
-        """Bytes that the body of a poll's response may have."""
+        """Returns the largest allowed body of a poll's response, in bytes."""
         return max(MIN_DISCOVERY_RESPONSE_BYTES, DISCOVERY_RESPONSE_SHARE.of(self.limit))
 
     @property
     def total(self) -> int:
-        """All bytes that may be in use by this budget."""
+        """Returns the sum of all owners' bounds and the program's own memory, in bytes."""
         owners = (self.names, self.requests, self.endpoints, self.routes, self.invalidations, self.log)
         return self.program + self.connections + self.bodies + sum(owners)
 
--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -1,7 +1,7 @@
-"""Router settings: the platform's JSON, key by key, to `olivepost.interface.Settings`.
+"""Router settings: the platform's JSON, converted key by key to `olivepost.interface.Settings`.
 
-`docs/proxy.md` documents the platform's keys. Unknown keys are skipped: a newer platform may add some.
-Where one says 0 or an empty string for a value that is not set, the settings have None.
+`docs/proxy.md` documents the platform's keys. Unknown keys are ignored, since a newer platform may add some.
+If the platform writes 0 or an empty string for a value that is not set, the settings have None.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from olivepost import interface as api
 from olivepost.config.fields import FieldReader
 
-MAX_MULTIPLE = 1e6  # of a capacity or a latency objective
-MAX_WEIGHT = 1e12  # of a class's priority
+MAX_MULTIPLE = 1e6  # of an overload multiple or a latency objective's stretch
+MAX_WEIGHT = 1e12  # largest priority weight of a class
 MAX_TRANSFER_RATE_KB_PER_S = 1e12
-NO_KIND_INDEX = -1  # as the platform writes it
+NO_KIND_INDEX = -1  # the platform's index of a tier that does not exist
 
 IDEMPOTENCIES = {
     "read_like": api.Idempotency.IDEMPOTENT,
@@ -30,22 +30,22 @@
 
 
 class ProxyLocation(NamedTuple):
-    """Where the proxy runs, among how many."""
+    """Location of the proxy, and the number of proxies."""
 
     zone: str
-    zone_index: int | None  # within the platform's list of zones; None where it isn't listed
-    proxies: int  # in all zones
+    zone_index: int | None  # in the platform's list of zones; None if the zone isn't listed
+    proxies: int  # number of proxies in all zones
 
 
 class TierKinds(NamedTuple):
-    """The kinds that mark endpoints of the upper tiers; None where there is no such tier."""
+    """The kinds of endpoints that form the upper tiers; None if there is no such tier."""
 
     parent: str | None
     origin: str | None
 
 
 def read_settings(data: object) -> api.Settings:
-    """Reads the settings of a router; a ConfigError names the faulty key."""
+    """Reads the settings of a router; raises a ConfigError that names the faulty key."""
     info = FieldReader("settings", data)
     family = info.section("family-info")
     limits = info.section("limits")
@@ -89,13 +89,13 @@
 
 
 def _read_classes(info: FieldReader, family: FieldReader) -> dict[str, api.ClassSettings]:
-    """The classes by name; the lists of `family` hold some of their values, by the class's index."""
+    """Returns the classes by name; lists in `family` hold some of their values at the class's index."""
     classes: dict[str, api.ClassSettings] = {}
     for index, item in enumerate(info.items("classes")):
         fields = FieldReader(f"{info.where}.classes[{index}]", item)
         name = fields.text("name")
         if name in classes:
-            raise fields.error("name", f"must be unique, but {name!r} is there twice")
+            raise fields.error("name", f"must be unique, but {name!r} occurs twice")
         classes[name] = _read_class(name, fields, family, index)
     return classes
 
@@ -130,7 +130,7 @@
 
 
 def _read_cache_tier(family: FieldReader, contract: FieldReader, location: ProxyLocation) -> api.TierSettings:
-    """The caches of the proxy's own zone, which only this zone's proxies use."""
+    """Reads the tier of the caches in the proxy's own zone; only this zone's proxies use them."""
     in_zone = family.element("zone-balancers", location.zone_index)
     return api.TierSettings(
         proxies=max(1, in_zone.integer("zone-balancers", location.proxies)),
@@ -141,7 +141,7 @@
 
 
 def _read_parent_tier(family: FieldReader, location: ProxyLocation) -> api.TierSettings:
-    """The parent caches, which the proxies of all zones use."""
+    """Reads the tier of the parent caches; the proxies of all zones use them."""
     return api.TierSettings(
         proxies=max(1, location.proxies),
         slow_start_initial_share=family.number_within("parent-floor", 0, 1, 0.0),
--- a/olivepost/operator_config/__init__.py
+++ b/olivepost/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operator's YAML file: one section for each optional subsystem, which is not imported without it."""
+"""The operator's YAML file: one section for each optional subsystem; none is imported without the file."""
--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -1,4 +1,7 @@
-"""Reads the operator's YAML file; rejects duplicate keys and aliases, reports faults with line and key."""
+"""Reader of the operator's YAML file.
+
+It rejects duplicate keys and aliases, and reports each fault with its line and key.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
 
 MAX_FILE_BYTES = 1 << 20
 FIRST_LINE = 1
-WHOLE_FILE = "the file"  # in place of a key, where a fault is in none
+WHOLE_FILE = "the file"  # shown in place of a key if a fault is in no key
 STRING_TAG = "tag:yaml.org,2002:str"
 MERGE_TAG = "tag:yaml.org,2002:merge"  # the key `<<`
 MESSAGE_PREFIXES = ("Value error, ", "Assertion failed, ")  # added by pydantic to a validator's own text
-MAX_INPUT_LENGTH = 60  # characters of a faulty value in a message
+MAX_INPUT_LENGTH = 60  # characters of a faulty value that a message shows
 MESSAGE_BY_ERROR_TYPE = {"extra_forbidden": "no such key", "missing": "is missing"}
 
 KeyPath = tuple[str, ...]
@@ -28,7 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FileFault:
-    """One fault of a file; `line`, from 1, and `key` are None where the fault is in no line or key."""
+    """One fault of a file.
+
+    `line` counts from 1. It is None if the fault is not in one line; `key` is None if it is not in one key.
+    """
 
     path: str
     message: str
@@ -41,7 +47,7 @@
 
 
 class OperatorConfigError(ConfigError):
-    """The operator's file can't be used; the message has one line for each of `faults`."""
+    """An operator's file that can't be used; the message has one line for each distinct fault in `faults`."""
 
     def __init__(self, *faults: FileFault) -> None:
         super().__init__("\n".join(dict.fromkeys(map(str, faults))))
@@ -49,7 +55,7 @@
 
 
 class ParsedFile(NamedTuple):
-    """A YAML document: its node tree, for line numbers, and its plain values; both None where it is empty."""
+    """A YAML document as a node tree, for line numbers, and as plain values; both are None if it is empty."""
 
     root: yaml.Node | None
     document: Any
@@ -63,11 +69,11 @@
 
 
 def load(path: str) -> OperatorSettings:
-    """Returns the settings in a file; raises OperatorConfigError."""
+    """Returns the settings in a file; raises OperatorConfigError if it can't be used."""
     root, document = _parse(path, _read_bytes(path))
     if document is None or document == {}:
         sections = ", ".join(OperatorSettings.model_fields)
-        message = f"has no section; there are: {sections}"
+        message = f"has no section; known sections: {sections}"
         raise OperatorConfigError(FileFault(path, message, FIRST_LINE, WHOLE_FILE))
     try:
         return OperatorSettings.model_validate(document)
@@ -80,7 +86,7 @@
 def schema() -> dict[str, object]:
     """Returns the JSON Schema of the file, for editors.
 
-    In pydantic's mode `serialization` a default has the form that the file takes: `10s`, not nanoseconds.
+    In pydantic's mode `serialization`, defaults have the form that the file uses: `10s`, not nanoseconds.
     """
     return OperatorSettings.model_json_schema(mode="serialization")
 
@@ -97,7 +103,7 @@
 
 
 def _parse(path: str, data: bytes) -> ParsedFile:
-    """Returns the document; raises OperatorConfigError where it is not YAML, or has faulty keys."""
+    """Returns the document; raises OperatorConfigError if it is not YAML or has faulty keys."""
     try:
         _reject_aliases(path, data)
         loader = yaml.SafeLoader(data)
@@ -115,21 +121,25 @@
 
 
 def _reject_aliases(path: str, data: bytes) -> None:
-    """Rejects aliases, by which a small file could expand to a very large document."""
+    """Rejects aliases, since a small file that repeats them could expand to a very large document."""
     for event in yaml.parse(data, Loader=yaml.SafeLoader):
         if isinstance(event, yaml.AliasEvent):
             raise OperatorConfigError(FileFault(path, "aliases are not allowed", _line(event.start_mark)))
 
 
 def _line(mark: Any) -> int:
-    """Returns the line, from 1, of a mark; its type in the stubs is a union that includes None."""
+    """Returns the line of a mark, counted from 1.
+
+    The parameter is `Any` because the type in PyYAML's stubs is a union that includes None.
+    """
     return int(mark.line) + 1
 
 
 def _key_faults(path: str, node: yaml.Node | None, parents: KeyPath) -> Iterator[FileFault]:
-    """Yields keys that are not strings, and duplicate keys.
+    """Yields a fault for each key that is not a string and for each duplicate key.
 
-    YAML's own reader would use the last of two keys, and read `on`, `yes` or `1` as a boolean or a number.
+    PyYAML's loader would use the last of two equal keys. It would read `on`, `yes` or `1` as a boolean or a
+    number.
     """
     if isinstance(node, yaml.MappingNode):
         names: set[str] = set()
@@ -137,7 +147,7 @@
             name = _key_text(key)
             key_path = (*parents, name)
             if name in names:
-                yield FileFault(path, "stands twice", _line(key.start_mark), ".".join(key_path))
+                yield FileFault(path, "duplicate key", _line(key.start_mark), ".".join(key_path))
             elif key.tag not in (STRING_TAG, MERGE_TAG):
                 yield FileFault(path, _key_type_message(key), _line(key.start_mark), ".".join(key_path))
             names.add(name)
@@ -148,7 +158,7 @@
 
 
 def _key_text(key: yaml.Node) -> str:
-    """Returns a key as the file has it."""
+    """Returns a key as the file has it; the kind of a key that is not a scalar."""
     if isinstance(key, yaml.ScalarNode):
         return str(key.value)
     return "a sequence" if isinstance(key, yaml.SequenceNode) else "a mapping"
@@ -160,7 +170,7 @@
 
 
 def _validation_fault(path: str, root: yaml.Node | None, detail: ErrorDetails) -> FileFault:
-    """Returns one fault that pydantic found: its line, its key, what is allowed and what the file has."""
+    """Converts an error of pydantic to a fault: its line, its key, what is allowed and what the file has."""
     key_path = tuple(str(key) for key in detail["loc"])
     message = MESSAGE_BY_ERROR_TYPE.get(detail["type"]) or _validation_message(detail)
     return FileFault(path, message, _line_of(root, key_path), ".".join(key_path) or WHOLE_FILE)
@@ -177,7 +187,7 @@
 
 
 def _line_of(root: yaml.Node | None, key_path: KeyPath) -> int:
-    """Returns the line of the innermost key on a path that the file has."""
+    """Returns the line of the innermost key of a path that is in the file."""
     line = FIRST_LINE
     node = root
     for key in key_path:
@@ -190,7 +200,7 @@
 
 
 def _child(node: yaml.Node | None, key: str) -> ChildNode | None:
-    """Returns the value of a mapping's key or a sequence's index; None where there is none."""
+    """Returns the value of a mapping's key or a sequence's index; None if there is none."""
     if isinstance(node, yaml.MappingNode):
         for name, value in node.value:
             if str(name.value) == key:
--- a/olivepost/operator_config/model.py
+++ b/olivepost/operator_config/model.py
@@ -1,4 +1,4 @@
-"""The operator's file as a type: one optional section for each subsystem."""
+"""Model of the operator's file, with one optional section for each subsystem."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 class OperatorSettings(SettingsSection):
-    """The whole file; a subsystem without a section is off."""
+    """The whole operator's file; a subsystem without a section is disabled."""
 
     sharing: SharedStoreSettings | None = Field(
-        default=None, description="what proxies of one branch share through stores of the Redis kind"
+        default=None, description="state that the proxies of one branch share through Redis-compatible stores"
     )
--- a/olivepost/operator_config/section.py
+++ b/olivepost/operator_config/section.py
@@ -1,4 +1,4 @@
-"""The base class of every section of the operator's file."""
+"""Base class of all sections of the operator's file."""
 
 from __future__ import annotations
 
--- a/olivepost/operator_config/units.py
+++ b/olivepost/operator_config/units.py
@@ -1,4 +1,4 @@
-"""Durations, addresses and secrets as operators write them, parsed and formatted.
+"""Parsers and formatters of durations, addresses and secrets in the form that operators write them.
 
 Every parser raises ValueError with a message that says what is allowed.
 """
@@ -26,12 +26,12 @@
 HOST_NAME_PATTERN = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9.-]{0,252}[A-Za-z0-9])?", re.ASCII)
 IPV6_PATTERN = re.compile(r"[0-9A-Fa-f:.]{2,45}", re.ASCII)
 MAX_PORT = 65_535
-PORT_DIGITS_READ = 6  # one more than ports have: enough to see that a number is too large
+PORT_DIGITS_READ = 6  # one more than a port can have, which is enough to detect a number that is too large
 MAX_SECRET_BYTES = 4_096
 
 
 def parse_duration(value: object) -> Duration:
-    """Returns the span that `250ms`, `1.5s` or `2m` stands for; a whole number is one in nanoseconds."""
+    """Parses a duration like `250ms`, `1.5s` or `2m`; an integer is a duration in nanoseconds."""
     if isinstance(value, int) and not isinstance(value, bool):
         return value
     match = DURATION_PATTERN.fullmatch(value) if isinstance(value, str) else None
@@ -41,7 +41,7 @@
 
 
 def format_duration(duration: Duration) -> str:
-    """Formats a span in the largest unit that gives a whole number, as `parse_duration` reads it."""
+    """Formats a duration for `parse_duration`, in the largest unit that gives a whole number."""
     for unit, unit_ns in reversed(UNIT_NS.items()):
         if duration and duration % unit_ns == 0:
             return f"{duration // unit_ns}{unit}"
@@ -50,23 +50,23 @@
 
 @dataclass(frozen=True, slots=True)
 class DurationRange:
-    """Annotation of a field of type `Duration`, which the file has in the written form.
+    """Annotation of a `Duration` field, which the file has in the written form, like `250ms`.
 
-    Both bounds are allowed values. In JSON and in the JSON Schema the field has the written form.
+    Both bounds are allowed values. The field has the written form in JSON and in the JSON Schema, too.
     """
 
     minimum: str
     maximum: str
 
     def parse(self, value: object) -> Duration:
-        """Returns the span; raises ValueError outside the range."""
+        """Parses a duration; raises ValueError if it is malformed or outside the range."""
         duration = parse_duration(value)
         if not parse_duration(self.minimum) <= duration <= parse_duration(self.maximum):
             raise ValueError(f"must be from {self.minimum} to {self.maximum}")
         return duration
 
     def __get_pydantic_core_schema__(self, source: Any, handler: GetCoreSchemaHandler) -> CoreSchema:
-        """Validates by `parse` and serializes to JSON by `format_duration`."""
+        """Returns a schema that validates with `parse` and serializes to JSON with `format_duration`."""
         return core_schema.no_info_before_validator_function(
             self.parse,
             handler(source),
@@ -76,12 +76,12 @@
     def __get_pydantic_json_schema__(
         self, _schema: CoreSchema, _handler: GetJsonSchemaHandler
     ) -> dict[str, Any]:
-        """Describes the written form to editors."""
+        """Returns the JSON Schema of the written form, for editors."""
         return {"type": "string", "pattern": f"^{DURATION_PATTERN.pattern}$", "examples": ["250ms"]}
 
 
 def parse_address(value: object) -> object:
-    """Returns host and port from `store.example:6379` or `[::1]:6379`; a pair is returned unchanged."""
+    """Parses `store.example:6379` or `[::1]:6379` to host and port; returns a pair unchanged."""
     if isinstance(value, (list, tuple)):
         return value
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
@@ -101,7 +101,7 @@
 
 
 def read_secret(path: Path) -> str:
-    """Returns the secret in a file without its line end.
+    """Returns the secret in a file without the line break at its end.
 
     Raises OSError or ValueError; neither message contains any part of the file.
     """
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -64,7 +64,7 @@
             "sharing:\n  branch: w\n  stores:\n    - name: s\n      address: nowhere\n",
             ":5: sharing.stores.0.address: must be an address like 10.0.0.4:6379",
         ),
-        ("sharing:\n  branch: w\n  branch: x\n" + STORE, ":3: sharing.branch: stands twice"),
+        ("sharing:\n  branch: w\n  branch: x\n" + STORE, ":3: sharing.branch: duplicate key"),
         ("a: &x 1\nb: *x\n", ":2: aliases are not allowed"),
         ("sharing: [\n", "not YAML"),
         ("sharing:\n  branch: w\n  stores: []\n", ":3: sharing.stores: "),
@@ -118,7 +118,9 @@
     path.write_text(text)
 
     assert main(["check", "--operator", str(path)]) == 2
-    assert capsys.readouterr().err == f"olivepost: {path}:1: the file: has no section; there are: sharing\n"
+    assert (
+        capsys.readouterr().err == f"olivepost: {path}:1: the file: has no section; known sections: sharing\n"
+    )
 
 
 def test_faulty_file_ends_the_command_with_code_2(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -51,7 +51,7 @@
     path.write_text("sharing:\n  branch: w\n  stores: [{name: s, address: '127.0.0.1:1'}]\n")
 
     assert main(["sharing", "ping", "--operator", str(path), "--store", "x"]) == 2
-    assert capsys.readouterr().err == "olivepost: no store 'x'; there are s\n"
+    assert capsys.readouterr().err == "olivepost: no store 'x'; known stores: s\n"
 
 
 def test_missing_package_of_the_operators_file_is_reported_by_its_name(
