--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -238,7 +238,7 @@
 
 
 class ListedServer(Protocol):
-    """The attributes of an endpoint that its entry in an endpoint list needs."""
+    """Attributes of an endpoint that its entry in an endpoint list needs."""
 
     id: str
     address: str
--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -22,7 +22,7 @@
 
 
 class ConfigError(Exception):
-    """A fault that makes a configuration unusable.
+    """Fault that makes a configuration unusable.
 
     `where` names the object that holds the fault; it is None if the fault is not in an object. `key` names
     the faulty field; it is None if the fault is not in one field. `reason` says what is wrong and what is
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -44,9 +44,9 @@
 CLIENTS_PER_UPSTREAM = Share(3, 2)
 # Shares of the file descriptors. The listener, discovery and files use those that client and upstream
 # connections leave.
-CLIENT_SOCKETS_SHARE = Share(15, 32)  # for all client connections
-UPSTREAM_SOCKETS_SHARE = Share(3, 8)  # for all upstream connections
-ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # for the upstream connections to one endpoint
+CLIENT_SOCKETS_SHARE = Share(15, 32)  # share for all client connections
+UPSTREAM_SOCKETS_SHARE = Share(3, 8)  # share for all upstream connections
+ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # share for the upstream connections to one endpoint
 MAX_CLIENT_CONNECTIONS = 4_096
 MIN_CONNECTIONS_PER_ENDPOINT = 3
 SPARE_CONNECTIONS_PER_ENDPOINT = 2  # added to those that carry one request of each client connection
@@ -92,7 +92,7 @@
     # Client connections
     # Time from connecting, or from the first byte of a later request, to the complete request.
     first_request_timeout: Duration = 2 * SECOND
-    keepalive_timeout: Duration = 5 * SECOND  # from a response to the first byte of the next request
+    keepalive_timeout: Duration = 5 * SECOND  # time between a response and the next request's first byte
     write_stall_timeout: Duration = 2 * SECOND  # time in which a client or an endpoint accepts no byte
     slow_client_timeout: Duration = 10 * SECOND  # upper bound on the time to write a complete response
 
@@ -101,7 +101,7 @@
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
     upstream_idle_timeout: Duration = DEFAULT_UPSTREAM_IDLE_TIMEOUT
     response_pause_timeout: Duration = 200 * MILLISECOND  # a longer pause within a response counts as a stall
-    response_timeout: Duration = 2 * SECOND  # from the first byte of a response to its last
+    response_timeout: Duration = 2 * SECOND  # time between a response's first and last byte
     # A liveness check is sent if no byte arrives for this long while requests are pending.
     liveness_check_delay: Duration = 200 * MILLISECOND
     # The connection is closed if the endpoint does not reply to a liveness check within this time.
--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -11,7 +11,7 @@
 from olivepost import interface as api
 from olivepost.config.fields import FieldReader
 
-MAX_MULTIPLE = 1e6  # of an overload multiple or a latency objective's stretch
+MAX_MULTIPLE = 1e6  # largest overload multiple or stretch of a latency objective
 MAX_WEIGHT = 1e12  # largest priority weight of a class
 MAX_TRANSFER_RATE_KB_PER_S = 1e12
 NO_KIND_INDEX = -1  # the platform's index of a tier that does not exist
@@ -33,12 +33,12 @@
     """Location of the proxy, and the number of proxies."""
 
     zone: str
-    zone_index: int | None  # in the platform's list of zones; None if the zone isn't listed
+    zone_index: int | None  # position in the platform's list of zones; None if the zone isn't listed
     proxies: int  # number of proxies in all zones
 
 
 class TierKinds(NamedTuple):
-    """The kinds of endpoints that form the upper tiers; None if there is no such tier."""
+    """Kinds of the endpoints that form the upper tiers; each is None if there is no such tier."""
 
     parent: str | None
     origin: str | None
