--- a/olivepost/interface/__init__.py
+++ b/olivepost/interface/__init__.py
@@ -1,7 +1,7 @@
-"""The router's interface: settings, events and actions. Types only; nothing here decides anything.
+"""The router's interface: its settings, events and actions. The package holds types only and decides nothing.
 
-Times are whole nanoseconds on one clock that never goes back. Events and actions are not frozen, since
-several are made for each request.
+Times are whole nanoseconds of one monotonic clock. The events and actions of requests are not frozen, because
+several are created for each request.
 """
 
 from olivepost.interface.actions import (
--- a/olivepost/interface/actions.py
+++ b/olivepost/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a router asks for."""
+"""Actions that a router asks its caller to carry out."""
 
 from __future__ import annotations
 
@@ -10,35 +10,42 @@
 
 
 class GiveUpReason(Enum):
-    """Why a request is given up; the values stand in the log and in names of counters."""
+    """Reason for giving up a request. The values appear in the log and in the names of counters."""
 
     UNSPECIFIED = "unspecified"
-    DEADLINE = "deadline"  # the client's time is nearly up
-    NO_ENDPOINT = "no_endpoint"  # none may take the request
-    OVERLOAD = "overload"  # too expensive for the present load
-    RETRY_NOT_ALLOWED = "retry_not_allowed"  # by attempts, time, the retry budget or idempotency
+    DEADLINE = "deadline"  # The request's deadline is about to pass.
+    NO_ENDPOINT = "no_endpoint"  # No endpoint may take the request.
+    OVERLOAD = "overload"  # The request is too expensive at the present load.
+    # The attempt limit, the deadline, the retry budget or idempotency forbids another attempt.
+    RETRY_NOT_ALLOWED = "retry_not_allowed"
     SHUTDOWN = "shutdown"
-    MEMORY = "memory"  # the process is close to its memory limit
+    MEMORY = "memory"  # The process is close to its memory limit.
 
 
 @dataclass(slots=True)
 class ForwardAttempt:
-    """Send one attempt to a cache, or straight to a parent or the origin."""
+    """Instruction to send one attempt to a cache, or directly to a parent or the origin."""
 
     request_id: str
     cache: str
-    source: str | None  # from which a miss is filled; None: a miss is not filled
-    rank: int  # of the cached response, evicted the earlier the lower; 0: it is not cached
+    # The endpoint from which the cache fills a miss. None: a miss is not filled.
+    source: str | None
+    # The rank of the cached response. Responses of lower ranks are evicted earlier. 0: it is not cached.
+    rank: int
     timeout: Duration
-    max_age: Duration | None  # None: the class's freshness lifetime
-    collapse_fills: bool = False  # join a fill of the same object that is in flight
-    refresh: bool = False  # renew the cached response behind this one
-    start_before: Instant | None = None  # the attempt must not begin later; None: no bound
+    # The age limit of the response. None: the class's freshness lifetime.
+    max_age: Duration | None
+    # Whether the attempt joins a fill of the same object that is already in flight.
+    collapse_fills: bool = False
+    # Whether the cache refreshes its cached response in the background of this attempt.
+    refresh: bool = False
+    # The latest time at which the attempt may begin. None: no limit.
+    start_before: Instant | None = None
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Instruction to stop waiting for an attempt."""
 
     request_id: str
     attempt: int
@@ -46,16 +53,17 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Final response: rejected; the client may send the request again."""
+    """Final response that rejects a request. The client may send the request again."""
 
     request_id: str
-    retry_after: Duration | None = None  # None: no advice
+    # The delay after which the client is advised to send the request again. None: no advice.
+    retry_after: Duration | None = None
     reason: GiveUpReason = field(default=GiveUpReason.UNSPECIFIED, compare=False)
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final response: failed, with no promise about its effect."""
+    """Final response that fails a request, without a guarantee that the request had no effect."""
 
     request_id: str
     reason: GiveUpReason = field(default=GiveUpReason.UNSPECIFIED, compare=False)
@@ -63,21 +71,21 @@
 
 @dataclass(slots=True)
 class ServeCachedResponse:
-    """Final response: the cached response that came with the request."""
+    """Final response from the proxy's own cache: the cached response that came with the request."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class StoreResponse:
-    """Store the response of the event in the proxy's own cache, if there is capacity."""
+    """Instruction to store the event's response in the proxy's own cache, if there is capacity."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for a `TimerFired` after `delay`."""
+    """Request for a `TimerFired` event after `delay`."""
 
     delay: Duration
     timer_id: int
@@ -85,36 +93,38 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    """Ask for changes of the endpoint list from now on."""
+    """Request for updates of the endpoint list from now on."""
 
 
 @dataclass(slots=True)
 class LookUpHint:
-    """Ask the shared store about a name; a `CacheHint` counts only within the timeout.
+    """Lookup of a name in the shared store. A `CacheHint` that arrives after the timeout is ignored.
 
-    With a source, the lease of its fill by `cache` from there is asked for too.
+    With a source, the lookup also requests the lease under which `cache` fills the name from that source.
     """
 
     request_id: str
     name: str
     cache: str
-    source: str | None  # None: only which cache has the name
+    # The endpoint from which `cache` would fill the name. None: only the name's location is looked up.
+    source: str | None
     timeout: Duration
-    lease_duration: Duration  # at most
+    lease_duration: Duration  # the longest allowed duration of the fill lease
 
 
 @dataclass(slots=True)
 class ReleaseLease:
-    """A request that asked for a fill lease is over."""
+    """End of a request that requested a fill lease."""
 
     request_id: str
-    cache: str | None = None  # that has the object now; None: it was not filled
+    # The cache that has the object now. None: the object was not filled.
+    cache: str | None = None
     rank: int = 0
 
 
 @dataclass(slots=True)
 class ReportStaleHint:
-    """The cache that the shared store named for a request does not have the object."""
+    """Report that the cache named by the shared store's hint does not have the object."""
 
     request_id: str
     name: str
@@ -123,7 +133,7 @@
 
 @dataclass(slots=True)
 class RequestQuota:
-    """So much of a quota was lacking just now."""
+    """Request to other proxies for the amount of a quota that this proxy lacked for an attempt."""
 
     key: QuotaKey
     amount: float
@@ -131,9 +141,9 @@
 
 @dataclass(slots=True)
 class DonateQuota:
-    """Quota that was given up for a `QuotaRequested`, from now until it expires; 0 where none can be spared.
+    """Quota that this proxy gives up for a `QuotaRequested`, from now until it expires.
 
-    A `QuotaReceived` of the same amount until the same time gives it back.
+    The amount is 0 if none can be spared. A `QuotaReceived` with the same amount and expiry time returns it.
     """
 
     transfer_id: int
@@ -143,7 +153,7 @@
 
 @dataclass(slots=True)
 class ReportOutlier:
-    """This proxy has ejected an endpoint by failures that it has seen itself."""
+    """Report that this proxy has ejected an endpoint because of failures that it observed itself."""
 
     endpoint_id: str
 
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -10,7 +10,7 @@
 
 
 class EndpointState(Enum):
-    """State of an endpoint, by the endpoint list."""
+    """State of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -18,16 +18,16 @@
 
 
 class EndpointUpdateKind(Enum):
-    """What an endpoint update holds."""
+    """Content of an endpoint update."""
 
     INCREMENTAL = "changes"
     FULL = "full"
-    RESTORED = "stored"  # the list that was stored before the start
-    FAILED = "failed"  # nothing: the subscription failed
+    RESTORED = "stored"  # the list that was stored before the proxy started
+    FAILED = "failed"  # no endpoints, because the subscription failed
 
 
 class AttemptStatus(Enum):
-    """How an attempt ended."""
+    """Result of an attempt."""
 
     OK = "ok"
     ERROR = "error"
@@ -51,7 +51,7 @@
 
 
 class CacheStatus(Enum):
-    """How a cache got its response, or why a fill failed (compare RFC 9211)."""
+    """Way in which a cache got its response, or the cause of a failed fill (compare RFC 9211)."""
 
     UNKNOWN = 0
     HIT = 1
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointMetadata:
-    """One endpoint as the endpoint list has it."""
+    """Entry of one endpoint in the endpoint list."""
 
     id: str
     state: EndpointState
@@ -81,12 +81,13 @@
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
-    started_at: Instant | None = None  # None: long ago
+    # The start of the endpoint's process. None: the endpoint is long-running and has no slow start.
+    started_at: Instant | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The endpoint list, whole or changed."""
+    """Update of the endpoint list: the full list or its changes."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[EndpointMetadata, ...]
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True)
 class CachedResponse:
-    """A response in the proxy's own cache: its age, and its transfer time on the proxy's own link."""
+    """Response in the proxy's own cache, with its age and its transfer time on the proxy's own link."""
 
     age: Duration
     transfer_time: Duration
@@ -109,7 +110,8 @@
     object: str
     timeout: Duration
     size_kb: float | None = None  # None: unknown
-    group: int | None = None  # of objects that are invalidated together; None: unknown
+    # The group of objects with which the object is invalidated. None: unknown.
+    group: int | None = None
     part: int = 0
     is_write: bool = False
     cached_response: CachedResponse | None = None
@@ -117,7 +119,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """A streamed response has begun: the request is neither retried nor given up from here on."""
+    """Start of a streamed response. From now on the request is neither retried nor given up."""
 
     request_id: str
     attempt: int
@@ -125,33 +127,38 @@
 
 @dataclass(slots=True)
 class AttemptOutcome:
-    """An attempt has ended."""
+    """End of an attempt, with its result."""
 
     request_id: str
     attempt: int
     status: AttemptStatus
     elapsed: Duration
-    is_final: bool = False  # the request is over
+    is_final: bool = False  # whether the request is over
     cache_status: CacheStatus = CacheStatus.UNKNOWN
-    is_repeated_loss: bool = False  # with a connection whose end another outcome has reported
-    is_not_modified: bool = False  # the response has no body, and no transfer time
+    # Whether another outcome has already reported the loss of the attempt's connection.
+    is_repeated_loss: bool = False
+    # Whether the response is "not modified": it has no body and no transfer time.
+    is_not_modified: bool = False
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client has disconnected, or has its response: the request is over."""
+    """End of a request whose client has disconnected or has received its response."""
 
     request_id: str
 
 
 @dataclass(slots=True)
 class Shutdown:
-    """The shutdown deadline has come: every pending request gets its final response."""
+    """Arrival of the shutdown deadline: every pending request gets its final response."""
 
 
 @dataclass(slots=True)
 class Invalidation:
-    """Responses for an object, or (with no object) for a whole group, that are older than `age` are stale."""
+    """Notice that responses older than `age` are stale.
+
+    It applies to one object, or to a whole group if no object is named.
+    """
 
     object: str | None
     group: int | None
@@ -160,31 +167,32 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that the router has set is due."""
+    """Expiry of a timer that the router has set."""
 
     timer_id: int
 
 
 @dataclass(slots=True)
 class StoreAvailability:
-    """Whether the shared store can be used; at the start it can not."""
+    """Availability of the shared store. A router starts with the store unavailable."""
 
     is_available: bool
 
 
 @dataclass(slots=True)
 class CacheHint:
-    """What the shared store knows of a name that was looked up."""
+    """Reply of the shared store about a name that was looked up."""
 
     request_id: str
-    cache: str | None = None  # that has the object or fills it; None: none, or the fill lease is this proxy's
+    # The cache that has the object or is filling it. None: there is none, or this proxy has the fill lease.
+    cache: str | None = None
     is_filling: bool = False
-    ready_in: Duration = 0  # until its fill ends, by the lease
+    ready_in: Duration = 0  # the time until the fill ends, according to its lease
 
 
 @dataclass(slots=True)
 class QuotaRequested:
-    """Another proxy lacks quota: donate up to `max_amount` of one's own until the transfer expires."""
+    """Request of another proxy for a donation of up to `max_amount` of quota until the transfer expires."""
 
     transfer_id: int
     key: QuotaKey
@@ -194,7 +202,7 @@
 
 @dataclass(slots=True)
 class QuotaReceived:
-    """Another proxy has donated quota until the transfer expires."""
+    """Quota that another proxy has donated, or that it returns to this proxy, until the transfer expires."""
 
     key: QuotaKey
     amount: float
@@ -203,25 +211,25 @@
 
 @dataclass(slots=True)
 class OutlierReported:
-    """Several other proxies have ejected an endpoint; this alone does not eject it here."""
+    """Report that several other proxies have ejected an endpoint. This alone does not eject it here."""
 
     endpoint_id: str
 
 
 class MemoryPressureLevel(IntEnum):
-    """What is shed to free memory; each level includes those below it."""
+    """Level of memory pressure, by what is shed to free memory. Each level includes all lower levels."""
 
     NONE = 0
-    EVICT_CACHE = 1  # the proxy's own cached responses
-    CLOSE_IDLE = 2  # idle connections
-    FREEZE_NAMES = 3  # names that are not known yet, and half of those that are
-    LIMIT_CONNECTIONS = 4  # further client connections
-    REJECT = 5  # further requests
+    EVICT_CACHE = 1  # Responses in the proxy's own cache are evicted.
+    CLOSE_IDLE = 2  # Idle connections are closed.
+    FREEZE_NAMES = 3  # No new name is added, and the name table is cut to half of its capacity.
+    LIMIT_CONNECTIONS = 4  # Fewer client connections are admitted.
+    REJECT = 5  # Arriving requests are rejected.
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressure:
-    """The process has reached or left a level of memory pressure."""
+    """Memory pressure level of the process, when it has changed and at each check under pressure."""
 
     level: MemoryPressureLevel
 
--- a/olivepost/interface/quota.py
+++ b/olivepost/interface/quota.py
@@ -1,4 +1,4 @@
-"""Keys of quotas that proxies share and may transfer to each other."""
+"""Keys of the quotas that proxies share and can transfer to each other."""
 
 from __future__ import annotations
 
@@ -9,19 +9,23 @@
 
 
 class QuotaKind(Enum):
-    """What a quota bounds."""
+    """Kind of resource that a quota limits."""
 
     RETRY = auto()  # retries of the whole proxy
-    SLOW_START = auto()  # work that is sent to an endpoint which is warming up
+    SLOW_START = auto()  # work that is sent to an endpoint during its slow start
     CONCURRENCY = auto()  # attempts in flight at an endpoint
 
 
 class QuotaKey(NamedTuple):
-    """A quota of one process of an endpoint; the retry budget, of the proxy as a whole, names no endpoint."""
+    """Key of a quota, which belongs to one process of an endpoint.
+
+    The key of the retry budget names no endpoint, because that budget belongs to the proxy as a whole.
+    """
 
     kind: QuotaKind
     endpoint_id: str | None = None
-    started_at: Instant | None = None  # of the endpoint's process; None: long ago
+    # The start of the endpoint's process. None: the endpoint is long-running and has no slow start.
+    started_at: Instant | None = None
 
 
 RETRY_QUOTA = QuotaKey(QuotaKind.RETRY)
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -9,15 +9,16 @@
 
 
 class Idempotency(Enum):
-    """Whether a repeated request of a class has a second effect."""
+    """Idempotency of a class: whether a repeated request has a second effect."""
 
     IDEMPOTENT = "safe"
-    WITH_KEY = "keyed"  # idempotent among the caches of its deduplication scope, for a window
+    # Idempotent within the caches of the deduplication scope, for the duration of the idempotency window.
+    WITH_KEY = "keyed"
     NOT_IDEMPOTENT = "unsafe"
 
 
 class DeduplicationScope(Enum):
-    """The caches that drop the repeats of a request with an idempotency key."""
+    """Scope of the caches that drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -26,52 +27,58 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSettings:
-    """One class of requests."""
+    """Settings of one class of requests."""
 
     name: str
     latency_objective: Duration
-    latency_objective_stretch: float  # times a request's own transfer time, added to the objective
-    deadline: Duration  # the longest that clients of the class wait
+    # The factor by which a request's own transfer time is multiplied and added to the latency objective.
+    latency_objective_stretch: float
+    deadline: Duration  # the longest time that clients of the class wait
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    idempotency_window: Duration  # for which repeats with the same key are dropped
+    idempotency_window: Duration  # the time during which repeats with the same key are dropped
     is_streaming: bool
     priority_weight: float
     late_priority_weight: float
     freshness_lifetime: Duration | None  # None: responses of the class stay fresh
-    stale_grace: Duration  # for which a stale response may still be used
+    stale_grace: Duration  # the time during which a stale response may still be used
     stale_priority_weight: float
     is_uncacheable: bool
 
 
 @dataclass(frozen=True, slots=True)
 class TierSettings:
-    """All caches of the location, or all parents: how many proxies share them, and their slow start."""
+    """Settings of one tier, either the caches of the proxy's zone or all parents."""
 
-    proxies: int
-    slow_start_initial_share: float  # of its capacity that an endpoint has when it starts
+    proxies: int  # the number of proxies that share the tier
+    slow_start_initial_share: float  # the share of its capacity that an endpoint has when it starts
     slow_start_duration: Duration
-    overload_multiple: float  # of a window's capacity, the most work in slow start; 0: no bound
+    # The work limit of an endpoint in slow start, as a multiple of its capacity in one overload window.
+    # 0: no limit.
+    overload_multiple: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings with which a router starts; they don't change."""
+    """Settings with which a router starts. They do not change."""
 
     classes: dict[str, ClassSettings]
     zone: str
     caches: TierSettings
     parents: TierSettings
-    parent_kind: str | None  # of endpoints; None: there is no such tier
+    # The kinds that mark an endpoint as a parent or as an origin. None: there is no such tier.
+    parent_kind: str | None
     origin_kind: str | None
     has_endpoint_weights: bool
-    transfer_rate_kb_per_s: float | None  # of one transfer; None: unknown
+    transfer_rate_kb_per_s: float | None  # the rate of one transfer; None: unknown
     can_collapse_fills: bool
-    allows_direct_forwarding: bool  # to a parent, where no cache may be used
+    # Whether an attempt may go directly to a parent if no cache may be used.
+    allows_direct_forwarding: bool
     sibling_sources: str
     reports_hits: bool
     reports_failure_causes: bool
-    invalidation_lifetime: Duration  # after which all caches have carried out an invalidation
+    # The time after which all caches have carried out an invalidation.
+    invalidation_lifetime: Duration
     overload_window: Duration
     subscribes_to_endpoints: bool
     subscription_timeout: Duration
@@ -80,10 +87,13 @@
     allows_hedged_requests: bool
     supports_retry_after: bool
     max_retry_after: Duration
-    deadline_margin: Duration  # before a deadline, by which the final response goes out
-    local_transfer_capacity: float = 0.0  # cached responses in transfer at once; 0: the proxy caches nothing
-    shared_store_timeout: Duration | None = None  # the longest that a request waits for it; None: no store
-    # Bounds by the host's memory; None: none beside the router's own.
+    # The final response is sent at least this long before a request's deadline.
+    deadline_margin: Duration
+    # The number of cached responses that the proxy can transfer at once. 0: the proxy caches nothing.
+    local_transfer_capacity: float = 0.0
+    # The longest time that a request waits for the shared store. None: there is no shared store.
+    shared_store_timeout: Duration | None = None
+    # Limits set by the memory of the hosting process. None: only the router's own limits apply.
     max_names: int | None = None
     max_invalidations: int | None = None
     max_order_bytes: int | None = None
--- a/olivepost/routing_state/__init__.py
+++ b/olivepost/routing_state/__init__.py
@@ -1,4 +1,4 @@
-"""Data that routing keeps between events, changed by the router's owner alone. Nothing here decides."""
+"""State that routing keeps between events. Only the router's owner changes it. It makes no decisions."""
 
 from olivepost.routing_state.averages import DecayingRate, MovingAverage, MovingAverages
 from olivepost.routing_state.endpoint import Ejection, Endpoint, Role
--- a/olivepost/routing_state/averages.py
+++ b/olivepost/routing_state/averages.py
@@ -1,4 +1,4 @@
-"""Averages that follow their samples."""
+"""Moving averages, and a rate whose amounts decay."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class MovingAverages:
-    """Moving averages by name; the first sample of a name is its first value."""
+    """Moving averages by name. The first sample of a name is its initial average."""
 
     __slots__ = ("_averages", "_step")
 
@@ -32,7 +32,7 @@
         return name in self._averages
 
     def get(self, name: str, default: float) -> float:
-        """The present value, or the default before the first sample."""
+        """Returns the present average of a name, or the default before its first sample."""
         average = self._averages.get(name)
         return default if average is None else average.value
 
@@ -46,7 +46,10 @@
 
 
 class DecayingRate:
-    """A rate over a memory span, within which amounts fade linearly with each call."""
+    """Rate of the amounts that were added over the time span `memory`.
+
+    Each call first reduces the sum linearly with the time since the previous call, to 0 after a whole span.
+    """
 
     __slots__ = ("_memory", "_total", "_updated_at")
 
@@ -61,7 +64,7 @@
         self._total += amount
 
     def per_nanosecond(self, now: Instant) -> float:
-        """The present rate."""
+        """Returns the present rate."""
         self._fade(now)
         return self._total / self._memory
 
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -1,4 +1,4 @@
-"""An upstream endpoint as routing sees it."""
+"""The state that routing keeps of one upstream endpoint."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Role(IntEnum):
-    """What an endpoint is to this proxy; an integer, since decisions look tables up by it."""
+    """Role of an endpoint for this proxy. It is an integer because decisions look up tables by it."""
 
     CACHE = auto()
     PARENT = auto()
@@ -21,28 +21,33 @@
 
 
 class Ejection(NamedTuple):
-    """An endpoint that is ejected once a failure of it has been recorded."""
+    """Ejection of an endpoint, as found after one of its failures was recorded."""
 
     endpoint_id: str
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """A cache, parent or origin: its metadata, its health, and the work that it was sent."""
+    """Cache, parent or origin, with its metadata, its health and the work that was sent to it."""
 
     metadata: api.EndpointMetadata
     role: Role
-    tier: api.TierSettings  # its slow start, and how many proxies share it
-    work: SlidingWindowSum  # of attempts that were sent to it within the overload window
-    late_share: float  # moving average over its responses: hits of a cache, fills of a source
-    started_at: Instant | None = None  # of its slow start, by the clock of this proxy; None: long ago
+    # The settings of the endpoint's slow start, and the number of proxies that share the endpoint.
+    tier: api.TierSettings
+    # The work of the attempts that were sent to the endpoint within the overload window.
+    work: SlidingWindowSum
+    # The moving average of the share of late responses: hits of a cache, fills of a source.
+    late_share: float
+    # The start of the slow start, by this proxy's clock. None: the endpoint has no slow start.
+    started_at: Instant | None = None
     last_success_at: Instant | None = None
     failure_score: float = 0.0
     ejection_duration: Duration = 0
-    ejected_until: Instant | None = None  # from then on a half-open trial is due; None: not ejected
+    # The time from which a half-open trial of the ejected endpoint is due. None: not ejected.
+    ejected_until: Instant | None = None
     has_trial_in_flight: bool = False
     in_flight: int = 0
 
     def has_succeeded_since(self, instant: Instant) -> bool:
-        """Whether it has responded at or after an instant."""
+        """Whether the endpoint has responded at or after `instant`."""
         return self.last_success_at is not None and self.last_success_at >= instant
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The endpoints that the endpoint list names."""
+"""The table of the endpoints that are in the endpoint list."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def role_of(settings: api.Settings, metadata: api.EndpointMetadata) -> Role:
-    """What a listed endpoint is to this proxy, by its kind and zone."""
+    """Returns the role of a listed endpoint for this proxy, by the endpoint's kind and zone."""
     if metadata.kind == settings.origin_kind:
         return Role.ORIGIN
     if metadata.kind == settings.parent_kind:
@@ -24,22 +24,23 @@
 
 @dataclass(slots=True)
 class EndpointTable:
-    """All listed endpoints by id, and the ids of the ready ones by role, sorted. Not thread-safe."""
+    """All listed endpoints by id, and the sorted ids of the ready endpoints by role. Not thread-safe."""
 
-    work_window: Duration  # over which an endpoint's work is summed
+    work_window: Duration  # the window over which an endpoint's work is summed
     initial_late_share: float
-    # An endpoint that was listed longer than this after its start counts as started when it was listed: this
-    # proxy's clock may be ahead.
+    # The longest plausible time from an endpoint's start to its listing. An endpoint that is listed later
+    # counts as started when it is listed, because this proxy's clock may be ahead.
     max_listing_delay: Duration
     by_id: dict[str, Endpoint] = field(default_factory=dict)
     caches: tuple[str, ...] = ()
     parents: tuple[str, ...] = ()
-    origin: str | None = None  # None: none is ready
-    long_running: dict[Role, int] = field(default_factory=dict)  # by role: ready, started long ago
-    first_listed_at: Instant | None = None  # when this proxy first had an endpoint list
+    origin: str | None = None  # None: no origin is ready
+    # The number of ready endpoints of each role that are listed without a start, since they are long-running.
+    long_running: dict[Role, int] = field(default_factory=dict)
+    first_listed_at: Instant | None = None  # the time at which this proxy first had an endpoint list
 
     def update(self, now: Instant, update: api.EndpointUpdate, settings: api.Settings) -> None:
-        """Applies a whole list or a change: draining endpoints are no longer ready, removed ones dropped."""
+        """Applies a full list or changes. Draining endpoints stop being ready; removed ones are dropped."""
         if self.first_listed_at is None:
             self.first_listed_at = now
         before = self.by_id
@@ -58,7 +59,7 @@
         self._update_ready()
 
     def _update_ready(self) -> None:
-        """Derives the ready endpoints of each role from those that are listed."""
+        """Derives the ready endpoints of each role from the listed endpoints."""
         self.caches = self._ready(Role.CACHE)
         self.parents = self._ready(Role.PARENT)
         origins = self._ready(Role.ORIGIN)
@@ -70,7 +71,10 @@
     def _listed(
         self, metadata: api.EndpointMetadata, role: Role, tier: api.TierSettings, known: Endpoint | None
     ) -> Endpoint:
-        """A listed endpoint; for another process at its id, health and slow start begin anew."""
+        """Returns the state of a listed endpoint.
+
+        If another process runs under its id now, its health and slow start are reset; its work is kept.
+        """
         if known is not None and known.metadata.started_at == metadata.started_at:
             known.metadata = metadata
             return known
@@ -78,7 +82,10 @@
         return Endpoint(metadata, role, tier, work, self.initial_late_share)
 
     def _plausible_start(self, now: Instant, listed_start: Instant | None, is_live: bool) -> Instant | None:
-        """The start of an endpoint that is listed now: not later than now, nor earlier than is plausible."""
+        """Returns the start of an endpoint that is listed now.
+
+        It is not later than now. In a live update, a start that is implausibly early is replaced by now.
+        """
         if listed_start is None:
             return None
         if is_live and now - listed_start > self.max_listing_delay:
@@ -95,7 +102,7 @@
         )
 
     def open_attempt(self, now: Instant, attempt: Attempt, work: float) -> None:
-        """Counts an attempt at its endpoints; at an ejected one it is the half-open trial."""
+        """Counts an attempt and its work at its endpoints. At an ejected one it is the half-open trial."""
         for endpoint_id in attempt.endpoint_ids:
             endpoint = self.by_id[endpoint_id]
             endpoint.in_flight += 1
@@ -103,7 +110,7 @@
             endpoint.has_trial_in_flight = endpoint.ejected_until is not None
 
     def close_attempt(self, attempt: Attempt) -> None:
-        """An attempt is no longer in flight at its endpoints."""
+        """Records that an attempt is no longer in flight at its endpoints."""
         for endpoint_id in attempt.endpoint_ids:
             endpoint = self.by_id.get(endpoint_id)
             if endpoint is not None:
--- a/olivepost/routing_state/invalidation_table.py
+++ b/olivepost/routing_state/invalidation_table.py
@@ -7,27 +7,28 @@
 from olivepost import interface as api
 from olivepost.units import Instant
 
-# A plain tuple, since three of them are made for each request. Group None: that of requests and invalidations
-# which name none.
+# A plain tuple, because three keys are created for each request. Requests and invalidations that name no
+# group have the group None.
 InvalidationKey = tuple[Literal["object", "group"], str | int | None]
 
 
 class InvalidationTable:
-    """The latest invalidation of each object and group.
+    """Latest invalidation of each object and group.
 
-    One that is evicted at capacity counts for every object from then on, so that none is ever lost.
+    An invalidation that is evicted at capacity applies to every object from then on, so none is ever lost.
     """
 
     def __init__(self, capacity: int) -> None:
         self._capacity = capacity
-        self._times: dict[InvalidationKey, Instant] = {}  # the latest by key, the oldest entry first
-        self._evicted_at: Instant | None = None  # the latest invalidation that was evicted
+        # The latest invalidation by key, with the least recently recorded key first.
+        self._times: dict[InvalidationKey, Instant] = {}
+        self._evicted_at: Instant | None = None  # the time of the latest evicted invalidation
 
     def __len__(self) -> int:
         return len(self._times)
 
     def add(self, now: Instant, invalidation: api.Invalidation) -> None:
-        """Records an invalidation of one object, or of a group where no object is named."""
+        """Records an invalidation of one object, or of a group if no object is named."""
         if invalidation.object:
             key: InvalidationKey = ("object", invalidation.object)
         else:
@@ -40,9 +41,9 @@
                 self._evicted_at = evicted_at
 
     def latest(self, request: api.Request) -> Instant | None:
-        """When the object or its group was last invalidated; None: never.
+        """Returns when the object or its group was last invalidated; None if it never was.
 
-        Any group counts where the request does not name its own.
+        If the request does not name its group, the invalidations of all groups apply.
         """
         latest = self._evicted_at
         if not self._times:
@@ -54,7 +55,7 @@
         return latest
 
     def _keys(self, request: api.Request) -> list[InvalidationKey]:
-        """The keys of invalidations that concern a request."""
+        """Returns the keys of the invalidations that apply to a request."""
         keys: list[InvalidationKey] = [("object", request.object), ("group", None)]
         if request.group is None:
             keys += [key for key in self._times if key[0] == "group"]
--- a/olivepost/routing_state/levels.py
+++ b/olivepost/routing_state/levels.py
@@ -1,4 +1,4 @@
-"""Levels that adapt to outcomes: of f-TTL for each class, and of overload."""
+"""Levels that routing adapts to samples: the f-TTL levels of each class, and the levels of overload."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(slots=True)
 class ClassLevels:
-    """The f-TTL levels of one class, and the mean size of its responses."""
+    """Levels of f-TTL for one class, and the mean size of its responses."""
 
     level: float  # ϑ of the paper
     first_seen_level: float  # ϑs of the paper
-    mean_size: float = 0.0  # KB; at 0 the next sample is the mean
+    mean_size: float = 0.0  # in KB; a mean of 0 is replaced by the next sample
 
 
 @dataclass(slots=True)
 class OverloadLevel:
-    """How overloaded caches are for arriving requests, or their sources for fills."""
+    """Overload of the caches by arriving requests, or of their sources by fills."""
 
-    level: float = 0.0  # from 0; the higher, the fewer expensive requests are admitted
-    mean_cost: float = 0.0  # of the requests that were measured; at 0 the next sample is the mean
+    level: float = 0.0  # 0 or more; a higher level admits fewer expensive requests
+    mean_cost: float = 0.0  # the mean over the measured requests; a mean of 0 is replaced by the next sample
--- a/olivepost/routing_state/name_table.py
+++ b/olivepost/routing_state/name_table.py
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True)
 class NameEntry:
-    """When a name expires, and the rank and size with which it was last requested.
+    """Expiry time of a name, with the rank and the size in KB of its last request.
 
-    `queued_at` belongs to the table: the time under which the name stands in its queue.
+    The table maintains `queued_at`, which is the time of the name's current entry in the queue.
     """
 
     expires_at: Instant
@@ -22,15 +22,15 @@
 
 
 class ExpiringNameTable:
-    """Names by expiry; over capacity, the name that expires first is evicted. Not thread-safe.
+    """Names in the order of expiry. Over capacity, the name that expires first is evicted. Not thread-safe.
 
-    A name that is renewed keeps its queue entry, which is moved once its earlier time has come. A name whose
-    lifetime became shorter gets a further entry; entries left behind are removed once there are as many of
-    them as names.
+    A renewed name keeps its queue entry until that entry is the next to be evicted; then the entry moves to
+    the later expiry time. A name whose lifetime became shorter gets another entry, and its old one becomes
+    obsolete. The queue is rebuilt without obsolete entries when it has more entries than twice the capacity.
     """
 
     def __init__(self, capacity: int, ranks: int) -> None:
-        self.capacity = capacity  # names that it may hold
+        self.capacity = capacity  # the largest number of names
         self._entries: dict[str, NameEntry] = {}
         self._queue: list[tuple[Instant, str]] = []
         self._bytes_by_rank = [0.0] * ranks
@@ -40,23 +40,23 @@
 
     @property
     def queue_length(self) -> int:
-        """Entries of the queue, with those of names that were queued again."""
+        """Number of queue entries, including the obsolete entries of names that were queued again."""
         return len(self._queue)
 
     def remaining(self, now: Instant, name: str) -> Duration | None:
-        """Time until the name expires; None where it is not in the table."""
+        """Returns the time until the name expires; None if it is not in the table."""
         self._evict(now)
         entry = self._entries.get(name)
         return None if entry is None else entry.expires_at - now
 
     def bytes_in(self, rank: int, except_name: str) -> float:
-        """Bytes of all names of a rank, without those of one name."""
+        """Returns the total size of all names of a rank except one name, in KB."""
         entry = self._entries.get(except_name)
         own = entry.size if entry is not None and entry.rank == rank else 0.0
         return self._bytes_by_rank[rank] - own
 
     def total_bytes(self) -> float:
-        """Bytes of all names."""
+        """Returns the total size of all names in KB."""
         return sum(self._bytes_by_rank)
 
     def put(self, name: str, entry: NameEntry) -> None:
@@ -76,7 +76,7 @@
             self._enqueue(name, known)
 
     def shrink(self, names: int) -> None:
-        """Evicts the names that expire first, down to so many; the capacity stays."""
+        """Evicts the names that expire first until `names` of them are left. The capacity is unchanged."""
         while len(self._entries) > names:
             self._evict_first()
 
@@ -92,11 +92,11 @@
             self._evict_first()
 
     def _evict_first(self) -> None:
-        """Moves the first entry of the queue on to where it belongs, or removes it and its name."""
+        """Moves the first queue entry to its name's later expiry time, or removes the entry and its name."""
         queued_at, name = self._queue[0]
         entry = self._entries.get(name)
         if entry is None or entry.queued_at != queued_at:
-            heappop(self._queue)  # the name was queued again, or removed
+            heappop(self._queue)  # an obsolete entry: the name was queued again or removed
         elif entry.expires_at > queued_at:
             entry.queued_at = entry.expires_at
             heapreplace(self._queue, (entry.queued_at, name))
--- a/olivepost/routing_state/order_cache.py
+++ b/olivepost/routing_state/order_cache.py
@@ -1,4 +1,4 @@
-"""A bounded cache of computed orders of endpoints, by tier and name."""
+"""A bounded cache of the endpoint orders that were computed for each tier and name."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 @dataclass(slots=True)
 class TierOrders:
-    """Orders of one tier's endpoints by name, the least recently used first."""
+    """Orders of one tier's endpoints by name, with the least recently used order first."""
 
     endpoint_ids: EndpointOrder = ()
     by_name: OrderedDict[str, EndpointOrder] = field(default_factory=OrderedDict)
 
 
 class OrderCache:
-    """Orders by tier and name, within a number of bytes; a tier's orders go when its endpoints change.
+    """Orders by tier and name, up to a total size. A tier's orders are dropped when its endpoints change.
 
-    `entry_bytes` is what an order takes beside its references, `reference_bytes` what each of these takes.
+    `entry_bytes` is the size of an order without its references, and `reference_bytes` that of one reference.
     """
 
     def __init__(self, max_bytes: int, entry_bytes: int, reference_bytes: int) -> None:
@@ -32,11 +32,11 @@
 
     @property
     def used_bytes(self) -> int:
-        """Bytes of all orders."""
+        """Total size of all orders in bytes."""
         return sum(len(tier.by_name) * self._order_bytes(tier.endpoint_ids) for tier in self._tiers.values())
 
     def get(self, role: Role, endpoint_ids: EndpointOrder, name: str) -> EndpointOrder | None:
-        """The order of these endpoints for a name; None where it is to be computed."""
+        """Returns the order of these endpoints for a name; None if it must be computed."""
         tier = self._tiers[role]
         if tier.endpoint_ids is not endpoint_ids:
             if tier.endpoint_ids != endpoint_ids:
@@ -48,7 +48,7 @@
         return order
 
     def put(self, role: Role, name: str, order: EndpointOrder) -> None:
-        """Keeps an order that was computed for the endpoints of the last `get`."""
+        """Stores an order that was computed for the endpoints of the last `get`."""
         tier = self._tiers[role]
         tier.by_name[name] = order
         while tier.by_name and self.used_bytes > self._max_bytes:
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -1,4 +1,4 @@
-"""A request whose response is pending, and its attempts."""
+"""A request whose response is pending, its attempts, and its wait for a hint."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 
 class RankedName(NamedTuple):
-    """The rank of a request, and the lifetime that its name had left; None: the name was not known."""
+    """Rank of a request, and the remaining lifetime of its name; None if the name was unknown."""
 
     rank: int
     name_remaining: Duration | None
 
 
 class SilenceCheck(NamedTuple):
-    """What was found of the cache of an attempt that is past its silence timeout."""
+    """Result of checking the cache of an attempt that is past its silence timeout."""
 
-    is_cache_ejected: bool  # also while its half-open trial is due
-    ejection: Ejection | None = None  # to be reported; also of a cache that an earlier check ejected
+    is_cache_ejected: bool  # also true while the cache's half-open trial is due
+    # The ejection that is to be reported, even if an earlier check ejected the cache.
+    ejection: Ejection | None = None
 
 
 @dataclass(slots=True)
@@ -32,22 +33,23 @@
     cache: str
     source: str | None
     sent_at: Instant
-    silence_timeout: Duration  # after each such time without a response it is checked for silence
+    # The interval at which the attempt is checked for silence until it has a response.
+    silence_timeout: Duration
 
     @property
     def endpoint_ids(self) -> tuple[str, ...]:
-        """The endpoints that the attempt occupies, each once."""
+        """Ids of the endpoints that the attempt occupies, each once."""
         return (self.cache,) if self.source is None else (self.cache, self.source)
 
     @property
     def source_or_cache(self) -> str:
-        """Where its response comes from on a miss: the cache itself where nothing is filled."""
+        """Endpoint that the response to a miss comes from: the source, or the cache if nothing is filled."""
         return self.cache if self.source is None else self.source
 
 
 @dataclass(frozen=True, slots=True)
 class ExecutedAttempt:
-    """An attempt that is over and may have been executed."""
+    """Attempt that has ended and may have been executed."""
 
     sent_at: Instant
     endpoint_id: str
@@ -55,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PossibleFault:
-    """The endpoint to which a request's only error is attributed, unless another endpoint errs too."""
+    """Endpoint to which a request's only error is attributed, unless another endpoint errs, too."""
 
     endpoint_id: str
     score: float
@@ -63,7 +65,7 @@
 
 @dataclass(slots=True, eq=False)
 class HintWait:
-    """An attempt that waits for a cache hint, and its cost to the retry budget."""
+    """Wait of an attempt for a cache hint, with the attempt's cost to the retry budget."""
 
     since: Instant
     retry_cost: int
@@ -75,23 +77,24 @@
 
     request: api.Request
     request_class: api.ClassSettings
-    name: str  # of the object's part, as caches keep it
+    name: str  # the name under which caches store the object's part
     deadline: Instant
-    rank: int  # with which caches keep the response; 0: they don't
-    name_remaining: Duration | None  # of the name's lifetime on arrival; None: the name was not known
+    rank: int  # the rank with which caches store the response; 0: they do not store it
+    # The lifetime that the name had left when the request arrived. None: the name was unknown.
+    name_remaining: Duration | None
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     attempt_count: int = 0
-    is_retryable: bool = True  # False: an error is attributed to the request itself
+    is_retryable: bool = True  # False if an error is attributed to the request itself
     is_response_started: bool = False
-    missed_cache: str | None = None  # the cache that was found to lack the object
+    missed_cache: str | None = None  # the cache that was found not to have the object
     possible_fault: PossibleFault | None = None
     timer_ids: list[int] = field(default_factory=list)
-    avoided: set[str] = field(default_factory=set)  # endpoints that failed this request
+    avoided: set[str] = field(default_factory=set)  # the endpoints at which this request failed
     executed: list[ExecutedAttempt] = field(default_factory=list)
-    hint_time: Duration = 0  # spent so far waiting for the shared store
+    hint_time: Duration = 0  # the total time spent waiting for the shared store
     has_looked_up_location: bool = False
     has_looked_up_fill: bool = False
     hint_wait: HintWait | None = None
     hint: api.CacheHint | None = None
     hinted_cache: str | None = None  # the cache of the hint that the last attempt followed
-    storing_cache: str | None = None  # that has the object, by its response
+    storing_cache: str | None = None  # the cache that has the object, by its response
--- a/olivepost/routing_state/quota_keys.py
+++ b/olivepost/routing_state/quota_keys.py
@@ -1,4 +1,4 @@
-"""The quotas of an endpoint's present process."""
+"""Keys of the quotas that belong to an endpoint's current process."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 def slow_start_key(endpoint: Endpoint) -> QuotaKey:
-    """The slow start budget of an endpoint."""
+    """Returns the key of an endpoint's slow start budget."""
     return QuotaKey(QuotaKind.SLOW_START, endpoint.metadata.id, endpoint.metadata.started_at)
 
 
 def concurrency_key(endpoint: Endpoint) -> QuotaKey:
-    """The concurrency of an endpoint."""
+    """Returns the key of an endpoint's concurrency limit."""
     return QuotaKey(QuotaKind.CONCURRENCY, endpoint.metadata.id, endpoint.metadata.started_at)
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -1,4 +1,4 @@
-"""Quota that was transferred between this proxy and others."""
+"""A ledger of the quota that was transferred between this proxy and others."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTransfer:
-    """An amount received (above 0) or donated (below 0) until it expires."""
+    """Transfer of quota until it expires. The amount is above 0 if received and below 0 if donated."""
 
     expires_at: Instant
     key: QuotaKey
@@ -21,22 +21,23 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPart:
-    """This proxy's part of a quota, and how much of it is used."""
+    """Part of a quota that belongs to this proxy, and the amount of it that is used."""
 
     amount: float
     used: float
-    return_delay: Duration = 0  # after a donation's end, before the donor may use the amount again
+    # The time after a donation's end during which the donor may not yet use the amount again.
+    return_delay: Duration = 0
 
 
 class QuotaShortage(NamedTuple):
-    """So much of a quota was lacking when an attempt was to be made."""
+    """Amount of a quota that was lacking when an attempt was to be made."""
 
     key: QuotaKey
     amount: float
 
 
 class QuotaLedger:
-    """Transfers that have not expired, in the order in which they were made."""
+    """Quota transfers in the order in which they were made. Each `record` drops the expired ones."""
 
     def __init__(self) -> None:
         self._transfers: list[QuotaTransfer] = []
@@ -45,12 +46,12 @@
         return len(self._transfers)
 
     def balance(self, now: Instant, key: QuotaKey, max_amount: float = math.inf) -> float:
-        """The sum of a quota's transfers, each counted with at most `max_amount`."""
+        """Returns the sum of a quota's unexpired transfers, each counted with at most `max_amount`."""
         current = (item for item in self._transfers if item.key == key and item.expires_at > now)
         return sum(min(item.amount, max_amount) for item in current)
 
     def record(self, now: Instant, transfer: QuotaTransfer) -> None:
-        """Adds a transfer; one that reverses an earlier transfer removes that instead."""
+        """Adds a transfer. If it reverses an earlier transfer, that transfer is removed instead."""
         reversed_transfer = QuotaTransfer(transfer.expires_at, transfer.key, -transfer.amount)
         is_return = reversed_transfer in self._transfers
         self._transfers = [
--- a/olivepost/routing_state/route.py
+++ b/olivepost/routing_state/route.py
@@ -1,4 +1,4 @@
-"""Where an attempt goes, and what that selection found to be short."""
+"""The results of endpoint selection: an attempt's endpoints, and the quotas that were short."""
 
 from __future__ import annotations
 
@@ -8,18 +8,21 @@
 
 
 class Selection(NamedTuple):
-    """The endpoint of one tier for an attempt; None where none may be used."""
+    """Endpoint of one tier that was selected for an attempt; None if no endpoint may be used."""
 
     endpoint_id: str | None
-    shortages: tuple[QuotaShortage, ...] = ()  # of the name's home; only while other proxies can be asked
+    # The quotas that were short at the name's home, its first endpoint by rendezvous hash. The tuple is empty
+    # while no other proxy can be asked for quota.
+    shortages: tuple[QuotaShortage, ...] = ()
 
 
 class Route(NamedTuple):
-    """The cache of an attempt, None where none may be used, and the source from which a miss is filled.
+    """Cache of an attempt, and the source from which the cache fills a miss.
 
-    Without a source nothing is filled: the attempt only looks the name up in the cache.
+    The cache is None if no endpoint may be used. Without a source nothing is filled: the attempt only looks
+    up the name in the cache.
     """
 
     cache: str | None
     source: str | None
-    shortages: tuple[QuotaShortage, ...] = ()  # of the cache's tier first
+    shortages: tuple[QuotaShortage, ...] = ()  # those of the cache's tier first
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -1,4 +1,4 @@
-"""The whole state of one router, which all decisions read and change."""
+"""The complete state of one router, which all decisions read and change."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """Sizes, steps and first values of the state, as the routing package chooses them."""
+    """Sizes, steps and initial values of the state, which the routing package defines."""
 
     initial_levels: ClassLevels
     ranks: int
@@ -37,7 +37,7 @@
 
 
 class RoutingState:
-    """The state of one router, which alone may change it. Not thread-safe."""
+    """State of one router. Only this router may change it. Not thread-safe."""
 
     __slots__ = (
         "arrivals",
@@ -73,31 +73,32 @@
             tuning.max_order_bytes, tuning.order_entry_bytes, tuning.order_reference_bytes
         )
         self.memory_pressure = api.MemoryPressureLevel.NONE
-        self.arrivals = OverloadLevel()  # raised by requests that find all caches full
-        self.fills = OverloadLevel()  # raised by fills that are late or rejected
+        self.arrivals = OverloadLevel()  # rises with requests that find all caches full
+        self.fills = OverloadLevel()  # rises with fills that are late or rejected
         self.quotas = QuotaLedger()
         self.is_store_available = False
-        self.retry_balance = tuning.initial_retries  # retries that the budget holds now
-        self.transfer_ends: list[Instant] = []  # of responses that are served from the proxy's own cache
-        self.class_work = MovingAverages(tuning.work_step)  # mean transfer time of a response, by class
-        # The work that one endpoint which started long ago does, by role.
+        self.retry_balance = tuning.initial_retries  # the retries that are left in the budget
+        # The end times of the transfers of responses that are served from the proxy's own cache.
+        self.transfer_ends: list[Instant] = []
+        self.class_work = MovingAverages(tuning.work_step)  # the mean transfer time of a response, by class
+        # The mean rate of work of one endpoint that has no slow start, by role.
         self.warm_rates = {role: DecayingRate(tuning.rate_memory) for role in LISTED_ROLES}
-        # The share of good responses that outlasted their silence timeout.
+        # The share of good responses that took longer than their silence timeout.
         self.slow_share = MovingAverage(tuning.share_step, tuning.initial_slow_share)
-        # The share of errors that a second endpoint confirmed, which were the request's own fault.
+        # The share of errors that a second endpoint confirmed. Such errors are the request's own fault.
         self.request_fault_share = MovingAverage(tuning.share_step, 0.0)
 
     def own_work(self, request: api.Request) -> float:
-        """The time that sending a request's response takes at full rate; 0 where size or rate are unknown."""
+        """Returns the time to send a response at full rate; 0 if the size or the rate is unknown."""
         rate = self.settings.transfer_rate_kb_per_s
         if request.size_kb is None or rate is None:
             return 0.0
         return request.size_kb * SECOND / rate
 
     def mean_work(self, request_class: api.ClassSettings) -> float:
-        """The mean work of a class, at first its latency objective."""
+        """Returns the mean work of a class; before the first sample, the class's latency objective."""
         return self.class_work.get(request_class.name, float(request_class.latency_objective))
 
     def work_of(self, request: api.Request, request_class: api.ClassSettings) -> float:
-        """A request's own work, its class's mean where its size is unknown."""
+        """Returns a request's own work, or its class's mean if its size or the rate is unknown."""
         return self.own_work(request) or self.mean_work(request_class)
--- a/olivepost/routing_state/sliding_window.py
+++ b/olivepost/routing_state/sliding_window.py
@@ -8,9 +8,9 @@
 
 
 class SlidingWindowSum:
-    """Amounts by time, and the sum of those within the window.
+    """Amounts with the times at which they were added, and their sum within the window.
 
-    The sum is kept as amounts come and go, since several decisions a request read it.
+    The sum is updated whenever amounts are added or evicted, because several decisions per request read it.
     """
 
     __slots__ = ("_amounts", "_total", "_window")
@@ -30,7 +30,7 @@
         self._evict(now)
 
     def total(self, now: Instant) -> float:
-        """The sum of what was added within the window."""
+        """Returns the sum of the amounts that were added within the window."""
         self._evict(now)
         return self._total
 
--- a/olivepost/routing_state/timer_table.py
+++ b/olivepost/routing_state/timer_table.py
@@ -1,4 +1,4 @@
-"""Timers that routing has set."""
+"""The table of the timers that routing has set."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class TimerTable:
-    """Callbacks by timer id; no id is used twice."""
+    """Timer callbacks by timer id. No id is used twice."""
 
     def __init__(self) -> None:
         self._callbacks: dict[int, TimerCallback] = {}
@@ -29,10 +29,10 @@
         return self._last_id
 
     def pop(self, timer_id: int) -> TimerCallback | None:
-        """Removes a timer; None where it has fired or was discarded."""
+        """Removes a timer and returns its callback; None if the timer has fired or was discarded."""
         return self._callbacks.pop(timer_id, None)
 
     def discard(self, timer_ids: Iterable[int]) -> None:
-        """Removes timers whose request is over, so that they hold no memory until they fire."""
+        """Removes the timers of a request that is over, so that they use no memory until they fire."""
         for timer_id in timer_ids:
             self._callbacks.pop(timer_id, None)
--- a/olivepost/simulator_adapter/__init__.py
+++ b/olivepost/simulator_adapter/__init__.py
@@ -1,1 +1,1 @@
-"""Hosts routers on the simulator's wire."""
+"""Adapter that runs routers for the simulator, over its protocol of JSON lines."""
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: JSON lines parsed into messages and events, actions written as JSON lines.
+"""Codec of the simulator's protocol: parses JSON lines into messages and events, encodes actions as JSON.
 
-The words on the wire are the simulator's; all times and durations are nanoseconds of its clock. On it,
-0 stands for a value that is not set, and a source equal to the cache for an attempt without a fill.
+The simulator defines the names of fields and values. All times and durations are nanoseconds of its clock. In
+the protocol, 0 stands for a value that is not set. An attempt without a fill has its cache as the source.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 START_KIND = "Spawn"
 STOP_KIND = "Halt"
-IGNORED_KINDS = frozenset({"ProbeDone", "Message"})  # responses to requests that no router makes
+IGNORED_KINDS = frozenset({"ProbeDone", "Message"})  # responses to requests that routers never send
 
-# Bits of an attempt's `mode`: how its cache is to serve it.
+# Bits of an attempt's `mode`, which tells its cache how to serve it.
 MODE_COLLAPSE_FILLS = 1
 MODE_REFRESH = 8
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message of a batch, for one proxy."""
+    """Message of a batch, addressed to one proxy."""
 
     kind: str
     proxy_id: int
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """One line of input: messages that arrive at one time, in order."""
+    """One line of input: messages that arrive at the same time, in order."""
 
     now: Instant
     turn: int
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RouterStart:
-    """The settings and the random seed of a router to be started."""
+    """Settings and random seed of a router that is to be started."""
 
     settings: api.Settings
     seed: int
 
 
 def read_batch(line: bytes) -> Batch:
-    """Parses one line of input; a ConfigError says what is malformed."""
+    """Parses one line of input; raises a ConfigError that says what is malformed."""
     try:
         data = json.loads(line)
     except ValueError as error:
@@ -83,19 +83,19 @@
 
 
 def read_message(item: object) -> Message:
-    """Parses the fields that are common to messages of all kinds."""
+    """Parses the fields that messages of all kinds have in common."""
     fields = FieldReader("message", item)
     return Message(fields.text("kind"), fields.integer("front"), fields)
 
 
 def read_start(message: Message) -> RouterStart:
-    """Parses a start message."""
+    """Parses the settings and the seed of a start message."""
     fields = FieldReader(message.kind, message.fields.data)
     return RouterStart(read_settings(fields.data.get("info")), fields.integer("entropy"))
 
 
 def read_event(message: Message, settings: api.Settings) -> api.Event | None:
-    """Parses an event for a router with these settings; None where a router has no use for it."""
+    """Parses an event for a router with these settings; returns None for a message that routers ignore."""
     if message.kind in IGNORED_KINDS:
         return None
     read = EVENT_READERS.get(message.kind)
@@ -105,12 +105,12 @@
 
 
 def write_action(proxy_id: int, action: api.Action) -> dict[str, object]:
-    """One action of a proxy's router, ready to be written as JSON."""
+    """Returns an action of a proxy's router as a dictionary for the JSON encoder."""
     return {"front": proxy_id, **_action_fields(action)}
 
 
 def write_reply(turn: int, actions: Iterable[dict[str, object]]) -> bytes:
-    """The reply to a batch, as one line."""
+    """Returns the reply to a batch as one line."""
     reply = {"turn": turn, "output": list(actions)}
     return json.dumps(reply, separators=(",", ":")).encode() + b"\n"
 
@@ -138,8 +138,8 @@
             return {"kind": "Timer", "delay": action.delay, "ref": action.timer_id}
         case api.Subscribe():
             return {"kind": "Watch", "want": True}
-        case _:  # actions of the response cache and the shared store: a simulated proxy has neither
-            raise ValueError(f"no message for {type(action).__name__} on the simulator's wire")
+        case _:  # Actions of the response cache and the shared store, which a simulated proxy does not have.
+            raise ValueError(f"the simulator's protocol has no message for {type(action).__name__}")
 
 
 def _mode_bits(action: api.ForwardAttempt) -> int:
@@ -179,7 +179,7 @@
 
 
 def _read_cache_status(fields: FieldReader) -> api.CacheStatus:
-    """The cache's status; unknown where a newer simulator has one more."""
+    """Returns the cache's status; UNKNOWN for a value that only a newer simulator has."""
     try:
         return api.CacheStatus(fields.integer("remark", 0))
     except ValueError:
--- a/olivepost/simulator_adapter/host.py
+++ b/olivepost/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""Runs the simulator's proxies: reads batches, has each proxy's router handle its messages, replies."""
+"""Host of the simulator's proxies: reads batches, has the proxies' routers handle them, and replies."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class RouterHost:
-    """The running routers, by proxy; they share nothing. Single-threaded."""
+    """Running routers by proxy id. The routers share no state. Single-threaded."""
 
     def __init__(self) -> None:
         self._routers: dict[int, Router] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Handles one batch and returns the reply's line; a ConfigError says what is malformed."""
+        """Handles one batch and returns its reply line; raises a ConfigError that says what is malformed."""
         batch = codec.read_batch(line)
         actions: list[dict[str, object]] = []
         for message in batch.messages:
@@ -28,14 +28,14 @@
         return codec.write_reply(batch.turn, actions)
 
     def _handle(self, now: Instant, message: codec.Message) -> list[dict[str, object]]:
-        """Starts or stops a router, or has it handle an event; returns its actions."""
+        """Starts or stops a router, or has it handle an event; returns the actions of the router."""
         if message.kind == codec.START_KIND:
             start = codec.read_start(message)
             self._routers[message.proxy_id] = Router(start.settings, start.seed)
             return []
         router = self._routers.get(message.proxy_id)
         if router is None:
-            raise message.fields.error("front", f"must be a router that is started, not {message.proxy_id}")
+            raise message.fields.error("front", f"must be the id of a started router, not {message.proxy_id}")
         if message.kind == codec.STOP_KIND:
             del self._routers[message.proxy_id]
             return []
@@ -46,7 +46,7 @@
 
 
 def run(source: IO[bytes], sink: IO[bytes], errors: IO[str]) -> int:
-    """Serves batches until the input ends; returns the exit code."""
+    """Serves batches until the input ends or a batch is malformed; returns the exit code."""
     host = RouterHost()
     for number, line in enumerate(source, 1):
         try:
