--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -62,8 +62,8 @@
 
 def top_rank_has_capacity(state: RoutingState, name: str) -> bool:
     """Whether the top rank holds less than its share of bytes, this name not counted."""
-    total = state.names.total_bytes()
-    return total <= 0 or state.names.bytes_in(RANK_TOP, name) < TOP_RANK_SHARE * total
+    total = state.names.total_size()
+    return total <= 0 or state.names.size_of_rank(RANK_TOP, name) < TOP_RANK_SHARE * total
 
 
 def learn_from_response(state: RoutingState, pending: PendingRequest, is_hit: bool) -> None:
--- a/olivepost/routing_state/name_table.py
+++ b/olivepost/routing_state/name_table.py
@@ -33,7 +33,7 @@
         self.capacity = capacity  # the largest number of names
         self._entries: dict[str, NameEntry] = {}
         self._queue: list[tuple[Instant, str]] = []
-        self._bytes_by_rank = [0.0] * ranks
+        self._size_by_rank = [0.0] * ranks
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -49,26 +49,26 @@
         entry = self._entries.get(name)
         return None if entry is None else entry.expires_at - now
 
-    def bytes_in(self, rank: int, except_name: str) -> float:
+    def size_of_rank(self, rank: int, except_name: str) -> float:
         """Returns the total size of all names of a rank except one name, in KB."""
         entry = self._entries.get(except_name)
         own = entry.size if entry is not None and entry.rank == rank else 0.0
-        return self._bytes_by_rank[rank] - own
+        return self._size_by_rank[rank] - own
 
-    def total_bytes(self) -> float:
+    def total_size(self) -> float:
         """Returns the total size of all names in KB."""
-        return sum(self._bytes_by_rank)
+        return sum(self._size_by_rank)
 
     def put(self, name: str, entry: NameEntry) -> None:
         """Inserts a name or replaces its entry."""
         known = self._entries.get(name)
         if known is None:
-            self._bytes_by_rank[entry.rank] += entry.size
+            self._size_by_rank[entry.rank] += entry.size
             self._entries[name] = entry
             self._enqueue(name, entry)
             return
-        self._bytes_by_rank[known.rank] -= known.size
-        self._bytes_by_rank[entry.rank] += entry.size
+        self._size_by_rank[known.rank] -= known.size
+        self._size_by_rank[entry.rank] += entry.size
         known.expires_at = entry.expires_at
         known.rank = entry.rank
         known.size = entry.size
@@ -106,4 +106,4 @@
 
     def _remove(self, name: str) -> None:
         entry = self._entries.pop(name)
-        self._bytes_by_rank[entry.rank] -= entry.size
+        self._size_by_rank[entry.rank] -= entry.size
--- a/tests/routing_state/test_name_table.py
+++ b/tests/routing_state/test_name_table.py
@@ -50,7 +50,7 @@
         expires_at = now + draw.choice((10, 200, 4_000))
         table.put(name, NameEntry(expires_at, draw.randrange(4), 1.0))
         plain[name] = expires_at
-        assert table.total_bytes() == len(table) == len(plain)
+        assert table.total_size() == len(table) == len(plain)
         assert table.queue_length <= 101
 
 
