--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -31,7 +31,7 @@
 
     name: str
     latency_objective: Duration
-    # The factor by which a request's own transfer time is multiplied and added to the latency objective.
+    # A request's own transfer time, multiplied by this factor, is added to the latency objective.
     latency_objective_stretch: float
     deadline: Duration  # the longest time that clients of the class wait
     idempotency: Idempotency
--- a/olivepost/routing_state/averages.py
+++ b/olivepost/routing_state/averages.py
@@ -59,7 +59,7 @@
         self._total = 0.0
 
     def add(self, now: Instant, amount: float) -> None:
-        """Adds an amount at the present time."""
+        """Adds an amount at `now`."""
         self._fade(now)
         self._total += amount
 
--- a/olivepost/routing_state/sliding_window.py
+++ b/olivepost/routing_state/sliding_window.py
@@ -24,7 +24,7 @@
         return len(self._amounts)
 
     def add(self, now: Instant, amount: float) -> None:
-        """Adds an amount at the present time."""
+        """Adds an amount at `now`."""
         self._amounts.append((now, amount))
         self._total += amount
         self._evict(now)
