--- a/olivepost/routing_state/sliding_window.py
+++ b/olivepost/routing_state/sliding_window.py
@@ -8,9 +8,9 @@
 
 
 class SlidingWindowSum:
-    """Amounts by time, and the sum of those within the window.
+    """Amounts with the times at which they were added, and their sum within the window.
 
-    The sum is kept as amounts come and go, since several decisions a request read it.
+    The sum is updated whenever amounts are added or evicted, because several decisions per request read it.
     """
 
     __slots__ = ("_amounts", "_total", "_window")
@@ -24,13 +24,13 @@
         return len(self._amounts)
 
     def add(self, now: Instant, amount: float) -> None:
-        """Adds an amount at the present time."""
+        """Adds an amount at `now`."""
         self._amounts.append((now, amount))
         self._total += amount
         self._evict(now)
 
     def total(self, now: Instant) -> float:
-        """The sum of what was added within the window."""
+        """Returns the sum of the amounts that were added within the window."""
         self._evict(now)
         return self._total
 
