--- a/olivepost/attempt_lifecycle.py
+++ b/olivepost/attempt_lifecycle.py
@@ -1,7 +1,8 @@
-"""The life of an attempt: sent, checked for silence, abandoned or closed.
+"""The life cycle of an attempt: it is sent, checked for silence, and abandoned or closed.
 
-It asks the decisions of olivepost/routing and emits the actions for attempts: router.py lists which decision
-leads to which action. Nothing is decided here, and no decision's values stand here. No clock, no I/O.
+It calls the decision functions of olivepost/routing and emits the actions for attempts. router.py lists which
+decision leads to which action. The life cycle makes no decision itself and holds none of the values that
+decisions are tuned with. It reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class AttemptLifecycle:
-    """The attempts in flight of one router's requests. Not thread-safe: the router's owner calls it.
+    """The attempts in flight of one router's requests. Not thread-safe: only the router's owner calls it.
 
     `retry` is called for a request whose attempt was abandoned.
     """
@@ -34,7 +35,7 @@
         self._retry = retry
 
     def send(self, now: Instant, pending: PendingRequest, cache: str, source: str | None) -> None:
-        """Sends a request's next attempt; without a source, it only looks the name up in the cache."""
+        """Sends a request's next attempt, which only looks the name up in the cache if it has no source."""
         state = self._state
         request_class = pending.request_class
         hint = pending.hint
@@ -47,7 +48,7 @@
             pending.rank,
             timeout=pending.deadline - now,
             max_age=invalidation.max_age(state, now, pending, source or cache),
-            # A response that is not cached can't be shared, and neither can a write.
+            # Requests can't share the fill of a response that is not cached, nor a write.
             collapse_fills=self._settings.can_collapse_fills and pending.rank > 0,
             refresh=request_class.freshness_lifetime is not None and source is not None,
             start_before=retries.latest_start(state, pending),
@@ -61,12 +62,12 @@
         self._set_silence_timer(pending, attempt)
 
     def close(self, pending: PendingRequest, attempt: Attempt) -> None:
-        """An attempt is no longer in flight."""
+        """Stops counting an attempt as in flight, for its request and at its endpoints."""
         pending.in_flight.pop(attempt.number, None)
         self._state.endpoints.close_attempt(attempt)
 
     def close_all(self, pending: PendingRequest) -> None:
-        """Cancels all attempts of a request that is over."""
+        """Closes all attempts of a request that is over, and cancels them if attempts can be cancelled."""
         for attempt in list(pending.in_flight.values()):
             if self._settings.can_cancel_attempts:
                 self._actions.emit(api.CancelAttempt(pending.request.id, attempt.number))
@@ -77,7 +78,11 @@
         self._actions.set_request_timer(attempt.silence_timeout, check, pending)
 
     def _check_silence(self, now: Instant, pending: PendingRequest, attempt: Attempt) -> None:
-        """An attempt's silence timeout is over: it is abandoned for a retry if its cache is ejected."""
+        """Checks an attempt whose silence timeout is over.
+
+        The attempt is abandoned for a retry if its cache is ejected and the request may be retried. Otherwise
+        it is checked again after another silence timeout.
+        """
         if pending.is_response_started or attempt.number not in pending.in_flight:
             return
         check = outcomes.record_silence(self._state, now, pending, attempt)
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -1,8 +1,8 @@
-"""The life of a request: from its arrival over its attempts to its final response.
+"""The life cycle of a request, from its arrival through its attempts to its final response.
 
-It asks the decisions of olivepost/routing, carries out what they say and emits the actions: router.py lists
-which decision leads to which action. Nothing is decided here, and no decision's values stand here. No clock,
-no I/O.
+It calls the decision functions of olivepost/routing, carries out their results and emits the actions.
+router.py lists which decision leads to which action. The life cycle makes no decision itself and holds none
+of the values that decisions are tuned with. It reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 
 class RequestLifecycle:
-    """The pending requests of one router. Not thread-safe: the router's owner calls it."""
+    """The pending requests of one router. Not thread-safe: only the router's owner calls it."""
 
     def __init__(self, state: RoutingState, timers: TimerTable, actions: ActionEmitter) -> None:
         self.pending: dict[str, PendingRequest] = {}
@@ -48,7 +48,7 @@
     # Arrival
 
     def arrive(self, now: Instant, request: api.Request) -> None:
-        """Takes a client's request: it is served from the proxy's own cache, forwarded or given up."""
+        """Serves a client's request from the proxy's own cache, forwards it or gives it up."""
         state = self._state
         name = f"{request.object}.{request.part}"
         ranked = adaptive_ttl.rank_and_renew_name(state, now, name, request)
@@ -59,7 +59,7 @@
         if request.size_kb is not None:
             state.class_work.add(request_class.name, state.own_work(request))
         retries.earn_retries(state)
-        # A client's timeout may be longer than any client of its class waits.
+        # A request may state a longer timeout than clients of its class ever wait.
         timeout = min(request.timeout, request_class.deadline)
         pending = PendingRequest(
             request, request_class, name, now + timeout, ranked.rank, ranked.name_remaining
@@ -73,7 +73,10 @@
         self._forward(now, pending, overload=state.arrivals)
 
     def _set_deadline_timer(self, pending: PendingRequest, timeout: Duration) -> None:
-        """The deadline invariant: the final response goes out before the client's time is up."""
+        """Sets the timer that gives a request up shortly before its deadline.
+
+        This upholds the deadline invariant: the final response goes out before the client's timeout is over.
+        """
         delay = max(0, timeout - self._settings.deadline_margin)
         give_up = partial(self.give_up, pending=pending, reason=api.GiveUpReason.DEADLINE)
         self._actions.set_request_timer(delay, give_up, pending)
@@ -87,9 +90,9 @@
         retry_cost: int = 0,
         overload: OverloadLevel | None = None,
     ) -> None:
-        """Forwards the next attempt, or gives up at once where none can be made or it is too expensive.
+        """Forwards the next attempt, or gives up at once if none can be made or the request is too expensive.
 
-        `overload` is the level that decides whether the request is too expensive; None: it is not asked.
+        The request's cost is checked against the level in `overload`, or not at all if that is None.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
@@ -111,7 +114,7 @@
             self._attempts.send(now, pending, route.cache, route.source)
 
     def _retry_abandoned(self, now: Instant, pending: PendingRequest) -> None:
-        """An attempt of the request was abandoned at an unresponsive cache."""
+        """Retries a request whose attempt was abandoned at an unresponsive cache."""
         self._forward(now, pending, retry_cost=1)
 
     # Hints of the shared store
@@ -119,7 +122,7 @@
     def _look_up(
         self, now: Instant, pending: PendingRequest, cache: str, source: str | None, retry_cost: int
     ) -> None:
-        """Asks the shared store; the attempt waits for its hint, at most for the lookup's timeout."""
+        """Looks the name up in the shared store; the attempt waits for its hint up to the timeout."""
         timeout = hints.lookup_timeout(self._state, now, pending)
         if source is None:
             pending.has_looked_up_location = True
@@ -138,7 +141,7 @@
         retry_cost: int,
         default: api.CacheHint,
     ) -> None:
-        """Has the attempt wait; after the timeout it goes on with the default hint."""
+        """Makes the attempt wait for a hint; after the timeout it continues with the default hint."""
         wait = HintWait(now, retry_cost)
         pending.hint_wait = wait
         resume = partial(self.resume, pending=pending, hint=default, wait=wait)
@@ -147,7 +150,10 @@
     def resume(
         self, now: Instant, pending: PendingRequest, hint: api.CacheHint, wait: HintWait | None
     ) -> None:
-        """Forwards the attempt that waited; a wait that is over by now changes nothing."""
+        """Continues an attempt that waited for a hint; does nothing if that wait is already over.
+
+        The attempt is forwarded, unless it first waits for the end of a fill that it can't join.
+        """
         if wait is None or pending.hint_wait is not wait:
             return
         pending.hint_wait = None
@@ -185,7 +191,7 @@
     def _retry(
         self, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
     ) -> None:
-        """Forwards a request again; once its cache is known to lack the object, to be filled."""
+        """Forwards a request again; after a lookup-only attempt that missed, the cache is asked to fill."""
         is_lookup_miss = outcome.status is api.AttemptStatus.NOT_CACHED and attempt.source is None
         if is_lookup_miss and attempt.cache != pending.missed_cache:
             pending.missed_cache = attempt.cache
@@ -199,7 +205,7 @@
             self._forward(now, pending, retry_cost=retries.cost_of(pending, outcome))
 
     def start_response(self, request_id: str) -> None:
-        """A streamed response has begun: from here on the request is neither retried nor given up."""
+        """Records that a streamed response has begun; the request is no longer retried or given up."""
         pending = self.pending.get(request_id)
         if pending is not None:
             pending.is_response_started = True
@@ -207,7 +213,7 @@
     # Ends
 
     def give_up_all(self, now: Instant) -> None:
-        """Shutdown: every pending request gets its final response."""
+        """Gives up all pending requests at shutdown, so that each one gets its final response."""
         for pending in list(self.pending.values()):
             self.give_up(now, pending, api.GiveUpReason.SHUTDOWN)
 
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -1,9 +1,11 @@
-"""The router: events in, actions out.
+"""The router of one proxy, which turns each event into actions.
 
-It asks the decisions of olivepost/routing and carries out what they say: nothing is decided here, and no
-decision's values stand here. Settings, events and actions stand in olivepost/interface. No clock, no I/O.
+It calls the decision functions of olivepost/routing and carries out their results. It makes no decision
+itself and holds none of the values that decisions are tuned with. Settings, events and actions are defined in
+olivepost/interface. It reads no clock and does no I/O.
 
-Which decision leads to which action (emitted here, by `RequestLifecycle` or by `AttemptLifecycle`):
+The table lists which decision leads to which action. Actions are emitted by `Router`, by `RequestLifecycle`
+and by `AttemptLifecycle`.
 
 | decision | action |
 | --- | --- |
@@ -12,8 +14,8 @@
 | `invalidation.should_store` | StoreResponse |
 | `outcomes.record_silence` with `retries.may_abandon_attempt`; the end of a request | CancelAttempt |
 | `retries.final_response` | Reject, Fail |
-| `hints.should_look_up` | LookUpHint, and ReleaseLease at the end of the request |
-| a lookup's miss in the hinted cache | ReportStaleHint |
+| `hints.should_look_up` | LookUpHint; for a fill also ReleaseLease at the end of the request |
+| a lookup-only attempt that misses in the hinted cache | ReportStaleHint |
 | `selection.select_route`, `retries.budget_shortage` | RequestQuota |
 | `capacity.donate_quota` | DonateQuota |
 | `outcomes.record_silence`, `record_failed_attempt`, `record_unconfirmed_fault` | ReportOutlier |
@@ -33,7 +35,7 @@
 
 
 class Router:
-    """One proxy's router. Not thread-safe: one owner calls `handle`."""
+    """The router of one proxy. Not thread-safe: only its owner calls `handle`."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -43,7 +45,7 @@
         self.requests = RequestLifecycle(self.state, self.timers, self._actions)
 
     def handle(self, now: Instant, event: api.Event) -> list[api.Action]:
-        """Takes one event and returns what to do, in order."""
+        """Handles one event and returns the actions to carry out, in order."""
         self._actions.start_event()
         match event:
             case api.Request():
@@ -83,7 +85,7 @@
                 health.record_outlier_report(self.state.endpoints.by_id[event.endpoint_id])
 
     def _donate_quota(self, now: Instant, event: api.QuotaRequested) -> None:
-        """Gives up a part of a quota for the proxy that requested it; emits 0 where none can be spared."""
+        """Donates part of a quota to the proxy that requested it; the amount is 0 if none can be spared."""
         if event.key == api.RETRY_QUOTA:
             donation = capacity.donate_quota(self.state, now, event, retries.quota_part(self.state))
             self.state.retry_balance -= donation.amount
@@ -93,13 +95,16 @@
         self._actions.emit(donation)
 
     def _receive_quota(self, now: Instant, event: api.QuotaReceived) -> None:
-        """Records quota that another proxy has donated, or this proxy's own donation that is returned."""
+        """Records quota that another proxy has donated, or a returned donation of this proxy."""
         if event.key == api.RETRY_QUOTA:
             self.state.retry_balance += event.amount
         self.state.quotas.record(now, QuotaTransfer(event.expires_at, event.key, event.amount))
 
     def _update_endpoints(self, now: Instant, event: api.EndpointUpdate) -> None:
-        """The draining invariant: no attempt goes to a draining or removed endpoint from here on."""
+        """Applies an endpoint update; subscribes after a restored list or a failed subscription.
+
+        This upholds the draining invariant: from now on, no attempt goes to a draining or removed endpoint.
+        """
         self.state.endpoints.update(now, event, self.settings)
         if not self.settings.subscribes_to_endpoints:
             return
--- a/olivepost/routing/__init__.py
+++ b/olivepost/routing/__init__.py
@@ -1,1 +1,4 @@
-"""Every decision of a proxy: ranks, admission, selection, health, retries, invalidation. No clock, no I/O."""
+"""All routing decisions of a proxy: ranks, admission, selection, health, retries and invalidation.
+
+They read no clock and do no I/O.
+"""
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -1,33 +1,35 @@
-"""f-TTL ("Adaptive TTL-Based Caching for Content Delivery"; docs/design.md): TTLs and ranks of names."""
+"""TTLs and ranks of names by f-TTL ("Adaptive TTL-Based Caching for Content Delivery"; docs/design.md)."""
 
 from olivepost import interface as api
 from olivepost.routing import memory_pressure
 from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RankedName, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
-MAX_LIFETIME: Duration = 60 * SECOND  # L of the paper
-LEVEL_STEP = 0.01  # η of the paper
-SIZE_STEP = 0.0001  # ηs of the paper
-SMOOTHING_WIDTH = 0.1  # ε of the paper
-HIT_TARGET = 0.8  # h* of the paper; caches reach less, so that θ stays long enough to see repeats
-SIZE_TARGET: Duration = 5 * SECOND  # s* of the paper
-INITIAL_LEVEL = 0.5  # ϑ of a class before its first response
-INITIAL_FIRST_SEEN_LEVEL = 0.0  # ϑs of a class before its first response
-UNRANKED = 0  # the response is not cached
-RANK_LOW = 1  # evicted first
+MAX_LIFETIME: Duration = 60 * SECOND  # longest lifetime of a name, L in the paper
+LEVEL_STEP = 0.01  # step size of the level ϑ, η in the paper
+SIZE_STEP = 0.0001  # step size of the first-seen level ϑs, ηs in the paper
+SMOOTHING_WIDTH = 0.1  # width of the range in which Γ rises from ϑs to 1, ε in the paper
+# Target hit ratio, h* in the paper. Caches reach a lower ratio, so that θ stays long enough to see repeats.
+HIT_TARGET = 0.8
+# Target of the time for which names are cached, weighted by their size, s* in the paper.
+SIZE_TARGET: Duration = 5 * SECOND
+INITIAL_LEVEL = 0.5  # level ϑ of a class before its first response
+INITIAL_FIRST_SEEN_LEVEL = 0.0  # first-seen level ϑs of a class before its first response
+UNRANKED = 0  # rank of a response that is not cached
+RANK_LOW = 1  # rank of the responses that caches evict first
 RANK_MIDDLE = 2
-RANK_TOP = 3  # evicted last
-TOP_RANK_SHARE = 0.1  # of the bytes of all known names, the most that the top rank is given
+RANK_TOP = 3  # rank of the responses that caches evict last
+TOP_RANK_SHARE = 0.1  # largest share of all known names' bytes that the top rank is given
 MAX_NAMES = 40_000
 
 
 def lifetime(levels: ClassLevels) -> float:
-    """θ = L·ϑ, the lifetime of a name."""
+    """Returns θ = L·ϑ, the lifetime of a name."""
     return MAX_LIFETIME * levels.level
 
 
 def first_seen_lifetime(levels: ClassLevels) -> float:
-    """θs = L·ϑ·Γ, the lifetime of a name seen once (paper, equation 5)."""
+    """Returns θs = L·ϑ·Γ, the lifetime of a name that was seen once (equation 5 of the paper)."""
     above = max(0.0, levels.level - 1 + 1.5 * SMOOTHING_WIDTH) ** 4
     below = max(0.0, 1 - SMOOTHING_WIDTH / 2 - levels.level) ** 4
     gamma = levels.first_seen_level + (1 - levels.first_seen_level) * above / (above + below)
@@ -35,7 +37,7 @@
 
 
 def move_levels(levels: ClassLevels, is_hit: bool, sample: float, size: float) -> None:
-    """Moves both levels by one response (paper, algorithm 2)."""
+    """Adapts both levels to one response (algorithm 2 of the paper)."""
     levels.mean_size += (size - levels.mean_size) * (LEVEL_STEP if levels.mean_size else 1.0)
     first_seen_step = SIZE_STEP * (size / levels.mean_size) * (SIZE_TARGET - sample) / SIZE_TARGET
     levels.level = min(1.0, max(0.0, levels.level + LEVEL_STEP * (HIT_TARGET - is_hit)))
@@ -43,7 +45,7 @@
 
 
 def rank_and_renew_name(state: RoutingState, now: Instant, name: str, request: api.Request) -> RankedName:
-    """Ranks a request and renews the lifetime of its name."""
+    """Renews the lifetime of a request's name; returns the request's rank and the lifetime that was left."""
     if state.settings.classes[request.class_name].is_uncacheable or request.is_write:
         return RankedName(UNRANKED, None)
     levels = state.levels[request.class_name]
@@ -61,13 +63,13 @@
 
 
 def top_rank_has_capacity(state: RoutingState, name: str) -> bool:
-    """Whether the top rank holds less than its share of bytes, this name not counted."""
+    """Whether the top rank holds less than its share of all bytes, without counting this name."""
     total = state.names.total_bytes()
     return total <= 0 or state.names.bytes_in(RANK_TOP, name) < TOP_RANK_SHARE * total
 
 
 def learn_from_response(state: RoutingState, pending: PendingRequest, is_hit: bool) -> None:
-    """Moves the class's levels by a hit or a fill: its sample is how long the name has been cached."""
+    """Adapts the class's levels to a hit or a fill; the sample is how long the name has been cached."""
     levels = state.levels[pending.request_class.name]
     if is_hit:
         sample = lifetime(levels) - (pending.name_remaining or 0)
--- a/olivepost/routing/admission.py
+++ b/olivepost/routing/admission.py
@@ -1,18 +1,18 @@
-"""Overload control: levels that full caches and late fills raise, and the request cost that they admit."""
+"""Overload control: full caches and late fills raise overload levels, which limit the cost of requests."""
 
 from olivepost.routing_state import OverloadLevel, PendingRequest, RoutingState
 
-ARRIVAL_STEP = 0.04  # of the level for one arriving request
-ARRIVAL_TARGET = 0.1  # share of arrivals at full caches that keeps the level
-FILL_STEP = 0.2  # of the level for one fill
-FILL_TARGET = 0.1  # share of late and rejected fills that keeps the level
-LEVEL_CEILING = 0.9
-COST_CUTOFF = 4.0  # times the mean cost that a request may cost at a level of 0.5
+ARRIVAL_STEP = 0.04  # step size of the level of arrivals, for each arriving request
+ARRIVAL_TARGET = 0.1  # share of arrivals at full caches at which the level stays the same
+FILL_STEP = 0.2  # step size of the level of fills, for each fill
+FILL_TARGET = 0.1  # share of late and rejected fills at which the level stays the same
+LEVEL_CEILING = 0.9  # highest value of either level
+COST_CUTOFF = 4.0  # highest cost of an admitted request at a level of 0.5, in mean costs
 COST_STEP = 0.05  # weight of a new sample in the mean cost
 
 
 def record_sample(overload: OverloadLevel, step: float, target: float, is_overloaded: bool) -> None:
-    """Moves a level by one sample, as adaptive_ttl moves its threshold ϑ: by step·(sample - target)."""
+    """Changes a level by step·(sample - target), in the same way as adaptive_ttl adapts its level ϑ."""
     level = overload.level + step * (is_overloaded - target)
     overload.level = min(LEVEL_CEILING, max(0.0, level))
 
@@ -23,12 +23,12 @@
 
 
 def record_fill(state: RoutingState, is_late: bool) -> None:
-    """Records whether a fill was late; a rejected one counts as late."""
+    """Records whether a fill was late; a rejected fill counts as late."""
     record_sample(state.fills, FILL_STEP, FILL_TARGET, is_late)
 
 
 def record_cost(state: RoutingState, pending: PendingRequest, overload: OverloadLevel) -> float:
-    """Adds a request's cost, its work divided by its priority weight, to the mean; returns the cost."""
+    """Returns a request's cost, its work divided by its priority weight, and adds it to the mean cost."""
     work = state.work_of(pending.request, pending.request_class)
     cost = work / (pending.request_class.priority_weight or 1.0)
     overload.mean_cost += (cost - overload.mean_cost) * (COST_STEP if overload.mean_cost else 1.0)
@@ -38,7 +38,10 @@
 def is_too_expensive(
     state: RoutingState, pending: PendingRequest, overload: OverloadLevel, cost: float
 ) -> bool:
-    """Whether a request of this cost is rejected; an unknown size counts as a random multiple of the cost."""
+    """Whether a request of this cost is rejected.
+
+    If the request's size is unknown, its cost is multiplied by a random factor with a mean of 1.
+    """
     if pending.request.size_kb is None:
         cost *= state.random.expovariate(1.0)
     return cost * overload.level > COST_CUTOFF * (1 - overload.level) * overload.mean_cost
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -1,6 +1,6 @@
-"""Capacity of endpoints: slow start budgets and concurrency limits.
+"""Endpoint capacity: slow start budgets and concurrency limits.
 
-Each proxy has its part of them by configuration; a shared store transfers quota between proxies.
+The configuration gives each proxy its part of them. Proxies transfer quota to each other by a shared store.
 """
 
 import math
@@ -11,21 +11,25 @@
 from olivepost.units import SECOND, Duration, Instant
 
 WORK_STEP = 0.05  # weight of a new sample in a class's mean work
-RATE_MEMORY: Duration = 10 * SECOND  # over which the work of warm endpoints fades
-MIN_LINK_TRANSFERS = 2.0  # at once, by all proxies together, that every endpoint can carry
-DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}  # where endpoints have no weights
-IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}  # attempts for each transfer of a link
-LIMIT_DEVIATIONS = 3.0  # standard deviations above the mean: one of many proxies sees bursts
-MIN_LIMIT_FACTOR = 0.5  # of the concurrency limit, at a high late share
-MAX_LIMIT_FACTOR = 1.5  # of the concurrency limit, at a late share of 0
-LIMIT_FACTOR_SLOPE = 2.5  # by which the limit factor falls for each unit of the late share
-MAX_LISTING_DELAY: Duration = 20 * SECOND  # after an endpoint's start; a later listing counts as its start
-DONATED_SHARE = 0.75  # of a proxy's part, at most
-MAX_TRANSFER_DURATION: Duration = 2 * SECOND
+RATE_MEMORY: Duration = 10 * SECOND  # time over which past work fades from the rates of warm endpoints
+MIN_LINK_TRANSFERS = 2.0  # concurrent transfers of all proxies together that every endpoint can carry
+# Concurrent transfers that an endpoint's link carries, if endpoints have no weights.
+DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}
+# Attempts that may be in flight for each concurrent transfer of an endpoint's link.
+IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}
+# Standard deviations by which the concurrency limit exceeds the mean, since one of many proxies sees bursts.
+LIMIT_DEVIATIONS = 3.0
+MIN_LIMIT_FACTOR = 0.5  # factor of the concurrency limit at a high late share
+MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit at a late share of 0
+LIMIT_FACTOR_SLOPE = 2.5  # decrease of that factor for each unit of the late share
+# An endpoint that is first listed later than this after its start counts as started when it is listed.
+MAX_LISTING_DELAY: Duration = 20 * SECOND
+DONATED_SHARE = 0.75  # largest share that a proxy donates of its part of a quota
+MAX_TRANSFER_DURATION: Duration = 2 * SECOND  # longest quota transfer that a proxy agrees to
 
 
 def slow_start_share(now: Instant, endpoint: Endpoint) -> float:
-    """The share of its capacity that an endpoint has by now; below 1 during its slow start."""
+    """Returns the share of its capacity that an endpoint has now; it is below 1 during slow start."""
     if endpoint.started_at is None or endpoint.role is Role.ORIGIN:
         return 1.0
     tier = endpoint.tier
@@ -35,7 +39,10 @@
 
 
 def has_slow_start_budget(state: RoutingState, now: Instant, endpoint: Endpoint, work: float) -> bool:
-    """The slow start invariant: whether an endpoint's budget allows this proxy one more attempt."""
+    """Whether an endpoint's slow start budget allows this proxy one more attempt.
+
+    This upholds the slow start invariant.
+    """
     if endpoint.started_at is None:
         return True
     window = state.settings.overload_window
@@ -55,7 +62,10 @@
 
 
 def concurrency_limit(state: RoutingState, now: Instant, endpoint: Endpoint) -> float:
-    """The most attempts in flight to an endpoint: fewer during slow start, and the more it is late."""
+    """Returns how many attempts this proxy may have in flight to an endpoint.
+
+    The limit is lower during slow start, and it falls as the endpoint's late share rises.
+    """
     part = concurrency_part(state, now, endpoint)
     mean = max(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR - LIMIT_FACTOR_SLOPE * endpoint.late_share) * part
     limit = mean + LIMIT_DEVIATIONS * math.sqrt(mean * (1 - 1 / endpoint.tier.proxies))
@@ -65,7 +75,7 @@
 
 
 def concurrency_part(state: RoutingState, now: Instant, endpoint: Endpoint) -> float:
-    """This proxy's part of the attempts that an endpoint's present capacity allows."""
+    """Returns this proxy's part of the attempts in flight that an endpoint's present capacity allows."""
     has_weights = state.settings.has_endpoint_weights
     transfers = endpoint.metadata.weight if has_weights else DEFAULT_LINK_TRANSFERS[endpoint.role]
     link = slow_start_share(now, endpoint) * transfers
@@ -73,19 +83,25 @@
 
 
 def certain_link(state: RoutingState, endpoint: Endpoint) -> float:
-    """This proxy's part of a link, in transfers, by configuration alone: it does not fall with load."""
+    """Returns this proxy's part of an endpoint's link, in concurrent transfers.
+
+    It depends on the configuration alone and does not fall with load.
+    """
     weight = endpoint.metadata.weight if state.settings.has_endpoint_weights else 0.0
     return max(MIN_LINK_TRANSFERS, weight) / endpoint.tier.proxies
 
 
 def transferred(state: RoutingState, now: Instant, key: api.QuotaKey, part: float) -> float:
-    """What transfers add to a part or take off it, with what an earlier process may have donated."""
+    """Returns what transfers add to this proxy's part of a quota; below 0 if they reduce it.
+
+    What an earlier process of this proxy may have donated is subtracted.
+    """
     balance = state.quotas.balance(now, key)
     return balance - DONATED_SHARE * part if _may_have_forgotten_donations(state, now) else balance
 
 
 def _may_have_forgotten_donations(state: RoutingState, now: Instant) -> bool:
-    """Whether a donation of an earlier process of this proxy, which it doesn't know, may be in use."""
+    """Whether a donation that only an earlier process of this proxy knows may still be in use."""
     first_listed_at = state.endpoints.first_listed_at
     if first_listed_at is None:
         return False
@@ -93,9 +109,11 @@
 
 
 def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey) -> QuotaPart:
-    """This proxy's part of an endpoint's quota, by configuration alone: observed rates may fall.
+    """Returns this proxy's part of an endpoint's quota.
+
+    It depends on the configuration alone, since observed rates may fall.
 
-    The origin has neither a concurrency limit nor a slow start here, so there is no quota to give up.
+    The origin has neither a concurrency limit nor a slow start, so this proxy has no quota of it to donate.
     """
     endpoint = None if key.endpoint_id is None else state.endpoints.by_id.get(key.endpoint_id)
     if endpoint is None or endpoint.role is Role.ORIGIN:
@@ -108,14 +126,17 @@
     share = slow_start_share(now - window, endpoint)
     budget_per_link = endpoint.tier.overload_multiple * share * window
     part = budget_per_link * certain_link(state, endpoint)
-    # What the receiver sends at the transfer's end counts in the endpoint's window for as long again.
+    # Work that the recipient sends as the transfer ends counts in the endpoint's window for as long again.
     return QuotaPart(part, endpoint.work.total(now), return_delay=window)
 
 
 def donate_quota(
     state: RoutingState, now: Instant, request: api.QuotaRequested, part: QuotaPart
 ) -> api.DonateQuota:
-    """Gives up what can be spared of a part, until the transfer has expired."""
+    """Donates what this proxy can spare of its part of a quota, until the transfer has expired.
+
+    The donated amount returns to this proxy after the part's return delay.
+    """
     amount = 0.0
     is_timely = now < request.expires_at <= now + MAX_TRANSFER_DURATION
     if is_timely and not _may_have_forgotten_donations(state, now):
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -5,14 +5,14 @@
 from olivepost.routing_state import Endpoint
 from olivepost.units import SECOND, Duration, Instant
 
-SUCCESS_FACTOR = 0.6  # of the failure score, left by a success
-EJECTION_SCORE = 1.0  # failure score from which an endpoint is ejected
+SUCCESS_FACTOR = 0.6  # share of the failure score that a success leaves
+EJECTION_SCORE = 1.0  # failure score at which an endpoint is ejected
 FIRST_EJECTION: Duration = 1 * SECOND
 MAX_EJECTION: Duration = 4 * SECOND
-SILENCE_EJECTION_ODDS = 200.0  # odds against chance from which silences alone eject
-MIN_SLOW_SHARE = 0.02  # the lowest share of slow good responses that a silence is compared with
-REPORTED_SCORE = 0.4  # failure score after reports of other proxies, too low to eject
-LATE_STEP = 0.1  # weight of a new sample in the late share
+SILENCE_EJECTION_ODDS = 200.0  # odds against chance at which silences alone eject an endpoint
+MIN_SLOW_SHARE = 0.02  # lowest share of slow successful responses that a silence is compared with
+REPORTED_SCORE = 0.4  # failure score after outlier reports of other proxies, too low to eject
+LATE_STEP = 0.1  # weight of a new sample in an endpoint's late share
 INITIAL_LATE_SHARE = 0.2
 
 
@@ -27,7 +27,7 @@
 
 
 def record_failure(endpoint: Endpoint, now: Instant, score: float) -> None:
-    """Adds to the failure score; from the ejection score on, or in a trial, the endpoint is ejected."""
+    """Adds to the failure score; ejects the endpoint at the ejection score or on a failed trial."""
     endpoint.failure_score += score
     if endpoint.has_trial_in_flight:
         eject_endpoint(endpoint, now)
@@ -39,7 +39,7 @@
 
 
 def eject_endpoint(endpoint: Endpoint, now: Instant) -> None:
-    """Keeps requests from an endpoint until its next half-open trial; twice as long each time."""
+    """Ejects an endpoint until its next half-open trial; each ejection in a row lasts twice as long."""
     if endpoint.ejected_until is None:
         endpoint.ejection_duration = FIRST_EJECTION
     else:
@@ -49,22 +49,22 @@
 
 
 def record_outlier_report(endpoint: Endpoint) -> None:
-    """Raises the failure score, never enough to eject: several other proxies have ejected the endpoint."""
+    """Raises the failure score, though not to ejection, since several other proxies ejected the endpoint."""
     endpoint.failure_score = max(endpoint.failure_score, REPORTED_SCORE)
 
 
 def is_available(endpoint: Endpoint, now: Instant) -> bool:
-    """Whether the endpoint is not ejected, or is due for its one trial request."""
+    """Whether the endpoint is not ejected, or is due for its one half-open trial."""
     if endpoint.ejected_until is None:
         return True
     return now >= endpoint.ejected_until and not endpoint.has_trial_in_flight
 
 
 def silence_score(slow_share: float) -> float:
-    """What one silence adds to a failure score: the less, the more good responses take as long."""
+    """Returns what one silence adds to a failure score: less if more successful responses take as long."""
     return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(SILENCE_EJECTION_ODDS)
 
 
 def record_lateness(endpoint: Endpoint, is_late: bool) -> None:
-    """Adds a sample to the late share."""
+    """Adds one response to the endpoint's late share."""
     endpoint.late_share += LATE_STEP * (is_late - endpoint.late_share)
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -1,14 +1,18 @@
-"""Extension of f-TTL: what a cache has or fills, by the shared store, is not filled by another again."""
+"""Hints of the shared store, an extension of f-TTL.
+
+If the store knows that a cache has an object or fills it, no other cache fills it again.
+"""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
 from olivepost.units import Duration, Instant
 
-MAX_TIME_SHARE = 0.02  # of the time to a request's deadline, for lookups in the shared store
+# Largest share of the time to a request's deadline that it waits for lookups in the shared store.
+MAX_TIME_SHARE = 0.02
 
 
 def should_look_up(state: RoutingState, pending: PendingRequest, source: str | None) -> bool:
-    """Whether the store is asked before the attempt: for a new name's location, and before a fill."""
+    """Whether the shared store is asked before the attempt: for a new name's location, and before a fill."""
     if not state.is_store_available or not pending.rank or pending.hint is not None:
         return False
     is_new = pending.name_remaining is None and not pending.attempt_count
@@ -19,7 +23,7 @@
 
 
 def lookup_timeout(state: RoutingState, now: Instant, pending: PendingRequest) -> Duration:
-    """How long the attempt waits for the store's hint."""
+    """Returns how long the attempt waits for the shared store's hint."""
     timeout = state.settings.shared_store_timeout
     if timeout is None:
         return 0
@@ -28,7 +32,10 @@
 
 
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
-    """How long to wait for a fill that can't be joined: until its end, at most half of the remaining time."""
+    """Returns how long an attempt waits for a fill that it can't join; 0 if there is nothing to wait for.
+
+    It waits until the fill ends, but at most half of the time that remains until the deadline.
+    """
     if not hint.is_filling or state.settings.can_collapse_fills:
         return 0
     return min(hint.ready_in, (pending.deadline - now) // 2)
--- a/olivepost/routing/initial_state.py
+++ b/olivepost/routing/initial_state.py
@@ -1,4 +1,4 @@
-"""The state with which a router starts."""
+"""The initial state of a router."""
 
 from olivepost import interface as api
 from olivepost.routing import adaptive_ttl, capacity, health, invalidation, outcomes, retries, selection
@@ -6,7 +6,7 @@
 
 
 def initial_state(settings: api.Settings, seed: int) -> RoutingState:
-    """The state of a proxy before its first event."""
+    """Returns the state of a proxy's router before its first event."""
     tuning = Tuning(
         initial_levels=ClassLevels(adaptive_ttl.INITIAL_LEVEL, adaptive_ttl.INITIAL_FIRST_SEEN_LEVEL),
         ranks=adaptive_ttl.RANK_TOP + 1,
@@ -27,5 +27,5 @@
 
 
 def _bounded(own_maximum: int, host_maximum: int | None) -> int:
-    """The router's own maximum, or the host's where that is lower."""
+    """Returns the router's own maximum, or the host's if that is lower."""
     return own_maximum if host_maximum is None else min(own_maximum, host_maximum)
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -1,15 +1,19 @@
-"""How old a response may be, by invalidations and freshness; when the proxy's own cache serves and stores."""
+"""Age bounds of responses by invalidations and freshness, and the use of the proxy's own cache."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
 MAX_INVALIDATIONS = 4_096
-PROPAGATION_MARGIN: Duration = 1 * SECOND  # after `invalidation_lifetime`, in which caches may be late
+# Time after `invalidation_lifetime` in which caches may still be late to carry out an invalidation.
+PROPAGATION_MARGIN: Duration = 1 * SECOND
 
 
 def age_bound(state: RoutingState, now: Instant, request: api.Request) -> Duration | None:
-    """The invalidation invariant: the oldest response allowed while caches may have stale ones; None: any."""
+    """Returns the highest allowed age of a response while caches may have stale ones; None if any is allowed.
+
+    This upholds the invalidation invariant.
+    """
     invalidated_at = state.invalidations.latest(request)
     if invalidated_at is None:
         return None
@@ -19,7 +23,11 @@
 
 
 def max_age(state: RoutingState, now: Instant, pending: PendingRequest, source: str) -> Duration | None:
-    """The age bound of an attempt; None: none. In a fault the class's grace for stale responses is added."""
+    """Returns the age bound of an attempt, or None if it has none.
+
+    In a fault the class's grace for stale responses is added to its freshness lifetime. A fault is assumed
+    from the second attempt on, and while the source is ejected.
+    """
     limit = pending.request_class.freshness_lifetime
     bound = age_bound(state, now, pending.request)
     if limit is None:
@@ -30,10 +38,10 @@
 
 
 def reserve_cached_transfer(state: RoutingState, now: Instant, request: api.Request) -> bool:
-    """Begins the transfer of the proxy's own cached response; False where it may not be served.
+    """Begins the transfer of the proxy's own cached response; returns False if it may not be served.
 
-    Extension of f-TTL: it must be fresh and younger than any invalidation, and the proxy's link must have
-    capacity.
+    This is an extension of f-TTL. The response must be fresh and younger than any invalidation, and the
+    proxy's own link must have capacity.
     """
     state.transfer_ends = [end for end in state.transfer_ends if end > now]
     cached = request.cached_response
@@ -46,7 +54,7 @@
 
 
 def _is_usable(state: RoutingState, now: Instant, request: api.Request, cached: api.CachedResponse) -> bool:
-    """Whether a cached response is fresh, and younger than any invalidation."""
+    """Whether a cached response is fresh and younger than any invalidation that concerns it."""
     freshness = state.settings.classes[request.class_name].freshness_lifetime
     if cached.age > (now if freshness is None else freshness):
         return False
@@ -55,9 +63,9 @@
 
 
 def should_store(state: RoutingState, pending: PendingRequest, sent_at: Instant) -> bool:
-    """Whether a response goes into the proxy's own cache: that of a repeated, ranked name.
+    """Whether a response is stored in the proxy's own cache: only if its name is ranked and was seen before.
 
-    After an invalidation that came later than the attempt was sent it does not: it may be older.
+    It is not stored if an invalidation came after the attempt was sent, since it may be older than that.
     """
     if not pending.rank or state.settings.local_transfer_capacity <= 0:
         return False
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -1,13 +1,14 @@
-"""Memory pressure: what is shed, in which order, as the process comes close to its memory limit.
+"""Memory pressure: what the process sheds, and in which order, as it comes close to its memory limit.
 
-The platform kills a process over its limit, with all pending requests. So what costs least is shed first: the
-proxy's own cached responses, idle connections, new names, new client connections; requests are rejected last.
+The platform kills a process that exceeds its limit, and all its pending requests are lost. Therefore what
+costs least is shed first: the proxy's own cached responses, idle connections, new names, new client
+connections. Requests are rejected last.
 """
 
 from olivepost import interface as api
 from olivepost.routing_state import RoutingState
 
-# Share of the memory limit from which each level holds; the rest is for what arrives until the next check.
+# Share of the memory limit at which each level begins. The rest is for what arrives until the next check.
 LEVEL_SHARES = {
     api.MemoryPressureLevel.EVICT_CACHE: 0.80,
     api.MemoryPressureLevel.CLOSE_IDLE: 0.84,
@@ -15,13 +16,13 @@
     api.MemoryPressureLevel.LIMIT_CONNECTIONS: 0.90,
     api.MemoryPressureLevel.REJECT: 0.93,
 }
-RELEASE_MARGIN = 0.02  # below a level's share, at which the level is left
-KEPT_NAMES_SHARE = 0.5  # of the name table's capacity, kept from FREEZE_NAMES on
-CONNECTION_SHARE = 0.5  # of the client connections, allowed from LIMIT_CONNECTIONS on
+RELEASE_MARGIN = 0.02  # distance below a level's share at which the level ends
+KEPT_NAMES_SHARE = 0.5  # share of the name table's capacity that is kept at FREEZE_NAMES
+CONNECTION_SHARE = 0.5  # share of the client connections that LIMIT_CONNECTIONS allows
 
 
 def level_for(used: int, limit: int, previous: api.MemoryPressureLevel) -> api.MemoryPressureLevel:
-    """The level of a process that uses so many bytes, and was at the previous level before."""
+    """Returns the level of a process that uses `used` bytes of its limit and was at the previous level."""
     level = api.MemoryPressureLevel.NONE
     for candidate, share in LEVEL_SHARES.items():
         margin = RELEASE_MARGIN if candidate <= previous else 0.0
@@ -31,14 +32,14 @@
 
 
 def connection_limit(level: api.MemoryPressureLevel, max_connections: int) -> int:
-    """How many client connections may be open at a level."""
+    """Returns how many client connections may be open at a level."""
     if level < api.MemoryPressureLevel.LIMIT_CONNECTIONS:
         return max_connections
     return max(1, int(CONNECTION_SHARE * max_connections))
 
 
 def apply_level(state: RoutingState, level: api.MemoryPressureLevel) -> None:
-    """Sets the level; as it reaches FREEZE_NAMES, routing sheds names and orders."""
+    """Sets the level; when it reaches FREEZE_NAMES, evicts names and drops all cached rendezvous orders."""
     previous = state.memory_pressure
     state.memory_pressure = level
     if previous < api.MemoryPressureLevel.FREEZE_NAMES <= level:
@@ -47,10 +48,10 @@
 
 
 def accepts_new_names(state: RoutingState) -> bool:
-    """Whether a name that is not known yet may be remembered."""
+    """Whether a name that is not known yet may be added to the name table."""
     return state.memory_pressure < api.MemoryPressureLevel.FREEZE_NAMES
 
 
 def must_reject(state: RoutingState) -> bool:
-    """Whether an arriving request is rejected."""
+    """Whether an arriving request is rejected for lack of memory."""
     return state.memory_pressure >= api.MemoryPressureLevel.REJECT
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -1,4 +1,4 @@
-"""What attempts' outcomes change: endpoint health, late shares, mean work, TTL levels, attributed faults."""
+"""Effects of attempts' outcomes on endpoint health, late shares, mean work, f-TTL levels and faults."""
 
 from olivepost import interface as api
 from olivepost.routing import adaptive_ttl, admission, health
@@ -13,19 +13,20 @@
 )
 from olivepost.units import SECOND, Duration, Instant
 
-OBJECTIVE_TIMEOUT_FACTOR = 0.5  # of the latency objective, in the silence timeout
-WORK_TIMEOUT_FACTOR = 1.5  # of the request's work, in the silence timeout
+OBJECTIVE_TIMEOUT_FACTOR = 0.5  # factor of the latency objective in the silence timeout
+WORK_TIMEOUT_FACTOR = 1.5  # factor of the request's work in the silence timeout
 MIN_SILENCE_TIMEOUT: Duration = SECOND // 100
 SHARE_STEP = 0.05  # weight of a new sample in the slow share and the request fault share
 INITIAL_SLOW_SHARE = 0.1
-CACHE_REJECTED_SCORE = 0.2  # added to the failure score of the endpoint at fault
+# What each kind of failure adds to the failure score of the endpoint at fault.
+CACHE_REJECTED_SCORE = 0.2
 SOURCE_REJECTED_SCORE = 0.35
 FILL_FAILED_SCORE = 0.25
 ATTEMPT_FAILED_SCORE = 0.5
 
 
 def silence_timeout(state: RoutingState, pending: PendingRequest) -> Duration:
-    """How long an attempt is in flight before it is checked for silence."""
+    """Returns how long an attempt is in flight before it is checked for silence."""
     work = state.work_of(pending.request, pending.request_class)
     objective = pending.request_class.latency_objective
     return max(MIN_SILENCE_TIMEOUT, int(OBJECTIVE_TIMEOUT_FACTOR * objective + WORK_TIMEOUT_FACTOR * work))
@@ -34,7 +35,7 @@
 def record_response(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
 ) -> None:
-    """Records a response: health, lateness, the work done, and the class's levels."""
+    """Records a response in the endpoints' health and late shares, the mean work and the class's levels."""
     request_class = pending.request_class
     is_hit = outcome.cache_status in api.CACHE_HITS
     is_filled = outcome.cache_status in api.CACHE_FILLS
@@ -49,7 +50,7 @@
     pending.storing_cache = attempt.cache if is_hit or is_filled else None
     if pending.storing_cache is None:
         return
-    if outcome.elapsed < 2 * timeout:  # else `record_silence` has recorded it as late
+    if outcome.elapsed < 2 * timeout:  # otherwise `record_silence` has recorded it as late
         endpoint_id = attempt.cache if is_hit else attempt.source_or_cache
         record_lateness(state, endpoint_id, _is_late(state, pending, outcome))
     if pending.rank:
@@ -63,7 +64,10 @@
 
 
 def _record_success(state: RoutingState, now: Instant, endpoint_id: str, role: Role, work: float) -> None:
-    """Records a success and, of an endpoint that started long ago, the work that one of its role does."""
+    """Records a success; if the endpoint started long ago, also its work in the rate of its role.
+
+    That rate is the mean over the role's ready endpoints that started long ago.
+    """
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
         return
@@ -73,7 +77,7 @@
 
 
 def record_lateness(state: RoutingState, endpoint_id: str, is_late: bool) -> None:
-    """Records whether a response was late: of hits at the cache, of fills at the source."""
+    """Records whether a response was late: a hit at its cache, a fill at its source."""
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
         return
@@ -85,7 +89,10 @@
 def record_silence(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt
 ) -> SilenceCheck:
-    """Records that an attempt is past its silence timeout: a failure of its cache, if that was silent."""
+    """Records that an attempt is past its silence timeout.
+
+    This is a failure of its cache if the cache has responded to no attempt since this one was sent.
+    """
     if 2 * attempt.silence_timeout <= now - attempt.sent_at < 3 * attempt.silence_timeout:
         record_lateness(state, attempt.source_or_cache, True)
     cache = state.endpoints.by_id.get(attempt.cache)
@@ -99,7 +106,7 @@
 def record_failed_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
 ) -> Ejection | None:
-    """Attributes a failure to the cache, its source, or no endpoint, and records it."""
+    """Attributes a failure to the cache, its source or no endpoint, and records it."""
     source = attempt.source_or_cache
     has_responded = _has_cache_responded(state, pending, attempt)
     match outcome.status:
@@ -112,7 +119,7 @@
         case api.AttemptStatus.ERROR:
             fault = PossibleFault(attempt.cache, ATTEMPT_FAILED_SCORE)
             _record_possible_fault(state, pending, attempt, fault)
-        # The end of a connection counts once, however many attempts were on it.
+        # The loss of a connection counts as one failure, however many attempts were in flight on it.
         case api.AttemptStatus.TIMED_OUT if has_responded:
             score = 0.0 if outcome.is_repeated_loss else FILL_FAILED_SCORE
             return record_failure(state, now, pending, source, score)
@@ -125,7 +132,7 @@
 
 
 def _has_cache_responded(state: RoutingState, pending: PendingRequest, attempt: Attempt) -> bool:
-    """Whether the cache has responded since the attempt was sent, or to this request before."""
+    """Whether the cache has responded since the attempt was sent, or to an earlier attempt of the request."""
     if attempt.cache == pending.missed_cache:
         return True
     cache = state.endpoints.by_id.get(attempt.cache)
@@ -143,13 +150,17 @@
 def _record_rejection(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
 ) -> Ejection | None:
-    """Attributes a rejection to the source where the cache says so, or may not say so and has responded."""
+    """Attributes a rejection to the source, the cache or, if the origin failed, no endpoint.
+
+    The source is at fault if the cache reports so. If caches don't report causes, it is also at fault if the
+    cache has responded.
+    """
     is_source_fault = outcome.cache_status in api.SOURCE_FAILURES
     if not state.settings.reports_failure_causes:
         is_source_fault = is_source_fault or _has_cache_responded(state, pending, attempt)
     if is_source_fault:
         ejection = record_failure(state, now, pending, attempt.source_or_cache, SOURCE_REJECTED_SCORE)
-        record_lateness(state, attempt.source_or_cache, True)  # a rejected fill counts as a late one
+        record_lateness(state, attempt.source_or_cache, True)  # a rejected fill counts as late
         return ejection
     if outcome.cache_status is api.CacheStatus.ORIGIN_FAILED:
         return None
@@ -159,7 +170,7 @@
 def record_failure(
     state: RoutingState, now: Instant, pending: PendingRequest, endpoint_id: str, score: float
 ) -> Ejection | None:
-    """Adds to an endpoint's failure score; the request avoids it from here on."""
+    """Adds to an endpoint's failure score; the request avoids the endpoint from now on."""
     pending.avoided.add(endpoint_id)
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None or not score:
@@ -190,12 +201,19 @@
 
 
 def _is_presumed_request_fault(state: RoutingState, pending: PendingRequest) -> bool:
-    """Whether a first error is attributed to the request: of a new name, as often as second errors show."""
+    """Whether a first error is attributed to the request without a retry.
+
+    This concerns new names only. Its probability is the share of errors that second errors have shown to be
+    the request's own.
+    """
     return pending.name_remaining is None and state.random.random() < state.request_fault_share.value
 
 
 def record_unconfirmed_fault(state: RoutingState, now: Instant, pending: PendingRequest) -> Ejection | None:
-    """A request is over, and its one error was not repeated elsewhere: the endpoint's score rises."""
+    """Raises an endpoint's failure score for an error that no other endpoint confirmed.
+
+    Called when a request is over; it does nothing unless the request had one such error.
+    """
     fault = pending.possible_fault
     if fault is None:
         return None
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -1,48 +1,51 @@
-"""Retries: the retry budget of the proxy, idempotency, deadlines, and the final response without one."""
+"""Retries: the proxy's retry budget, idempotency, deadlines, and the final response of requests given up."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, QuotaPart, QuotaShortage, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
-RETRIES_PER_REQUEST = 0.2  # added to the budget by each request
-MAX_RETRIES = 10.0  # that the budget holds
-DONATION_FLOOR = 0.5  # of MAX_RETRIES, never donated
+RETRIES_PER_REQUEST = 0.2  # retries that each request adds to the retry budget
+MAX_RETRIES = 10.0  # highest number of retries that the retry budget holds
+DONATION_FLOOR = 0.5  # share of MAX_RETRIES that is never donated
 MEAN_RETRY_AFTER: Duration = SECOND // 2
-SUBSCRIPTIONS_PER_TIMEOUT = 4  # attempts within `subscription_timeout`
+SUBSCRIPTIONS_PER_TIMEOUT = 4  # subscriptions that are tried within `subscription_timeout`
 
 
 def subscription_delay(settings: api.Settings) -> Duration:
-    """How long after a failed subscription to the endpoint list the next one is made."""
+    """Returns the delay between a failed subscription to the endpoint list and the next one."""
     return settings.subscription_timeout // SUBSCRIPTIONS_PER_TIMEOUT
 
 
 def earn_retries(state: RoutingState) -> None:
-    """Adds to the retry budget what an arriving request earns: less under overload."""
+    """Adds what an arriving request earns to the retry budget; a request earns less under overload."""
     earned = RETRIES_PER_REQUEST * (1 - state.arrivals.level)
     state.retry_balance = min(MAX_RETRIES, state.retry_balance + earned)
 
 
 def budget_shortage(state: RoutingState, cost: int) -> tuple[QuotaShortage, ...]:
-    """What other proxies are to be asked for, where the retry budget lacks an attempt's cost."""
+    """Returns the quota to request from other proxies if the retry budget doesn't cover an attempt's cost."""
     if state.is_store_available and state.retry_balance < cost:
         return (QuotaShortage(api.RETRY_QUOTA, 1.0),)
     return ()
 
 
 def quota_part(state: RoutingState) -> QuotaPart:
-    """What may be donated of the budget: the floor that is never donated counts as used."""
+    """Returns the retry budget as a quota; the floor that is never donated counts as used."""
     return QuotaPart(MAX_RETRIES, (1 + DONATION_FLOOR) * MAX_RETRIES - state.retry_balance)
 
 
 def cost_of(pending: PendingRequest, outcome: api.AttemptOutcome) -> int:
-    """What a retry costs: 1, or 0 where the connection's loss is paid already, or to confirm an error."""
+    """Returns what a retry costs: 1 or 0.
+
+    It costs 0 if another retry has paid for the loss of the same connection, or if it is to confirm an error.
+    """
     return 0 if outcome.is_repeated_loss or pending.possible_fault is not None else 1
 
 
 def allows_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, target: str, cost: int
 ) -> bool:
-    """Whether one more attempt, at this target, is in time, within the retry budget and idempotent there."""
+    """Whether one more attempt at this target is in time, within the retry budget and idempotent there."""
     is_late = pending.deadline - now <= state.settings.deadline_margin
     if is_late or not has_attempts_left(state, pending) or state.retry_balance < cost:
         return False
@@ -55,7 +58,10 @@
 
 
 def is_idempotent_at(state: RoutingState, now: Instant, pending: PendingRequest, target: str) -> bool:
-    """The idempotency invariant: whether one more attempt, at this target, has no second effect."""
+    """Whether one more attempt at this target has no second effect.
+
+    This upholds the idempotency invariant.
+    """
     request_class = pending.request_class
     if not pending.executed or request_class.idempotency is api.Idempotency.IDEMPOTENT:
         return True
@@ -76,7 +82,10 @@
 
 
 def latest_start(state: RoutingState, pending: PendingRequest) -> Instant | None:
-    """When a retry must have begun at the latest, since it may wait for its connection; None: no bound."""
+    """Returns the latest time at which a retry may begin, or None if there is no bound.
+
+    The bound is passed on with the attempt, since the attempt may wait for its connection.
+    """
     request_class = pending.request_class
     if not pending.executed or request_class.idempotency is not api.Idempotency.WITH_KEY:
         return None
@@ -85,7 +94,7 @@
 
 
 def may_abandon_attempt(state: RoutingState, pending: PendingRequest) -> bool:
-    """Whether a silent attempt may be abandoned for a retry; its endpoint may execute it all the same."""
+    """Whether a silent attempt may be abandoned for a retry, though its endpoint may still execute it."""
     if pending.request_class.idempotency is not api.Idempotency.IDEMPOTENT:
         return False
     if not state.settings.can_cancel_attempts or state.retry_balance < 1:
@@ -96,7 +105,7 @@
 def final_response(
     state: RoutingState, pending: PendingRequest, reason: api.GiveUpReason
 ) -> api.Reject | api.Fail:
-    """The final response of a request that is given up: a rejection where the client may send it again."""
+    """Returns the final response of a request that is given up; a rejection if the client may retry it."""
     retry_after = random_retry_after(state)
     if is_client_retry_harmless(pending):
         return api.Reject(pending.request.id, retry_after, reason)
@@ -104,7 +113,7 @@
 
 
 def is_client_retry_harmless(pending: PendingRequest) -> bool:
-    """Whether the client may send the request again: no endpoint has it, or repeats have no effect."""
+    """Whether the client may send the request again: no endpoint has it, or a repeat has no effect."""
     request_class = pending.request_class
     if request_class.idempotency is api.Idempotency.IDEMPOTENT or not (pending.executed or pending.in_flight):
         return True
@@ -113,7 +122,10 @@
 
 
 def random_retry_after(state: RoutingState) -> Duration | None:
-    """The Retry-After of a rejection, spread so that clients don't return at once; None: there is none."""
+    """Returns the Retry-After of a rejection, or None if it carries none.
+
+    The value is random, so that clients don't all return at the same time.
+    """
     if not state.settings.supports_retry_after:
         return None
     spread = int(MEAN_RETRY_AFTER * (0.5 + state.random.random()))
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: rendezvous hashing over the ready endpoints, past those that are at a limit."""
+"""Endpoint selection: rendezvous hashing over the ready endpoints, which skips those that are at a limit."""
 
 from hashlib import blake2b
 from zlib import crc32
@@ -16,16 +16,18 @@
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 from olivepost.units import Instant
 
-MAX_ORDER_BYTES = 8_388_608  # of computed orders, where the host sets no bound
-ORDER_ENTRY_BYTES = 320  # of one order beside its references
-ORDER_REFERENCE_BYTES = 8  # of each endpoint in an order
-LATE_SHARE_TOLERANCE = 0.2  # above the lowest late share of the candidates
-LATE_SHARE_SHEDDING_RANGE = 0.4  # from the tolerance up to shedding every name
-MAX_SHED_SHARE = 0.9  # of an endpoint's names
+MAX_ORDER_BYTES = 8_388_608  # bytes of cached rendezvous orders, if the host sets no bound
+ORDER_ENTRY_BYTES = 320  # bytes of one order without its references
+ORDER_REFERENCE_BYTES = 8  # bytes of one reference, of which an order has one for each endpoint
+# Excess over the candidates' lowest late share up to which an endpoint sheds no names.
+LATE_SHARE_TOLERANCE = 0.2
+# Excess over the tolerated late share at which an endpoint would shed every name.
+LATE_SHARE_SHEDDING_RANGE = 0.4
+MAX_SHED_SHARE = 0.9  # largest share of its names that an endpoint sheds
 
 
 def rendezvous_order(name: str, endpoint_ids: tuple[str, ...]) -> tuple[str, ...]:
-    """The endpoints for a name by their hashes, its home first."""
+    """Returns the endpoints in the order of their hashes for a name; the first one is the name's home."""
 
     def rank(endpoint_id: str) -> bytes:
         return blake2b(f"{endpoint_id} {name}".encode(), digest_size=8).digest()
@@ -34,7 +36,7 @@
 
 
 def _cached_order(state: RoutingState, name: str, role: Role) -> tuple[str, ...]:
-    """The order of a tier's ready endpoints for a name; computed where it is not cached."""
+    """Returns the order of a tier's ready endpoints for a name; computes it if it is not cached."""
     endpoint_ids = state.endpoints.caches if role is Role.CACHE else state.endpoints.parents
     order = state.orders.get(role, endpoint_ids, name)
     if order is None:
@@ -59,7 +61,7 @@
 
 
 def select_route(state: RoutingState, now: Instant, pending: PendingRequest) -> Route:
-    """The cache of the next attempt and the source of its fill, with the quotas to be requested for them."""
+    """Returns the cache of the next attempt, the source of its fill, and the quotas to request for both."""
     cache, shortages = _select_cache(state, now, pending)
     if cache is not None and _is_lookup_only(state, now, pending, cache):
         return Route(cache, None, shortages)
@@ -68,13 +70,16 @@
     origin = state.endpoints.origin
     source = parent or origin
     if cache is None and state.settings.allows_direct_forwarding and source is not None:
-        # Extension of f-TTL: where no cache may be used, the attempt goes straight to a parent.
+        # Extension of f-TTL: if no cache may be used, the attempt goes straight to a parent or to the origin.
         return Route(source, origin if origin != source else None, shortages)
     return Route(cache, source, shortages)
 
 
 def _select_cache(state: RoutingState, now: Instant, pending: PendingRequest) -> Selection:
-    """The hinted cache, even above its concurrency limit since it need not fill, or the selected one."""
+    """Returns the hinted cache if it may be used, and otherwise the selected one.
+
+    The hinted cache is used even above its concurrency limit, since it need not fill.
+    """
     hint = pending.hint
     if hint is not None and hint.cache is not None and hint.cache in state.endpoints.caches:
         endpoint = state.endpoints.by_id[hint.cache]
@@ -87,14 +92,14 @@
 
 
 def _is_lookup_only(state: RoutingState, now: Instant, pending: PendingRequest, cache: str) -> bool:
-    """Whether a cache is asked for what it has before a source is named for a fill.
+    """Whether the attempt only looks the name up in the cache, before a source is named for a fill.
 
-    Extension of f-TTL: a name that is new to this proxy may be cached by others' requests, and without a
-    source silence is the cache's own.
+    This is an extension of f-TTL. Requests of other proxies may have had a name cached that is new to this
+    proxy. If an attempt has no source, its silence can only be that of the cache.
     """
     hint = pending.hint
     if hint is not None and hint.is_filling and hint.cache == cache:
-        return not state.settings.can_collapse_fills  # else this attempt joins the fill
+        return not state.settings.can_collapse_fills  # otherwise this attempt joins the fill
     is_always_fresh = pending.request_class.freshness_lifetime is None
     if not pending.rank or not is_always_fresh or pending.missed_cache == cache:
         return False
@@ -104,10 +109,10 @@
 
 
 def _select_endpoint(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> Selection:
-    """The first endpoint of a tier within all its limits.
+    """Returns the first endpoint in a tier's order for a name that is within all limits.
 
-    Where there is none, limits are dropped one by one: the late share, the concurrency limit, ejection,
-    earlier failures of this request. The slow start budget always counts.
+    If there is none, limits are dropped one by one: the late share, the concurrency limit, ejection, earlier
+    failures of this request. The slow start budget is never dropped.
     """
     order = _cached_order(state, pending.name, role)
     if not order:
@@ -116,7 +121,7 @@
     by_id = state.endpoints.by_id
     home = by_id[order[0]]
     if _is_unrestricted(state, now, pending, home) and capacity.has_slow_start_budget(state, now, home, work):
-        return Selection(order[0])  # the result of the rest, in a fraction of its time
+        return Selection(order[0])  # same result as the code below, in a fraction of its time
     endpoints = [by_id[endpoint_id] for endpoint_id in order]
     usable = [
         endpoint for endpoint in endpoints if capacity.has_slow_start_budget(state, now, endpoint, work)
@@ -137,16 +142,17 @@
 
 
 def _is_unrestricted(state: RoutingState, now: Instant, pending: PendingRequest, home: Endpoint) -> bool:
-    """Whether a name's home is within every limit but the slow start budget, and sheds no name."""
+    """Whether a name's home sheds no names and is within its limits; the slow start budget is not checked."""
     if home.late_share > LATE_SHARE_TOLERANCE or home.metadata.id in pending.avoided:
         return False
     return health.is_available(home, now) and _is_below_limit(state, now, home)
 
 
 def _without_shed_names(endpoints: list[Endpoint], name: str) -> list[Endpoint]:
-    """Leaves out the endpoints that shed this name, since they are late more often than the best of them.
+    """Returns the endpoints without those that shed this name.
 
-    The share of names that an endpoint sheds grows with its late share; a name's hash decides for it.
+    An endpoint sheds names if it is late more often than the best of the endpoints. The share of names that
+    it sheds grows with its late share, and a name's hash decides whether it is among them.
     """
     late_shares = [endpoint.late_share for endpoint in endpoints]
     tolerated = min(late_shares, default=0.0) + LATE_SHARE_TOLERANCE
--- a/olivepost/units.py
+++ b/olivepost/units.py
@@ -1,15 +1,15 @@
-"""Units of time: the types of instants and spans, and the constants that build them.
+"""Units of time: the types of points in time and of durations, and constants that durations are built from.
 
-Both types are whole nanoseconds. They are plain integers at run time,
-since each request computes many of them.
+Both types count whole nanoseconds. They are plain integers at run time, because each request computes many
+of them.
 """
 
 from __future__ import annotations
 
 from typing import TypeAlias
 
-Instant: TypeAlias = int  # a point in time, on a clock that never goes back
-Duration: TypeAlias = int  # a span of time
+Instant: TypeAlias = int  # a point in time in nanoseconds, on a monotonic clock
+Duration: TypeAlias = int  # a length of time in nanoseconds
 
 MILLISECOND: Duration = 1_000_000
 SECOND: Duration = 1_000_000_000
