--- a/benchmarks/branch/budget_audit.py
+++ b/benchmarks/branch/budget_audit.py
@@ -49,7 +49,7 @@
         window = state.settings.overload_window
         share = capacity.slow_start_share(local_now - window, endpoint)
         budget_per_link = state.settings.caches.overload_multiple * share * window
-        part = budget_per_link * capacity.certain_link(state, endpoint)
+        part = budget_per_link * capacity.configured_link_transfers(state, endpoint)
         budget = budget.add(part, capacity.transferred(state, local_now, slow_start_key, part))
         part = capacity.concurrency_part(state, local_now, endpoint)
         concurrency = concurrency.add(part, capacity.transferred(state, local_now, concurrency_key, part))
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -51,13 +51,13 @@
     if share >= 1 or not multiple:
         return True
     first_listed_at = state.endpoints.first_listed_at
-    is_known = first_listed_at is not None and first_listed_at <= max(endpoint.started_at, now - window)
-    budget_per_link = multiple * share * window if is_known else 0.0
-    certain = certain_link(state, endpoint)
+    is_work_known = first_listed_at is not None and first_listed_at <= max(endpoint.started_at, now - window)
+    budget_per_link = multiple * share * window if is_work_known else 0.0
+    configured_link = configured_link_transfers(state, endpoint)
     extra = 0.0
     if state.settings.shared_store_timeout is not None:
-        extra = transferred(state, now, slow_start_key(endpoint), budget_per_link * certain)
-    link = max(certain, state.warm_rates[endpoint.role].per_nanosecond(now))
+        extra = transferred(state, now, slow_start_key(endpoint), budget_per_link * configured_link)
+    link = max(configured_link, state.warm_rates[endpoint.role].per_nanosecond(now))
     return endpoint.work.total(now) + work <= budget_per_link * link + extra
 
 
@@ -82,7 +82,7 @@
     return IN_FLIGHT_PER_TRANSFER[endpoint.role] * link / endpoint.tier.proxies
 
 
-def certain_link(state: RoutingState, endpoint: Endpoint) -> float:
+def configured_link_transfers(state: RoutingState, endpoint: Endpoint) -> float:
     """Returns this proxy's part of an endpoint's link, in concurrent transfers.
 
     It depends on the configuration alone and does not fall with load.
@@ -125,8 +125,8 @@
     window = state.settings.overload_window
     share = slow_start_share(now - window, endpoint)
     budget_per_link = endpoint.tier.overload_multiple * share * window
-    part = budget_per_link * certain_link(state, endpoint)
-    # Work that the recipient sends as the transfer ends counts in the endpoint's window for as long again.
+    part = budget_per_link * configured_link_transfers(state, endpoint)
+    # What the recipient sends as the transfer ends counts in the endpoint's window for one window longer.
     return QuotaPart(part, endpoint.work.total(now), return_delay=window)
 
 
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -123,20 +123,24 @@
     if _is_unrestricted(state, now, pending, home) and capacity.has_slow_start_budget(state, now, home, work):
         return Selection(order[0])  # same result as the code below, in a fraction of its time
     endpoints = [by_id[endpoint_id] for endpoint_id in order]
-    usable = [
+    within_budget = [
         endpoint for endpoint in endpoints if capacity.has_slow_start_budget(state, now, endpoint, work)
     ]
-    unfailed = [endpoint for endpoint in usable if endpoint.metadata.id not in pending.avoided]
-    available = [endpoint for endpoint in unfailed if health.is_available(endpoint, now)]
+    not_avoided = [endpoint for endpoint in within_budget if endpoint.metadata.id not in pending.avoided]
+    available = [endpoint for endpoint in not_avoided if health.is_available(endpoint, now)]
     below_limit = [endpoint for endpoint in available if _is_below_limit(state, now, endpoint)]
     shortages: tuple[QuotaShortage, ...] = ()
     if state.is_store_available:
         if home in available and home not in below_limit:
             shortages = (QuotaShortage(concurrency_key(home), 1.0),)
-        elif home not in usable:
+        elif home not in within_budget:
             shortages = (QuotaShortage(slow_start_key(home), work),)
     candidates = (
-        _without_shed_names(below_limit, pending.name) or below_limit or available or unfailed or usable
+        _without_shedding_endpoints(below_limit, pending.name)
+        or below_limit
+        or available
+        or not_avoided
+        or within_budget
     )
     return Selection(candidates[0].metadata.id if candidates else None, shortages)
 
@@ -148,7 +152,7 @@
     return health.is_available(home, now) and _is_below_limit(state, now, home)
 
 
-def _without_shed_names(endpoints: list[Endpoint], name: str) -> list[Endpoint]:
+def _without_shedding_endpoints(endpoints: list[Endpoint], name: str) -> list[Endpoint]:
     """Returns the endpoints without those that shed this name.
 
     An endpoint sheds names if it is late more often than the best of the endpoints. The share of names that
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -111,7 +111,7 @@
         tier.overload_multiple
         * capacity.slow_start_share(at - window, endpoint)
         * window
-        * capacity.certain_link(state, endpoint)
+        * capacity.configured_link_transfers(state, endpoint)
     )
     assert capacity.transferred(state, at, key, part) <= -donated
 
--- a/tests/shared_store/test_router_quota.py
+++ b/tests/shared_store/test_router_quota.py
@@ -62,7 +62,12 @@
     other = proxy_with_starting_cache()
     key = slow_start_key(proxy)
     endpoint = proxy.endpoint("a:1")
-    part = 3.0 * 0.2 * proxy.router.settings.overload_window * capacity.certain_link(proxy.state, endpoint)
+    part = (
+        3.0
+        * 0.2
+        * proxy.router.settings.overload_window
+        * capacity.configured_link_transfers(proxy.state, endpoint)
+    )
     endpoint.work.add(proxy.now, 0.9 * part)
     assert donated_amount(proxy, key) < 0.11 * part < donated_amount(other, key)
 
