--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the router's actions, in their order: one method for each kind of action."""
+"""Executor of the router's actions: it carries them out in order, with one branch per kind of action."""
 
 from __future__ import annotations
 
@@ -18,10 +18,11 @@
 
 
 class ActionExecutor:
-    """Executes actions on timers, upstream connections, clients and the shared store.
+    """Executor of actions on timers, upstream connections, clients and the shared store.
 
-    Only the event loop's thread calls this. No call waits, and none calls the router. An action on a request
-    that is no longer pending changes nothing; where it must be pending, an invariant counts that.
+    Only the event loop's thread uses it. No method blocks or calls the router. An action on a request
+    that is no longer pending has no effect. If the request must still be pending for that action, the
+    violated invariant is counted.
     """
 
     def __init__(
@@ -39,12 +40,12 @@
         self._pending = pending
         self._timers = timers
         self._post = post
-        # Requests that the event in hand has closed, while its actions are carried out: their attempts are
-        # still to be cancelled and their leases to be released.
+        # Requests that the current event has closed. They are kept until its actions have been executed,
+        # because these actions still cancel the requests' attempts and release their leases.
         self._closed: dict[str, PendingExchange] = {}
 
     def execute(self, actions: list[api.Action], closed: PendingExchange | None = None) -> None:
-        """Carries out actions in order; `closed` is the request that their event has closed already."""
+        """Executes an event's actions in order; `closed` is the request that the event has already closed."""
         if closed is not None:
             self._closed[closed.exchange.id] = closed
         try:
@@ -68,7 +69,7 @@
             case api.ServeCachedResponse():
                 self._serve_cached(action)
             case api.StoreResponse():
-                pass  # carried out by `ExchangeLifecycle`, which has the response
+                pass  # executed by `ExchangeLifecycle`, which has the response
             case api.Subscribe():
                 self._subscribe()
             case _ if self._shared_store is not None:
@@ -106,7 +107,10 @@
         return attempt
 
     def _cancel(self, action: api.CancelAttempt) -> None:
-        """Cancels an attempt; where no other may be in flight with it, the next one waits for its abort."""
+        """Cancels an attempt.
+
+        If hedged requests are not allowed, the request's next attempt waits until the abort has been written.
+        """
         request_id = action.request_id
         pending = self._pending.get(request_id) or self._closed.get(request_id)
         if pending is None:
@@ -148,7 +152,7 @@
     # Service discovery and the shared store
 
     def _subscribe(self) -> None:
-        """The long poll is always on: an update without changes says so."""
+        """Confirms a subscription with an update without changes, since the long poll is always active."""
         no_change = api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, ())
         self._post(DiscoveryEvent(no_change, []))
 
--- a/olivepost/proxy/delay_histogram.py
+++ b/olivepost/proxy/delay_histogram.py
@@ -1,20 +1,20 @@
-"""A histogram of durations in a fixed number of buckets, whatever the number of samples."""
+"""A histogram of durations whose number of buckets does not depend on the number of samples."""
 
 from __future__ import annotations
 
 from olivepost.units import MILLISECOND, Duration
 
-# Bits behind a duration's highest bit that select its bucket, as in a log-linear (HDR) histogram: the bounds
-# of a bucket differ by one part in 32.
+# Number of bits below a duration's highest set bit that select its bucket, as in a log-linear (HDR)
+# histogram. The bounds of a bucket differ by one part in 32.
 PRECISION_BITS = 5
 BUCKETS_PER_POWER = 1 << PRECISION_BITS
-MAX_BITS = 48  # longer durations, above three days in nanoseconds, count in the last bucket
+MAX_BITS = 48  # longer durations (above three days, in nanoseconds) are counted in the last bucket
 LAST_BUCKET = MAX_BITS * BUCKETS_PER_POWER
 PERCENTILES = {"p50": 50, "p95": 95, "p99": 99}
 
 
 class DelayHistogram:
-    """Counts of durations; one thread at a time may record, and another may read."""
+    """Counts of durations by bucket. One thread at a time may record while another one reads."""
 
     __slots__ = ("_counts", "count", "longest")
 
@@ -24,14 +24,14 @@
         self._counts = [0] * (LAST_BUCKET + 1)
 
     def record(self, duration: Duration) -> None:
-        """Adds one duration; a negative one, of clocks that differ, counts as 0."""
+        """Adds one duration. A negative one, which comes from clocks that differ, counts as 0."""
         duration = max(0, duration)
         self.count += 1
         self.longest = max(self.longest, duration)
         self._counts[_bucket_of(duration)] += 1
 
     def percentile(self, percent: int) -> Duration:
-        """The upper bound of a percentile's bucket, no more than the maximum; 0 without samples."""
+        """Returns the upper bound of a percentile's bucket, limited to the maximum; 0 without samples."""
         rank = self.count * percent // 100
         seen = 0
         for bucket, count in enumerate(self._counts[:LAST_BUCKET]):
@@ -41,12 +41,12 @@
         return self.longest
 
     def percentiles_ms(self) -> dict[str, float]:
-        """Percentiles and maximum in milliseconds; empty without samples."""
+        """Returns the percentiles and the maximum in milliseconds by name; empty without samples."""
         if not self.count:
             return {}
-        milliseconds_by_name = {name: self.percentile(percent) for name, percent in PERCENTILES.items()}
-        milliseconds_by_name["max"] = self.longest
-        return {name: duration / MILLISECOND for name, duration in milliseconds_by_name.items()}
+        durations_by_name = {name: self.percentile(percent) for name, percent in PERCENTILES.items()}
+        durations_by_name["max"] = self.longest
+        return {name: duration / MILLISECOND for name, duration in durations_by_name.items()}
 
 
 def _bucket_of(duration: Duration) -> int:
--- a/olivepost/proxy/discovery_changes.py
+++ b/olivepost/proxy/discovery_changes.py
@@ -1,4 +1,4 @@
-"""Applies what service discovery reports: endpoint updates and invalidations."""
+"""Application of the changes that service discovery reports: endpoint updates and invalidations."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 
 class DiscoveryChanges:
-    """Brings a change to all that depends on it. Only the event loop's thread calls this.
+    """Distribution of each change to every part of the proxy that depends on it.
 
-    In this order: the upstream pool or the response cache, the router, attempts that no connection has begun
-    to write, and last the shared store.
+    Only the event loop's thread uses it. The order is: the upstream pool or the response cache, the router,
+    the attempts that no connection has begun to write, and last the shared store.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
                 self._shared_store.notify(change)
 
     def invalidate(self, now: Instant, invalidation: api.Invalidation) -> None:
-        """Applies an invalidation to own cached responses, the router and attempts not yet written."""
+        """Applies an invalidation to the response cache, the router and the attempts not yet written."""
         self._response_cache.invalidate(invalidation.object, invalidation.group, now - invalidation.age)
         self._executor.execute(self._router.handle(now, invalidation))
 
@@ -72,7 +72,10 @@
         self._lifecycle.withdraw(now, is_for_unready_endpoint)
 
     def _usable_addresses(self, event: DiscoveryEvent, update: api.EndpointUpdate) -> list[EndpointAddress]:
-        """The addresses of endpoints that routing may use, and of removed ones, which the pool then drops."""
+        """Returns the addresses for the pool: endpoints that routing may use, and removed ones.
+
+        The pool drops the removed ones.
+        """
         settings = self._router.settings
         return [
             address
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -1,6 +1,6 @@
 """The event loop: one thread that owns the router, the timers and all pending requests.
 
-Other threads post events to its queue. It makes no call on a socket and takes no routing decision of its own.
+Other threads post events to its queue. The loop makes no socket calls and no routing decisions of its own.
 """
 
 from __future__ import annotations
@@ -24,15 +24,17 @@
 from olivepost.router import Router
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-LATE_TIMER_AFTER: Duration = 5 * MILLISECOND  # after its due time, from which a timer counts as late
+# Delay of a timer, measured from its due time, above which it counts as late.
+LATE_TIMER_AFTER: Duration = 5 * MILLISECOND
 
 
 class EventLoop:
-    """Hosts one router: takes events and timers in turn, and has each handled.
+    """The event loop of one router: it takes events and due timers one by one and dispatches each of them.
 
-    `run` is the thread's function, and all private methods are that thread's; nothing here has a lock. Any
-    thread may call `post` and read the counts; the thread that logs metrics calls `take_queue_delays` and
-    `event_counts`. A fault in one event or timer is logged, and fails no more than the request concerned.
+    `run` is the thread's main function, and only that thread calls the private methods, so there are no
+    locks. Any thread may call `post` and read the counts. The thread that logs metrics calls
+    `take_queue_delays` and `event_counts`. An exception in one event or timer is logged, and fails at most
+    the request concerned.
     """
 
     def __init__(self, events: EventQueue, resources: EventLoopResources) -> None:
@@ -51,32 +53,32 @@
         self.activity = ThreadActivity("event-loop")
 
     def post(self, event: LoopEvent) -> None:
-        """Queues an event; never waits."""
+        """Queues an event without blocking."""
         self._events.post(event)
 
     @property
     def router(self) -> Router:
-        """The router, for reading counts alone: this loop's thread drives it."""
+        """The router. Other threads may only read its counts, because the loop's thread changes it."""
         return self._router
 
     @property
     def timer_count(self) -> int:
-        """Timers that are set, with the stale ones."""
+        """Number of timers that are set, including stale ones."""
         return len(self._timers)
 
     @property
     def pending_count(self) -> int:
-        """Requests without a final response."""
+        """Number of requests without a final response."""
         return len(self._pending)
 
     def take_queue_delays(self) -> DelayHistogram:
-        """How long the events since the last call have waited in the queue."""
+        """Returns the times that the events handled since the last call have waited in the queue."""
         delays = self._queue_delays
         self._queue_delays = DelayHistogram()
         return delays
 
     def event_counts(self) -> dict[str, int]:
-        """Events since the start, by kind."""
+        """Returns the number of events since the start, by kind."""
         return dict(self._event_counts)
 
     def run(self) -> None:
@@ -85,12 +87,12 @@
         while is_running:
             try:
                 is_running = self._run_once()
-            except Exception:  # the top of the thread on which every request depends
+            except Exception:  # every request depends on this thread, which must not end
                 self._logger.exception("event_loop_error", kind="loop")
         self._response_cache.clear()
 
     def _run_once(self) -> bool:
-        """Handles the next event and what is due; returns false where the loop has to end."""
+        """Handles the next event and all due timers; returns False if the loop has to end."""
         try:
             posted_at, event = self._next_event()
         except queue.Empty:
@@ -104,7 +106,7 @@
             return False
         try:
             self._handle(now, event)
-        except Exception:  # one event's fault must not end the loop; its request still gets a response
+        except Exception:  # it must not end the loop; the event's request still gets a response
             self._logger.exception("event_loop_error", kind=type(event).__name__)
             self._fail_request_of(event)
         self._fire_due()
@@ -113,7 +115,7 @@
     # Events
 
     def _next_event(self) -> PostedEvent:
-        """Waits for the next event; raises queue.Empty where a timer is due first."""
+        """Waits for the next event; raises `queue.Empty` if a timer or the shutdown deadline is due first."""
         timeout_s = self._time_to_next_due_s()
         self.activity.end_step()
         try:
@@ -138,7 +140,7 @@
                 self._process_events.handle(now, event)
 
     def _fail_request_of(self, event: LoopEvent) -> None:
-        """After a fault: the request concerned fails, and its attempts are cancelled."""
+        """Fails the request of an event whose handling raised an exception, and cancels its attempts."""
         exchange: Exchange | None = None
         if isinstance(event, (RequestReceived, RequestAbandoned)):
             exchange = event.exchange
@@ -150,7 +152,7 @@
     # Timers
 
     def _time_to_next_due_s(self) -> float | None:
-        """Seconds until the next timer or the shutdown deadline; None where neither is set."""
+        """Returns the seconds until the next timer or the shutdown deadline; None if neither is set."""
         due_at = self._timers.next_due_at
         shutdown_at = self._lifecycle.shutdown_at
         if shutdown_at is not None and (due_at is None or shutdown_at < due_at):
@@ -160,7 +162,7 @@
         return max(0.0, (due_at - self._clock.now()) / SECOND)
 
     def _fire_due(self) -> None:
-        """Fires what is due: the shutdown deadline first, then timers in order."""
+        """Fires the shutdown deadline, if it has passed, and then all due timers in order."""
         shutdown_at = self._lifecycle.shutdown_at
         if shutdown_at is not None:
             now = self._clock.now()
@@ -175,7 +177,7 @@
     def _finish_all(self, now: Instant) -> None:
         try:
             self._lifecycle.finish_all(now)
-        except Exception:  # the loop must go on for the requests that are left
+        except Exception:  # the loop must go on for the remaining requests
             self._logger.exception("event_loop_error", kind="shutdown")
 
     def _fire_next(self, now: Instant) -> None:
@@ -187,11 +189,11 @@
                 self._lifecycle.time_out_attempt(now, timer.timer_id)
             else:
                 self._executor.execute(self._router.handle(now, api.TimerFired(timer.timer_id)))
-        except Exception:  # a fault in one timer must not end the others
+        except Exception:  # it must not keep other timers from firing
             self._logger.exception("event_loop_error", kind="timer")
 
     def _is_live(self, timer: Timer) -> bool:
-        """Whether the timer's attempt is in flight, or the router still has the timer."""
+        """Whether the timer's attempt is still in flight, or the router still expects the timer."""
         if timer.is_attempt_timeout:
             return self._pending.attempt_of_timer(timer.timer_id) is not None
         return timer.timer_id in self._router.timers
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -1,4 +1,4 @@
-"""What the event loop works with, and the shared store as it sees it."""
+"""The parts of the proxy that the event loop uses, and its interface to the shared store."""
 
 from __future__ import annotations
 
@@ -15,13 +15,16 @@
 
 
 class SharedStore(Protocol):
-    """The shared store as the event loop sees it: no call here waits for it."""
+    """The event loop's interface to the shared store. No call waits for the store."""
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
-        """Requests a hint, which is posted as a `StoreEvent`."""
+        """Requests a hint; the answer is posted as a `StoreEvent`."""
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None, /) -> None:
-        """Releases a fill lease; `generated_at` is that of the response in Unix time, None: unknown."""
+        """Releases a fill lease.
+
+        `generated_at` is the Unix time at which the response was generated; None if it is unknown.
+        """
 
     def notify(
         self,
@@ -32,20 +35,21 @@
         | api.ReportOutlier,
         /,
     ) -> None:
-        """Passes on what concerns other proxies or the store's own records."""
+        """Passes on an event that concerns other proxies or the store's own records."""
 
     def invalidate(self, invalidation: api.Invalidation, now: Instant, /) -> None:
-        """Passes on an invalidation that service discovery has just sent."""
+        """Passes on an invalidation that service discovery has sent and that is handled at `now`."""
 
 
 @dataclass(frozen=True, slots=True)
 class EventLoopResources:
-    """One proxy's parts that its event loop drives."""
+    """The parts of one proxy that its event loop uses."""
 
     router: Router
     clock: Clock
     log: EventLog
     response_cache: ResponseCache
-    transfer_bytes_per_s: float | None  # of one transfer on the proxy's own link; None: no response cache
+    # Rate of one transfer on the proxy's own link; None if the proxy has no response cache.
+    transfer_bytes_per_s: float | None
     upstream: UpstreamPool
-    shared_store: SharedStore | None
+    shared_store: SharedStore | None  # None if the operator configures none
--- a/olivepost/proxy/event_queue.py
+++ b/olivepost/proxy/event_queue.py
@@ -1,4 +1,4 @@
-"""The event loop's queue: any thread posts, the event loop's thread takes."""
+"""The event loop's queue: any thread posts events, and the event loop's thread takes them."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class PostedEvent(NamedTuple):
-    """An event, with the time at which it was posted."""
+    """An event and the time at which it was posted."""
 
     posted_at: Instant
     event: LoopEvent
 
 
 class EventQueue:
-    """Events in the order in which they were posted. Thread-safe; its length has no bound of its own."""
+    """A first-in, first-out queue of events. It is thread-safe and has no length limit of its own."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._queue: queue.SimpleQueue[PostedEvent] = queue.SimpleQueue()
 
     def post(self, event: LoopEvent) -> None:
-        """Queues an event; never waits. Any thread may call it."""
+        """Queues an event without blocking. Any thread may call it."""
         self._queue.put(PostedEvent(self._clock.now(), event))
 
     def get(self, timeout_s: float | None) -> PostedEvent:
-        """Takes the next event; raises `queue.Empty` at the timeout. None waits for ever."""
+        """Takes the next event; raises `queue.Empty` at the timeout. A timeout of None waits forever."""
         return self._queue.get(timeout=timeout_s)
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""The exchange: all that the downstream and the upstream side know of each other."""
+"""The exchange: the only data that the downstream and the upstream side of the proxy share."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 
 
 class ResponseKind(Enum):
-    """How a request ended; the client's status code follows from it."""
+    """Outcome of a request, from which the status code for the client follows."""
 
     SERVED = "served"
     NOT_MODIFIED = "not_modified"  # the client's own copy is current
-    REJECTED = "rejected"  # a retry by the client is harmless
-    FAILED = "failed"  # with no promise about its effect
+    REJECTED = "rejected"  # the client may safely send the request again
+    FAILED = "failed"  # the request may have been executed or not
 
 
 @dataclass(slots=True)
 class Response:
-    """The final response; its last owner releases its body."""
+    """The final response to a request. Its last owner releases its body."""
 
     kind: ResponseKind
-    etag: str | None = None  # without quotes; None: the endpoint named none
+    etag: str | None = None  # without quotes; None if the endpoint sent none
     body: PooledBody | None = None
-    generated_at: Instant | None = None  # when the origin generated it; None: unknown
-    retry_after: Duration | None = None  # None: no advice
+    generated_at: Instant | None = None  # when the origin generated it; None if unknown
+    retry_after: Duration | None = None  # advice to the client; None if there is none
 
     def release(self) -> None:
         """Releases the body, if there is one."""
@@ -39,11 +39,12 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """One request as the client sent it, and the way back for its response.
+    """One request as the client sent it, and the callback that delivers its response.
 
-    It holds what the wire needs on both sides. Routing sees an `api.Request`: the event loop makes it of an
-    exchange on arrival, with the time that remains then. The downstream connection's reader thread makes the
-    exchange; the event loop closes it exactly once. `_lock` guards `is_closed`; no other field ever changes.
+    It holds the data that the protocols on both sides need. Routing uses an `api.Request` instead, which the
+    event loop creates when the exchange arrives, with the time that remains then. The downstream connection's
+    reader thread creates the exchange, and the event loop closes it exactly once. `_lock` guards `is_closed`;
+    no other field ever changes.
     """
 
     id: str
@@ -51,21 +52,23 @@
     object: str
     part: int
     group: int
-    etag: str | None  # of the client's copy, without quotes; None: none that upstream could be given
+    # Entity tag of the client's copy, without quotes; None if there is none that can be sent upstream.
+    etag: str | None
     body: bytes
-    timeout: Duration  # from `received_at`
-    received_at: Instant  # when the last byte was read
-    deliver: Callable[[Exchange, Response], None]  # gives the response to the client's connection
-    is_client_disconnected: Callable[[], bool]  # asks the client's connection; no attempt begins then
-    is_write: bool = False  # it changes the object, at the origin
-    idempotency_key: str | None = None  # by which caches know a retry, as the client gave it
+    timeout: Duration  # counted from `received_at`
+    received_at: Instant  # when the request's last byte was read
+    deliver: Callable[[Exchange, Response], None]  # passes the response to the client's connection
+    is_client_disconnected: Callable[[], bool]  # asks the client's connection; if true, no attempt is written
+    is_write: bool = False  # whether the request changes the object at the origin
+    idempotency_key: str | None = None  # the client's key, by which caches recognize a retry
     is_closed: bool = False
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def close(self, response: Response | None) -> bool:
-        """Ends the exchange, with None where the client has disconnected; true for the first call only.
+        """Ends the exchange; returns True for the first call only.
 
-        The response of a second call is released, not delivered. `deliver` is called without the lock.
+        The response is None if the client has disconnected. The response of a second call is released and not
+        delivered. `deliver` is called without holding the lock.
         """
         with self._lock:
             is_first = not self.is_closed
@@ -80,13 +83,13 @@
 
 @dataclass(slots=True)
 class RequestReceived:
-    """A client's request has been read to its end."""
+    """Event: a client's request has been read completely."""
 
     exchange: Exchange
 
 
 @dataclass(slots=True)
 class RequestAbandoned:
-    """The client has disconnected before its response."""
+    """Event: the client has disconnected before it got its response."""
 
     exchange: Exchange
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -1,6 +1,6 @@
-"""A request on the event loop: its arrival, the outcomes of its attempts, its response.
+"""The lifecycle of a request on the event loop: its arrival, the outcomes of its attempts, its response.
 
-Each step gives the router one event and has its actions carried out; no decision is taken here.
+Each step passes one event to the router and executes the actions that it returns. No decision is made here.
 """
 
 from __future__ import annotations
@@ -16,16 +16,17 @@
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# After the last response of service discovery: less than the time in which its events must take effect. Later
-# an invalidation may have been missed, and no cached response is used.
+# Time after the last response of service discovery during which cached responses may be used. It is shorter
+# than the time within which discovery events must take effect. After it, an invalidation may have been missed
+# and no cached response is used.
 DISCOVERY_VALID_FOR: Duration = 2 * SECOND
 
 
 class ExchangeLifecycle:
-    """Takes requests and attempts through their events; `PendingExchanges` holds them.
+    """Handler of the events of requests and their attempts, which `PendingExchanges` records.
 
-    Only the event loop's thread calls this. It also owns the two times that a request's arrival depends on:
-    `discovery_received_at` and `shutdown_at`.
+    Only the event loop's thread uses it. It also owns the two times that the handling of an arriving request
+    depends on: `discovery_received_at` and `shutdown_at`.
     """
 
     def __init__(
@@ -39,16 +40,17 @@
         self._upstream = resources.upstream
         self._pending = pending
         self._executor = executor
-        # When service discovery last responded; None: not since the start.
+        # Time of the last response of service discovery; None if there was none since the start.
         self.discovery_received_at: Instant | None = None
-        # When all pending requests get their final response; None: no shutdown, or that time has passed.
+        # Time at which all pending requests get their final response; None if no shutdown has begun or if
+        # that time has passed.
         self.shutdown_at: Instant | None = None
-        self._is_shut_down = False  # a request that arrives now gets its final response at once
+        self._is_shut_down = False  # if true, an arriving request gets its final response at once
 
     # Arrival and shutdown
 
     def receive(self, now: Instant, exchange: Exchange) -> None:
-        """A client's request has been read to its end."""
+        """Handles the arrival of a client's request, which has been read completely."""
         if exchange.id in self._pending:
             self._log.increment("duplicate_request_ids")
             exchange.close(Response(ResponseKind.FAILED))
@@ -58,7 +60,7 @@
         self._executor.execute(self._router.handle(now, self._router_request(now, exchange, entry)))
 
     def _router_request(self, now: Instant, exchange: Exchange, entry: CacheEntry | None) -> api.Request:
-        """The request as routing sees it: with the remaining time, and without what only the wire needs."""
+        """Builds the router's request, with the remaining time and without fields of the protocols."""
         return api.Request(
             exchange.id,
             exchange.class_name,
@@ -71,7 +73,7 @@
         )
 
     def _cache_entry(self, now: Instant, exchange: Exchange) -> CacheEntry | None:
-        """The proxy's cached response, where it has a cache and is up to date with service discovery."""
+        """Returns a request's cache entry; None without a cache or an entry, or if discovery is out of date."""
         if self._transfer_bytes_per_s is None or not self._is_discovery_current(now):
             return None
         return self._response_cache.get(exchange)
@@ -82,12 +84,12 @@
 
     def _cached_response(self, now: Instant, entry: CacheEntry) -> api.CachedResponse:
         age = max(0, now - entry.generated_at)
-        assert self._transfer_bytes_per_s is not None  # else there is no response cache
+        assert self._transfer_bytes_per_s is not None  # without this rate there is no response cache
         transfer_time = int(entry.body.length / self._transfer_bytes_per_s * SECOND)
         return api.CachedResponse(age, transfer_time)
 
     def _remaining_time(self, now: Instant, exchange: Exchange) -> Duration:
-        """What is left of the client's timeout, and during shutdown of the proxy's own time."""
+        """Returns the time left until the client's timeout or the shutdown deadline, whichever is earlier."""
         if self._is_shut_down:
             return 0
         deadline = exchange.received_at + exchange.timeout
@@ -96,7 +98,7 @@
         return max(0, deadline - now)
 
     def finish_all(self, now: Instant) -> None:
-        """The shutdown deadline has passed: every pending request gets its final response."""
+        """Ends all pending requests with a final response; called when the shutdown deadline has passed."""
         self.shutdown_at = None
         self._is_shut_down = True
         self._executor.execute(self._router.handle(now, api.Shutdown()))
@@ -104,7 +106,7 @@
     def abandon(self, now: Instant, exchange: Exchange, response: Response | None) -> None:
         """Ends a request, if it is still pending, and has the router cancel its attempts.
 
-        None in place of the response means that the client has disconnected.
+        The response is None if the client has disconnected.
         """
         pending = self._pending.of_exchange(exchange)
         if pending is not None:
@@ -114,13 +116,13 @@
     # Attempts
 
     def reroute(self, attempt: UpstreamRequest) -> None:
-        """An attempt's connection was lost before its first byte was written: another one takes it."""
+        """Forwards an attempt on another connection if its own was lost before its first byte was written."""
         if self._pending.of_attempt(attempt) is not None:
             attempt.is_rerouted = True
             self._upstream.forward(attempt)
 
     def forward_deferred(self, exchange: Exchange) -> None:
-        """An abort has been written: once none is left, the attempt that waited for it is forwarded."""
+        """Records that an abort has been written, and forwards the deferred attempt after the last one."""
         pending = self._pending.of_exchange(exchange)
         if pending is None:
             return
@@ -133,7 +135,7 @@
             self._upstream.forward(attempt)
 
     def time_out_attempt(self, now: Instant, timer_id: int) -> None:
-        """An attempt's timer has fired; where the attempt has ended before, nothing happens."""
+        """Ends an attempt whose timer has fired; has no effect if the attempt has already ended."""
         attempt = self._pending.attempt_of_timer(timer_id)
         if attempt is None:
             return
@@ -141,18 +143,19 @@
             attempt.connection.abort(attempt)
         self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.TIMED_OUT, now))
 
-    def withdraw(self, now: Instant, concerns: Callable[[UpstreamRequest], bool]) -> None:
-        """Withdraws attempts that no connection has begun to write, for the router to decide anew.
+    def withdraw(self, now: Instant, matches: Callable[[UpstreamRequest], bool]) -> None:
+        """Withdraws the matching attempts that no connection has begun to write; the router decides again.
 
-        An attempt may wait for its connection; draining and invalidations apply until its first byte.
+        An attempt may have to wait for its connection. Draining and invalidations apply to it until its first
+        byte is written.
         """
-        withdrawn = self._pending.withdraw_deferred(concerns)
-        withdrawn += self._upstream.withdraw(concerns)
+        withdrawn = self._pending.withdraw_deferred(matches)
+        withdrawn += self._upstream.withdraw(matches)
         for attempt in withdrawn:
             self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.NOT_SENT, now))
 
     def complete_attempt(self, now: Instant, event: UpstreamCompleted) -> None:
-        """Handles an attempt's outcome; the first usable response is delivered to the client at once."""
+        """Handles an attempt's outcome, and delivers the first usable response to the client at once."""
         attempt = event.request
         response = event.response
         self._pending.discard_timeout(attempt)
@@ -169,7 +172,7 @@
         self._executor.execute(actions, pending)
 
     def _record_failed_attempt(self, event: UpstreamCompleted) -> None:
-        """Counts an attempt without a response, and logs it unless the cache had only reported a miss."""
+        """Counts an attempt that did not succeed, and logs it unless the cache only reported a miss."""
         attempt = event.request
         self._log.increment(f"attempts_{event.status.name.lower()}")
         if event.status is not api.AttemptStatus.NOT_CACHED:
@@ -187,10 +190,10 @@
     def _close_with_response(
         self, now: Instant, pending: PendingExchange, event: UpstreamCompleted
     ) -> list[api.Action]:
-        """Closes the request where there is a response, and returns the router's actions on the outcome.
+        """Closes the request if there is a response, and returns the router's actions on the outcome.
 
-        The body has a second holder meanwhile: the client's side may release it before the router decides
-        whether the response is stored.
+        This method holds the body as well until it returns, because the client's connection may release it
+        before the router has decided whether to store the response.
         """
         response = event.response
         outcome = _outcome(event)
--- a/olivepost/proxy/messages.py
+++ b/olivepost/proxy/messages.py
@@ -1,7 +1,7 @@
 """Events that other threads post to the event loop.
 
-`LoopEvent` names all kinds. Those of requests, attempts and service discovery stand in the modules that post
-them; those of the shared store, memory pressure and shutdown stand here.
+`LoopEvent` is the union of all kinds. The events of requests, attempts and service discovery are defined in
+the modules that post them; those of the shared store, memory pressure and shutdown are defined here.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 
 class StopEventLoop:
-    """The last event: the event loop's thread ends."""
+    """The last event: it ends the event loop's thread."""
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownDeadline:
-    """The proxy shuts down: requests that are pending or arrive later get their final response by then."""
+    """Start of the shutdown: pending and later requests get their final response by the deadline."""
 
     deadline: Instant
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressureReport:
-    """The process is at a level of memory pressure; posted at each check while it is at one."""
+    """The process's level of memory pressure, posted at each check under pressure and when it ends."""
 
     level: api.MemoryPressureLevel
 
 
 @dataclass(slots=True)
 class StoreEvent:
-    """An event of the shared store for the router."""
+    """An event that the shared store sends to the router."""
 
     event: api.Event
 
--- a/olivepost/proxy/metrics.py
+++ b/olivepost/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Collects the fields of the log's `metrics` event."""
+"""Collection of the fields of the log's `metrics` event."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 def collect_metrics(parts: ProxyParts) -> dict[str, object]:
-    """Returns the metrics by name: queue delays since the last call, all others since the start or now.
+    """Returns the metrics by name.
 
-    The main thread calls it; what it reads may change meanwhile.
+    Queue delays cover the time since the last call; all others cover the time since the start, or are current
+    values. The main thread calls it, and other threads may change the values while it reads them.
     """
     delays = parts.event_loop.take_queue_delays()
     user_cpu_s, system_cpu_s, *_ = os.times()
@@ -49,7 +50,7 @@
 
 
 def count_descriptors() -> int:
-    """Open descriptors of this process; -1, as the metric has it, where the system does not report them."""
+    """Returns the number of open descriptors, or -1 (also in the metric) if the system does not report it."""
     try:
         return sum(1 for _ in DESCRIPTORS.iterdir())
     except OSError:
@@ -57,7 +58,7 @@
 
 
 def read_process_status() -> dict[str, int]:
-    """Threads, and the memory in use now and at its peak in KB; empty where the system reports none."""
+    """Returns the number of threads, and current and peak memory in KB; empty if the system reports none."""
     try:
         lines = PROCESS_STATUS.read_text().splitlines()
     except OSError:
--- a/olivepost/proxy/parts.py
+++ b/olivepost/proxy/parts.py
@@ -1,4 +1,4 @@
-"""The parts of one running proxy, for those that start, watch, account for and stop them."""
+"""The parts of one running proxy, for the modules that start, monitor, measure and stop them."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from olivepost.proxy.response_cache import ResponseCache
 from olivepost.proxy.upstream.pool import UpstreamPool
 
-if TYPE_CHECKING:  # the shared store is imported only where it is configured
+if TYPE_CHECKING:  # the shared store is imported only if it is configured
     from olivepost.shared_store.host import StoreHost
 
 
 @dataclass(frozen=True, slots=True)
 class ProxyParts:
-    """One proxy's parts, wired together by `wiring.build_parts`.
+    """All parts of one proxy, as `wiring.build_parts` creates and connects them.
 
-    Any thread may read the fields; each part says which of its methods that thread may call.
+    Any thread may read the fields. Each part's class documents which threads may call its methods.
     """
 
-    config: ProxyConfig  # without its known events, which `ProxyServer` holds until the start
+    config: ProxyConfig  # without `known_events`, which `ProxyServer` holds until it has started
     clock: Clock
     log: EventLog
     body_buffers: BufferPool
@@ -36,6 +36,6 @@
     upstream: UpstreamPool
     downstream: DownstreamServer
     discovery: DiscoveryClient
-    shared_store: StoreHost | None  # None: the operator's configuration has none
+    shared_store: StoreHost | None  # None if the operator configures none
     event_loop: EventLoop
     memory_monitor: MemoryMonitor
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -1,4 +1,4 @@
-"""The record of requests without a final response, and of their attempts in flight."""
+"""The table of requests without a final response, and of their attempts in flight."""
 
 from __future__ import annotations
 
@@ -20,20 +20,20 @@
     """
 
     exchange: Exchange
-    cache_entry: CacheEntry | None = None  # of the proxy's response cache, when the request arrived
-    attempts: dict[int, UpstreamRequest] = field(default_factory=dict)  # in flight, by number
-    # Aborts that are not written yet, where only one attempt may be in flight: an endpoint may still work on
-    # each of these attempts.
+    cache_entry: CacheEntry | None = None  # the response cache's entry when the request arrived
+    attempts: dict[int, UpstreamRequest] = field(default_factory=dict)  # attempts in flight, by number
+    # Number of aborts not written yet, counted only if a request may have just one attempt in flight. An
+    # endpoint may still be executing an attempt until the attempt's abort is written.
     aborts_in_flight: int = 0
-    deferred_attempt: UpstreamRequest | None = None  # the next one, which waits until these are written
-    attempt_count: int = 0  # so far; the number of the next attempt
-    generated_at: Instant | None = None  # when the origin generated its response; None: unknown
+    deferred_attempt: UpstreamRequest | None = None  # the next attempt, which waits for these aborts
+    attempt_count: int = 0  # number of attempts so far, and thereby the number of the next one
+    generated_at: Instant | None = None  # when the origin generated the response; None if unknown
 
 
 class PendingExchanges:
-    """Pending requests by id, and their attempts by timeout timer.
+    """Pending requests by id, and their attempts by the id of their timeout timer.
 
-    Only the event loop's thread calls this; another thread may read its length.
+    Only the event loop's thread uses it, but any thread may read its length.
     """
 
     def __init__(self) -> None:
@@ -47,57 +47,60 @@
         return request_id in self.by_id
 
     def get(self, request_id: str) -> PendingExchange | None:
-        """The pending request of an id."""
+        """Returns the pending request with an id; None if there is none."""
         return self.by_id.get(request_id)
 
     def expect(self, request_id: str, invariant: str) -> PendingExchange | None:
-        """The pending request of an id that must be pending, by the named invariant."""
+        """Returns the pending request with an id; if there is none, reports the invariant as violated."""
         pending = self.by_id.get(request_id)
         invariants.check(pending is not None, invariant)
         return pending
 
     def of_exchange(self, exchange: Exchange) -> PendingExchange | None:
-        """The pending request of this very exchange; an id may have been used again since."""
+        """Returns the pending request of an exchange; None if the exchange is no longer pending.
+
+        A later exchange may use the same id, so the exchange itself is compared.
+        """
         pending = self.by_id.get(exchange.id)
         if pending is None or pending.exchange is not exchange:
             return None
         return pending
 
     def of_attempt(self, attempt: UpstreamRequest) -> PendingExchange | None:
-        """The pending request that has this very attempt in flight."""
+        """Returns the pending request of an attempt; None if the attempt is no longer in flight."""
         pending = self.by_id.get(attempt.exchange.id)
         if pending is None or pending.attempts.get(attempt.number) is not attempt:
             return None
         return pending
 
     def add(self, exchange: Exchange, cache_entry: CacheEntry | None) -> None:
-        """Records a request that has just arrived."""
+        """Adds a request that has arrived."""
         self.by_id[exchange.id] = PendingExchange(exchange, cache_entry)
 
     def close(self, pending: PendingExchange, response: Response | None) -> None:
-        """Ends a request; cancelling its attempts in flight is the router's decision."""
+        """Ends a request; the router decides whether its attempts in flight are cancelled."""
         del self.by_id[pending.exchange.id]
         pending.exchange.close(response)
 
     def add_attempt(self, pending: PendingExchange, attempt: UpstreamRequest) -> None:
-        """Records an attempt in flight; its timer id is set."""
+        """Adds an attempt in flight, whose timer id must already be set."""
         pending.attempts[attempt.number] = attempt
         self._attempts_by_timer[attempt.timer_id] = attempt
 
     def attempt_of_timer(self, timer_id: int) -> UpstreamRequest | None:
-        """The attempt whose timeout has fired; None where it has ended before."""
+        """Returns the attempt that a timeout timer belongs to; None if the attempt has already ended."""
         return self._attempts_by_timer.get(timer_id)
 
     def discard_timeout(self, attempt: UpstreamRequest) -> None:
-        """An attempt has ended: its timer, when it fires, finds nothing."""
+        """Forgets the timer of an attempt that has ended, so that the timer has no effect when it fires."""
         self._attempts_by_timer.pop(attempt.timer_id, None)
 
-    def withdraw_deferred(self, concerns: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
-        """Withdraws deferred attempts, which no connection has yet."""
+    def withdraw_deferred(self, matches: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
+        """Withdraws the matching deferred attempts, which have no connection yet, and returns them."""
         withdrawn = []
         for pending in self.by_id.values():
             attempt = pending.deferred_attempt
-            if attempt is not None and concerns(attempt):
+            if attempt is not None and matches(attempt):
                 pending.deferred_attempt = None
                 withdrawn.append(attempt)
         return withdrawn
--- a/olivepost/proxy/process_events.py
+++ b/olivepost/proxy/process_events.py
@@ -1,4 +1,4 @@
-"""Events that concern the whole process, not one request: discovery, shared store, memory, shutdown."""
+"""Handler of events that concern the whole process: discovery, shared store, memory, shutdown."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ProcessEventHandler:
-    """Handles such events for the event loop. Only the event loop's thread calls this."""
+    """The event loop's handler of process-wide events. Only the event loop's thread uses it."""
 
     def __init__(
         self, resources: EventLoopResources, lifecycle: ExchangeLifecycle, executor: ActionExecutor
@@ -26,7 +26,7 @@
         self._discovery_changes = DiscoveryChanges(resources, lifecycle, executor)
 
     def handle(self, now: Instant, event: LoopEvent) -> None:
-        """Handles one event; an event of a request is ignored."""
+        """Handles one event; events of requests and attempts are ignored."""
         match event:
             case DiscoveryEvent():
                 self._discovery_changes.apply(now, event)
@@ -41,14 +41,14 @@
                 self._lifecycle.shutdown_at = event.deadline
 
     def _handle_store_event(self, now: Instant, event: api.Event) -> None:
-        """An invalidation of another proxy is applied as if service discovery had sent it."""
+        """Handles an event of the shared store; applies invalidations like those of service discovery."""
         if isinstance(event, api.Invalidation):
             self._discovery_changes.invalidate(now, event)
         else:
             self._executor.execute(self._router.handle(now, event))
 
     def _shed_memory(self, now: Instant, level: api.MemoryPressureLevel) -> None:
-        """Frees what the event loop's thread owns, as far as the level asks for."""
+        """Frees memory that the event loop's thread owns, as much as the level requires."""
         if level >= api.MemoryPressureLevel.EVICT_CACHE:
             self._response_cache.evict_half()
         if level >= api.MemoryPressureLevel.CLOSE_IDLE:
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -1,6 +1,6 @@
-"""The proxy's own response cache, in buffers of the body pool.
+"""The proxy's own response cache, whose bodies are in buffers of the body pool.
 
-The router decides what is stored and served; this module evicts.
+The router decides which responses are stored and served; this module decides which are evicted.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class CacheKey(NamedTuple):
-    """What identifies a cached response."""
+    """The fields that identify a cached response."""
 
     class_name: str
     object: str
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class CacheEntry:
-    """One cached response, which holds its body."""
+    """One cached response, as a holder of its body."""
 
     group: int
     etag: str | None
@@ -33,15 +33,15 @@
 
 
 def cache_key(exchange: Exchange) -> CacheKey:
-    """The key of the response that an exchange asks for."""
+    """Returns the key of the response that an exchange requests."""
     return CacheKey(exchange.class_name, exchange.object, exchange.part)
 
 
 class ResponseCache:
-    """Responses by key, up to a number of buffers; the least recently used is evicted first.
+    """A least-recently-used cache of responses by key, limited by the number of buffers.
 
-    Only the event loop's thread calls this; another thread may read its length. An entry is one holder of its
-    body: a response that is being written keeps the buffers after an eviction.
+    Only the event loop's thread uses it, but any thread may read its length. An entry is one holder of its
+    body: a response that is being written keeps the buffers after its entry is evicted.
     """
 
     def __init__(self, max_buffers: int) -> None:
@@ -53,14 +53,14 @@
         return len(self._entries)
 
     def get(self, exchange: Exchange) -> CacheEntry | None:
-        """The cached response to a request."""
+        """Returns the entry for a request and marks it as the most recently used; None if there is none."""
         key = cache_key(exchange)
         if key in self._entries:
             self._entries.move_to_end(key)
         return self._entries.get(key)
 
     def store(self, exchange: Exchange, response: Response) -> None:
-        """Shares a response's body, in place of an older entry.
+        """Stores a response, whose body it shares, and replaces an older entry with the same key.
 
         A response of unknown age, or larger than the whole cache, is not stored.
         """
@@ -78,20 +78,23 @@
             oldest = next(iter(self._entries))
             self._evict(oldest)
 
-    def invalidate(self, object_name: str | None, group: int | None, generated_before: Instant) -> None:
-        """Evicts what an invalidation covers and was generated no later than that instant."""
+    def invalidate(self, object_name: str | None, group: int | None, invalidated_at: Instant) -> None:
+        """Evicts entries that were generated at the invalidation or earlier.
+
+        These are the entries of the object or, if none is given, those of the group.
+        """
         for key, entry in list(self._entries.items()):
             is_covered = key.object == object_name if object_name else entry.group == group
-            if is_covered and entry.generated_at <= generated_before:
+            if is_covered and entry.generated_at <= invalidated_at:
                 self._evict(key)
 
     def evict_half(self) -> None:
-        """Evicts the less recently used half."""
+        """Evicts the less recently used half of the entries."""
         for key in list(self._entries)[: (len(self._entries) + 1) // 2]:
             self._evict(key)
 
     def clear(self) -> None:
-        """Evicts everything."""
+        """Evicts all entries."""
         for key in list(self._entries):
             self._evict(key)
 
@@ -103,7 +106,7 @@
 
 
 def response_from(exchange: Exchange, entry: CacheEntry) -> Response:
-    """The response from a cache entry, without a body where the client has the same one."""
+    """Builds the response from a cache entry, without a body if the client has the same entity tag."""
     if exchange.etag is not None and exchange.etag == entry.etag:
         return Response(ResponseKind.NOT_MODIFIED, entry.etag)
     return Response(ResponseKind.SERVED, entry.etag, entry.body.share(), entry.generated_at)
--- a/olivepost/proxy/threads.py
+++ b/olivepost/proxy/threads.py
@@ -1,4 +1,4 @@
-"""Starts threads where the system may have none for a while (`EAGAIN`)."""
+"""Thread creation with retries while the system can't create a thread (`EAGAIN`)."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import time
 from collections.abc import Callable
 
-RETRY_PAUSE_S = 0.01  # between two attempts to start a thread
-START_TIMEOUT_S = 10.0  # for parts without which the process can't serve
+RETRY_PAUSE_S = 0.01  # pause between two attempts to start a thread
+START_TIMEOUT_S = 10.0  # time limit for threads without which the process can't serve
 
 
 def start_thread(target: Callable[[], object], name: str, timeout_s: float = 0.0) -> threading.Thread:
-    """Starts a daemon thread, with retries until the timeout; then raises RuntimeError.
+    """Starts a daemon thread and retries until the timeout; raises `RuntimeError` if no attempt succeeds.
 
-    The caller owns the thread. Any thread may call it.
+    The caller owns the thread. Any thread may call this.
     """
     until = time.monotonic() + timeout_s
     while True:
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -1,4 +1,4 @@
-"""Timers of the event loop: the router's, and one for the timeout of each attempt."""
+"""Timers of the event loop: those that the router sets, and one for the timeout of each attempt."""
 
 from __future__ import annotations
 
@@ -8,47 +8,48 @@
 
 from olivepost.units import Instant
 
-# Stale timers, beyond as many as there are live ones, from which all stale ones are removed.
+# All stale timers are removed once they outnumber the live ones by more than this number.
 MAX_STALE_TIMERS = 1_024
 
 
 class Timer(NamedTuple):
-    """One timer; those that are due at one time fire in the order in which they were set."""
+    """One timer. Timers that are due at the same time fire in the order in which they were set."""
 
     due_at: Instant
-    sequence: int  # in which they were set
+    sequence: int  # position in the order in which timers were set
     timer_id: int
-    is_attempt_timeout: bool  # otherwise the router set it, under an id of its own
+    is_attempt_timeout: bool  # False: the router set it, and `timer_id` is the router's own id
 
 
 class TimerQueue:
-    """Timers by due time. Only the event loop's thread calls this.
+    """A priority queue of timers by due time. Only the event loop's thread uses it.
 
-    A timer is not cancelled: its id is ignored when it fires. Such stale timers leave the queue when they are
-    due, or once they outnumber those for which `is_live` holds.
+    Timers are not cancelled. Instead, the id of a stale timer is ignored when it fires. Stale timers leave
+    the queue when they are due, or all at once when they outnumber the timers for which `is_live` returns
+    true by more than `MAX_STALE_TIMERS`.
     """
 
     def __init__(self, is_live: Callable[[Timer], bool]) -> None:
         self._is_live = is_live
         self._heap: list[Timer] = []
         self._sequence = 0
-        self._cleaning_length = MAX_STALE_TIMERS  # of the heap, from which stale timers are removed
+        self._cleaning_length = MAX_STALE_TIMERS  # stale timers are removed when the heap grows beyond it
 
     def __len__(self) -> int:
         return len(self._heap)
 
     @property
     def next_due_at(self) -> Instant | None:
-        """When the next timer is due; None where none is set."""
+        """Time at which the next timer is due; None if no timer is set."""
         return self._heap[0].due_at if self._heap else None
 
     def new_timer_id(self) -> int:
-        """An id for an attempt's timeout, unique in this process."""
+        """Returns an id for an attempt's timeout that no other attempt of this process has."""
         self._sequence += 1
         return self._sequence
 
     def schedule(self, due_at: Instant, timer_id: int, *, is_attempt_timeout: bool = False) -> None:
-        """Sets a timer."""
+        """Sets a timer. A router's timer and an attempt timeout may have the same id."""
         self._sequence += 1
         heappush(self._heap, Timer(due_at, self._sequence, timer_id, is_attempt_timeout))
         if len(self._heap) > self._cleaning_length:
--- a/olivepost/proxy/wiring.py
+++ b/olivepost/proxy/wiring.py
@@ -1,4 +1,4 @@
-"""Makes the parts of a proxy from its configuration and wires them together; nothing listens or polls yet."""
+"""Construction and wiring of a proxy's parts by its configuration; nothing listens or polls yet."""
 
 from __future__ import annotations
 
@@ -25,72 +25,72 @@
 from olivepost.proxy.upstream.resources import UpstreamResources
 from olivepost.router import Router
 
-if TYPE_CHECKING:  # the shared store is imported only where it is configured
+if TYPE_CHECKING:  # the shared store is imported only if it is configured
     from olivepost.operator_config.model import OperatorSettings
     from olivepost.shared_store.host import StoreHost
 
 
 @dataclass(frozen=True, slots=True)
-class _Foundation:
-    """What all parts share."""
+class _CommonParts:
+    """Configuration and resources that the parts of one proxy have in common."""
 
     config: ProxyConfig
     operator: OperatorSettings | None
     clock: Clock
     log: EventLog
     events: EventQueue
-    # Separate pools, so that bodies which slow clients hold can't keep sockets from being read.
+    # The pools are separate so that bodies held for slow clients can't keep the proxy from reading sockets.
     body_buffers: BufferPool
     read_buffers: BufferPool
 
 
 def build_parts(config: ProxyConfig, operator: OperatorSettings | None, log_descriptor: int) -> ProxyParts:
-    """Makes all parts of one proxy; raises `RuntimeError` where the system has no thread for one of them."""
-    base = _build_foundation(config, operator, log_descriptor)
+    """Builds all parts of one proxy; raises `RuntimeError` if the system can't start a thread for a part."""
+    common = _build_common_parts(config, operator, log_descriptor)
     limits = config.limits
     response_cache = ResponseCache(limits.cache_buffers)
-    upstream = _build_upstream(base)
-    downstream = _build_downstream(base)
-    discovery = DiscoveryClient(config.coordinator, base.clock, base.log, base.events.post, config.seed)
+    upstream = _build_upstream(common)
+    downstream = _build_downstream(common)
+    discovery = DiscoveryClient(config.coordinator, common.clock, common.log, common.events.post, config.seed)
     discovery.max_response_bytes = limits.memory.max_discovery_response
-    shared_store = _build_shared_store(base)
+    shared_store = _build_shared_store(common)
     resources = EventLoopResources(
         Router(_router_settings(config, operator), config.seed),
-        base.clock,
-        base.log,
+        common.clock,
+        common.log,
         response_cache,
         config.transfer_bytes_per_s,
         upstream,
         shared_store,
     )
     shedder = MemoryShedder(
-        base.events.post,
+        common.events.post,
         downstream,
         limits.max_client_connections,
-        (base.body_buffers, base.read_buffers),
+        (common.body_buffers, common.read_buffers),
     )
     return ProxyParts(
-        config=base.config,
-        clock=base.clock,
-        log=base.log,
-        body_buffers=base.body_buffers,
-        read_buffers=base.read_buffers,
+        config=common.config,
+        clock=common.clock,
+        log=common.log,
+        body_buffers=common.body_buffers,
+        read_buffers=common.read_buffers,
         response_cache=response_cache,
         upstream=upstream,
         downstream=downstream,
         discovery=discovery,
         shared_store=shared_store,
-        event_loop=EventLoop(base.events, resources),
-        memory_monitor=MemoryMonitor(limits.memory.limit, base.log, shedder.shed),
+        event_loop=EventLoop(common.events, resources),
+        memory_monitor=MemoryMonitor(limits.memory.limit, common.log, shedder.shed),
     )
 
 
-def _build_foundation(
+def _build_common_parts(
     config: ProxyConfig, operator: OperatorSettings | None, log_descriptor: int
-) -> _Foundation:
+) -> _CommonParts:
     limits = config.limits
     clock = Clock()
-    return _Foundation(
+    return _CommonParts(
         config=replace(config, known_events=None),
         operator=operator,
         clock=clock,
@@ -101,41 +101,51 @@
     )
 
 
-def _build_upstream(base: _Foundation) -> UpstreamPool:
+def _build_upstream(common: _CommonParts) -> UpstreamPool:
     return UpstreamPool(
         UpstreamResources(
-            base.config.limits, base.body_buffers, base.read_buffers, base.clock, base.log, base.events.post
+            common.config.limits,
+            common.body_buffers,
+            common.read_buffers,
+            common.clock,
+            common.log,
+            common.events.post,
         )
     )
 
 
-def _build_downstream(base: _Foundation) -> DownstreamServer:
-    config = base.config
+def _build_downstream(common: _CommonParts) -> DownstreamServer:
+    config = common.config
     return DownstreamServer(
         DownstreamContext(
-            config.limits, config.settings.classes, base.read_buffers, base.clock, base.log, base.events.post
+            config.limits,
+            config.settings.classes,
+            common.read_buffers,
+            common.clock,
+            common.log,
+            common.events.post,
         )
     )
 
 
-def _build_shared_store(base: _Foundation) -> StoreHost | None:
-    """The shared store's host, where the operator configures one; otherwise its package isn't imported."""
-    sharing = base.operator.sharing if base.operator is not None else None
+def _build_shared_store(common: _CommonParts) -> StoreHost | None:
+    """Builds the shared store's host; None, without importing its package, if none is configured."""
+    sharing = common.operator.sharing if common.operator is not None else None
     if sharing is None:
         return None
     from olivepost.shared_store.host import StoreHost
 
     return StoreHost(
         sharing,
-        base.config.name,
-        base.clock,
-        base.log,
-        lambda event: base.events.post(StoreEvent(event)),
+        common.config.name,
+        common.clock,
+        common.log,
+        lambda event: common.events.post(StoreEvent(event)),
     )
 
 
 def _router_settings(config: ProxyConfig, operator: OperatorSettings | None) -> Settings:
-    """The platform's settings, with the bounds of the memory budget and the operator's store timeout."""
+    """Returns the platform's settings with the memory budget's limits and the operator's store timeout."""
     budget = config.limits.memory
     settings = replace(
         config.settings,
