--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -92,7 +92,7 @@
         self._response_cache.clear()
 
     def _run_once(self) -> bool:
-        """Handles the next event and all due timers; returns False if the loop has to end."""
+        """Handles the next event and all due timers; returns False if the loop must end."""
         try:
             posted_at, event = self._next_event()
         except queue.Empty:
@@ -106,7 +106,7 @@
             return False
         try:
             self._handle(now, event)
-        except Exception:  # it must not end the loop; the event's request still gets a response
+        except Exception:  # a failed event must not end the loop; its request still gets a response
             self._logger.exception("event_loop_error", kind=type(event).__name__)
             self._fail_request_of(event)
         self._fire_due()
@@ -189,7 +189,7 @@
                 self._lifecycle.time_out_attempt(now, timer.timer_id)
             else:
                 self._executor.execute(self._router.handle(now, api.TimerFired(timer.timer_id)))
-        except Exception:  # it must not keep other timers from firing
+        except Exception:  # a failed timer must not keep other timers from firing
             self._logger.exception("event_loop_error", kind="timer")
 
     def _is_live(self, timer: Timer) -> bool:
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -29,7 +29,7 @@
     etag: str | None = None  # without quotes; None if the endpoint sent none
     body: PooledBody | None = None
     generated_at: Instant | None = None  # when the origin generated it; None if unknown
-    retry_after: Duration | None = None  # advice to the client; None if there is none
+    retry_after: Duration | None = None  # advised delay before the client's retry; None if there is none
 
     def release(self) -> None:
         """Releases the body, if there is one."""
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -73,7 +73,7 @@
         )
 
     def _cache_entry(self, now: Instant, exchange: Exchange) -> CacheEntry | None:
-        """Returns a request's cache entry; None without a cache or an entry, or if discovery is out of date."""
+        """Returns a request's cache entry; None without a cache or entry, or if discovery is out of date."""
         if self._transfer_bytes_per_s is None or not self._is_discovery_current(now):
             return None
         return self._response_cache.get(exchange)
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -79,7 +79,7 @@
             self._evict(oldest)
 
     def invalidate(self, object_name: str | None, group: int | None, invalidated_at: Instant) -> None:
-        """Evicts entries that were generated at the invalidation or earlier.
+        """Evicts the invalidated entries that were generated at `invalidated_at` or earlier.
 
         These are the entries of the object or, if none is given, those of the group.
         """
