--- a/olivepost/proxy/__init__.py
+++ b/olivepost/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy process: threads on blocking sockets around the router."""
+"""The proxy process: the router, and the threads that serve its connections with blocking sockets."""
--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -1,4 +1,4 @@
-"""Pools of buffers of one size, and bodies in such buffers."""
+"""Pools of equally sized buffers, and bodies that are stored in them."""
 
 from __future__ import annotations
 
@@ -11,39 +11,41 @@
 
 
 class BufferPool:
-    """Buffers of one size in one memory mapping; each takes memory from its first use on.
+    """A pool of equally sized buffers in one memory mapping. A buffer occupies memory from its first use on.
 
-    The buffer that was released last is used first, so that no more of them are touched than were ever in use
-    at once; `trim` returns the memory of free buffers to the system. Thread-safe: the lock of `_released`
-    guards all other private fields and `peak`; counts may be read without it.
+    The buffer that was released last is acquired first, so that the number of buffers that occupy memory
+    never exceeds the peak of buffers in use. `trim` returns the memory of free buffers to the system.
+    Thread-safe: the lock of `_released` guards all other private fields and `peak`. Counts may be read
+    without the lock.
     """
 
     def __init__(self, capacity: int, buffer_bytes: int) -> None:
-        self.capacity = capacity  # in buffers
-        self.buffer_bytes = buffer_bytes  # of one buffer
-        self.peak = 0  # most buffers in use so far
+        self.capacity = capacity  # number of buffers
+        self.buffer_bytes = buffer_bytes  # size of one buffer
+        self.peak = 0  # largest number of buffers in use at once so far
         self._mapping = _map_privately(capacity * buffer_bytes)
-        self._free: list[memoryview] = []  # in the order in which they were released
-        self._offsets: dict[int, int] = {}  # in the mapping, of the buffers made so far, by id
+        self._free: list[memoryview] = []  # the buffer released last is at the end
+        self._offsets: dict[int, int] = {}  # offset in the mapping by id of each buffer made so far
         self._in_use: set[int] = set()
-        self._touched: set[int] = set()  # ids of buffers whose pages take memory
+        self._touched: set[int] = set()  # ids of the buffers that occupy memory
         self._waiting_threads = 0
         self._released = threading.Condition()
 
     @property
     def in_use(self) -> int:
-        """Buffers in use."""
+        """Number of buffers in use."""
         return len(self._in_use)
 
     @property
     def touched_bytes(self) -> int:
-        """Bytes of the mapping that take memory."""
+        """Size in bytes of the buffers that occupy memory."""
         return len(self._touched) * self.buffer_bytes
 
     def acquire(self, count: int, timeout_s: float = 0.0) -> list[memoryview] | None:
-        """Takes so many buffers; None where they don't come free within the timeout.
+        """Acquires `count` buffers; returns None if they do not become available within the timeout.
 
-        They are taken all at once: bodies that each had some of their buffers could wait for each other.
+        All of them are acquired at once, because two bodies that each held a part of their buffers could wait
+        for each other.
         """
         with self._released:
             if self.available < count and not self._wait_for(count, timeout_s):
@@ -61,7 +63,7 @@
 
     @property
     def available(self) -> int:
-        """Buffers that could be acquired now."""
+        """Number of buffers that can be acquired now."""
         return self.capacity - len(self._in_use)
 
     def _new_buffer(self) -> memoryview:
@@ -71,14 +73,14 @@
         return buffer
 
     def _wait_for(self, count: int, timeout_s: float) -> bool:
-        """Waits, with the lock held, until so many buffers are free; false at the timeout."""
+        """Waits until `count` buffers are available; returns False on timeout. The caller holds the lock."""
         self._waiting_threads += 1
         is_enough = self._released.wait_for(lambda: self.available >= count, timeout_s)
         self._waiting_threads -= 1
         return is_enough
 
     def release(self, buffers: list[memoryview]) -> None:
-        """Returns buffers to the pool, each once."""
+        """Returns buffers to the pool. Each acquired buffer must be released exactly once."""
         with self._released:
             for buffer in buffers:
                 if invariants.check(id(buffer) in self._in_use, "buffer_released_once"):
@@ -88,11 +90,11 @@
                 self._released.notify_all()
 
     def trim(self) -> int:
-        """Returns the memory of all free buffers to the system; returns its size in bytes."""
+        """Gives the memory of all free buffers back to the system; returns its size in bytes."""
         with self._released:
             trimmed = [buffer for buffer in self._free if id(buffer) in self._touched]
             for buffer in trimmed:
-                # Where the system keeps the pages, they still count in `touched_bytes`.
+                # If the system call fails, the pages stay and still count in `touched_bytes`.
                 with contextlib.suppress(OSError):
                     self._mapping.madvise(mmap.MADV_DONTNEED, self._offsets[id(buffer)], self.buffer_bytes)
                     self._touched.discard(id(buffer))
@@ -100,22 +102,25 @@
 
 
 def _map_privately(size_bytes: int) -> mmap.mmap:
-    """Maps memory of this process alone, without huge pages: they would take all of it at the first touch."""
+    """Maps private memory without huge pages.
+
+    With huge pages, the whole mapping would occupy memory from the first access on.
+    """
     mapping = mmap.mmap(-1, size_bytes, flags=mmap.MAP_PRIVATE | mmap.MAP_ANONYMOUS)
-    with contextlib.suppress(OSError):  # a system without huge pages
+    with contextlib.suppress(OSError):  # the system may not support huge pages
         mapping.madvise(mmap.MADV_NOHUGEPAGE)
     return mapping
 
 
 class PooledBody:
-    """Bytes in buffers of a pool, which are released once, by the last holder.
+    """A body in the buffers of a pool. Its last holder releases the buffers, exactly once.
 
-    `append` and `parts` are for one thread at a time; any holder's thread may call `share` and `release`.
-    `_lock` guards `_holders` and, at the end, `_buffers`.
+    Only one thread at a time may call `append` and `parts`; the thread of any holder may call `share` and
+    `release`. `_lock` guards `_holders` and, when the last holder releases the body, `_buffers`.
     """
 
     def __init__(self, pool: BufferPool, buffers: list[memoryview], length: int) -> None:
-        self.length = length  # in bytes
+        self.length = length  # size of the complete body in bytes
         self._pool = pool
         self._buffers = buffers
         self._filled = 0  # bytes appended so far
@@ -124,18 +129,21 @@
 
     @property
     def buffer_count(self) -> int:
-        """Buffers that the body holds."""
+        """Number of buffers that the body holds."""
         return len(self._buffers)
 
     @classmethod
     def reserve(cls, pool: BufferPool, length: int, timeout_s: float) -> PooledBody | None:
-        """Makes an empty body for so many bytes; None where the pool has no buffers within the timeout."""
+        """Returns an empty body with buffers for `length` bytes.
+
+        Returns None if the pool does not have enough buffers available within the timeout.
+        """
         buffer_count = -(-length // pool.buffer_bytes)
         buffers = pool.acquire(buffer_count, timeout_s)
         return None if buffers is None else cls(pool, buffers, length)
 
     def append(self, data: memoryview) -> None:
-        """Appends bytes, no more than were reserved."""
+        """Appends bytes; the total must not exceed the reserved length."""
         while data:
             index, start = divmod(self._filled, self._pool.buffer_bytes)
             part = data[: self._pool.buffer_bytes - start]
@@ -144,21 +152,21 @@
             data = data[len(part) :]
 
     def parts(self) -> Iterator[memoryview]:
-        """The bytes, in order."""
+        """Yields the bytes of the body in order, one buffer after another."""
         remaining = self.length
         for buffer in self._buffers:
             yield buffer[: min(remaining, len(buffer))]
             remaining -= len(buffer)
 
     def share(self) -> PooledBody:
-        """Adds a holder, who releases the body as well."""
+        """Adds a holder, which must release the body as well; returns the body."""
         with self._lock:
             if invariants.check(self._holders > 0, "shared_body_is_held"):
                 self._holders += 1
         return self
 
     def release(self) -> None:
-        """Removes a holder; the last one releases the buffers to the pool."""
+        """Removes a holder; if it was the last one, returns the buffers to the pool."""
         with self._lock:
             if not invariants.check(self._holders > 0, "body_released_once"):
                 return
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -1,4 +1,4 @@
-"""The event log, one JSON line for each event, written by a thread of its own; and the counters."""
+"""The event log, written by a separate thread as one JSON line for each event, and the counters."""
 
 from __future__ import annotations
 
@@ -16,29 +16,30 @@
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 from olivepost.units import MILLISECOND, SECOND
 
-MAX_TRACEBACK_FRAMES = 6  # the innermost ones
-MAX_SAMPLES_PER_S = 10  # lines of one sampled event; further ones are only counted
-DEFAULT_MAX_BYTES = 1_048_576  # of lines that wait to be written
-LINE_OVERHEAD_BYTES = 64  # that the queue takes for a line beside its text
-# Attempts to write to a pipe that is full and does not block, and the pause between two of them.
+MAX_TRACEBACK_FRAMES = 6  # innermost frames of a logged exception
+MAX_SAMPLES_PER_S = 10  # lines for each sampled event; further events are only counted
+DEFAULT_MAX_BYTES = 1_048_576  # limit for all lines that wait to be written
+LINE_OVERHEAD_BYTES = 64  # memory that the queue needs for a line in addition to its text
+# Attempts to write a line to a non-blocking pipe that is full, and the pause between two attempts.
 FULL_PIPE_ATTEMPTS = 100
 FULL_PIPE_PAUSE_S = 0.01
 
 
 @dataclass(slots=True)
 class SampleWindow:
-    """Lines of one sampled event within one second."""
+    """Number of sampled events of one name within one second, logged or not."""
 
-    second: int  # of the proxy's clock
+    second: int  # Unix time on the proxy's clock, in whole seconds
     lines: int = 0
 
 
 class EventLog:
-    """Events by name, and counters for what is too frequent for a line each. Thread-safe.
+    """Log of named events, with counters for what is too frequent to log each time. Thread-safe.
 
-    No caller waits for a slow or absent reader of the log: lines beyond `max_bytes` are dropped and counted.
-    No call raises: what can't be logged is counted. `_lock` guards `_counters`, `_samples` and
-    `waiting_bytes`. The constructor starts the thread, and `close` joins it.
+    No caller waits for a slow or absent reader of the log: a line is dropped and counted if more than
+    `max_bytes` would wait to be written. No method raises: an event that cannot be logged is counted. `_lock`
+    guards `_counters`, `_samples` and `waiting_bytes`. The constructor starts the thread that writes the
+    lines, and `close` joins it.
     """
 
     def __init__(
@@ -56,19 +57,23 @@
         self._thread = start_thread(self._write, "log", START_TIMEOUT_S)
 
     def event(self, name: str, **fields: object) -> None:
-        """Logs one event."""
+        """Logs an event with its fields."""
         at_ms = self._clock.now() // MILLISECOND
         line = {"at_ms": at_ms, "proxy": self._name, "event": name, **fields}
         try:
             data = orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS) + b"\n"
-        except (TypeError, ValueError):  # orjson's own error is a TypeError: a field that it can't write
+        except (TypeError, ValueError):
+            # orjson raises a subclass of TypeError for a field that it cannot serialize.
             self.increment("log_lines_dropped")
             return
         if self._reserve(len(data) + LINE_OVERHEAD_BYTES):
             self._lines.put(data)
 
     def sampled_event(self, name: str, **fields: object) -> None:
-        """Logs one event of a kind that may come with each request: only the first ones of each second."""
+        """Logs an event that may occur with every request.
+
+        Only the first `MAX_SAMPLES_PER_S` events of a name are logged in each second; the others are counted.
+        """
         second = self._clock.now() // SECOND
         with self._lock:
             window = self._samples.get(name)
@@ -88,22 +93,25 @@
         self.event(name, trace=traceback.format_exc(limit=-MAX_TRACEBACK_FRAMES), **fields)
 
     def increment(self, name: str, by: int = 1) -> None:
-        """Adds to a counter; the counters go out with the metrics."""
+        """Adds to a counter. The counters are logged with the metrics."""
         with self._lock:
             self._counters[name] += by
 
     def counters(self) -> dict[str, int]:
-        """All counters since the start."""
+        """Returns a copy of all counters, which count from the start of the log."""
         with self._lock:
             return dict(self._counters)
 
     def close(self, timeout_s: float = 1.0) -> None:
-        """Waits until what is queued is written, or until the timeout."""
+        """Waits until all queued lines are written, or until the timeout."""
         self._lines.put(None)
         self._thread.join(timeout_s)
 
     def _reserve(self, line_bytes: int) -> bool:
-        """Reserves queue space for a line; false, and the line counted as dropped, where there is none."""
+        """Reserves queue space for a line.
+
+        If there is not enough space, counts the line as dropped and returns False.
+        """
         with self._lock:
             if self.waiting_bytes + line_bytes > self._max_bytes:
                 self._counters["log_lines_dropped"] += 1
@@ -121,7 +129,7 @@
                 self.waiting_bytes -= len(line) + LINE_OVERHEAD_BYTES
 
     def _write_line(self, line: bytes) -> None:
-        """Writes a line to its end; raises OSError."""
+        """Writes a complete line; raises OSError if writing fails or a non-blocking pipe stays full."""
         remaining = memoryview(line)
         attempts = 0
         while remaining:
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -1,6 +1,6 @@
 """HTTP/1.1 message parsing and head encoding, without I/O (RFC 9112).
 
-`RequestParser` serves the downstream connections, `ResponseParser` the discovery client.
+The downstream connections use `RequestParser`, and the discovery client uses `ResponseParser`.
 """
 
 from __future__ import annotations
@@ -37,9 +37,9 @@
 
 
 class HttpError(Exception):
-    """A message that can't be accepted.
+    """Error for a message that cannot be accepted.
 
-    `status` is the status code of the response to it, `reason` says what is wrong with the message.
+    `status` is the status code of the response if the message is a request. `reason` describes the error.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -57,18 +57,18 @@
 
 
 class StatusLine(NamedTuple):
-    """The start line of a response, without its reason phrase; `status` has three digits."""
+    """The start line of a response without its reason phrase. `status` is the three-digit status code."""
 
     status: str
     version: str
 
 
 class StartLine(Protocol):
-    """What request lines and status lines have in common."""
+    """The common interface of request lines and status lines."""
 
     @property
     def version(self) -> str:
-        """`HTTP/1.0` or `HTTP/1.1`."""
+        """Protocol version: `HTTP/1.0` or `HTTP/1.1`."""
 
 
 StartLineT = TypeVar("StartLineT", bound=StartLine)
@@ -76,17 +76,17 @@
 
 @dataclass(slots=True)
 class Message(Generic[StartLineT]):
-    """A complete request or response; the names in `headers` are in lower case."""
+    """A complete request or response. The field names in `headers` are in lower case."""
 
     start_line: StartLineT
     headers: dict[str, tuple[str, ...]]
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Returns the value of a field, None where it is absent; raises HttpError where it is repeated."""
+        """Returns the value of a field, or None if it is absent; raises HttpError if it is repeated."""
         values = self.headers.get(name, ())
         if len(values) > 1:
-            raise HttpError(400, f"'{name}' is there {len(values)} times")
+            raise HttpError(400, f"field '{name}' appears {len(values)} times; at most one is allowed")
         return values[0] if values else None
 
     @property
@@ -100,22 +100,24 @@
 
 
 def parse_headers(lines: list[bytes]) -> dict[str, tuple[str, ...]]:
-    """Parses field lines into values by lower-case name, in their order; raises HttpError."""
+    """Parses field lines; returns each field's values, in order, by lower-case name. Raises HttpError."""
     headers: dict[str, tuple[str, ...]] = {}
     for line in lines:
         name, colon, value = line.partition(b":")
         if not colon or not _TOKEN.fullmatch(name) or not _FIELD_VALUE.fullmatch(value):
-            raise HttpError(400, "bad header line")
+            raise HttpError(
+                400, "malformed field line; expected a token, a colon and a value without control characters"
+            )
         key = name.decode("ascii").lower()
         headers[key] = (*headers.get(key, ()), value.strip(b" \t").decode("latin-1"))
     return headers
 
 
 class Parser(Generic[StartLineT]):
-    """Turns bytes, however they are split, into complete messages, one after another.
+    """Incremental parser that turns a stream of bytes, split at any position, into complete messages.
 
-    Not thread-safe. After a message that raised HttpError the position in the stream is unknown: the caller
-    closes the connection.
+    Not thread-safe. After an HttpError, the start of the next message in the stream is unknown, so the caller
+    must close the connection.
     """
 
     _forbidden_prefixes: ClassVar[tuple[bytes, ...]] = ()
@@ -125,37 +127,37 @@
         self._max_head_bytes = max_head_bytes
         self._max_body_bytes = max_body_bytes
         self._data = bytearray()
-        self._searched_bytes = 0  # that have no end of a head
+        self._searched_bytes = 0  # length of the prefix of `_data` that does not contain the end of a head
         self._head: Message[StartLineT] | None = None
-        self._body_length = 0  # of the message whose head is parsed
+        self._body_length = 0  # body length in bytes of the message whose head is parsed
 
     @property
     def buffered_bytes(self) -> int:
-        """Bytes received that belong to no message taken so far."""
+        """Number of received bytes that belong neither to a message taken so far nor to a parsed head."""
         return len(self._data)
 
     @property
     def is_idle(self) -> bool:
-        """Whether no byte of a next message has been received."""
+        """Whether no byte of the next message has been received."""
         return self._head is None and not self._data
 
     @property
     def expected_body_bytes(self) -> int:
-        """Body length in bytes of the message whose head is parsed; 0 where there is none."""
+        """Body length in bytes of the message whose head is parsed; 0 if no head is parsed."""
         return self._body_length if self._head is not None else 0
 
     def clear(self) -> None:
-        """Drops everything received so far."""
+        """Discards the received bytes and the parsed head, if any."""
         self._data.clear()
         self._head = None
         self._searched_bytes = 0
 
     def feed(self, data: bytes | memoryview) -> None:
-        """Adds received bytes."""
+        """Appends received bytes to the stream."""
         self._data += data
 
     def take(self) -> Message[StartLineT] | None:
-        """Returns the next message, None until it is complete; raises HttpError."""
+        """Returns the next message, or None if it is not complete yet; raises HttpError."""
         if self._head is None:
             self._parse_head()
         message = self._head
@@ -169,12 +171,14 @@
 
     def _parse_head(self) -> None:
         if self._data.startswith(self._forbidden_prefixes):
-            raise HttpError(400, "an empty line before a request")
-        # A part of the end may be among the bytes that were searched.
+            raise HttpError(400, "the request starts with CR or LF instead of a request line")
+        # The end of the head may begin in the bytes that have been searched.
         end = self._data.find(END_OF_HEAD, max(0, self._searched_bytes - len(END_OF_HEAD) + 1))
         head_bytes = end if end >= 0 else len(self._data)
         if head_bytes > self._max_head_bytes:
-            raise HttpError(431, "header block too long")
+            raise HttpError(
+                431, f"the message head has at least {head_bytes} bytes; the limit is {self._max_head_bytes}"
+            )
         if end < 0:
             self._searched_bytes = len(self._data)
             return
@@ -189,18 +193,18 @@
     def _read_body_length(self, head: Message[StartLineT]) -> int:
         if "transfer-encoding" in head.headers:
             if "content-length" in head.headers:
-                raise HttpError(400, "a length and a transfer coding")
-            raise HttpError(501, "a transfer coding")
+                raise HttpError(400, "the message has both Content-Length and Transfer-Encoding")
+            raise HttpError(501, "Transfer-Encoding is not supported")
         text = head.header("content-length")
         if text is None:
             if self._needs_length:
                 self._check_has_no_body(head)
             return 0
         if not _CONTENT_LENGTH.fullmatch(text):
-            raise HttpError(400, "bad length")
+            raise HttpError(400, f"Content-Length {text[:20]!r} is not a number of 1 to 10 decimal digits")
         length = int(text)
         if length > self._max_body_bytes:
-            raise HttpError(413, "body too long")
+            raise HttpError(413, f"Content-Length is {length} bytes; the limit is {self._max_body_bytes}")
         return length
 
     def _parse_start_line(self, line: bytes) -> StartLineT:
@@ -208,33 +212,39 @@
         raise NotImplementedError
 
     def _check_has_no_body(self, head: Message[StartLineT]) -> None:
-        """Raises HttpError where a message without a length may have a body."""
+        """Raises HttpError if a message without a Content-Length may have a body."""
 
     def _check_fields(self, head: Message[StartLineT]) -> None:
-        """Raises HttpError where fields that every message of its kind may have are invalid."""
+        """Raises HttpError if fields that any message of this kind may have are invalid."""
 
 
 class RequestParser(Parser[RequestLine]):
-    """Parses requests; one without a Content-Length has no body."""
+    """Parser of requests. A request without a Content-Length has no body."""
 
     _forbidden_prefixes = (b"\r", b"\n")
 
     def _parse_start_line(self, line: bytes) -> RequestLine:
         words = line.split(b" ")
         if len(words) != 3 or not _TOKEN.fullmatch(words[0]) or not _REQUEST_TARGET.fullmatch(words[1]):
-            raise HttpError(400, "bad request line")
+            raise HttpError(
+                400,
+                f"malformed request line {line[:40]!r}; expected a method, a target and a version",
+            )
         method, target, version_token = words
         version = VERSIONS.get(version_token)
         if version is None:
-            raise HttpError(505 if version_token.startswith(b"HTTP/") else 400, "bad version")
+            raise HttpError(
+                505 if version_token.startswith(b"HTTP/") else 400,
+                f"HTTP version {version_token[:16]!r} is not supported; expected HTTP/1.0 or HTTP/1.1",
+            )
         return RequestLine(method.decode("ascii"), target.decode("ascii"), version)
 
     def _check_fields(self, head: Message[RequestLine]) -> None:
-        head.header("host")  # at most one (RFC 9112, section 3.2)
+        head.header("host")  # raises HttpError if Host is repeated (RFC 9112, section 3.2)
 
 
 class ResponseParser(Parser[StatusLine]):
-    """Parses responses; one without a Content-Length is accepted only where its status allows no body."""
+    """Parser of responses. One without a Content-Length is accepted only if its status allows no body."""
 
     _needs_length = True
 
@@ -242,18 +252,23 @@
         words = line.split(b" ", 2)
         version = VERSIONS.get(words[0])
         if version is None or len(words) < 2 or not _STATUS_CODE.fullmatch(words[1]):
-            raise HttpError(400, "bad status line")
+            raise HttpError(
+                400,
+                f"malformed status line {line[:40]!r}; expected HTTP/1.0 or HTTP/1.1 and a status code",
+            )
         return StatusLine(words[1].decode("ascii"), version)
 
     def _check_has_no_body(self, head: Message[StatusLine]) -> None:
         if head.start_line.status not in STATUSES_WITHOUT_BODY:
-            raise HttpError(400, "a response without a length")
+            raise HttpError(
+                400, f"a response with status {head.start_line.status} must have a Content-Length"
+            )
 
 
 def response_head(status: int, length: int | None, headers: Mapping[str, str], closes: bool) -> bytes:
-    """Encodes the status line and the fields of a response.
+    """Encodes the status line and the header section of a response.
 
-    A `length` of None leaves out Content-Length; `closes` announces that the connection ends.
+    Content-Length is omitted if `length` is None. `closes` announces that the connection will be closed.
     """
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}"]
     lines.extend(f"{name}: {value}" for name, value in headers.items())
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -1,18 +1,22 @@
-"""Invariants: asserted in debug builds, counted in release builds (`python -O`)."""
+"""Checks of invariants.
+
+Violations are counted in all builds. In debug builds they also raise AssertionError; release builds
+(`python -O`) go on.
+"""
 
 from __future__ import annotations
 
 import threading
 from collections import Counter
 
-_violations: Counter[str] = Counter()  # of this process, by invariant; `_lock` guards it
+_violations: Counter[str] = Counter()  # in this process, by name of the invariant; guarded by `_lock`
 _lock = threading.Lock()
 
 
 def check(holds: bool, name: str) -> bool:
-    """Records a violation where the invariant does not hold; returns whether it holds.
+    """Counts a violation if the invariant does not hold; returns whether it holds.
 
-    Any thread may call it. Raises AssertionError in debug builds.
+    Any thread may call it. In debug builds, a violation raises AssertionError.
     """
     if not holds:
         with _lock:
@@ -22,6 +26,6 @@
 
 
 def violations() -> dict[str, int]:
-    """How often each invariant was violated since the start."""
+    """Returns the number of violations of each violated invariant since the process started."""
     with _lock:
         return dict(_violations)
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -1,4 +1,4 @@
-"""How much memory each owner in the process holds, beside what the budget allows it; for the metrics."""
+"""Memory that each owner in the process uses, and its share of the memory budget, for the metrics."""
 
 from __future__ import annotations
 
@@ -8,21 +8,24 @@
 from olivepost.config.memory_budget import INVALIDATION_BYTES, NAME_BYTES
 from olivepost.proxy.parts import ProxyParts
 
-PENDING_REQUEST_BYTES = 3_072  # of a pending request with its exchange, its attempts and their records
-TIMER_BYTES = 220  # of one timer
-ENDPOINT_BYTES = 1_536  # of an endpoint in the router and in the connection pool
+PENDING_REQUEST_BYTES = 3_072  # one pending request with its exchange, its attempts and their records
+TIMER_BYTES = 220  # one timer
+ENDPOINT_BYTES = 1_536  # one endpoint in the router and in the connection pool
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerAccount:
-    """One owner's bytes: estimated from its entries, or counted where it counts them itself."""
+    """Bytes that one owner uses and may use.
+
+    The used bytes are estimated from the number of entries, unless the owner counts its bytes itself.
+    """
 
     used_bytes: int
     allowed_bytes: int
 
 
 def memory_account(parts: ProxyParts) -> dict[str, OwnerAccount]:
-    """Returns all owners' accounts by name. Any thread may call it: it reads counts only."""
+    """Returns the accounts of all owners by name. Any thread may call it, because it only reads counts."""
     budget = parts.config.limits.memory
     loop = parts.event_loop
     state = loop.router.state
--- a/olivepost/proxy/memory_monitor.py
+++ b/olivepost/proxy/memory_monitor.py
@@ -1,6 +1,6 @@
-"""Reads the process's own memory as the platform counts it, and keeps the level of memory pressure.
+"""Monitor of the process's memory, as the platform counts it, and of the level of memory pressure.
 
-The levels are decided in `routing.memory_pressure`.
+`routing.memory_pressure` decides the level.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 from olivepost.routing import memory_pressure
 from olivepost.units import MILLISECOND, Duration
 
-STATM = "/proc/self/statm"  # sizes in pages
-STATM_READ_BYTES = 128  # more than its one line has
-RESIDENT_FIELD = 1  # index in that line of the resident set, which includes mapped files
+STATM = "/proc/self/statm"  # sizes of the process's memory, in pages
+STATM_READ_BYTES = 128  # more than the length of the file's only line
+RESIDENT_FIELD = 1  # index in that line of the resident set size, which includes mapped files
 CHECK_INTERVAL: Duration = 100 * MILLISECOND
-PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # at any level but `NONE`
+PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # interval at each level except `NONE`
 BYTES_PER_KB = 1_024
 
 
 def resident_bytes_reader() -> Callable[[], int]:
-    """Makes a function that reads the resident set in bytes, or 0 where the system does not report it.
+    """Returns a function that reads the resident set size in bytes, or 0 if the system does not report it.
 
-    Its descriptor stays open, so that reading needs none when descriptors are short.
+    The function keeps its file descriptor open, so that it still works if no further descriptors are free.
     """
     page_size = os.sysconf("SC_PAGE_SIZE")
     try:
@@ -42,9 +42,9 @@
 
 
 class MemoryMonitor:
-    """The level of memory pressure.
+    """Monitor that derives the level of memory pressure from the memory in use.
 
-    The main thread calls `check`, and `on_level` is called from there; any thread may read `level` and
+    The main thread calls `check`, which calls `on_level` on the same thread. Any thread may read `level` and
     `used_bytes`, which only `check` writes.
     """
 
@@ -64,13 +64,16 @@
 
     @property
     def interval(self) -> Duration:
-        """The time until the next check is due."""
+        """Time until the next check is due."""
         if self.level is api.MemoryPressureLevel.NONE:
             return CHECK_INTERVAL
         return PRESSURE_CHECK_INTERVAL
 
     def check(self) -> None:
-        """Reads the memory in use; reports each change of the level, and each check under pressure."""
+        """Reads the memory in use and updates the level.
+
+        Logs each change of the level. Calls `on_level` at each change and at each check under pressure.
+        """
         self.used_bytes = self.read_resident_bytes()
         previous = self.level
         self.level = memory_pressure.level_for(self.used_bytes, self._limit_bytes, previous)
--- a/olivepost/proxy/memory_shedding.py
+++ b/olivepost/proxy/memory_shedding.py
@@ -1,4 +1,4 @@
-"""Frees memory at each level of memory pressure, by calls and a message to the owners of memory."""
+"""Shedding of memory under memory pressure, by calls and a message to the owners of the memory."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class MemoryShedder:
-    """Carries out a level of memory pressure; the levels are decided in `routing.memory_pressure`.
+    """Component that frees memory according to the level that `routing.memory_pressure` decides.
 
-    Only the main thread calls it, through the memory monitor. What the event loop's thread owns (response
-    cache, upstream connections, names) is freed there, by the report that is posted.
+    Only the main thread calls it, through the memory monitor. Memory that the event loop's thread owns
+    (response cache, upstream connections, names) is freed on that thread when it handles the posted report.
     """
 
     def __init__(
@@ -31,7 +31,10 @@
         self._buffer_pools = buffer_pools
 
     def shed(self, level: api.MemoryPressureLevel) -> None:
-        """Frees what the level requires; called at each check while the process is at a level."""
+        """Frees the memory that the level requires.
+
+        Called at each check under memory pressure, and once with `NONE` when the pressure ends.
+        """
         self._post(MemoryPressureReport(level))
         limit = memory_pressure.connection_limit(level, self._max_client_connections)
         self._downstream.limit_connections(limit)
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -1,4 +1,4 @@
-"""One proxy: starts it, runs it on the main thread until a signal ends it, and reloads its configuration."""
+"""The proxy server: start, run on the main thread until a signal ends it, and configuration reload."""
 
 from __future__ import annotations
 
@@ -21,29 +21,30 @@
 from olivepost.proxy.wiring import build_parts
 from olivepost.units import SECOND, Duration, Instant
 
-if TYPE_CHECKING:  # the operator's configuration is imported only where there is one
+if TYPE_CHECKING:  # the operator's configuration is imported only if there is one
     from olivepost.operator_config.model import OperatorSettings
 
 METRICS_INTERVAL: Duration = 10 * SECOND
 STDOUT = 1
 EXIT_OK = 0
 EXIT_CANNOT_START = 1
-# Objects allocated and not freed before the collector looks for cycles; requests make hardly any cycles.
+# Number of objects allocated and not freed before the garbage collector searches for reference cycles.
+# Requests create hardly any cycles.
 GC_THRESHOLD = 20_000
-# Collections of one generation before the next older one is collected.
+# Number of collections of one generation before the next older generation is collected.
 GC_GENERATION_THRESHOLD = 20
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSource:
-    """Reads the configuration again on SIGHUP; both raise `ConfigError` where it is invalid."""
+    """Functions that read the configuration again on SIGHUP. Both raise `ConfigError` if it is invalid."""
 
     read_config: Callable[[], ProxyConfig]
     read_operator_settings: Callable[[], OperatorSettings | None]
 
 
 class ProxyServer:
-    """One proxy. The thread that makes it, a process's main thread, starts it, runs it and shuts it down."""
+    """One proxy. The main thread of a process creates it, starts it, runs it and shuts it down."""
 
     def __init__(
         self,
@@ -54,13 +55,13 @@
         wait_for_signal: WaitForSignal = wait_without_signals,
     ) -> None:
         self.parts = build_parts(config, operator, log_descriptor)
-        self._known_events = config.known_events  # dropped at the start
+        self._known_events = config.known_events  # `start` drops them
         self._operator = operator
         self._source = source or ConfigurationSource(lambda: config, lambda: operator)
         self._wait_for_signal = wait_for_signal
-        self._is_reload_due = False  # again: the last one had no thread for discovery
-        # From then on nothing depends on a coordinator, and reading a file could take until the kill; None:
-        # there is no shutdown.
+        self._is_reload_due = False  # True if the last reload had no thread for discovery
+        # Time from which reloads are ignored: nothing depends on a coordinator then, and reading a file could
+        # take until the platform kills the process. None if no shutdown has begun.
         self._reloads_until: Instant | None = None
         self._activity = ThreadActivity("main")
         stall_watch = StallWatch(
@@ -69,9 +70,9 @@
         self.parts.downstream.on_deadline_check = stall_watch.check
 
     def start(self) -> Address:
-        """Applies the known endpoint list, then listens, so that no response precedes the list.
+        """Applies the known endpoint list and then listens, so that no response precedes the list.
 
-        Returns the address that is bound; raises `OSError` where it can't be, and `RuntimeError` where the
+        Returns the bound address. Raises `OSError` if the address cannot be bound, and `RuntimeError` if the
         system has no thread for a part.
         """
         parts = self.parts
@@ -79,7 +80,7 @@
         if parts.shared_store is not None:
             parts.shared_store.start()
         parts.discovery.start(self._known_events)
-        # The decoded list is several times as large as what the endpoint tables make of it.
+        # The decoded list takes several times as much memory as the endpoint tables that are built from it.
         self._known_events = None
         address = parts.downstream.listen(parts.config.listen)
         host, port = address
@@ -87,7 +88,7 @@
         return address
 
     def run(self) -> None:
-        """Serves until a signal asks for shutdown, then returns with nothing open."""
+        """Serves until a signal requests shutdown; returns after the shutdown."""
         clock = self.parts.clock
         metrics_due_at = clock.now() + METRICS_INTERVAL
         while self._wait_until(metrics_due_at) is not SignalRequest.SHUT_DOWN:
@@ -97,15 +98,18 @@
         self.shut_down()
 
     def shut_down(self) -> None:
-        """Responds to pending requests and to those that still arrive, and closes everything."""
+        """Responds to pending requests and to those that still arrive.
+
+        Then closes the connections and stops all parts.
+        """
         shutdown = GracefulShutdown(self.parts, self._wait_until, self._log_metrics)
         self._reloads_until = shutdown.respond_by
         shutdown.run()
 
     def reload(self) -> None:
-        """Reads the configuration again; an invalid one changes nothing.
+        """Reads the configuration again; an invalid configuration changes nothing.
 
-        Where the system has no thread for discovery, it is repeated at the next check of the memory.
+        If the system has no thread for discovery, the reload is repeated at the next check of the memory.
         """
         log = self.parts.log
         self._is_reload_due = False
@@ -131,7 +135,10 @@
             log.event("reload_needs_restart", keys=keys)
 
     def _wait_until(self, until: Instant) -> SignalRequest | None:
-        """Waits for one signal until an instant; meanwhile watches the memory and carries out reloads."""
+        """Waits for one signal and returns its request; returns None at `until` if none is received.
+
+        Checks the memory and carries out reloads in the meantime.
+        """
         clock = self.parts.clock
         monitor = self.parts.memory_monitor
         while True:
@@ -140,8 +147,8 @@
             self._activity.end_step()
             request = self._wait_for_signal(max(0, check_at - now))
             self._activity.begin_step(clock.now())
-            is_reload_asked = request is SignalRequest.RELOAD or self._is_reload_due
-            if is_reload_asked and (self._reloads_until is None or clock.now() < self._reloads_until):
+            is_reload_requested = request is SignalRequest.RELOAD or self._is_reload_due
+            if is_reload_requested and (self._reloads_until is None or clock.now() < self._reloads_until):
                 self._run_guarded(self.reload, "reload_error")
             self._run_guarded(monitor.check, "memory_monitor_error")
             if request is not None or clock.now() >= until:
@@ -153,10 +160,10 @@
         self._run_guarded(lambda: log.event("metrics", **collect_metrics(self.parts)), "metrics_error")
 
     def _run_guarded(self, step: Callable[[], None], error_event: str) -> None:
-        """Carries out a step of the main thread, and logs what it raises."""
+        """Runs a step of the main thread and logs the exception that it raises, if any."""
         try:
             step()
-        except Exception:  # the main thread's top: its end would leave all pending requests unanswered
+        except Exception:  # if the main thread ended, all pending requests would stay unanswered
             self.parts.log.exception(error_event)
 
 
@@ -179,22 +186,25 @@
     except RuntimeError as error:
         print(f"olivepost: can't start: {error}", file=sys.stderr)
         return EXIT_CANNOT_START
-    del config  # with the known events, which `ProxyServer.start` has dropped as well
+    del config  # frees the known events, which `ProxyServer.start` has dropped as well
     _tune_garbage_collection()
     proxy.run()
     return EXIT_OK
 
 
 def register_thread_dump() -> None:
-    """Has SIGUSR1 write to standard error where each thread is; without standard error it has no effect."""
+    """Makes SIGUSR1 write the stacks of all threads to standard error.
+
+    The signal has no effect if the process has no standard error.
+    """
     try:
         faulthandler.register(signal.SIGUSR1)
     except (RuntimeError, OSError, ValueError):
-        signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # else it would end the process
+        signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # the default action ends the process
 
 
 def _tune_garbage_collection() -> None:
-    """Collects the garbage of the start, excludes surviving objects from collection, and makes it rarer."""
+    """Collects the garbage of the start, makes collections rarer and exempts surviving objects from them."""
     gc.collect()
     gc.set_threshold(GC_THRESHOLD, GC_GENERATION_THRESHOLD, GC_GENERATION_THRESHOLD)
     gc.freeze()
--- a/olivepost/proxy/shutdown.py
+++ b/olivepost/proxy/shutdown.py
@@ -1,8 +1,8 @@
 """Graceful shutdown: requests that arrive after SIGTERM are accepted and answered, then everything closes.
 
-After SIGTERM the platform waits for the longest deadline, three seconds at most, and for as long as clients
-may still connect, before it kills the process. Every pending request gets its final response some time before
-that, and the process exits.
+After SIGTERM, the platform waits before it kills the process: for the longest deadline of a request class,
+three seconds at most, plus the time in which clients may still connect. Every pending request gets its final
+response before the kill, and the process exits before it.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 from olivepost.proxy.parts import ProxyParts
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# After SIGTERM for which clients still connect and send; a busy proxy has to read all of it.
+# Time after SIGTERM in which clients still connect and send requests. A busy proxy has to read all of them.
 ACCEPT_FOR: Duration = 700 * MILLISECOND
-# The platform waits for the longest deadline of a class, but no longer than this.
+# The platform waits for the longest deadline of a request class, but for no longer than this.
 MAX_DEADLINE: Duration = 3 * SECOND
-# Between the moment at which every final response is given to its connection, to be written, and the kill.
+# Time before the kill at which every final response has been given to its connection, which then writes it.
 RESPONSE_MARGIN: Duration = 250 * MILLISECOND
-# Between the moment at which the process begins to exit and the kill.
+# Time before the kill at which the process begins to exit.
 EXIT_MARGIN: Duration = 100 * MILLISECOND
-# Between the moment at which the process ends, whatever its parts still wait for, and the kill.
+# Time before the kill at which the process ends, even if some of its parts still wait.
 END_MARGIN: Duration = 70 * MILLISECOND
-# That clients have to close their connections after their last response.
+# Time for clients to close their connections after their last response.
 CLIENT_CLOSE_S = 1.0
-# For the threads of the shared store, and for the log's last lines; less where the end is near.
+# Timeouts for the threads of the shared store to end and for the last lines of the log to be written. Both
+# are shortened if less time remains until the end.
 STORE_CLOSE_TIMEOUT_S = 1.0
 LOG_CLOSE_TIMEOUT_S = 1.0
-# Between two checks whether all clients have closed.
+# Time between two checks of whether all clients have closed their connections.
 CHECK_INTERVAL: Duration = 10 * MILLISECOND
 
 
 @dataclass(frozen=True, slots=True)
 class ShutdownSchedule:
-    """The times of one graceful shutdown, on the proxy's clock."""
+    """Times of one graceful shutdown, on the proxy's clock."""
 
     accept_until: Instant
     respond_by: Instant
@@ -46,7 +47,10 @@
 
     @classmethod
     def from_start(cls, started_at: Instant, longest_deadline: Duration) -> ShutdownSchedule:
-        """The schedule of a shutdown that starts now; the deadline is that of the slowest class."""
+        """Returns the schedule of a shutdown that starts at `started_at`.
+
+        `longest_deadline` is the deadline of the slowest request class.
+        """
         killed_at = started_at + min(longest_deadline, MAX_DEADLINE) + ACCEPT_FOR
         return cls(
             accept_until=started_at + ACCEPT_FOR,
@@ -57,10 +61,10 @@
 
 
 class GracefulShutdown:
-    """One proxy's shutdown; the main thread makes it after SIGTERM and runs it once.
+    """The shutdown of one proxy. The main thread creates it after SIGTERM and runs it once.
 
-    `wait_until` waits for signals until an instant; it still carries out a reload, and a second SIGTERM
-    changes nothing. `log_metrics` writes the last `metrics` event.
+    `wait_until` waits for signals until an instant. It still carries out a reload, and a second SIGTERM has
+    no effect. `log_metrics` logs the last `metrics` event.
     """
 
     def __init__(
@@ -79,11 +83,14 @@
 
     @property
     def respond_by(self) -> Instant:
-        """When every pending request gets its final response; no attempt begins afterwards."""
+        """Time at which every pending request gets its final response. No attempt begins after it."""
         return self._schedule.respond_by
 
     def run(self) -> None:
-        """Returns with nothing open and the log written."""
+        """Runs all steps of the shutdown.
+
+        Returns when all clients are gone and the log is written, or when the time for these steps is over.
+        """
         self._log_connections("draining")
         self._drain()
         open_connections = self._stop_accepting()
@@ -98,14 +105,17 @@
         )
 
     def _drain(self) -> None:
-        """Goes on accepting; health checks fail, and every response closes its connection."""
+        """Continues to accept connections until `accept_until`.
+
+        Meanwhile, health checks fail, and every response closes its connection.
+        """
         self._downstream.drain()
         self._parts.event_loop.post(ShutdownDeadline(self._schedule.respond_by))
         while self._clock.now() < self._schedule.accept_until:
             self._wait_until(self._schedule.accept_until)
 
     def _stop_accepting(self) -> list[ConnectionLifecycle]:
-        """Closes idle connections and the listener; returns the connections that were in use."""
+        """Closes idle connections and the listener; returns the connections that are in use."""
         open_connections = self._downstream.close_idle()
         self._downstream.stop_accepting(min(ACCEPT_STOP_TIMEOUT_S, self._remaining_s(self._schedule.exit_by)))
         return open_connections
@@ -113,7 +123,8 @@
     def _wait_for_clients(self, open_connections: list[ConnectionLifecycle]) -> None:
         """Waits for pending responses, and then up to `CLIENT_CLOSE_S` for the clients to close.
 
-        `open_connections` are closed as they become idle: their last response may not have announced it.
+        Each of `open_connections` is closed when it becomes idle, because its last response may not have
+        announced the close. The wait ends at `exit_by` at the latest.
         """
         closed_by = self._clock.now() + int(CLIENT_CLOSE_S * SECOND)
         while self._downstream.open_count and self._clock.now() < self._schedule.exit_by:
@@ -127,7 +138,10 @@
             ]
 
     def _stop_parts(self) -> None:
-        """Stops the other parts; each gets what is left of the time until the end, the log the last half."""
+        """Stops the other parts within the time that remains until the end.
+
+        The shared store gets at most half of that time, so that the other half remains for the log.
+        """
         parts = self._parts
         end_by = self._schedule.end_by
         parts.discovery.stop()
--- a/olivepost/proxy/signals.py
+++ b/olivepost/proxy/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the process: what each asks of the proxy, and how the main thread waits for them."""
+"""Signals of the process: their meaning for the proxy, and the wait of the main thread for them."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 from olivepost.units import SECOND, Duration
 
-WAKEUP_READ_BYTES = 4_096  # one byte for each signal that waits
+WAKEUP_READ_BYTES = 4_096  # the pipe has one byte for each signal received since the last read
 
 
 class SignalRequest(Enum):
-    """What a signal asks of the proxy."""
+    """The action that a signal requests from the proxy."""
 
     RELOAD = "reload"
     SHUT_DOWN = "shut down"
 
 
 WaitForSignal = Callable[[Duration], SignalRequest | None]
-"""Waits for a signal up to a timeout; None where none was received."""
+"""A function that waits for a signal up to a timeout and returns None if none was received."""
 
 REQUESTS = {
     signal.SIGHUP: SignalRequest.RELOAD,
@@ -34,11 +34,11 @@
 
 
 class SignalListener:
-    """Receives the process's signals; the main thread makes it, and also waits.
+    """Receiver of the process's signals. The main thread creates it and also waits on it.
 
-    The system delivers a signal to any thread of the process, which need not wake the main thread. So the
-    interpreter writes a byte to a pipe for each, on which the main thread waits. The pipe stays open
-    until the process exits.
+    The system may deliver a signal to any thread of the process, and this does not always wake the main
+    thread. So the interpreter writes a byte to a pipe for each signal, and the main thread waits on this
+    pipe. The pipe stays open until the process exits.
     """
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         self._received.add(REQUESTS[signal.Signals(number)])
 
     def wait(self, timeout: Duration) -> SignalRequest | None:
-        """The next signal's request; None where none is received within the timeout."""
+        """Returns the request of the next signal, or None if none is received within the timeout."""
         until = time.monotonic_ns() + timeout
         while not self._received:
             remaining = until - time.monotonic_ns()
@@ -67,5 +67,5 @@
 
 
 def wait_without_signals(timeout: Duration) -> None:
-    """Waits without receiving signals: for a proxy in a process whose signals are not its own."""
+    """Waits without receiving signals, for a proxy in a process whose signals belong to other code."""
     threading.Event().wait(timeout / SECOND)
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -1,7 +1,7 @@
 """Blocking sockets of the proxy: options, timeouts, and calls that several of its parts need.
 
-Several threads may use one socket, as the kernel allows; none of these functions keeps state. Each
-raises the system's `OSError` unless it says otherwise.
+Several threads may use one socket, as the kernel allows. These functions keep no state. Each of them raises
+the system's `OSError` unless its docstring says otherwise.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 ResultT = TypeVar("ResultT")
 
-# Errors by which the system reports a shortage of memory, which may be over at the next call.
+# Errors that report a shortage of memory in the system. The next call may succeed.
 SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
-SHORTAGE_ATTEMPTS = 20  # of a call that such an error ends
-SHORTAGE_PAUSE_S = 0.005  # between two of these attempts
-PEEK_ATTEMPTS = 3  # of a look at a socket, which pauses for nothing
-# Errors of connecting that this machine causes, and that indicate nothing about the remote side.
+SHORTAGE_ATTEMPTS = 20  # attempts of a call that fail with such an error before the last attempt
+SHORTAGE_PAUSE_S = 0.005  # pause after each of these attempts
+PEEK_ATTEMPTS = 3  # attempts of `peek`, without a pause between them
+# Connect errors that this machine causes and that say nothing about the remote side.
 LOCAL_FAILURES = (*SHORTAGES, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EAGAIN)
 
-# Of a listener, the field `tcpi_unacked` of the kernel's `struct tcp_info` is the length of its accept queue.
+# For a listener, the field `tcpi_unacked` of the kernel's `struct tcp_info` is the accept queue's length.
 ACCEPT_QUEUE_FIELD = struct.Struct("I")
 ACCEPT_QUEUE_OFFSET = 24
 TCP_INFO_BYTES = ACCEPT_QUEUE_OFFSET + ACCEPT_QUEUE_FIELD.size
@@ -39,27 +39,31 @@
 
 
 def set_send_buffer(sock: socket.socket, size_bytes: int) -> None:
-    """Requests a send buffer of a size; one that holds a whole body lets most writes end at once."""
+    """Requests a send buffer of a size. If it holds a whole body, most writes return without waiting."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size_bytes)
 
 
 def configure(sock: socket.socket, receive_timeout: Duration, send_timeout: Duration) -> None:
-    """Sets both timeouts of a blocking socket, 0: none, and has small writes sent at once.
+    """Sets both timeouts of a blocking socket and makes it send small writes at once.
 
-    These are the kernel's timeouts: the two threads of one socket can wait for different times.
+    A timeout of 0 means no timeout. The kernel applies the timeouts (SO_RCVTIMEO and SO_SNDTIMEO), so the two
+    threads of one socket can wait for different times.
     """
-    _retry_while_short(lambda: sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1))
+    _retry_on_shortage(lambda: sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1))
     set_receive_timeout(sock, receive_timeout)
-    _retry_while_short(lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _timeval(send_timeout)))
+    _retry_on_shortage(lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDTIMEO, _timeval(send_timeout)))
 
 
 def set_receive_timeout(sock: socket.socket, timeout: Duration) -> None:
-    """Sets how long the next read waits at most; 0: for ever."""
-    _retry_while_short(lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, _timeval(timeout)))
+    """Sets how long each later read waits at most; 0 means no limit."""
+    _retry_on_shortage(lambda: sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVTIMEO, _timeval(timeout)))
 
 
 def accept_queue_length(listener: socket.socket) -> int:
-    """Connections that the kernel has accepted and the process has not; 0 where the system doesn't tell."""
+    """Returns the number of connections that the kernel has accepted and the process has not.
+
+    Returns 0 if the system does not report it.
+    """
     try:
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         (length,) = ACCEPT_QUEUE_FIELD.unpack_from(info, ACCEPT_QUEUE_OFFSET)
@@ -69,23 +73,26 @@
 
 
 def _timeval(timeout: Duration) -> bytes:
-    """A timeout as the kernel's `struct timeval`, rounded up, since 0 means for ever there."""
+    """Returns a timeout as the kernel's `struct timeval`, rounded up because 0 means no timeout there."""
     microseconds = -(-timeout // NANOSECONDS_PER_MICROSECOND)
     seconds, remainder = divmod(microseconds, MICROSECONDS_PER_SECOND)
     return struct.pack("ll", seconds, remainder)
 
 
 class PeekResult(Enum):
-    """What a look at a socket's received bytes shows."""
+    """The result of a peek at a socket's received bytes."""
 
     UNREAD_BYTES = "received bytes wait to be read"
-    NO_BYTES = "none, and the connection is open"
-    ENDED = "none, and the remote side has closed or reset the connection"
+    NO_BYTES = "no received bytes, and the connection is open"
+    ENDED = "no received bytes, and the remote side has closed or reset the connection"
     UNKNOWN = "the system was short of memory"
 
 
 def peek(sock: socket.socket) -> PeekResult:
-    """Looks at what the socket has received, without any pause: callers hold locks that others need."""
+    """Checks whether the socket has received bytes, without reading them.
+
+    It never waits, because callers hold locks that other threads need.
+    """
     for _ in range(PEEK_ATTEMPTS):
         try:
             has_bytes = bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
@@ -100,7 +107,7 @@
 
 
 def has_nothing_unread(sock: socket.socket) -> bool:
-    """Whether it is known that no received bytes wait to be read."""
+    """Whether it is certain that no received bytes wait to be read."""
     result = peek(sock)
     if result is PeekResult.UNKNOWN:
         return _polled_events(sock, select.POLLIN) == 0
@@ -108,7 +115,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the remote side has ended the connection, with nothing left to read as far as is known."""
+    """Whether the remote side has closed the connection and no bytes are known to be left to read."""
     result = peek(sock)
     if result is PeekResult.UNKNOWN:
         return bool(_polled_events(sock, select.POLLRDHUP))
@@ -116,9 +123,10 @@
 
 
 def _polled_events(sock: socket.socket, events: int) -> int | None:
-    """Which of the events hold now, by a call that takes no memory for bytes; None where it fails as well.
+    """Returns those of the events that hold now, or None if the system call fails.
 
-    It also fails for a socket that its own thread has closed meanwhile.
+    The call needs no memory for received bytes, so it may succeed when `peek` does not. It fails for a socket
+    that its own thread has closed in the meantime.
     """
     poller = select.poll()
     try:
@@ -130,34 +138,48 @@
 
 
 def wait_readable(sock: socket.socket) -> bool:
-    """Waits until there are bytes, and reads none; false where the remote side has closed its direction.
+    """Waits until bytes can be read, without reading them.
 
-    An accepted socket has its listener's receive timeout, which `configure` may have failed to remove.
+    Returns False if the remote side has closed its direction of the connection. A receive timeout does not
+    end the wait: an accepted socket inherits its listener's timeout, which `configure` may have failed to
+    remove.
     """
     while True:
         try:
-            return bool(_retry_while_short(lambda: sock.recv(1, socket.MSG_PEEK)))
+            return bool(_retry_on_shortage(lambda: sock.recv(1, socket.MSG_PEEK)))
         except BlockingIOError:
             continue
 
 
 def receive(sock: socket.socket, buffer: memoryview) -> int:
-    """Receives into a buffer, up to the receive timeout (BlockingIOError); 0 at the connection's end."""
-    return _retry_while_short(lambda: sock.recv_into(buffer))
+    """Receives bytes into a buffer; returns their number, which is 0 at the end of the connection.
+
+    Raises BlockingIOError at the receive timeout.
+    """
+    return _retry_on_shortage(lambda: sock.recv_into(buffer))
 
 
 def send(sock: socket.socket, data: memoryview) -> int:
-    """Sends what the system takes, up to the send timeout (BlockingIOError); returns how much that was."""
-    return _retry_while_short(lambda: sock.send(data))
+    """Sends as many bytes as the system accepts; returns their number.
+
+    Raises BlockingIOError at the send timeout.
+    """
+    return _retry_on_shortage(lambda: sock.send(data))
 
 
 def receive_at_once(sock: socket.socket, buffer: memoryview) -> int:
-    """Receives the bytes that are there without waiting; BlockingIOError where there are none."""
-    return _retry_while_short(lambda: sock.recv_into(buffer, 0, socket.MSG_DONTWAIT))
+    """Receives available bytes without waiting; returns their number, which is 0 at the connection's end.
+
+    Raises BlockingIOError if there are none.
+    """
+    return _retry_on_shortage(lambda: sock.recv_into(buffer, 0, socket.MSG_DONTWAIT))
+
 
+def _retry_on_shortage(call: Callable[[], ResultT]) -> ResultT:
+    """Repeats a call that fails with a shortage of memory, which leaves the connection unchanged.
 
-def _retry_while_short(call: Callable[[], ResultT]) -> ResultT:
-    """Repeats a call that fails by a shortage of memory, which leaves the connection as it was."""
+    Raises the error of the last attempt.
+    """
     for _ in range(SHORTAGE_ATTEMPTS):
         try:
             return call()
@@ -187,14 +209,15 @@
 def send_buffers(
     sock: socket.socket, parts: Iterable[bytes | memoryview], flags: int = 0
 ) -> list[memoryview]:
-    """Writes all parts, in as few calls as the kernel allows.
+    """Sends all parts in as few calls as the kernel allows.
 
-    With MSG_DONTWAIT, returns what was not written at once. Without it, all is written, or an error raised.
+    With the flag MSG_DONTWAIT, returns the bytes that could not be sent at once. Without it, either sends all
+    bytes or raises an error.
     """
     remaining = [memoryview(part) for part in parts if part]
     while remaining:
         try:
-            sent = _retry_while_short(lambda: sock.sendmsg(remaining, [], flags))
+            sent = _retry_on_shortage(lambda: sock.sendmsg(remaining, [], flags))
         except BlockingIOError:
             if not flags:
                 raise
@@ -204,7 +227,7 @@
 
 
 def _remove_sent(remaining: list[memoryview], sent: int) -> None:
-    """Removes the first `sent` bytes of the buffers."""
+    """Removes the first `sent` bytes from the buffers."""
     while remaining and sent >= len(remaining[0]):
         sent -= len(remaining.pop(0))
     if remaining:
@@ -212,6 +235,6 @@
 
 
 def shutdown(sock: socket.socket, how: int = socket.SHUT_RDWR) -> None:
-    """Shuts down a connection, also for a thread that reads it; never raises."""
+    """Shuts down a connection, which also wakes a thread that reads from it; never raises."""
     with contextlib.suppress(OSError):
         sock.shutdown(how)
--- a/olivepost/proxy/stall_watch.py
+++ b/olivepost/proxy/stall_watch.py
@@ -1,4 +1,4 @@
-"""Notices a thread that others depend on and that handles one step for seconds, and logs where it is."""
+"""Detection of threads that others depend on and that spend seconds on one step; logs their stacks."""
 
 from __future__ import annotations
 
@@ -11,46 +11,46 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-STALLED_AFTER: Duration = 3 * SECOND  # in one step; the thread waits for its next one far sooner
-MAX_STACK_FRAMES = 12  # the innermost ones
+STALLED_AFTER: Duration = 3 * SECOND  # time in one step; a thread normally needs far less
+MAX_STACK_FRAMES = 12  # innermost frames of a logged stack
 
 
 class ThreadActivity:
-    """What one thread does: a step since some instant, or nothing.
+    """Activity of one thread: either a step that began at a known time, or the wait for the next step.
 
     The thread itself calls `begin_step` and `end_step`; any thread may read the fields.
     """
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.thread_id: int | None = None  # None: the thread has begun no step yet
-        self.busy_since: Instant | None = None  # None: it waits for its next step
+        self.thread_id: int | None = None  # None until the thread begins its first step
+        self.busy_since: Instant | None = None  # None while it waits for its next step
 
     def begin_step(self, now: Instant) -> None:
-        """The thread has something to do from now on."""
+        """Records that the thread begins a step."""
         if self.thread_id is None:
             self.thread_id = threading.get_ident()
         self.busy_since = now
 
     def end_step(self) -> None:
-        """The thread waits for its next step."""
+        """Records that the thread waits for its next step."""
         self.busy_since = None
 
 
 class StallWatch:
-    """Logs each step that takes too long once, with the thread's stack. One thread calls `check`."""
+    """Watch that logs each step that takes too long, once and with the stack. One thread calls `check`."""
 
     def __init__(self, clock: Clock, log: EventLog, activities: Sequence[ThreadActivity]) -> None:
         self._clock = clock
         self._log = log
         self._activities = activities
-        self._reported_steps: dict[str, Instant] = {}  # when the last step that was logged began, by thread
+        self._reported_steps: dict[str, Instant] = {}  # start of the last logged step, by thread name
 
     def check(self) -> None:
-        """Logs `thread_stalled` for each thread that is in one step for too long."""
+        """Logs `thread_stalled` for each thread whose current step takes too long."""
         now = self._clock.now()
         for activity in self._activities:
-            busy_since = activity.busy_since  # the thread may end the step meanwhile
+            busy_since = activity.busy_since  # read once, because the thread may end its step
             if busy_since is None or now - busy_since < STALLED_AFTER:
                 continue
             if self._reported_steps.get(activity.name) == busy_since:
@@ -66,7 +66,7 @@
 
 
 def _stack_of(thread_id: int | None) -> list[str]:
-    """The innermost frames of a thread, as `file:line function`; empty where it has ended."""
+    """Returns the innermost frames of a thread as `file:line function`; empty if the thread has ended."""
     frame = None if thread_id is None else sys._current_frames().get(thread_id)
     if frame is None:
         return []
