--- a/olivepost/proxy/upstream/__init__.py
+++ b/olivepost/proxy/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Upstream side of the proxy: endpoint pool, connections to caches, parents and the origin, line protocol."""
+"""Upstream side of the proxy: endpoint pool, line protocol, connections to caches, parents and the origin."""
--- a/olivepost/proxy/upstream/command.py
+++ b/olivepost/proxy/upstream/command.py
@@ -1,4 +1,4 @@
-"""Fields of a `fetch` command, from what routing decided for an attempt."""
+"""Fields of a `fetch` command, taken from an exchange and from the router's decision about an attempt."""
 
 from __future__ import annotations
 
@@ -6,13 +6,16 @@
 from olivepost.proxy.exchange import Exchange
 from olivepost.units import MILLISECOND
 
-MIN_DURATION_MS = 1  # 0 stands for the class's freshness lifetime in `within` and for no wait in `ttl`
+# Shorter durations are sent as 1 ms, because 0 has a special meaning on the wire: the class's freshness
+# lifetime in `within`, and no wait in `ttl`.
+MIN_DURATION_MS = 1
 
 
 def command_fields(exchange: Exchange, attempt: api.ForwardAttempt) -> dict[str, str]:
-    """Returns the fields of an attempt's `fetch` command, in the order of the wire.
+    """Returns the fields of an attempt's `fetch` command, in the order in which they are sent.
 
-    Durations are cut to whole milliseconds, so that no wait and no response's age is longer than decided.
+    Durations are rounded down to whole milliseconds, but not to 0. The rounding down keeps waits and the ages
+    of responses within the limits that the router decided.
     """
     fields = {"lane": exchange.class_name, "name": exchange.object, "piece": str(exchange.part)}
     fields["ttl"] = str(max(MIN_DURATION_MS, attempt.timeout // MILLISECOND))
@@ -32,6 +35,7 @@
 
 
 def _flags(attempt: api.ForwardAttempt) -> str:
+    """Returns the value of the field `f`; an empty string if no flag is set."""
     if attempt.collapse_fills and attempt.refresh:
         return "join+renew"
     if attempt.collapse_fills:
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -1,4 +1,4 @@
-"""How an upstream request ended: by its endpoint's complete response, or with its connection."""
+"""Outcomes of upstream requests that ended with a complete response or with the loss of their connection."""
 
 from __future__ import annotations
 
@@ -30,20 +30,20 @@
     "FAULT": api.AttemptStatus.ERROR,
     "LATE": api.AttemptStatus.NOT_SENT,
 }
-MAX_TIMESTAMP_DIGITS = 15  # of `issued`, in Unix milliseconds; today's have 13
+MAX_TIMESTAMP_DIGITS = 15  # limit for `issued`, a Unix time in milliseconds; current times have 13 digits
 
 
 def completed_from_response(
     request: UpstreamRequest, line: ResponseLine, clock: Clock, log: EventLog
 ) -> UpstreamCompleted:
-    """Returns how a request ended, by its response's line and the body read for it."""
+    """Returns the outcome of a request, based on its response line and the body that was read for it."""
     cache_status = CACHE_STATUSES.get(line.fields.get("why", ""), api.CacheStatus.UNKNOWN)
     completed_at = clock.now()
     response = _response(request, line, clock, completed_at)
     if response is not None:
         status = api.AttemptStatus.OK
     elif request.is_missing_buffers:
-        status = api.AttemptStatus.CANCELLED  # the proxy lacked buffers: the endpoint is not at fault
+        status = api.AttemptStatus.CANCELLED  # the proxy had no free buffers; the endpoint is not at fault
     elif line.status in FAILURE_STATUSES:
         status = FAILURE_STATUSES[line.status]
     else:
@@ -57,8 +57,8 @@
 ) -> Iterator[UpstreamEvent]:
     """Yields the outcomes of the requests that were pending on a connection when it ended.
 
-    A request that has not begun is forwarded again, once; the first of the others counts as the connection's
-    loss.
+    If the connection was established, a request whose first byte was not written is forwarded again, but only
+    once. Each other request ends, and only the first of them counts as the loss of the connection.
     """
     is_repeated_loss = False
     for request in requests:
@@ -78,21 +78,21 @@
 def _response(
     request: UpstreamRequest, line: ResponseLine, clock: Clock, completed_at: Instant
 ) -> Response | None:
-    """Returns the response for the client; None where the endpoint served none."""
+    """Returns the response for the client; None if the endpoint served none."""
     etag = line.fields.get("entity") or None
     if line.status == "HIT" and request.body is not None:
         generated_at = _generated_at(line.fields.get("issued", ""), clock, completed_at)
         return Response(ResponseKind.SERVED, etag, request.body, generated_at)
-    # Only the response that the client has cached, by its tag, may be reported as not modified.
+    # Only the response that the client has cached, as its entity tag shows, may be reported as not modified.
     if line.status == "VALID" and etag is not None and etag == request.exchange.etag:
         return Response(ResponseKind.NOT_MODIFIED, etag)
     return None
 
 
 def _generated_at(issued: str, clock: Clock, completed_at: Instant) -> Instant | None:
-    """Returns the field's time on this clock; None where it is missing, malformed or 0.
+    """Returns the time in the field `issued` on this process's clock; None if it is missing, malformed or 0.
 
-    No response was generated after it was received: a later time shows how far this clock is behind.
+    A response can't be generated after it was received, so a later time shows how far this clock is behind.
     """
     is_timestamp = issued.isascii() and issued.isdigit() and len(issued) <= MAX_TIMESTAMP_DIGITS
     if not is_timestamp:
--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -1,4 +1,4 @@
-"""An upstream connection as the event loop uses it: it accepts requests, gives them up and drains."""
+"""Upstream connection as the event loop uses it: it accepts requests, aborts them and drains."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 class UpstreamConnection:
-    """One connection to an endpoint. The event loop's thread alone calls it, and no method blocks.
+    """One connection to an endpoint. Only the event loop's thread calls its methods, and none of them blocks.
 
-    What became of each request is posted to the event loop by the connection's writer or reader thread.
+    The connection's writer or reader thread posts the outcome of each request to the event loop.
     """
 
     def __init__(self, resources: UpstreamResources, address: EndpointAddress) -> None:
@@ -21,12 +21,12 @@
         self._state = self._context.state
 
     def start(self) -> None:
-        """Starts the writer thread, which connects; raises RuntimeError where no thread can be started."""
+        """Starts the writer thread, which connects; raises RuntimeError if no thread can be started."""
         ConnectionWriter(self._context).start()
 
     @property
     def pending_count(self) -> int:
-        """How many requests are pending."""
+        """Returns the number of pending requests."""
         return self._state.pending_count
 
     @property
@@ -41,29 +41,33 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether its descriptor is free."""
+        """Whether the connection has ended and holds no file descriptor."""
         return self._context.is_closed
 
     def can_accept(self, request: UpstreamRequest) -> bool:
-        """Whether the request can be sent here: below the limit, and under an id not used here before."""
+        """Whether the request can be sent on this connection.
+
+        The connection must be below its request limit, and the request's id must not have been used on it.
+        """
         return self._state.can_accept(request.exchange.id)
 
     def offer(self, request: UpstreamRequest) -> bool:
-        """Accepts a request; False where the connection is closing."""
+        """Accepts a request; returns False if the connection is closing."""
         return self._state.add(request, self)
 
     def abort(self, request: UpstreamRequest, is_awaited: bool = False) -> bool:
-        """Gives a request up: one not begun is never written, one being written is followed by an abort.
+        """Gives a request up.
 
-        With `is_awaited`, returns whether an `UpstreamAborted` will follow; until then the endpoint may still
-        execute the request.
+        A request that is not being written yet is never written. A request that is already being written is
+        followed by an `abort` command. With `is_awaited`, returns whether an `UpstreamAborted` event will
+        follow; until that event the endpoint may still execute the request.
         """
         return self._state.abort(request, is_awaited)
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Takes back the matching requests that are not being written yet."""
+        """Removes and returns the matching requests that are not being written yet."""
         return self._state.withdraw(matches)
 
     def drain(self) -> None:
-        """Lets the connection end once nothing is pending on it."""
+        """Asks the writer thread to close the connection once no request is pending on it."""
         self._state.outbox.put(WriterSignal.DRAIN)
--- a/olivepost/proxy/upstream/connection_context.py
+++ b/olivepost/proxy/upstream/connection_context.py
@@ -1,4 +1,4 @@
-"""What the writer and reader threads of one upstream connection use, and how either of them ends it."""
+"""State shared by the writer and reader threads of one upstream connection, and the connection's end."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 
 
 class ConnectionContext:
-    """The parts of one connection.
+    """Parts of one connection that its writer and reader threads share.
 
-    The writer thread alone sets `sock` and `is_closed`; the reader thread alone writes `liveness`. Both may
-    call the methods.
+    Only the writer thread sets `sock` and `is_closed`, and only the reader thread writes `liveness`. Both
+    threads may call the methods.
     """
 
     def __init__(self, resources: UpstreamResources, address: EndpointAddress) -> None:
@@ -25,11 +25,11 @@
         self.address = address
         self.state = ConnectionState(resources.limits.max_requests_per_connection)
         self.liveness = LivenessMonitor(resources.limits)
-        self.sock: socket.socket | None = None  # None until it is connected
-        self.is_closed = False  # whether its descriptor is free
+        self.sock: socket.socket | None = None  # None until the connection is established
+        self.is_closed = False  # whether the connection has ended and holds no file descriptor
 
     def record_loss(self, reason: str) -> None:
-        """Logs why the connection is lost, unless it is closing already."""
+        """Logs the loss of the connection and its reason, unless the connection is already closing."""
         if self.state.is_closing:
             return
         log = self.resources.log
@@ -42,17 +42,18 @@
         )
 
     def confirm_abort(self, aborted: UpstreamAborted) -> None:
-        """Reports, once and where that is awaited, that an abort is written or its connection has ended."""
+        """Reports, once and only if awaited, that an abort was written or that its connection has ended."""
         if self.state.take_awaited_abort(aborted):
             self.resources.post(aborted)
 
     def end(self, *, is_local_failure: bool = False) -> None:
-        """Ends the connection, and reports once the outcome of each request that was pending on it.
+        """Ends the connection, and reports exactly once the outcome of each request pending on it.
 
-        With `is_local_failure` the cause is this process or its machine, and the endpoint is not at fault.
+        `is_local_failure` means that the cause lies in this process or its machine and that the endpoint is
+        not at fault.
 
-        The socket is shut down before anything is reported: the event loop may forward a reported request
-        again at once, and two attempts of an exchange must not be in flight together.
+        The socket is shut down before any outcome is reported. The event loop may forward a reported request
+        again at once, and two attempts of an exchange must not be in flight at the same time.
         """
         unfinished = self.state.close()
         if self.sock is not None:
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -1,4 +1,4 @@
-"""The requests that are pending on one upstream connection, and the lock that orders all changes to them."""
+"""Pending requests of one upstream connection, and the lock that serializes all changes to them."""
 
 from __future__ import annotations
 
@@ -18,46 +18,46 @@
 )
 from olivepost.units import Instant
 
-MAX_PAST_REQUESTS = 256  # ids of written requests whose responses may still arrive
+MAX_PAST_REQUESTS = 256  # remembered ids of ended requests whose responses may still arrive
 
 
 class WriterSignal(Enum):
-    """What the writer thread is asked for besides requests and aborts."""
+    """Signals to the writer thread, besides requests and aborts."""
 
-    DRAIN = "drain"  # close once nothing is pending
+    DRAIN = "drain"  # close the connection once no request is pending
     CHECK_LIVENESS = "check liveness"
 
 
 class WriteStart(Enum):
-    """Whether a request that reached the writer is to be written."""
+    """Decision whether a request that reached the writer is to be written."""
 
     STARTED = "started"
-    WITHDRAWN = "withdrawn"  # taken back or aborted while it waited
-    TOO_LATE = "too late"  # past its `start_before`
+    WITHDRAWN = "withdrawn"  # withdrawn or aborted while it was queued
+    TOO_LATE = "too late"  # its `start_before` has passed
 
 
 class UnmatchedResponse(Enum):
-    """Why a response belongs to no pending request; the values are names of counters."""
+    """Reasons why a response belongs to no pending request; the values are names of counters."""
 
-    DUPLICATE = "duplicate_responses"  # its request was written here and has ended
-    UNKNOWN = "unmatched_responses"  # no such request was written here
+    DUPLICATE = "duplicate_responses"  # its request was written on this connection and has ended
+    UNKNOWN = "unmatched_responses"  # no request with this id is known to have been written on it
 
 
 @dataclass(frozen=True, slots=True)
 class UnfinishedWork:
-    """What was still pending on a connection when it ended."""
+    """Requests and aborts that were still pending on a connection when it ended."""
 
     requests: list[UpstreamRequest]
-    aborts: list[UpstreamAborted]  # whose confirmation is awaited
+    aborts: list[UpstreamAborted]  # aborts whose confirmation is awaited
 
 
 class ConnectionState:
     """State that the event loop, the writer thread and the reader thread of one connection share.
 
-    `_lock` guards `_pending`, `_past_ids`, `_awaited_aborts`, changes of `is_closing`, and of the pending
-    requests the fields `connection`, `stage`, `body` and `is_missing_buffers`. Under it, aborts enter
-    `outbox` in the order in which their requests end. `pending_count`, `can_accept` and `is_closing` are read
-    without it, and may be out of date.
+    `_lock` guards `_pending`, `_past_ids`, `_awaited_aborts` and changes of `is_closing`. It also guards the
+    fields `connection`, `stage`, `body` and `is_missing_buffers` of the pending requests. Aborts are put into
+    `outbox` under the lock, in the order in which their requests end. `pending_count`, `can_accept` and
+    `is_closing` are read without the lock and may be out of date.
 
     No method does I/O, waits for another thread's work, or reports to the event loop.
     """
@@ -68,20 +68,21 @@
         self._max_requests = max_requests
         self._lock = threading.Lock()
         self._pending: dict[str, UpstreamRequest] = {}
-        self._past_ids: dict[str, None] = {}  # of requests that were written here, oldest first
-        self._awaited_aborts: list[UpstreamAborted] = []  # to be reported, and not written yet
+        self._past_ids: dict[str, None] = {}  # ids of ended requests that were written, oldest first
+        self._awaited_aborts: list[UpstreamAborted] = []  # aborts to be reported that are not written yet
 
     @property
     def pending_count(self) -> int:
-        """How many requests are pending."""
+        """Returns the number of pending requests."""
         return len(self._pending)
 
     # Called by the event loop.
 
     def can_accept(self, request_id: str) -> bool:
-        """Whether a request with this id can be sent here.
+        """Whether a request with this id can be sent on this connection.
 
-        Not where the id was used before: a late response to it would be taken for the new request's.
+        An id that was used before is refused, because a late response to the earlier request would be taken
+        for the response to the new one.
         """
         return (
             len(self._pending) < self._max_requests
@@ -90,7 +91,7 @@
         )
 
     def add(self, request: UpstreamRequest, connection: AbortableConnection) -> bool:
-        """Makes a request pending and hands it to the writer; False where the connection is closing."""
+        """Makes a request pending and hands it to the writer; returns False if the connection is closing."""
         with self._lock:
             if self.is_closing:
                 return False
@@ -104,7 +105,8 @@
     def abort(self, request: UpstreamRequest, is_awaited: bool) -> bool:
         """Ends a request that is given up; returns whether an awaited abort will be confirmed.
 
-        A request that is not being written yet never will be; one that is, is followed by an abort.
+        A request that is not being written yet is never written. For a request that is already being written,
+        the writer sends an abort after it.
         """
         with self._lock:
             if self._pending.get(request.exchange.id) is not request:
@@ -121,7 +123,7 @@
         return is_awaited
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Takes back the matching requests that are not being written yet."""
+        """Removes and returns the matching requests that are not being written yet."""
         with self._lock:
             queued = [request for request in self._pending.values() if request.stage is RequestStage.QUEUED]
             withdrawn = [request for request in queued if matches(request)]
@@ -132,7 +134,7 @@
     # Called by the writer thread.
 
     def start_writing(self, request: UpstreamRequest, now: Instant) -> WriteStart:
-        """Marks a request as being written, unless it was withdrawn or is too late."""
+        """Marks a request as being written, unless it was withdrawn or its `start_before` has passed."""
         with self._lock:
             is_pending = self._pending.get(request.exchange.id) is request
             if not is_pending or request.stage is not RequestStage.QUEUED:
@@ -144,7 +146,7 @@
             return WriteStart.STARTED
 
     def take_awaited_abort(self, aborted: UpstreamAborted) -> bool:
-        """Whether this abort is to be reported now; True only once for each."""
+        """Removes an awaited abort; returns whether to report it, which is True only once for each abort."""
         with self._lock:
             if aborted not in self._awaited_aborts:
                 return False
@@ -152,7 +154,7 @@
             return True
 
     def close_if_unused(self) -> None:
-        """Marks the connection as closing where nothing is pending on it."""
+        """Marks the connection as closing if no request is pending on it."""
         with self._lock:
             if not self._pending:
                 self.is_closing = True
@@ -160,13 +162,13 @@
     # Called by the reader thread.
 
     def waiting_since(self, now: Instant) -> Instant:
-        """When the started request that has waited longest was forwarded; `now` where none waits."""
+        """Returns when the longest-waiting started request was forwarded; `now` if none is waiting."""
         with self._lock:
             started = [request.forwarded_at for request in self._pending.values() if request.is_started]
         return min(started, default=now)
 
     def find_written(self, request_id: str) -> UpstreamRequest | UnmatchedResponse:
-        """The pending request that a response belongs to, or why there is none."""
+        """Returns the pending request that a response belongs to, or the reason why there is none."""
         with self._lock:
             request = self._pending.get(request_id)
             if request is not None and request.stage is RequestStage.WRITING:
@@ -175,7 +177,7 @@
         return UnmatchedResponse.DUPLICATE if is_past else UnmatchedResponse.UNKNOWN
 
     def attach_body(self, request: UpstreamRequest, body: PooledBody) -> bool:
-        """Gives a request the buffers for its response's body; False where the request has ended."""
+        """Gives a request the buffers for its response's body; returns False if the request has ended."""
         with self._lock:
             if self._pending.get(request.exchange.id) is not request:
                 return False
@@ -183,7 +185,7 @@
             return True
 
     def mark_missing_buffers(self, request: UpstreamRequest) -> None:
-        """Records that no buffers came free for the body of a request's response."""
+        """Records that no buffers became free for the body of a request's response."""
         with self._lock:
             request.is_missing_buffers = True
 
@@ -194,7 +196,7 @@
                 request.body.append(chunk)
 
     def complete(self, request: UpstreamRequest) -> bool:
-        """Ends a request whose response is complete; False where it has ended already."""
+        """Ends a request whose response is complete; returns False if it has already ended."""
         with self._lock:
             if request.stage is RequestStage.DONE:
                 return False
@@ -204,9 +206,9 @@
     # Called by the writer thread and the reader thread.
 
     def close(self) -> UnfinishedWork:
-        """Marks the connection as closing and ends all requests.
+        """Marks the connection as closing, ends all requests and returns the unfinished work.
 
-        A second call returns no requests; an abort is returned until it has been reported.
+        A second call returns no requests, but it returns each abort that has not been reported yet.
         """
         with self._lock:
             self.is_closing = True
@@ -218,7 +220,7 @@
         return unfinished
 
     def _remove(self, request: UpstreamRequest) -> None:
-        """Ends a pending request; the caller holds the lock."""
+        """Ends a pending request. The caller must hold the lock."""
         del self._pending[request.exchange.id]
         if request.stage is RequestStage.WRITING:
             self._past_ids[request.exchange.id] = None
--- a/olivepost/proxy/upstream/endpoint_address.py
+++ b/olivepost/proxy/upstream/endpoint_address.py
@@ -1,4 +1,4 @@
-"""Where an endpoint of the endpoint list is reached."""
+"""Network address of an endpoint in the endpoint list."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """Address of one process of an endpoint; another start of the endpoint is another process."""
+    """Address of one process of an endpoint. An endpoint that restarts is another process."""
 
     id: str
-    socket_address: Address | None  # None: not given, which only a removed endpoint may have
-    started_at: Instant | None  # Unix nanoseconds; None: long ago
+    socket_address: Address | None  # None if not given, which is allowed only for a removed endpoint
+    started_at: Instant | None  # Unix nanoseconds; None if not given: the process counts as warm
     state: api.EndpointState
 
     def is_same_process(self, other: EndpointAddress) -> bool:
-        """Whether connections made to the other address lead to this process."""
+        """Whether connections that were made to the other address lead to this process."""
         return self.socket_address == other.socket_address and self.started_at == other.started_at
--- a/olivepost/proxy/upstream/errors.py
+++ b/olivepost/proxy/upstream/errors.py
@@ -6,13 +6,13 @@
 
 
 class UpstreamError(Exception):
-    """Base of the errors after which an upstream connection can't be used further."""
+    """Base class of the errors after which an upstream connection can no longer be used."""
 
 
 class LineProtocolError(UpstreamError):
     """Bytes that the published line protocol does not allow.
 
-    `received` is what was rejected, cut to its first bytes; empty where the length alone was wrong.
+    `received` is the start of the rejected input. It is empty if only the length was wrong.
     """
 
     def __init__(self, problem: str, received: bytes | str = "") -> None:
@@ -22,7 +22,7 @@
 
 
 class EndpointUnresponsiveError(UpstreamError):
-    """The endpoint stopped within a response, or did not answer a liveness check, for `limit`."""
+    """Failure of an endpoint to go on with a response, end it or reply to a liveness check within `limit`."""
 
     def __init__(self, problem: str, limit: Duration) -> None:
         super().__init__(f"{problem} within {limit // MILLISECOND} ms")
@@ -31,8 +31,8 @@
 
 
 class ReadBufferUnavailableError(UpstreamError):
-    """No buffer to read into came free for a new connection within `timeout_s`."""
+    """Shortage of read buffers: none became free for a new connection within `timeout_s`."""
 
     def __init__(self, timeout_s: float) -> None:
-        super().__init__(f"no read buffer came free within {timeout_s} s")
+        super().__init__(f"no read buffer became free within {timeout_s} s")
         self.timeout_s = timeout_s
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -1,7 +1,7 @@
-"""Line protocol between the proxy and its endpoints: commands encoded, responses parsed. No I/O here.
+"""Line protocol between the proxy and its endpoints: encodes commands and parses responses, without I/O.
 
-A command or a response is a line of words that ends in CR LF. Where its last word is a length, that many
-bytes and another CR LF follow.
+A command or a response is a line of words that ends in CR LF. If its last word is a length, that many bytes
+and another CR LF follow.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 from olivepost.proxy.upstream.errors import LineProtocolError
 
-MAX_LINE_BYTES = 1_024  # with CR LF; the protocol's own bound
-MAX_LENGTH_DIGITS = 9  # of a body's length: no endpoint sends a body of a gigabyte
-MAX_REPORTED_BYTES = 80  # of a rejected line, in an error
+MAX_LINE_BYTES = 1_024  # including CR LF; the protocol sets this limit
+MAX_LENGTH_DIGITS = 9  # for a body's length in bytes: no endpoint sends a body of 1 GB
+MAX_REPORTED_BYTES = 80  # an error quotes this many bytes of a rejected line
 LINE_END = b"\r\n"
 LINE_FEED = 0x0A
 NO_FIELDS = "-"
-LIVENESS_STATUS = "PONG"  # of the response to a liveness check
+LIVENESS_STATUS = "PONG"  # status of the reply to a liveness check
 RESPONSE_WORDS = 4  # request id, status, fields, body length
 LIVENESS_RESPONSE_WORDS = 2  # request id, status
 
 PRINTABLE_ASCII = re.compile(rb"[ -~]*")
-# What a field's value and an endpoint's id may hold: printable ASCII without the separators of fields and
-# words (space, `"`, `+`, `,`, `=`). Three other patterns resemble it, each with a reason of its own:
-# - class names (olivepost.config) have no `/`, since they stand in a request's target as well;
-# - idempotency keys (olivepost.proxy.downstream) have no `/` either, and 128 characters at most;
-# - entity tags (olivepost.proxy.downstream) may hold `+`, which separates nothing in their field, stand
-#   within double quotes and have 128 characters at most.
+# Allowed text of a field's value and of an endpoint's id: printable ASCII without the separators of fields
+# and words (space, `"`, `+`, `,`, `=`). Three other patterns are similar and differ for these reasons:
+# - class names (olivepost.config) exclude `/`, because they are part of a request's target as well;
+# - idempotency keys (olivepost.proxy.downstream) also exclude `/` and have at most 128 characters;
+# - entity tags (olivepost.proxy.downstream) may contain `+`, which separates nothing in their field. They
+#   are enclosed in double quotes and have at most 128 characters.
 FIELD_VALUE = re.compile(r"[!#-*\-.-<>-~]{1,200}", re.ASCII)
 
 
@@ -37,13 +37,13 @@
     """First line of a response."""
 
     request_id: str
-    status: str  # HIT, VALID, NONE, SHED, FAULT, LATE or PONG; others are left to the caller
+    status: str  # HIT, VALID, NONE, SHED, FAULT, LATE or PONG; the caller handles all others
     fields: dict[str, str]
-    body_length: int | None  # bytes; None: neither a body nor its line end follows
+    body_length: int | None  # in bytes; None if neither a body nor its CR LF follows
 
 
 class ResponseEnd:
-    """Marks that a response is complete."""
+    """Marker for the end of a response."""
 
 
 RESPONSE_END = ResponseEnd()
@@ -52,7 +52,10 @@
 def encode_command(
     verb: str, request_id: str, fields: dict[str, str] | None = None, body: bytes | None = None
 ) -> bytes:
-    """Encodes one command; without a body (None, not an empty one) it has no fields and no length."""
+    """Encodes one command.
+
+    If the body is None, which differs from an empty body, the command has neither fields nor a length.
+    """
     if body is None:
         return f"{verb} {request_id}\r\n".encode("ascii")
     field_list = ",".join(f"{name}={value}" for name, value in (fields or {}).items()) or NO_FIELDS
@@ -60,27 +63,32 @@
 
 
 def parse_fields(text: str) -> dict[str, str]:
-    """Parses `name=value,name=value`, or `-` for no field; a name is neither empty nor repeated."""
+    """Parses `name=value,name=value`, or `-` for no fields.
+
+    Raises LineProtocolError if a name is missing, empty or repeated.
+    """
     if text == NO_FIELDS:
         return {}
     fields: dict[str, str] = {}
     for item in text.split(","):
         name, separator, value = item.partition("=")
         if not separator or not name or name in fields:
-            raise LineProtocolError("a field without a name of its own", item[:MAX_REPORTED_BYTES])
+            raise LineProtocolError("field is not name=value with a unique name", item[:MAX_REPORTED_BYTES])
         fields[name] = value
     return fields
 
 
 def parse_response_line(line: bytes, max_body_bytes: int) -> ResponseLine:
-    """Parses a response's line, given without its line end; raises LineProtocolError."""
+    """Parses a response's line, given without its CR LF; raises LineProtocolError if it is malformed."""
     if not PRINTABLE_ASCII.fullmatch(line):
-        raise LineProtocolError("a line with bytes outside printable ASCII", line[:MAX_REPORTED_BYTES])
+        raise LineProtocolError("line contains bytes outside printable ASCII", line[:MAX_REPORTED_BYTES])
     words = line.decode("ascii").split(" ")
     if len(words) == LIVENESS_RESPONSE_WORDS and words[1] == LIVENESS_STATUS:
         words += [NO_FIELDS, ""]
     if len(words) != RESPONSE_WORDS or not words[0] or not words[1]:
-        raise LineProtocolError("a line that is not a response", line[:MAX_REPORTED_BYTES])
+        raise LineProtocolError(
+            "line is not a response ('ID STATUS FIELDS LENGTH' or 'ID PONG')", line[:MAX_REPORTED_BYTES]
+        )
     request_id, status, field_list, length = words
     has_body = bool(length) or status != LIVENESS_STATUS
     body_length = _parse_body_length(length, max_body_bytes) if has_body else None
@@ -88,31 +96,38 @@
 
 
 def _parse_body_length(text: str, max_body_bytes: int) -> int:
+    """Parses a body's length in bytes; raises LineProtocolError if it is not a number or too large."""
     is_number = text.isascii() and text.isdigit() and len(text) <= MAX_LENGTH_DIGITS
     if not is_number or int(text) > max_body_bytes:
-        raise LineProtocolError(f"a body length outside 0 to {max_body_bytes}", text[:MAX_REPORTED_BYTES])
+        raise LineProtocolError(
+            f"body length is not a number from 0 to {max_body_bytes}", text[:MAX_REPORTED_BYTES]
+        )
     return int(text)
 
 
 class ResponseParser:
-    """Parses the bytes of an endpoint, however they are split. One thread at a time may use it.
+    """Parser of the bytes that an endpoint sends, in chunks of any size.
 
-    After a LineProtocolError the stream can't be parsed further.
+    Only one thread at a time may use it. After a LineProtocolError the rest of the stream can't be parsed.
     """
 
     def __init__(self, max_body_bytes: int) -> None:
         self._max_body_bytes = max_body_bytes
-        self._line = bytearray()  # the part of a response's line that was received
-        # Bytes of a body and its CR LF that are still to come; None: the next byte belongs to a line.
+        self._line = bytearray()  # received part of an incomplete response line
+        # Number of bytes of a body and its CR LF that are not received yet; None if the next byte belongs to
+        # a line.
         self._remaining: int | None = None
 
     @property
     def is_between_responses(self) -> bool:
-        """Whether no response has begun that is not complete."""
+        """Whether each response that has begun is complete."""
         return self._remaining is None and not self._line
 
     def feed(self, data: memoryview) -> Iterator[ResponseLine | memoryview | ResponseEnd]:
-        """Yields a `ResponseLine`, chunks of its body (views of `data`), then `RESPONSE_END`, and so on."""
+        """Yields, for each response, its `ResponseLine`, chunks of its body and `RESPONSE_END`.
+
+        The chunks are views of `data`. A response may begin in one call and go on in later calls.
+        """
         while data:
             if self._remaining is None:
                 chunk = _chunk_of_line(data)
@@ -137,26 +152,26 @@
                     yield RESPONSE_END
 
     def _add_to_line(self, chunk: memoryview) -> ResponseLine | None:
-        """Adds a chunk to the line; returns the response's line once it is complete."""
+        """Adds a chunk to the current line; returns the parsed line if it is complete, otherwise None."""
         if len(self._line) + len(chunk) > MAX_LINE_BYTES:
-            raise LineProtocolError(f"a line of more than {MAX_LINE_BYTES} bytes")
+            raise LineProtocolError(f"line is longer than {MAX_LINE_BYTES} bytes")
         self._line += chunk
         if chunk[-1] != LINE_FEED:
             return None
         line = bytes(self._line)
         self._line.clear()
         if not line.endswith(LINE_END):
-            raise LineProtocolError("a line that ends without CR", line[:MAX_REPORTED_BYTES])
+            raise LineProtocolError("line ends in LF without CR", line[:MAX_REPORTED_BYTES])
         return parse_response_line(line[: -len(LINE_END)], self._max_body_bytes)
 
     def _check_line_end_byte(self, remaining: int, byte: int) -> None:
-        """Checks and counts one byte of the CR LF behind a body."""
+        """Checks and counts one byte of the CR LF that follows a body."""
         if byte != LINE_END[-remaining]:
-            raise LineProtocolError("no CR LF after a body", bytes((byte,)))
+            raise LineProtocolError("byte after a body is not part of CR LF", bytes((byte,)))
         self._remaining = remaining - 1 or None
 
 
 def _chunk_of_line(data: memoryview) -> memoryview:
-    """The data up to the first line end, with it; all of the data where the line goes on."""
+    """Returns the data up to and including the first line feed; all of the data if it has none."""
     end = bytes(data[:MAX_LINE_BYTES]).find(b"\n")
     return data if end < 0 else data[: end + 1]
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -1,4 +1,4 @@
-"""Pool of upstream connections: for each endpoint of the endpoint list, the connections that lead to it."""
+"""Pool of upstream connections: the connections to each endpoint of the endpoint list."""
 
 from __future__ import annotations
 
@@ -14,25 +14,29 @@
 
 @dataclass(slots=True)
 class EndpointConnections:
-    """An endpoint of the list, with the connections to it that may accept requests."""
+    """An endpoint of the endpoint list, with the connections to it that may accept requests."""
 
     address: EndpointAddress
     connections: list[UpstreamConnection] = field(default_factory=list)
 
 
 class UpstreamPool:
-    """All endpoints of the list, and their connections. Only the event loop's thread calls this."""
+    """All endpoints of the endpoint list and their connections.
+
+    Only the event loop's thread calls a method, unless the method allows any thread.
+    """
 
     def __init__(self, resources: UpstreamResources) -> None:
         self._resources = resources
         self._endpoints: dict[str, EndpointConnections] = {}
-        # All that may still hold a descriptor, also those of endpoints that were removed.
+        # All connections that may still hold a file descriptor, including those of removed endpoints.
         self._connections: list[UpstreamConnection] = []
 
     def update(self, addresses: list[EndpointAddress], is_full: bool) -> None:
-        """Applies an endpoint list, full or incremental.
+        """Applies a full or incremental endpoint list.
 
-        Connections belong to one process of one endpoint, wherever its socket address was used before.
+        A connection belongs to one process of one endpoint. It is not used for another process or endpoint
+        with the same socket address.
         """
         for address in addresses:
             self._update_endpoint(address)
@@ -43,7 +47,7 @@
                 self._remove_endpoint(endpoint_id)
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Takes back the matching requests that no connection has begun to write."""
+        """Removes and returns the matching requests that no connection has begun to write."""
         withdrawn: list[UpstreamRequest] = []
         for endpoint in self._endpoints.values():
             for connection in endpoint.connections:
@@ -51,7 +55,10 @@
         return withdrawn
 
     def forward(self, request: UpstreamRequest) -> None:
-        """Gives a request to the connection with the fewest pending requests, or to a new one."""
+        """Gives a request to the connection with the fewest pending requests, or to a new connection.
+
+        Established connections are preferred to those that are still being established.
+        """
         endpoint = self._ready_endpoint(request)
         if endpoint is None:
             self._report(request, api.AttemptStatus.CONNECT_FAILED)
@@ -66,7 +73,7 @@
         self._forward_on_new_connection(request, endpoint)
 
     def close_idle(self) -> None:
-        """Drains the connections that have no pending request."""
+        """Drains the connections that have no pending requests."""
         for endpoint in self._endpoints.values():
             for connection in endpoint.connections:
                 if not connection.pending_count:
@@ -74,20 +81,21 @@
 
     @property
     def connection_count(self) -> int:
-        """Connections that may hold a descriptor; any thread."""
+        """Returns the number of connections that may hold a file descriptor. Any thread may read it."""
         return len(self._connections)
 
     @property
     def endpoint_count(self) -> int:
-        """Endpoints of the list; any thread."""
+        """Returns the number of endpoints in the endpoint list. Any thread may read it."""
         return len(self._endpoints)
 
     def close(self) -> None:
-        """Drains all connections."""
+        """Removes all endpoints and drains their connections."""
         for endpoint_id in list(self._endpoints):
             self._remove_endpoint(endpoint_id)
 
     def _update_endpoint(self, address: EndpointAddress) -> None:
+        """Applies one entry of an endpoint list; a new process of an endpoint gets new connections."""
         known = self._endpoints.get(address.id)
         if known is not None and known.address.is_same_process(address):
             known.address = address
@@ -98,7 +106,7 @@
             self._remove_endpoint(address.id)
 
     def _remove_endpoint(self, endpoint_id: str) -> None:
-        """Removes an endpoint; its connections end once nothing is pending on them."""
+        """Removes an endpoint. Each of its connections closes once no request is pending on it."""
         endpoint = self._endpoints.pop(endpoint_id, None)
         if endpoint is None:
             return
@@ -106,15 +114,19 @@
             connection.drain()
 
     def _ready_endpoint(self, request: UpstreamRequest) -> EndpointConnections | None:
-        """Returns the request's endpoint; None where it accepts no new requests."""
+        """Returns the request's endpoint; None if it is not listed or accepts no new requests."""
         endpoint = self._endpoints.get(request.cache)
         is_ready = endpoint is not None and endpoint.address.state is api.EndpointState.READY
-        # A request whose connection was lost before its first byte may be forwarded again after its endpoint
-        # has begun to drain.
+        # A rerouted request may be forwarded after its endpoint has begun to drain. Its first connection was
+        # lost before the request's first byte was written.
         invariants.check(is_ready or request.is_rerouted, "only_to_ready_endpoints")
         return endpoint if is_ready else None
 
     def _forward_on_new_connection(self, request: UpstreamRequest, endpoint: EndpointConnections) -> None:
+        """Gives a request to a new connection.
+
+        Reports the request as not sent if a limit is reached or the system can't start a thread.
+        """
         limits = self._resources.limits
         self._connections = [connection for connection in self._connections if not connection.is_closed]
         is_endpoint_full = len(endpoint.connections) >= limits.max_connections_per_endpoint
@@ -134,5 +146,5 @@
         connection.offer(request)
 
     def _report(self, request: UpstreamRequest, status: api.AttemptStatus) -> None:
-        """Completes a request that was given to no connection."""
+        """Reports the outcome of a request that was not given to any connection."""
         self._resources.post(UpstreamCompleted(request, status, request.forwarded_at))
--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -1,4 +1,4 @@
-"""Reader of an upstream connection: the thread that receives responses and checks that they keep arriving."""
+"""Reader of an upstream connection: its thread receives responses and checks that they keep arriving."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from olivepost.proxy.upstream.request import UpstreamRequest
 from olivepost.units import Instant
 
-BUFFER_TIMEOUT_S = 0.05  # all responses of the connection wait as long as one of them waits for buffers
+# Longest wait for free buffers. While one response waits, so do all other responses of the connection.
+BUFFER_TIMEOUT_S = 0.05
 
 
 class ConnectionReader:
-    """Receives the responses of one connection; all of it runs on the reader thread.
+    """Receiver of one connection's responses. `run` and all that it calls run on the reader thread.
 
-    The writer thread starts that thread, and joins it before it closes the socket.
+    The writer thread starts the reader thread and joins it before it closes the socket.
     """
 
     def __init__(self, context: ConnectionContext) -> None:
@@ -29,11 +30,11 @@
         self._resources = context.resources
         self._liveness = context.liveness
         self._parser = ResponseParser(context.resources.limits.max_response_body_bytes)
-        self._line: ResponseLine | None = None  # of the response in progress
-        self._request: UpstreamRequest | None = None  # of that response; None: the response is dropped
+        self._line: ResponseLine | None = None  # first line of the response in progress
+        self._request: UpstreamRequest | None = None  # request of that response; None if it is dropped
 
     def run(self, sock: socket.socket) -> None:
-        """Reads until the connection ends, then ends it on this side."""
+        """Reads until the connection ends, then ends it on this side as well."""
         context = self._context
         read_buffers = self._resources.read_buffers
         buffers = read_buffers.acquire(1, BUFFER_TIMEOUT_S)
@@ -45,7 +46,7 @@
             context.record_loss(str(error))
         except OSError as error:
             context.record_loss(error.strerror or str(error))
-        except Exception:  # a thread's top: its connection must end and be reported whatever the cause
+        except Exception:  # the thread's outermost handler: any error must end and report the connection
             self._resources.log.exception("upstream_connection_error", endpoint=context.address.id)
         finally:
             context.end()
@@ -55,6 +56,7 @@
             self._state.outbox.put(WriterSignal.DRAIN)  # wakes the writer
 
     def _read(self, sock: socket.socket, buffer: memoryview) -> None:
+        """Receives and processes bytes until the connection ends; raises OSError or UpstreamError."""
         clock = self._resources.clock
         liveness = self._liveness
         liveness.last_received_at = clock.now()
@@ -75,7 +77,7 @@
             self._context.record_loss("closed by the endpoint")
 
     def _process(self, data: memoryview) -> None:
-        """Handles the lines, body chunks and ends of responses that the bytes hold."""
+        """Handles the response lines, body chunks and response ends in the received bytes."""
         for item in self._parser.feed(data):
             if isinstance(item, ResponseLine):
                 self._start_response(item)
@@ -87,10 +89,10 @@
                 self._liveness.response_started_at = None
 
     def _check_liveness(self, now: Instant) -> None:
-        """Raises where a response stalls; sends a liveness check after a silence.
+        """Raises EndpointUnresponsiveError if a response stalls; sends a liveness check if one is due.
 
-        A slow endpoint replies to such a check. One that has failed, can't be reached or has lost the end of
-        a response does not.
+        A slow endpoint replies to a liveness check. An endpoint that has failed, can't be reached or has lost
+        the end of a response does not.
         """
         liveness = self._liveness
         liveness.check_progress(now)
@@ -102,10 +104,11 @@
             self._state.outbox.put(WriterSignal.CHECK_LIVENESS)
 
     def _start_response(self, line: ResponseLine) -> None:
-        """Finds the request that a response belongs to, and buffers for its body.
+        """Finds the request that a response belongs to, and reserves buffers for the response's body.
 
-        A response without a pending request (aborted, completed before, never written here) is read to its
-        end and dropped: the bytes behind it are valid.
+        A response may have no pending request, because its request was aborted, was completed before or was
+        never written on this connection. Such a response is read to its end and dropped, since the bytes that
+        follow it are valid.
         """
         self._line = line
         self._request = None
@@ -120,6 +123,7 @@
             self._reserve_body(match, line.body_length)
 
     def _reserve_body(self, request: UpstreamRequest, length: int) -> None:
+        """Reserves buffers for a response's body, or records that none became free in time."""
         body = PooledBody.reserve(self._resources.body_buffers, length, BUFFER_TIMEOUT_S)
         if body is None:
             self._resources.log.increment("pool_empty")
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -1,4 +1,4 @@
-"""An upstream request, its stages, and the messages by which its connection reports its outcome."""
+"""Upstream request, its stages, and the events with which its connection reports the outcome."""
 
 from __future__ import annotations
 
@@ -14,45 +14,45 @@
 
 
 class RequestStage(Enum):
-    """How far an upstream request has come on its connection."""
+    """Progress of an upstream request on its connection."""
 
     QUEUED = "queued"
-    WRITING = "writing"  # the writer thread has taken it: it may reach the endpoint
+    WRITING = "writing"  # the writer thread has taken the request, and it may reach the endpoint
     DONE = "done"
 
 
 class AbortableConnection(Protocol):
-    """The connection that a request was given to, as the event loop sees it."""
+    """Connection that a request was given to, as the event loop uses it."""
 
     def abort(self, request: UpstreamRequest, is_awaited: bool = False, /) -> bool:
-        """Gives the request up; returns whether an `UpstreamAborted` will follow."""
+        """Gives the request up; returns whether an `UpstreamAborted` event will follow."""
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamRequest:
-    """One attempt of an exchange on its way to an endpoint.
+    """One attempt of an exchange, sent or to be sent to an endpoint.
 
-    The event loop creates it. While pending on a connection, that connection's lock guards `connection`,
-    `stage`, `body` and `is_missing_buffers`; `is_started` belongs to the connection's writer thread.
+    The event loop creates it. While it is pending on a connection, the connection's lock guards `connection`,
+    `stage`, `body` and `is_missing_buffers`. Only the connection's writer thread changes `is_started`.
     """
 
     exchange: Exchange
-    number: int  # of the attempt within its exchange
+    number: int  # number of the attempt within its exchange
     cache: str
     source: str | None
     forwarded_at: Instant  # Unix nanoseconds
     fields: dict[str, str]
-    start_before: Instant | None = None  # Unix nanoseconds; not to be written later; None: no bound
+    start_before: Instant | None = None  # latest start of writing, in Unix nanoseconds; None if unlimited
     stage: RequestStage = RequestStage.QUEUED
-    is_started: bool = False  # its first byte has been written
-    is_rerouted: bool = False  # it was on a connection that was lost before its first byte was written
+    is_started: bool = False  # whether the first byte has been, or may have been, written
+    is_rerouted: bool = False  # whether an earlier connection was lost before the first byte was written
     connection: AbortableConnection | None = None
-    body: PooledBody | None = None  # of the response
-    is_missing_buffers: bool = False  # no buffers came free for the body of its response
-    timer_id: int = 0  # of the event loop's timer for its timeout
+    body: PooledBody | None = None  # body of the response
+    is_missing_buffers: bool = False  # whether no buffers became free for the response's body
+    timer_id: int = 0  # id of the event loop's timer for the attempt's timeout
 
     def discard_body(self) -> None:
-        """Releases the part of its response's body that was read."""
+        """Releases the received part of the response's body."""
         if self.body is not None:
             self.body.release()
             self.body = None
@@ -60,27 +60,27 @@
 
 @dataclass(slots=True)
 class UpstreamCompleted:
-    """An upstream request has ended."""
+    """Event: an upstream request has ended."""
 
     request: UpstreamRequest
     status: api.AttemptStatus
-    completed_at: Instant  # when the last byte of its response was read, in Unix nanoseconds
+    completed_at: Instant  # Unix nanoseconds; when its response was complete or it ended without one
     cache_status: api.CacheStatus = api.CacheStatus.UNKNOWN
     response: Response | None = None
-    # It ended with its connection, and another request that ended with it has been reported already.
+    # Whether the request ended with its connection and an earlier event has already reported that loss.
     is_repeated_loss: bool = False
 
 
 @dataclass(slots=True)
 class UpstreamAborted:
-    """The abort of an upstream request has been written, or its connection has ended."""
+    """Event: the abort of an upstream request has been written, or its connection has ended."""
 
     request: UpstreamRequest
 
 
 @dataclass(slots=True)
 class UpstreamUnsent:
-    """An upstream request's connection was lost before its first byte was written: forward it again."""
+    """Event: a connection was lost before the first byte of a request was written. Forward it again."""
 
     request: UpstreamRequest
 
--- a/olivepost/proxy/upstream/resources.py
+++ b/olivepost/proxy/upstream/resources.py
@@ -1,4 +1,4 @@
-"""What all upstream connections of a proxy use in common."""
+"""Resources that all upstream connections of a proxy share."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @dataclass(slots=True)
 class UpstreamResources:
-    """Limits, buffers, clock, log and the way to the event loop; each of them may be used by any thread."""
+    """Limits, buffers, clock, log and the callback to the event loop. Any thread may use each of them."""
 
     limits: ResourceLimits
     body_buffers: BufferPool
     read_buffers: BufferPool
     clock: Clock
     log: EventLog
-    post: Callable[[UpstreamEvent], None]  # to the event loop
+    post: Callable[[UpstreamEvent], None]  # posts an event to the event loop
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -1,4 +1,4 @@
-"""Writer of an upstream connection: the thread that connects, writes, and closes the socket at the end."""
+"""Writer of an upstream connection: its thread connects, writes commands and closes the socket at the end."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 from olivepost.units import SECOND, Duration
 
 LIVENESS_COMMAND = encode_command("alive", "link")
-IDLE_MARGIN: Duration = 1 * SECOND  # by which the proxy closes an idle connection before its endpoint does
-READER_START_TIMEOUT_S = 0.2  # where the system can't start a thread at once
-LOCAL_FAILURE_PAUSE_S = 0.02  # before another attempt to connect
-DRAIN_POLL_S = 0.1  # how often a draining connection's pending requests are counted
+# The proxy closes an idle connection this long before its endpoint does.
+IDLE_MARGIN: Duration = 1 * SECOND
+READER_START_TIMEOUT_S = 0.2  # limit for retries if the system can't start the reader thread at once
+LOCAL_FAILURE_PAUSE_S = 0.02  # pause before connecting again after a failure of this machine
+DRAIN_POLL_S = 0.1  # interval at which a draining connection counts its pending requests
 
 
 class ConnectionWriter:
-    """Writes the requests and aborts of a connection's outbox; owns the socket and the reader thread.
+    """Writer of the requests and aborts in a connection's outbox; owns the socket and the reader thread.
 
-    The event loop calls `start`; all else runs on the thread that it starts.
+    The event loop calls `start`. All other methods run on the thread that `start` starts.
     """
 
     def __init__(self, context: ConnectionContext) -> None:
@@ -36,13 +37,14 @@
         self._state = context.state
         self._resources = context.resources
         self._is_draining = False
-        self._is_local_failure = False  # the connection failed for a cause in this process or its machine
+        self._is_local_failure = False  # the connection failed because of this process or its machine
 
     def start(self) -> None:
-        """Starts the thread; raises RuntimeError where the system can't."""
+        """Starts the writer thread; raises RuntimeError if the system can't start it."""
         start_thread(self._run, f"upstream-writer-{self._context.address.id}")
 
     def _run(self) -> None:
+        """Connects, starts the reader thread, writes until the connection ends, and closes the socket."""
         context = self._context
         sock = self._connect()
         if sock is None:
@@ -61,7 +63,7 @@
             self._is_local_failure = True
             self._resources.log.increment("threads_short")
             context.record_loss(str(error))
-        except Exception:  # a thread's top: its connection must end and be reported whatever the cause
+        except Exception:  # the thread's outermost handler: any error must end and report the connection
             self._resources.log.exception("upstream_connection_error", endpoint=context.address.id)
         finally:
             context.end(is_local_failure=self._is_local_failure)
@@ -72,9 +74,9 @@
             context.is_closed = True
 
     def _connect(self) -> socket.socket | None:
-        """A connected socket; None, and logged, where the endpoint can't be reached.
+        """Returns a connected socket; logs the failure and returns None if the endpoint can't be reached.
 
-        Failures of this machine are retried within the time to connect.
+        Failures that this machine causes are retried until `connect_timeout` has passed.
         """
         log = self._resources.log
         retry_until = time.monotonic() + self._resources.limits.connect_timeout / SECOND
@@ -95,10 +97,11 @@
             return sock
 
     def _connect_once(self) -> socket.socket:
+        """Tries once to connect; raises OSError if that fails."""
         limits = self._resources.limits
         address = self._context.address.socket_address
         if address is None:
-            raise ConnectionError("the endpoint list has no address for it")
+            raise ConnectionError("the endpoint list gives no address for this endpoint")
         return sockets.connect(
             address,
             limits.connect_timeout,
@@ -107,7 +110,7 @@
         )
 
     def _write(self, sock: socket.socket) -> None:
-        """Writes what the outbox holds, until the connection ends or has been idle for its timeout."""
+        """Writes the messages in the outbox, until the connection ends or has been idle for its timeout."""
         idle_timeout = self._resources.limits.upstream_idle_timeout
         idle_timeout_s = max(idle_timeout - IDLE_MARGIN, idle_timeout // 2) / SECOND
         while not self._is_finished():
@@ -128,26 +131,29 @@
                 self._send(sock, LIVENESS_COMMAND, None)
 
     def _is_finished(self) -> bool:
+        """Whether the connection is closing, or is draining and has no pending request."""
         if self._state.is_closing:
             return True
         return self._is_draining and not self._state.pending_count
 
     def _write_request(self, sock: socket.socket, request: UpstreamRequest) -> None:
-        """Writes a request, unless its client has disconnected, it was withdrawn or it is too late."""
+        """Writes a request, unless its client has disconnected, or it was withdrawn or is too late."""
         exchange = request.exchange
         if exchange.is_client_disconnected():  # the event loop is about to abort the request
             self._resources.log.increment("requests_of_disconnected_clients")
             return
         now = self._resources.clock.now()
-        # The endpoint may have closed an idle connection before the reader has noticed. A request written now
-        # would count as possibly executed; one that is not begun is forwarded again.
+        # The endpoint may have closed an idle connection, and the reader may not have noticed that yet. A
+        # request that is written now would count as possibly executed. A request that is not started is
+        # forwarded again.
         if self._state.pending_count <= 1 and self._context.liveness.is_idle(now):
             if sockets.is_closed_by_peer(sock):
                 raise ConnectionError("closed by the endpoint while idle")
-            now = self._resources.clock.now()  # after the check: `start_before` is a strict bound
+            # The clock is read again after the check, because `start_before` is a strict limit.
+            now = self._resources.clock.now()
         match self._state.start_writing(request, now):
             case WriteStart.STARTED:
-                # Encoded only now, so that a waiting request does not hold its body twice.
+                # The command is encoded only now, so that a queued request does not hold its body twice.
                 data = encode_command("fetch", exchange.id, request.fields, exchange.body)
                 self._send(sock, data, request)
             case WriteStart.TOO_LATE:
@@ -156,10 +162,14 @@
                 pass
 
     def _send(self, sock: socket.socket, data: bytes, request: UpstreamRequest | None) -> None:
-        """Writes one command to its end; raises OSError where the endpoint accepts no byte for too long."""
+        """Writes one command completely.
+
+        Raises OSError if the endpoint accepts no byte within `write_stall_timeout`.
+        """
         view = memoryview(data)
         if request is not None:
-            # Before the first byte: if the connection ends meanwhile, the request must count as started.
+            # This is set before the first byte is sent: if the connection ends in the meantime, the request
+            # must count as started.
             request.is_started = True
         while view:
             try:
