--- a/olivepost/shared_store/__init__.py
+++ b/olivepost/shared_store/__init__.py
@@ -1,14 +1,15 @@
-"""What the proxies of one location exchange through shared stores.
+"""Exchange of hints between the proxies of one location through shared stores.
 
-Exchanged are fill leases, cache locations, invalidations, quota transfers and outlier reports. All of them
-are hints: no deadline, age bound or quota rests on a store.
+The proxies exchange fill leases, cache locations, invalidations, quota transfers and outlier reports. All of
+them are hints, and no deadline, age limit or quota depends on a store.
 
-The decision part does no I/O and has no clock: `coordinator` dispatches to `lookups`, `fill_leases`,
+The decision part does no I/O and has no clock. `coordinator` dispatches to `lookups`, `fill_leases`,
 `invalidations`, `generations`, `quota_exchange` (with `quota_requests` and `quota_donations`),
-`outlier_reports` and `sync`. `circuit_breaker` decides whether a store is used, `store_health` whether it is
-trusted; `commands` tracks pending replies. `messages` and `operations` have the types, `records` the stored
-form.
+`outlier_reports` and `sync`. `circuit_breaker` decides whether a store is used, and `store_health` decides
+whether it is trusted. `commands` tracks the commands whose replies are pending. `messages` and `operations`
+define the types, and `records` defines the form in which a store keeps them.
 
-`host` owns the threads, `store_worker` a connection, `client` the client library, `scripts` and `lua` the
-scripts. `settings` has the operator's keys, `inspect` the commands `olivepost sharing`.
+The I/O part consists of `host`, which owns the threads, `store_worker`, which owns a connection, `client`,
+which wraps the client library, and `scripts` and `lua`, which contain the scripts. `settings` defines the
+operator's keys, and `inspect` implements the commands of `olivepost sharing`.
 """
--- a/olivepost/shared_store/commands.py
+++ b/olivepost/shared_store/commands.py
@@ -1,4 +1,8 @@
-"""Commands whose reply is pending: their tickets, their number, and their successes and failures."""
+"""Tracking of the commands whose replies are pending.
+
+Each command has a ticket. The number of pending commands is limited, and the successes and failures of
+commands are recorded in the stores' circuit breakers.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +15,21 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-MAX_PENDING_COMMANDS = 4_096  # to all stores together; beyond it hints are dropped, never requests
+# Limit for all stores together. Commands beyond it are dropped, which costs hints but never a request.
+MAX_PENDING_COMMANDS = 4_096
 
 ReplyValues = tuple[object, ...]
 
 ReplyHandler = Callable[[Instant, ReplyValues | None], None]
-"""Handles the values of a reply at a time; None where no reply came that counts."""
+"""Callback with the current time and a reply's values, or with `None` if the reply is lost or not current."""
 
 
 @dataclass(slots=True)
 class PendingCommand:
-    """A command whose reply is pending; `generation` and `confirmed_serial` are as when it was sent."""
+    """A command whose reply is pending.
+
+    `generation` and `confirmed_serial` are the store's values from the time when the command was sent.
+    """
 
     store: StoreHealth
     operation: StoreOperation
@@ -29,7 +37,7 @@
     generation: int
     confirmed_serial: int
     on_reply: ReplyHandler
-    has_failed: bool = False  # its failure is recorded
+    has_failed: bool = False  # whether its failure has been recorded
 
 
 class CommandTracker:
@@ -51,7 +59,7 @@
         *,
         is_urgent: bool = False,
     ) -> bool:
-        """Sends an operation; False where too many are pending, and `on_reply` will not be called."""
+        """Sends an operation. Returns False, and never calls `on_reply`, if too many commands are pending."""
         if len(self._pending) >= MAX_PENDING_COMMANDS:
             self._context.counts["commands_dropped"] += 1
             return False
@@ -63,7 +71,10 @@
         return True
 
     def complete(self, now: Instant, ticket: int) -> PendingCommand | None:
-        """Removes and returns the command of a reply; None where it is not pending, as for a second reply."""
+        """Removes and returns the command that a reply belongs to.
+
+        Returns `None` if that command is not pending, for example if this is its second reply.
+        """
         command = self._pending.pop(ticket, None)
         if command is None:
             self._context.counts["replies_unmatched"] += 1
@@ -75,7 +86,7 @@
         return command
 
     def fail(self, now: Instant, ticket: int) -> None:
-        """Ends a command whose reply is lost."""
+        """Ends a command whose reply is lost, records the failure and calls `on_reply` with `None`."""
         command = self._pending.pop(ticket, None)
         if command is None:
             return
@@ -84,7 +95,10 @@
         command.on_reply(now, None)
 
     def record_overdue(self, now: Instant) -> None:
-        """Records commands without a reply in time as failures: their end may come much later."""
+        """Records a failure for each command whose reply is overdue.
+
+        The reply itself, or the news that it is lost, may come much later.
+        """
         for command in self._pending.values():
             if self._is_late(now, command):
                 self._record_failure(now, command)
@@ -93,7 +107,7 @@
         return now - command.sent_at > self._context.terms.reply_timeout
 
     def _record_failure(self, now: Instant, command: PendingCommand) -> None:
-        """Records a command's failure, once."""
+        """Records a command's failure in its store's circuit breaker, at most once."""
         if not command.has_failed:
             command.has_failed = True
             command.store.breaker.record_failure(now)
--- a/olivepost/shared_store/context.py
+++ b/olivepost/shared_store/context.py
@@ -1,6 +1,6 @@
-"""What all parts of the store coordinator share: terms, stores, endpoints, counters, the event's actions.
+"""State that all parts of the store coordinator share: terms, stores, endpoints, counters and actions.
 
-This is the one place where the coordinator emits actions.
+The coordinator emits actions only through this module.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 @dataclass(slots=True)
 class CoordinatorContext:
-    """State that belongs to no single part. Used by the coordinator's thread only.
+    """State that belongs to no single part of the coordinator. Used by the coordinator's thread only.
 
-    `counts` are since the start, by metric name. `actions` are those of the event that is being handled, in
-    the order in which they were emitted.
+    `counts` are totals since the start, by metric name. `actions` are the actions of the event that is being
+    handled, in the order in which they were emitted.
     """
 
     terms: SharingTerms
@@ -35,7 +35,7 @@
 
     @classmethod
     def create(cls, terms: SharingTerms, seed: int) -> CoordinatorContext:
-        """Returns a context whose stores are all untrusted; `seed` is of the backoffs' jitter."""
+        """Returns a context in which no store is trusted yet; `seed` determines the backoffs' jitter."""
         random_source = random.Random(seed)
         stores: dict[str, StoreHealth] = {}
         for name in terms.stores:
@@ -44,14 +44,14 @@
         return cls(terms, stores)
 
     def store_of(self, name: str) -> StoreHealth:
-        """Returns the store of a name or a quota key.
+        """Returns the store that is responsible for a name or a quota key.
 
-        By rendezvous hashing, so that the loss of one store costs only what belongs to it.
+        Rendezvous hashing selects it, so that the loss of one store affects only its own names and keys.
         """
         return self.stores[rendezvous_order(name, self.terms.stores)[0]]
 
     def issue_ticket(self) -> int:
-        """Returns a number that no command and no quota transfer has had."""
+        """Returns a number that no earlier command or quota transfer has used."""
         self._last_ticket += 1
         return self._last_ticket
 
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -1,8 +1,9 @@
-"""Decides what this proxy sends to the shared stores, which replies count, and what its router learns.
+"""Coordinator of this proxy's use of the shared stores.
 
-`StoreCoordinator(terms, seed).handle(now, event)` returns actions: no clock, no I/O, no threads. This module
-only dispatches; each decision stands in a module of its own. None of them extends a deadline, an age or a
-quota, whatever the stores do.
+The coordinator decides what is sent to the stores, which replies are used, and what the router is told.
+`StoreCoordinator(terms, seed).handle(now, event)` returns actions. It has no clock, does no I/O and starts no
+threads. This module only dispatches events, and each kind of decision has a module of its own. No decision
+extends a deadline, an age limit or a quota, even if a store misbehaves.
 """
 
 from __future__ import annotations
@@ -39,9 +40,9 @@
 
 
 class StoreCoordinator:
-    """One proxy's side of all shared stores.
+    """One proxy's coordinator for all shared stores.
 
-    Only one thread may call `handle`, and there is no lock: other threads may just copy `counts` and read the
+    There is no lock, so only one thread may call `handle`. Other threads may only copy `counts` and read the
     stores' attributes, for metrics.
     """
 
@@ -50,7 +51,7 @@
         self._context = context
         self.terms = terms
         self.stores = context.stores
-        self.counts = context.counts  # since the start, by metric name
+        self.counts = context.counts  # totals since the start, by metric name
         self.leases = LeaseTable()
         self.commands = CommandTracker(context)
         known_invalidations = KnownInvalidations()
@@ -75,7 +76,7 @@
         return actions
 
     def _event_handlers(self) -> dict[type, Callable[[Instant, Any], None]]:
-        """Returns for each type of event the method that handles it, with the time and the event."""
+        """Returns the handler of each event type; handlers are called with the time and the event."""
         return {
             LookupRequested: self._lookups.look_up,
             LeaseReleased: self._lookups.end_request,
@@ -122,7 +123,7 @@
             self._outliers.add_own(now, event.endpoint_id)
 
     def _report_availability(self) -> None:
-        """Notifies the router where the first store has become available, or the last one unavailable."""
+        """Notifies the router when the first store becomes available or the last one becomes unavailable."""
         is_available = any(store.is_available for store in self.stores.values())
         if is_available == self._is_available:
             return
--- a/olivepost/shared_store/endpoints.py
+++ b/olivepost/shared_store/endpoints.py
@@ -1,15 +1,15 @@
-"""The endpoint list as the store coordinator uses it: which caches a stored record may still name."""
+"""Endpoint list of the store coordinator, which tells whether a stored record's cache is still usable."""
 
 from __future__ import annotations
 
 from olivepost import interface as api
 from olivepost.units import Instant
 
-UNKNOWN_START: Instant = 0  # as records have it
+UNKNOWN_START: Instant = 0  # start of an endpoint in records if its start is unknown
 
 
 class EndpointDirectory:
-    """Endpoints by id. Used by the coordinator's thread only."""
+    """Listed endpoints by id. Used by the coordinator's thread only."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, api.EndpointMetadata] = {}
@@ -22,7 +22,7 @@
         return set(self._by_id)
 
     def update(self, update: api.EndpointUpdate) -> None:
-        """Applies a full or an incremental update."""
+        """Applies an update, which either replaces the list or changes single endpoints."""
         if update.kind in (api.EndpointUpdateKind.FULL, api.EndpointUpdateKind.RESTORED):
             self._by_id = {}
         for endpoint in update.endpoints:
@@ -31,12 +31,12 @@
                 self._by_id[endpoint.id] = endpoint
 
     def started_at(self, endpoint_id: str) -> Instant:
-        """Returns when an endpoint started, as records have it: `UNKNOWN_START` where that is unknown."""
+        """Returns an endpoint's start as records store it, or `UNKNOWN_START` if it is unknown."""
         endpoint = self._by_id.get(endpoint_id)
         return UNKNOWN_START if endpoint is None else _stored_start(endpoint)
 
     def is_usable(self, endpoint_id: str, started_at: Instant) -> bool:
-        """Whether an endpoint is ready, and has not restarted since a record named it."""
+        """Whether an endpoint is ready and has not restarted since a record named it."""
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None:
             return False
@@ -49,5 +49,5 @@
 
 
 def _stored_start(endpoint: api.EndpointMetadata) -> Instant:
-    """The start of an endpoint as records have it."""
+    """Returns the start of a listed endpoint as records store it."""
     return UNKNOWN_START if endpoint.started_at is None else endpoint.started_at
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -1,7 +1,7 @@
-"""Fill leases by way of the stores: requests them with lookups, and releases them when their fills end.
+"""Fill leases, which this proxy requests from the stores with lookups and releases when the fills end.
 
-A lease that has expired by the owner's clock, or whose fencing number is not the store's current one,
-publishes nothing. No clock, no I/O.
+A lease publishes nothing if it has expired by its owner's clock, or if its fencing number is not the store's
+current one. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -22,31 +22,31 @@
 
 @dataclass(slots=True)
 class PendingLease:
-    """A lease that was requested with a lookup, until the store's reply comes."""
+    """A lease that was requested with a lookup and waits for the store's reply."""
 
     lookup: api.LookUpHint
     request: LeaseRequest
     store: StoreHealth
     generation: int
     requested_at: Instant
-    release: LeaseReleased | None = None  # set where the lookup's request ended before the reply came
+    release: LeaseReleased | None = None  # set if the request ends before the reply comes
 
 
 class FillLeases:
-    """Requests, acquires and releases leases. Used by the coordinator's thread only."""
+    """Fill leases that this proxy requests, acquires and releases. Used by the coordinator's thread only."""
 
     def __init__(self, context: CoordinatorContext, commands: CommandTracker, table: LeaseTable) -> None:
         self._context = context
         self._commands = commands
         self._table = table
-        self._pending: dict[str, PendingLease] = {}  # by request id, the latest of each
+        self._pending: dict[str, PendingLease] = {}  # the latest one of each request, by request id
 
     def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
-        """Returns the lease of a name that this proxy still owns."""
+        """Returns the lease on a name if this proxy still owns it, else `None`."""
         return self._table.find_active(now, name, generation)
 
     def create_request(self, lookup: api.LookUpHint, source: str) -> LeaseRequest:
-        """Returns the request for the lease of a lookup, as the store gets it."""
+        """Returns the lease request that a lookup sends to the store."""
         terms = self._context.terms
         lease = FillLease(
             proxy=terms.proxy,
@@ -60,17 +60,20 @@
         return LeaseRequest(encode_record(lease), duration_ms)
 
     def add_pending(self, pending: PendingLease) -> None:
-        """Records that the reply to a request for a lease is pending."""
+        """Records that the reply to a lease request is pending."""
         self._pending[pending.lookup.request_id] = pending
 
     def remove_pending(self, pending: PendingLease) -> None:
-        """Records that the reply came or is lost."""
+        """Records that the reply to a lease request has come or is lost."""
         request_id = pending.lookup.request_id
         if self._pending.get(request_id) is pending:
             del self._pending[request_id]
 
     def acquire(self, pending: PendingLease, fencing_number: int) -> bool:
-        """Adds a lease that the store granted; False where a later one is known, or there are too many."""
+        """Adds a lease that the store granted.
+
+        Returns False if a lease with the same or a later fencing number is known, or if there are too many.
+        """
         lookup = pending.lookup
         lease = OwnedLease(
             request_id=lookup.request_id,
@@ -91,7 +94,10 @@
         return False
 
     def release(self, now: Instant, event: LeaseReleased) -> None:
-        """Releases the lease of a request that has ended, or defers that until the store's reply comes."""
+        """Releases the lease of a request that has ended.
+
+        If the reply to the lease request is still pending, the lease is released when the reply comes.
+        """
         request_id = event.release.request_id
         lease = self._table.pop(request_id)
         if lease is not None:
@@ -102,7 +108,11 @@
             pending.release = event
 
     def _release_owned(self, now: Instant, lease: OwnedLease, event: LeaseReleased) -> None:
-        """Publishes the cache location that the fill led to; without one, only ends the lease."""
+        """Ends the lease in its store, and publishes the cache location if the fill led to one.
+
+        Sends nothing if the lease has expired, the store's generation has changed or its circuit breaker is
+        open.
+        """
         if now >= lease.expires_at:
             self._context.counts["leases_expired"] += 1
             return
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -1,7 +1,8 @@
-"""Invalidations that this proxy knows, from the platform and other proxies, and their exchange by stores.
+"""Invalidations from the platform and from other proxies, and their exchange through the stores.
 
-Of each key the latest time counts. Their number is bounded: a dropped invalidation raises a floor, and no
-cache location generated up to the floor is used. No clock, no I/O.
+Only the latest time of each key is kept. The number of keys is limited. A dropped invalidation raises a
+floor, and a cache location is not used if its response was generated at or before the floor. No clock, no
+I/O.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 from olivepost.shared_store.store_health import StoreHealth, TrustLevel
 from olivepost.units import MILLISECOND, Instant
 
-MAX_INVALIDATIONS = 4_096  # remembered
-CHUNK_SIZE = 256  # invalidations in one operation; a longer one would keep the store busy
-MAX_CLOCK_LEAD_MS = 10_000  # of another proxy's clock before this one
-ROW_LENGTH = 3  # number, key, Unix millisecond
-EPOCH_MS = 0  # the start of Unix time, before any response was generated
+MAX_INVALIDATIONS = 4_096  # invalidations that this proxy remembers
+CHUNK_SIZE = 256  # invalidations in one operation; a larger operation would keep the store busy
+MAX_CLOCK_LEAD_MS = 10_000  # limit for the lead of another proxy's clock over this one
+ROW_LENGTH = 3  # number, key and Unix millisecond of an invalidation
+EPOCH_MS = 0  # the start of Unix time, which is before any response was generated
 
 
 class KnownInvalidations:
-    """Times in Unix milliseconds by key. Used by the coordinator's thread only."""
+    """Latest invalidation times in Unix milliseconds, by key. Used by the coordinator's thread only."""
 
     def __init__(self) -> None:
         self._times: dict[InvalidationKey, int] = {}
@@ -35,7 +36,10 @@
         return len(self._times)
 
     def add(self, key: InvalidationKey, at_ms: int) -> bool:
-        """Adds an invalidation; returns whether it is later than the known one of its key."""
+        """Adds an invalidation and returns whether it is new.
+
+        It is not new if the key's known time is the same or later, or if `at_ms` is before the Unix epoch.
+        """
         known_ms = self._times.get(key)
         if at_ms < EPOCH_MS or (known_ms is not None and at_ms <= known_ms):
             return False
@@ -47,9 +51,9 @@
         return True
 
     def last_ms(self, object_name: str, group: int | None) -> int:
-        """Returns when an object or its group was last invalidated, at least the floor.
+        """Returns when an object or its group was last invalidated, or the floor if the floor is later.
 
-        Where the group is unknown, an invalidation of any group counts.
+        If the group is unknown, the invalidations of all groups are considered.
         """
         times = [self.floor_ms, self._times.get(InvalidationKey(object_name, None), EPOCH_MS)]
         if group is None:
@@ -59,14 +63,17 @@
         return max(times)
 
     def chunks(self) -> list[InvalidationChunk]:
-        """Returns all invalidations, the earliest first, as they are published to a store."""
+        """Returns all invalidations, earliest first, in the chunks in which they are published to a store."""
         rows = [InvalidationRow(key.text(), at_ms) for key, at_ms in self._times.items()]
         rows.sort(key=lambda row: row.at_ms)
         return [tuple(rows[start : start + CHUNK_SIZE]) for start in range(0, len(rows), CHUNK_SIZE)]
 
 
 class InvalidationExchange:
-    """Publishes invalidations to stores and reads those of others. Used by the coordinator's thread only."""
+    """Exchange of invalidations with other proxies through the stores.
+
+    Used by the coordinator's thread only.
+    """
 
     def __init__(
         self, context: CoordinatorContext, commands: CommandTracker, known: KnownInvalidations
@@ -76,7 +83,10 @@
         self._known = known
 
     def publish(self, now: Instant, event: InvalidationReceived) -> None:
-        """Publishes an invalidation of the platform to every store that is in use."""
+        """Publishes an invalidation from the platform to every store that accepts publications.
+
+        A store that is being restored gets it after the invalidations that are still to be published again.
+        """
         object_name = event.invalidation.object
         key = InvalidationKey(object_name, None if object_name else event.invalidation.group)
         is_new = self._known.add(key, event.at_ms)
@@ -94,18 +104,21 @@
     def _on_published(
         self, store: StoreHealth, generation: int, _now: Instant, values: ReplyValues | None
     ) -> None:
-        """Publishes all again where one was not confirmed: a store that lacks one must not be trusted."""
+        """Publishes all invalidations again if one was not confirmed.
+
+        A store that lacks an invalidation must not be trusted.
+        """
         if values is None and store.trust is TrustLevel.TRUSTED and generation == store.generation:
             self._context.counts["invalidations_unconfirmed"] += 1
             store.trust = TrustLevel.RESTORING
             store.unpublished.extend(self._known.chunks())
 
     def receive(self, now: Instant, store: StoreHealth, row: object) -> None:
-        """Adds an invalidation of another proxy; raises `RecordError` where the row is malformed."""
+        """Adds an invalidation from another proxy; raises `RecordError` if the row is malformed."""
         if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[1], bytes):
-            raise RecordError("an invalidation of another form", "number, key and Unix millisecond")
+            raise RecordError("a malformed invalidation", "number, key and Unix millisecond")
         number = parse_integer(row[0])
-        # An invalidation of the far future would make every hint on its key useless for good.
+        # An invalidation far in the future would make every hint for its key useless permanently.
         at_ms = min(parse_integer(row[2]), now // MILLISECOND + MAX_CLOCK_LEAD_MS)
         store.last_invalidation = max(store.last_invalidation, number)
         key = InvalidationKey.read(row[1])
@@ -113,6 +126,6 @@
         if not is_new or not self._context.terms.invalidations_enabled:
             return
         self._context.counts["invalidations_received"] += 1
-        # A time ahead of this clock counts as now: no response that is cached anywhere is younger.
+        # A time ahead of this proxy's clock is treated as now. No response cached anywhere is younger.
         age = max(0, now - at_ms * MILLISECOND)
         self._context.notify_router(api.Invalidation(key.object, key.group, age))
--- a/olivepost/shared_store/lease_table.py
+++ b/olivepost/shared_store/lease_table.py
@@ -1,6 +1,6 @@
-"""The fill leases that this proxy owns: with which fencing number, and until when by its own clock.
+"""Fill leases that this proxy owns, with their fencing numbers and their expiry by this proxy's clock.
 
-The store grants one lease a name, with a fencing number that only grows. No clock, no I/O.
+The store grants one lease at a time for each name, with a fencing number that only grows. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -10,31 +10,32 @@
 
 from olivepost.units import Instant
 
-MAX_LEASES = 8_192  # owned at once
+MAX_LEASES = 8_192  # leases owned at once
 
 
 @dataclass(slots=True)
 class OwnedLease:
-    """One lease that this proxy owns."""
+    """A fill lease that this proxy owns."""
 
     request_id: str
     name: str
     store: str
     generation: int
-    stored: bytes  # number and record, as the store has them
+    stored: bytes  # fencing number and record, as the store keeps them
     fencing_number: int
     cache: str
-    requested_at: Instant  # before the store grants it, so that it expires here first
+    # Earlier than the time of the store's grant, so that the lease expires here before it does in the store.
+    requested_at: Instant
     expires_at: Instant
 
 
 @dataclass(slots=True)
 class LeaseTable:
-    """Owned leases by request, and by name the latest. Used by the coordinator's thread only."""
+    """Owned leases by request, and the latest lease of each name. Used by the coordinator's thread only."""
 
     _by_request: dict[str, OwnedLease] = field(default_factory=dict)
     _by_name: dict[str, OwnedLease] = field(default_factory=dict)
-    _expiries: list[tuple[Instant, str]] = field(default_factory=list)  # heap: when, and of which request
+    _expiries: list[tuple[Instant, str]] = field(default_factory=list)  # heap of expiry times and request ids
 
     def __len__(self) -> int:
         return len(self._by_request)
@@ -45,7 +46,7 @@
         return len(self._by_request) >= MAX_LEASES
 
     def add(self, lease: OwnedLease) -> bool:
-        """Adds a lease; False where the name's fencing number did not grow, or the table is full."""
+        """Adds a lease. Returns False if the name's fencing number did not grow or the table is full."""
         latest = self._by_name.get(lease.name)
         if latest is not None and lease.fencing_number <= latest.fencing_number:
             return False
@@ -57,21 +58,21 @@
         return True
 
     def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
-        """Returns the lease of a name that this proxy still owns."""
+        """Returns the latest lease on a name, or `None` if it has expired or is of another generation."""
         lease = self._by_name.get(name)
         if lease is None or now >= lease.expires_at or lease.generation != generation:
             return None
         return lease
 
     def pop(self, request_id: str) -> OwnedLease | None:
-        """Removes and returns the lease of a request that has ended."""
+        """Removes and returns the lease of a request that has ended, or returns `None` if it has none."""
         lease = self._by_request.pop(request_id, None)
         if lease is not None and self._by_name.get(lease.name) is lease:
             del self._by_name[lease.name]
         return lease
 
     def drop_expired(self, now: Instant) -> int:
-        """Drops leases that have expired; returns their number."""
+        """Drops the leases that have expired and returns their number."""
         dropped = 0
         while self._expiries and self._expiries[0][0] <= now:
             _, request_id = heappop(self._expiries)
--- a/olivepost/shared_store/location_hints.py
+++ b/olivepost/shared_store/location_hints.py
@@ -1,4 +1,4 @@
-"""Hints at cache locations: which location a request was given, and reports of those that are stale."""
+"""Cache locations that requests were given as hints, and reports of the locations that are stale."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-MAX_HINTS = MAX_PENDING_COMMANDS  # remembered; for most of them no report ever comes
-STALE_HINT_REPORTS = 1  # counted where the hinted cache did not have the object
-UNUSABLE_LOCATION_REPORTS = 2  # counted where no proxy can use a location: as many delete it at once
+MAX_HINTS = MAX_PENDING_COMMANDS  # hints remembered; most of them are never reported as stale
+# Reports that the store counts if the hinted cache did not have the object.
+STALE_HINT_REPORTS = 1
+# Reports that the store counts if no proxy can use a location. This number makes the store delete it at once.
+UNUSABLE_LOCATION_REPORTS = 2
 
 
 class LocationHint(NamedTuple):
-    """The cache location that a request was given."""
+    """The cache location that a request was given as a hint."""
 
     store: StoreHealth
     generation: int
@@ -26,15 +28,15 @@
 
 
 class LocationHints:
-    """The latest hints, by request. Used by the coordinator's thread only."""
+    """The latest hints, by request id. Used by the coordinator's thread only."""
 
     def __init__(self, context: CoordinatorContext, commands: CommandTracker) -> None:
         self._context = context
         self._commands = commands
-        self._hints: dict[str, LocationHint] = {}  # the oldest first
+        self._hints: dict[str, LocationHint] = {}  # oldest first
 
     def add(self, request_id: str, hint: LocationHint) -> None:
-        """Remembers the hint of a request; the oldest ones are forgotten beyond the bound."""
+        """Remembers the hint of a request, and forgets the oldest hints beyond the limit."""
         while len(self._hints) >= MAX_HINTS:
             del self._hints[next(iter(self._hints))]
         self._hints[request_id] = hint
@@ -44,7 +46,7 @@
         self._hints.pop(request_id, None)
 
     def report_stale_hint(self, now: Instant, event: api.ReportStaleHint) -> None:
-        """The cache that a hint named does not have the object."""
+        """Reports to the store that the cache in a hint does not have the object."""
         hint = self._hints.pop(event.request_id, None)
         if hint is None:
             return
@@ -53,7 +55,10 @@
             self._report(now, hint.store, hint.name, hint.record, STALE_HINT_REPORTS)
 
     def report_unusable(self, now: Instant, store: StoreHealth, name: str, record: bytes) -> None:
-        """No proxy can use a location: it was invalidated, or its cache has restarted or was removed."""
+        """Reports to the store that no proxy can use a location.
+
+        The location was invalidated, or its cache has restarted or was removed.
+        """
         self._report(now, store, name, record, UNUSABLE_LOCATION_REPORTS)
 
     def _report(self, now: Instant, store: StoreHealth, name: str, record: bytes, reports: int) -> None:
@@ -63,4 +68,4 @@
 
 
 def _ignore_reply(_now: Instant, _values: ReplyValues | None) -> None:
-    """Nothing follows, whatever the store replies."""
+    """Ignores the reply to a report, because no reply requires an action."""
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -1,7 +1,7 @@
-"""Lookups of names: asks a store which cache has or fills a name, and makes a hint of the reply.
+"""Lookups of names, which ask a store which cache has or fills a name and turn the reply into a hint.
 
-Each lookup gets at most one hint, at once where no store may be asked. The router waits no longer than the
-lookup's timeout, whether a hint comes or not.
+Each lookup gets at most one hint, and gets it at once if no store may be asked. The router waits no longer
+than the lookup's timeout, whether a hint comes or not.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class PendingLookup:
-    """A lookup, until the store's reply comes or is lost."""
+    """A lookup that waits until the store's reply comes or is lost."""
 
     request: api.LookUpHint
     object: str
@@ -39,12 +39,12 @@
     store: StoreHealth
     generation: int
     sent_at: Instant
-    lease: PendingLease | None = None  # requested with the lookup
+    lease: PendingLease | None = None  # requested together with the lookup
     is_answered: bool = False  # the router has its hint, or no longer waits for it
 
 
 class Lookups:
-    """Sends lookups and reads their replies. Used by the coordinator's thread only."""
+    """Lookups that this proxy sends, and their replies. Used by the coordinator's thread only."""
 
     def __init__(
         self,
@@ -64,7 +64,10 @@
     # Requests
 
     def look_up(self, now: Instant, event: LookupRequested) -> None:
-        """Sends one operation, or none where no reply can come in time or tell anything new."""
+        """Sends a lookup to the store, unless no reply can come in time or tell anything new.
+
+        If this proxy already owns the fill lease on the name, the hint names the cache of that lease.
+        """
         request = event.lookup
         store = self._context.store_of(request.name)
         lookup = PendingLookup(request, event.object, event.group, store, store.generation, now)
@@ -78,7 +81,7 @@
             self._give_no_hint(lookup)
 
     def end_request(self, now: Instant, event: LeaseReleased) -> None:
-        """Ends a request that asked for a lease: forgets its hint and releases its lease."""
+        """Forgets the hint and releases the lease of a request that has ended."""
         self.hints.forget(event.release.request_id)
         self._leases.release(now, event)
 
@@ -105,7 +108,7 @@
     # Replies
 
     def _on_reply(self, lookup: PendingLookup, now: Instant, values: ReplyValues | None) -> None:
-        """Reads a store's reply. Without one, whether this proxy has the lease is unknown."""
+        """Handles a store's reply. Without a reply, it is unknown whether this proxy has the lease."""
         if now - lookup.sent_at > lookup.request.timeout:
             lookup.is_answered = True  # the router no longer waits for a hint
         if lookup.lease is not None:
@@ -118,7 +121,7 @@
         self._give_no_hint(lookup)
 
     def _read_reply(self, now: Instant, lookup: PendingLookup, values: ReplyValues) -> None:
-        """Gives the hint that follows from a reply, if any; raises `RecordError` for a malformed reply."""
+        """Gives the hint that a reply leads to, if any; raises `RecordError` if the reply is malformed."""
         match values[0]:
             case ReplyType.LEASE_GRANTED if lookup.lease is not None:
                 self._acquire_lease(now, lookup.lease, fencing_number=parse_integer(_value(values, 1)))
@@ -130,16 +133,19 @@
                 pass
             case _:
                 allowed = "mine, taken, held or none"
-                raise RecordError(f"a lookup's reply of another form: {values[0]!r:.40}", allowed)
+                raise RecordError(f"an unexpected reply to a lookup: {values[0]!r:.40}", allowed)
 
     def _acquire_lease(self, now: Instant, lease: PendingLease, fencing_number: int) -> None:
-        """The store granted the lease to this proxy, which has no hint to follow."""
+        """Adds the lease that the store granted to this proxy, which therefore has no hint to follow.
+
+        The lease is released immediately if its request has ended in the meantime.
+        """
         is_acquired = self._leases.acquire(lease, fencing_number)
         if is_acquired and lease.release is not None:
             self.end_request(now, lease.release)
 
     def _follow_lease(self, lookup: PendingLookup, stored: object, remaining_ms: object) -> None:
-        """Another proxy has the lease: hints at the cache that it fills."""
+        """Gives a hint at the cache that another proxy, the owner of the lease, is filling."""
         _, _, record = (stored if isinstance(stored, bytes) else b"").partition(b" ")
         lease = decode_record(FillLease, record)
         if not self._context.endpoints.is_usable(lease.cache, lease.cache_started_at):
@@ -150,7 +156,7 @@
         self._hint_at_fill(lookup, lease.cache, ready_in_ms * MILLISECOND)
 
     def _use_location(self, now: Instant, lookup: PendingLookup, stored: object) -> None:
-        """The store has a cache location of the name: hints at its cache, unless the location is stale."""
+        """Gives a hint at a stored location's cache if that is usable, or reports a stale location."""
         record = stored if isinstance(stored, bytes) else b""
         location = decode_record(CacheLocation, record)
         request = lookup.request
@@ -165,7 +171,10 @@
         self._answer(lookup, api.CacheHint(request.request_id, location.cache))
 
     def _is_stale(self, location: CacheLocation, lookup: PendingLookup) -> bool:
-        """Whether no proxy can use a location: invalidated, or its cache has restarted or was removed."""
+        """Whether no proxy can use a location.
+
+        Such a location was invalidated, or its cache has restarted or was removed.
+        """
         if location.generated_at_ms <= self._invalidations.last_ms(lookup.object, lookup.group):
             return True
         return self._context.endpoints.is_removed(location.cache, location.cache_started_at)
@@ -180,7 +189,7 @@
         self._answer(lookup, api.CacheHint(lookup.request.request_id))
 
     def _answer(self, lookup: PendingLookup, hint: api.CacheHint) -> None:
-        """Notifies the router, unless the lookup is answered already."""
+        """Notifies the router, unless the lookup has already been answered."""
         if not lookup.is_answered:
             lookup.is_answered = True
             self._context.notify_router(hint)
@@ -193,7 +202,7 @@
 
 
 def _value(values: ReplyValues, index: int) -> object:
-    """One value of a reply; raises RecordError where the reply has too few."""
+    """Returns one value of a reply; raises `RecordError` if the reply has too few values."""
     if index >= len(values):
-        raise RecordError(f"a lookup's reply with {len(values)} values", f"at least {index + 1}")
+        raise RecordError(f"too few values in a lookup's reply: {len(values)}", f"at least {index + 1}")
     return values[index]
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -1,4 +1,4 @@
-"""Outlier reports: weak evidence against an endpoint, once several other proxies report it.
+"""Outlier reports, which are weak evidence against an endpoint if several other proxies report it.
 
 No clock, no I/O.
 """
@@ -10,35 +10,36 @@
 from olivepost.shared_store.records import RecordError
 from olivepost.units import SECOND, Duration, Instant
 
-REPORT_LIFETIME: Duration = 3 * SECOND  # of a report that is not renewed; as long as the store keeps it
-NOTIFY_INTERVAL: Duration = 1 * SECOND  # between two events for the router about one endpoint
-MIN_REPORTERS = 2  # other proxies that must agree
-MAX_REPORTS = 1_024  # of this proxy, and reporters of one endpoint
+# Lifetime of a report that is not renewed. The store keeps a report for as long.
+REPORT_LIFETIME: Duration = 3 * SECOND
+NOTIFY_INTERVAL: Duration = 1 * SECOND  # time between two events for the router about one endpoint
+MIN_REPORTERS = 2  # other proxies that must report an endpoint
+MAX_REPORTS = 1_024  # limit for this proxy's reports, and for the reporters of one endpoint
 
 
 class OutlierReport(NamedTuple):
-    """Another proxy's process has ejected an endpoint."""
+    """A report that another proxy's process has ejected an endpoint."""
 
     incarnation: str
     endpoint_id: str
 
 
 def parse_outlier_report(row: object) -> OutlierReport:
-    """Returns the report in a row of a sync's reply; raises `RecordError` where it is malformed."""
+    """Returns the report in a row of a sync's reply; raises `RecordError` if the row is malformed."""
     text = row.decode(errors="replace") if isinstance(row, bytes) else ""
     incarnation, _, endpoint_id = text.partition("|")
     if not endpoint_id:
-        raise RecordError("an outlier report of another form", "INCARNATION|ENDPOINT")
+        raise RecordError("a malformed outlier report", "INCARNATION|ENDPOINT")
     return OutlierReport(incarnation, endpoint_id)
 
 
 class OutlierReports:
-    """This proxy's reports, and those of others by endpoint. Used by the coordinator's thread only."""
+    """This proxy's reports, and those of other proxies by endpoint. Used by the coordinator's thread only."""
 
     def __init__(self) -> None:
         self._own: dict[str, Instant] = {}  # endpoint -> when the report expires
         self._others: dict[str, dict[str, Instant]] = {}  # endpoint -> incarnation -> when the report expires
-        self._next_notification: dict[str, Instant] = {}  # by endpoint
+        self._next_notification: dict[str, Instant] = {}  # earliest time, by endpoint
 
     def add_own(self, now: Instant, endpoint_id: str) -> None:
         """Records that this proxy has ejected an endpoint."""
@@ -46,12 +47,12 @@
             self._own[endpoint_id] = now + REPORT_LIFETIME
 
     def active_own(self, now: Instant) -> tuple[str, ...]:
-        """Drops this proxy's expired reports; returns the endpoints of the others."""
+        """Drops this proxy's expired reports and returns the endpoints of the remaining ones."""
         self._own = {endpoint_id: expiry for endpoint_id, expiry in self._own.items() if expiry > now}
         return tuple(sorted(self._own))
 
     def add(self, now: Instant, report: OutlierReport) -> None:
-        """Records another process's report; a process counts once, however often it reports."""
+        """Records another process's report. Repeated reports of one process count once."""
         reporters = self._others.setdefault(report.endpoint_id, {})
         if len(reporters) < MAX_REPORTS:
             reporters[report.incarnation] = now + REPORT_LIFETIME
@@ -60,7 +61,7 @@
             del reporters[reporter]
 
     def notify_if_due(self, now: Instant, endpoint_id: str) -> bool:
-        """Returns whether the router is to be notified now, and begins the interval if so."""
+        """Returns whether the router must be notified now, and starts the next interval if so."""
         next_notification = self._next_notification.get(endpoint_id)
         if next_notification is not None and now < next_notification:
             return False
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -1,4 +1,4 @@
-"""Decides which requests for quota this proxy answers, and what it donates to them. No clock, no I/O."""
+"""Quota requests of other proxies that this proxy answers, and its donations to them. No clock, no I/O."""
 
 from __future__ import annotations
 
@@ -9,60 +9,64 @@
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest
 from olivepost.units import Duration, Instant
 
-MAX_CLOCK_DRIFT = 0.01  # share by which the rates of two proxies' clocks may differ
-MAX_DONATIONS = 64  # offered to the router at once
+MAX_CLOCK_DRIFT = 0.01  # largest relative difference between the rates of two proxies' clocks
+MAX_DONATIONS = 64  # donations offered to the router at once
 
 
 @dataclass(slots=True)
 class Donation:
-    """A transfer to another proxy: offered to the router first, then granted by way of the store."""
+    """A transfer to another proxy, first offered to the router and then granted through the store."""
 
     request: QuotaRequest
-    field: str  # of the request in the store
-    expires_at: Instant  # for this proxy, which may use the amount again from then on
+    field: str  # the request's field in the store
+    expires_at: Instant  # when this proxy may use the amount again
     amount: float = 0.0
 
 
 class GrantedDonation(NamedTuple):
-    """A donation that the router made, and the grant to send to its recipient."""
+    """A donation that the router has made, and the grant to send to its recipient."""
 
     donation: Donation
     grant: QuotaGrant
 
 
 class QuotaDonations:
-    """Requests of other proxies that this one is answering. Used by the coordinator's thread only."""
+    """Requests of other proxies that this proxy is answering. Used by the coordinator's thread only."""
 
     def __init__(self, own_requests: QuotaRequests, ids: IdSequence, duration: Duration) -> None:
         self._own_requests = own_requests
         self._ids = ids
         self._duration = duration
         self._donations: dict[int, Donation] = {}  # offered to the router, by transfer id
-        self._answered_until: dict[str, Instant] = {}  # by the nonce of each request that is being answered
+        # The time until which a request is not answered again, by the request's nonce.
+        self._answered_until: dict[str, Instant] = {}
 
     def __contains__(self, transfer_id: int) -> bool:
-        """Whether the router's answer to an offer is still to come."""
+        """Whether the router has not answered the offer of a transfer yet."""
         return transfer_id in self._donations
 
     def offer(self, now: Instant, transfer_id: int, field: str, request: QuotaRequest) -> Donation | None:
-        """Returns the donation to ask the router for in answer to a request; None where there is none."""
+        """Returns the donation to ask the router for, or `None` if the request may not be answered."""
         self._drop_expired(now)
         if not self._may_answer(now, request):
             return None
         self._answered_until[request.nonce] = now + self._duration
-        # The recipient counts from its request, which is earlier; its clock may be slower than this one.
+        # The recipient counts from its request, which is earlier, but its clock may be slower than this one.
         expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
         donation = Donation(request, field, expires_at)
         self._donations[transfer_id] = donation
         return donation
 
     def donate(self, transfer_id: int, amount: float, expires_at: Instant) -> GrantedDonation | None:
-        """The router has given an amount up; returns the grant of it, None where there is none."""
+        """Returns the grant of an amount that the router has given up.
+
+        Returns `None` if the offer is no longer open or the router gave up nothing.
+        """
         donation = self._donations.pop(transfer_id, None)
         if donation is None:
             return None
         request = donation.request
-        if amount <= MIN_AMOUNT:  # nothing can be spared now; the next sync may ask again
+        if amount <= MIN_AMOUNT:  # the router can spare nothing now; the next sync may ask it again
             self._answered_until.pop(request.nonce, None)
             return None
         donation.amount = amount
@@ -71,7 +75,10 @@
         return GrantedDonation(donation, grant)
 
     def _drop_expired(self, now: Instant) -> None:
-        """Drops what is over, also offers that the router has not answered: it failed to handle them."""
+        """Drops expired answers and offers.
+
+        These include the offers that the router never answered because it failed to handle them.
+        """
         self._answered_until = {nonce: until for nonce, until in self._answered_until.items() if until > now}
         self._donations = {
             transfer_id: donation
@@ -80,14 +87,14 @@
         }
 
     def close(self, nonce: str) -> None:
-        """The store has replied to a grant: its request may be answered again."""
+        """Allows a request to be answered again, after the store has replied to a grant for it."""
         self._answered_until.pop(nonce, None)
 
     def _may_answer(self, now: Instant, request: QuotaRequest) -> bool:
         """Whether a request may be answered.
 
-        A proxy donates nothing of a quota that it is short of itself: where all are, transfers would only
-        keep quota unused until they expire.
+        A proxy does not donate any quota of which it is short itself. If all proxies are short of it,
+        transfers would only keep quota unused until they expire.
         """
         if request.incarnation == self._ids.incarnation or self._own_requests.has_shortage(request.key):
             return False
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -1,12 +1,16 @@
-"""Quota transfers by way of the stores: reads requests and grants of others, grants what the router donates.
-
-Each proxy owns its n-th part of every quota by its router's accounting, with or without a store. A transfer
-moves an amount of one proxy's part to one process of another: the donor gives it up first, until the transfer
-has expired for both; only the process that requested it may use it, once, from the instant of its request.
-Whatever a store loses, repeats, delays or restores, parts and transfers together never exceed the whole: such
-a message only leaves quota unused. Each proxy counts by its own clock, the recipient from an earlier instant
-than the donor. Clocks may be hours apart; only their rates must agree within `MAX_CLOCK_DRIFT`. No clock, no
-I/O.
+"""Quota transfers through the stores.
+
+The exchange reads the requests and grants of other proxies, and grants the quota that the router donates.
+
+Each of n proxies owns an n-th part of every quota in its router's accounting, with or without a store. A
+transfer moves an amount of one proxy's part to one process of another proxy. The donor first gives the amount
+up, until the transfer has expired for both. Only the process that requested the amount may use it, and only
+once. The time during which it may do so starts at the instant of its request.
+
+Parts and transfers together never exceed the whole quota, even if a store loses, repeats, delays or restores
+messages. Such faults only leave quota unused. Each proxy counts by its own clock, and the recipient
+counts from an earlier instant than the donor. Clocks may be hours apart, but their rates must agree within
+`MAX_CLOCK_DRIFT`. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -34,35 +38,35 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-ROW_LENGTH = 3  # field, Unix millisecond, record
+ROW_LENGTH = 3  # field, Unix millisecond and record of a quota request
 
 
 class RequestedQuota(NamedTuple):
-    """A request of some proxy, with the time since which the store has it."""
+    """A proxy's quota request, and the Unix millisecond since which the store has had it."""
 
     since_ms: int
     field: str
     request: QuotaRequest
 
     def precedes(self, other: RequestedQuota) -> bool:
-        """Whether this one is answered rather than the other: the older one."""
+        """Whether this request is older than the other one and is therefore answered instead of it."""
         return (self.since_ms, self.field) <= (other.since_ms, other.field)
 
 
 def parse_requested_quota(row: object) -> RequestedQuota:
-    """Returns the request in a row of a sync's reply; raises `RecordError` where it is malformed."""
+    """Returns the request in a row of a sync's reply; raises `RecordError` if the row is malformed."""
     if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[0], bytes):
-        raise RecordError("a quota request of another form", "field, Unix millisecond and record")
+        raise RecordError("a malformed quota request", "field, Unix millisecond and record")
     field = row[0].decode(errors="replace")
     since_ms = parse_integer(row[1])
     request = decode_record(QuotaRequest, row[2])
     if field != _request_field(request.incarnation, request.key):
-        raise RecordError("a quota request in another proxy's field")
+        raise RecordError("a quota request whose field does not match its process and key")
     return RequestedQuota(since_ms, field, request)
 
 
 class QuotaExchange:
-    """Moves quota between this proxy's router and the stores. Used by the coordinator's thread only."""
+    """Exchange of quota between this proxy's router and the stores. Used by the coordinator's thread only."""
 
     def __init__(
         self, context: CoordinatorContext, commands: CommandTracker, malformed: MalformedRecords
@@ -74,17 +78,17 @@
         ids = IdSequence(terms.incarnation)
         self._requests = QuotaRequests(ids, terms.quota_duration)
         self._donations = QuotaDonations(self._requests, ids, terms.quota_duration)
-        self._offered: dict[int, StoreHealth] = {}  # the request's store, by transfer id
+        self._offered: dict[int, StoreHealth] = {}  # store of the offered request, by transfer id
 
     # Own requests
 
     def record_shortage(self, now: Instant, event: api.RequestQuota) -> None:
-        """Records that the router was short of an amount of a quota."""
+        """Records the amount by which the router was short of a quota."""
         if self._context.terms.quota_transfers_enabled:
             self._requests.record_shortage(now, encode_quota_key(event.key), event.amount)
 
     def renew_requests(self, now: Instant, store: StoreHealth) -> tuple[QuotaRequestRow, ...]:
-        """Renews this proxy's requests; returns those that belong to a store."""
+        """Renews this proxy's requests and returns those that belong to a store."""
         if not self._context.terms.quota_transfers_enabled:
             return ()
         incarnation = self._context.terms.incarnation
@@ -95,7 +99,7 @@
         )
 
     def receive_grant(self, now: Instant, row: object) -> None:
-        """Passes a grant on to the router; raises `RecordError` where it counts for nothing."""
+        """Passes a grant on to the router; raises `RecordError` if the grant must not be used."""
         grant = decode_record(QuotaGrant, row)
         received = self._requests.receive(now, grant)
         self._context.counts["quota_grants_received"] += 1
@@ -110,11 +114,12 @@
             self._malformed.skip_errors(_keep_oldest, oldest, row)
         for requested in oldest.values():
             key = parse_quota_key(requested.request.key)
-            if key is not None:  # else of a version that shares more quotas: there is nothing to donate
+            # An unknown key comes from a version that shares more quotas, so there is nothing to donate.
+            if key is not None:
                 self._offer(now, store, key, requested)
 
     def _offer(self, now: Instant, store: StoreHealth, key: api.QuotaKey, requested: RequestedQuota) -> None:
-        """Has the router donate to a request, where this proxy may answer it."""
+        """Asks the router to donate to a request, if this proxy may answer it."""
         request = requested.request
         transfer_id = self._context.issue_ticket()
         donation = self._donations.offer(now, transfer_id, requested.field, request)
@@ -132,7 +137,8 @@
     def donate(self, now: Instant, event: api.DonateQuota) -> None:
         """Grants an amount that the router has given up.
 
-        From here on it counts as the other proxy's, whatever becomes of the command.
+        From now on the amount belongs to the other proxy, even if the command is lost or never sent. The
+        router gets it back only if the store certainly has not granted it.
         """
         store = self._offered.pop(event.transfer_id, None)
         granted = self._donations.donate(event.transfer_id, event.amount, event.expires_at)
@@ -154,9 +160,9 @@
         self._commands.send(now, store, operation, partial(self._on_granted, donation))
 
     def _on_granted(self, donation: Donation, now: Instant, values: ReplyValues | None) -> None:
-        """Returns an amount to the router that the store certainly has not granted.
+        """Returns an amount to the router if the store certainly has not granted it.
 
-        Without a reply it may have been: the amount stays donated until it expires.
+        Without a reply, the store may have granted it, so the amount stays donated until it expires.
         """
         if not values:
             self._context.counts["quota_grants_unconfirmed"] += 1
@@ -174,12 +180,12 @@
 
 
 def _request_field(incarnation: str, key: str) -> str:
-    """The field under which a store has a process's request of a quota."""
+    """Returns the field under which a store keeps a process's request for a quota."""
     return f"{incarnation}|{key}"
 
 
 def _keep_oldest(oldest: dict[str, RequestedQuota], row: object) -> None:
-    """Adds a row's request where no older one of its quota is known."""
+    """Adds the request in a row unless an older one for the same quota is known."""
     requested = parse_requested_quota(row)
     known = oldest.get(requested.request.key)
     if known is None or requested.precedes(known):
--- a/olivepost/shared_store/quota_keys.py
+++ b/olivepost/shared_store/quota_keys.py
@@ -1,4 +1,4 @@
-"""Quota keys as records have them: `cold:ENDPOINT@START`, `open:ENDPOINT@START` and `retry`. No I/O."""
+"""Texts of quota keys in records: `cold:ENDPOINT@START`, `open:ENDPOINT@START` and `retry`. No I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 def encode_quota_key(key: QuotaKey) -> str:
-    """Returns a key as it stands in the store; a start of 0 says that it is not known."""
+    """Returns the text of a key in the store; a start of 0 means that the start is unknown."""
     if key.kind is QuotaKind.RETRY:
         return RETRY_TEXT
     return f"{PREFIXES[key.kind]}:{key.endpoint_id}@{key.started_at or 0}"
 
 
 def parse_quota_key(text: str) -> QuotaKey | None:
-    """Returns the key that a record names; None where this version knows no such quota.
+    """Returns the key for a text from a record, or `None` if this version knows no such quota.
 
-    Only the form that `encode_quota_key` gives is a key, so that each quota has one text.
+    Only a text that `encode_quota_key` returns is accepted, so that each quota has exactly one text.
     """
     if text == RETRY_TEXT:
         return RETRY_QUOTA
--- a/olivepost/shared_store/quota_requests.py
+++ b/olivepost/shared_store/quota_requests.py
@@ -1,4 +1,4 @@
-"""Decides which quota this proxy requests from others, and which of their grants count. No clock, no I/O."""
+"""Quota that this proxy requests from others, and the grants that it accepts from them. No clock, no I/O."""
 
 from __future__ import annotations
 
@@ -8,29 +8,34 @@
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, encode_record
 from olivepost.units import MILLISECOND, Duration, Instant
 
-MAX_SHORTAGES = 64  # quotas that are requested at once
-MAX_GRANTS = 1_024  # remembered until they expire, so that none counts twice
-MIN_AMOUNT = 1e-6  # of a quota; less is not transferred
-RENEWALS_PER_DURATION = 8  # of a request: a grant counts from the request's instant
-SHORTAGE_MEMORY: Duration = 500 * MILLISECOND  # in which a shortage decays to nothing
+MAX_SHORTAGES = 64  # quotas requested at once
+MAX_GRANTS = 1_024  # grants remembered until they expire, so that none counts twice
+MIN_AMOUNT = 1e-6  # amount of a quota; only larger amounts are transferred
+# Number of times that a request is renewed within its duration. The validity of a grant starts at the
+# instant of its request, so an older request leaves a grant less time.
+RENEWALS_PER_DURATION = 8
+SHORTAGE_MEMORY: Duration = 500 * MILLISECOND  # time in which a shortage decays to zero
 
 
 class IdSequence:
-    """Ids of this process's requests and grants, unique in the branch. The coordinator's thread only."""
+    """Ids of this process's requests and grants, which are unique among the proxies that share the stores.
+
+    Used by the coordinator's thread only.
+    """
 
     def __init__(self, incarnation: str) -> None:
         self.incarnation = incarnation
         self._last_number = 0
 
     def issue(self) -> str:
-        """Returns an id that was not issued before."""
+        """Returns an id that has not been issued before."""
         self._last_number += 1
         return f"{self.incarnation}.{self._last_number}"
 
 
 @dataclass(slots=True)
 class Shortage:
-    """The router's recent shortages of one quota: a decaying sum, and the largest single amount."""
+    """The router's recent shortages of one quota, as a decaying sum and the largest single amount."""
 
     updated_at: Instant
     total: float = 0.0
@@ -43,13 +48,13 @@
         self.largest = max(self.largest, amount)
 
     def remaining(self, now: Instant) -> float:
-        """Returns the sum after its decay."""
+        """Returns the sum of the shortages after its decay until `now`."""
         return self.total * max(0.0, 1 - (now - self.updated_at) / SHORTAGE_MEMORY)
 
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request of this proxy; grants that carry its nonce count until it expires."""
+    """A request of this proxy. Grants that carry its nonce are accepted until the request expires."""
 
     nonce: str
     key: str
@@ -60,7 +65,7 @@
 
 
 class ReceivedQuota(NamedTuple):
-    """The amount of a grant, and when this proxy must no longer use it."""
+    """The amount of a grant, and the time from which this proxy must no longer use it."""
 
     amount: float
     expires_at: Instant
@@ -69,7 +74,7 @@
 class QuotaRequests:
     """This proxy's shortages and requests, and the grants that it received for them.
 
-    Keys are texts as records have them. Used by the coordinator's thread only.
+    Keys are the texts of quota keys in records. Used by the coordinator's thread only.
     """
 
     def __init__(self, ids: IdSequence, duration: Duration) -> None:
@@ -78,10 +83,10 @@
         self._shortages: dict[str, Shortage] = {}  # by key
         self._requests: dict[str, OpenRequest] = {}  # by nonce
         self._latest: dict[str, OpenRequest] = {}  # by key
-        self._grants: dict[str, Instant] = {}  # received, by id: when they expire
+        self._grants: dict[str, Instant] = {}  # expiry of each received grant, by grant id
 
     def record_shortage(self, now: Instant, key: str, amount: float) -> None:
-        """Records that the router was short of an amount of a quota."""
+        """Records the amount by which the router was short of a quota."""
         if amount > 0 and (key in self._shortages or len(self._shortages) < MAX_SHORTAGES):
             self._shortages.setdefault(key, Shortage(now)).add(now, amount)
 
@@ -90,7 +95,7 @@
         return key in self._shortages
 
     def renew(self, now: Instant) -> dict[str, bytes]:
-        """Drops expired requests and renews the others; returns the records of the unmet ones, by key."""
+        """Drops expired requests and renews the others. Returns the records of the unmet ones, by key."""
         self._drop_expired(now)
         records: dict[str, bytes] = {}
         for key, shortage in self._shortages.items():
@@ -102,7 +107,8 @@
     def receive(self, now: Instant, grant: QuotaGrant) -> ReceivedQuota:
         """Records a grant and returns what it gives this proxy.
 
-        Raises `RecordError` where it counts for nothing: not requested here, received before, or too late.
+        Raises `RecordError` if the grant must not be used, because it was not requested here, was received
+        before, came too late or has an invalid amount, or because too many grants have not expired yet.
         """
         self._grants = {grant_id: expiry for grant_id, expiry in self._grants.items() if expiry > now}
         request = self._requests.get(grant.nonce)
@@ -112,7 +118,8 @@
             raise RecordError("a quota grant that was received before")
         if not 0 < grant.amount < float("inf") or len(self._grants) >= MAX_GRANTS:
             raise RecordError(
-                "a quota grant of no amount, or one too many", f"above 0, and {MAX_GRANTS} at once"
+                "a quota grant with an invalid amount, or too many grants",
+                f"finite and above 0, and at most {MAX_GRANTS} at once",
             )
         self._grants[grant.id] = request.expires_at
         request.received += grant.amount
@@ -128,7 +135,7 @@
         }
 
     def _current_request(self, now: Instant, key: str, shortage: Shortage) -> OpenRequest:
-        """Returns the latest request of a key, or a new one where it is time to renew it."""
+        """Returns the latest request for a key, or a new one if it is time to renew it."""
         latest = self._latest.get(key)
         if latest is not None and now < latest.requested_at + self._duration // RENEWALS_PER_DURATION:
             return latest
@@ -139,9 +146,9 @@
         return request
 
     def _amount_to_request(self, now: Instant, key: str, shortage: Shortage) -> float:
-        """Returns the expected shortage over a whole transfer, less what was received already.
+        """Returns the shortage expected over a whole transfer, minus the amounts already received.
 
-        At least the largest single shortage, so that one attempt can use the transfer.
+        The result is at least the largest single shortage, so that one attempt can use the transfer.
         """
         received = sum(request.received for request in self._requests.values() if request.key == key)
         expected = shortage.remaining(now) * self._duration / SHORTAGE_MEMORY
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -1,4 +1,7 @@
-"""The periodic sync with each store: sends heartbeat, requests and reports, reads those of other proxies."""
+"""Periodic sync with each store.
+
+A sync sends a heartbeat with this proxy's requests and reports, and reads those of other proxies.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 class SyncReply(NamedTuple):
-    """What other proxies left in a store, row by row, still to be checked."""
+    """Rows that other proxies left in a store and that have not been validated yet."""
 
     invalidations: Rows = ()
     quota_requests: Rows = ()
@@ -31,13 +34,13 @@
 
     @classmethod
     def read(cls, values: ReplyValues) -> SyncReply:
-        """Returns the parts of a reply; one that is missing or no list counts as empty."""
+        """Returns the parts of a reply; a part is empty if it is missing or not a list."""
         parts = [part if isinstance(part, (list, tuple)) else () for part in values]
         return cls(*parts[: len(cls._fields)])
 
 
 class Exchanges(NamedTuple):
-    """What a sync carries, by topic."""
+    """The exchanges that each sync serves, by topic."""
 
     invalidations: InvalidationExchange
     quotas: QuotaExchange
@@ -45,7 +48,10 @@
 
 
 class Synchronizer:
-    """Syncs with each store at the interval of the terms. Used by the coordinator's thread only."""
+    """Synchronizer of this proxy with each store, at the terms' interval.
+
+    Used by the coordinator's thread only.
+    """
 
     def __init__(
         self,
@@ -62,11 +68,11 @@
         self._invalidations = exchanges.invalidations
         self._quotas = exchanges.quotas
         self._outliers = exchanges.outliers
-        self._in_flight: set[str] = set()  # names of stores whose sync waits for its reply
-        self._next_sync: dict[str, Instant] = {}  # by store; a store is missing before its first sync
+        self._in_flight: set[str] = set()  # names of stores whose sync waits for a reply
+        self._next_sync: dict[str, Instant] = {}  # by store name; has no entry before the first sync
 
     def sync_if_due(self, now: Instant) -> None:
-        """Sends a sync to each store whose interval is over, unless its circuit breaker stays open."""
+        """Sends a sync to each store whose interval has passed, unless its circuit breaker stays open."""
         for store in self._context.stores.values():
             if not self._is_due(now, store):
                 continue
@@ -106,7 +112,7 @@
             self._read_parts(now, store, values)
 
     def _read_parts(self, now: Instant, store: StoreHealth, values: ReplyValues) -> None:
-        """Reads what other proxies left in the store, each row by itself; malformed ones are skipped."""
+        """Reads the rows that other proxies left in the store, one at a time, and skips malformed ones."""
         reply = SyncReply.read(values)
         for row in reply.invalidations:
             self._malformed.skip_errors(self._invalidations.receive, now, store, row)
--- a/olivepost/shared_store/terms.py
+++ b/olivepost/shared_store/terms.py
@@ -1,4 +1,4 @@
-"""The terms on which a proxy uses shared stores, as its settings and the platform give them."""
+"""Parameters of a proxy's use of shared stores, from its settings and from the platform."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SharingTerms:
-    """How this proxy uses shared stores, by the operator's and the platform's settings."""
+    """This proxy's parameters for shared stores, from the operator's and the platform's settings."""
 
     proxy: str
-    incarnation: str  # of this process, different from all earlier ones of the same proxy
+    incarnation: str  # id of this process, different from those of the proxy's earlier processes
     stores: tuple[str, ...]
-    reply_timeout: Duration  # a later reply is of no use to a request, and counts as a failure
+    # A later reply is of no use to a request, and the circuit breaker records it as a failure.
+    reply_timeout: Duration
     sync_interval: Duration
     leases_enabled: bool = True
     max_lease_duration: Duration = 10 * SECOND
