--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -1,4 +1,4 @@
-"""Service discovery's entry: owns the watch state and the one long poll that may change it."""
+"""Entry point of service discovery: owns the watch state and the only long poll that may change it."""
 
 from __future__ import annotations
 
@@ -18,11 +18,14 @@
 
 
 class DiscoveryClient:
-    """Follows a coordinator; while it can't be reached or understood, the last endpoint list stays in force.
+    """Client of one coordinator that posts the coordinator's events to the event loop.
 
-    Any thread may call it. `_lock` guards `_address`, `_long_poll` and `_watch_state`. Events are posted
-    with the lock held, so that they reach the event loop in their order. `stop` goes without it, since the
-    end of the process waits for no response that is being applied: it sets `_is_stopped`, once.
+    While the coordinator is unreachable or its responses are invalid, the last endpoint list stays in force.
+
+    Any thread may call the methods. `_lock` guards `_address`, `_long_poll` and `_watch_state`. Events are
+    posted while the lock is held, so that they reach the event loop in order. `stop` does not take the lock,
+    because the end of the process must not wait for a response that is being applied. It sets `_is_stopped`,
+    which is never reset.
     """
 
     def __init__(
@@ -33,7 +36,7 @@
         post: Callable[[DiscoveryEvent | DiscoveryHeartbeat], None],
         seed: int,
     ) -> None:
-        self.max_response_bytes = DEFAULT_MAX_RESPONSE_BYTES  # its owner may lower it before `start`
+        self.max_response_bytes = DEFAULT_MAX_RESPONSE_BYTES  # the owner may lower it before `start`
         self.clock = clock
         self.log = log
         self._post = post
@@ -45,7 +48,7 @@
         self._watch_state = WatchState(clock, log)
 
     def start(self, known_events: object) -> None:
-        """Applies the events of the configuration, if any, then follows the coordinator from there."""
+        """Applies the events in the configuration, if any, then polls the coordinator for later ones."""
         with self._lock:
             if known_events is not None:
                 self._post_events(self._watch_state.apply_stored(known_events))
@@ -53,22 +56,28 @@
             self._long_poll.start(START_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Aborts the open poll; no response is applied afterwards but one that is being applied now."""
+        """Aborts the open poll.
+
+        A response that is being applied at this time is still applied completely; no later one is.
+        """
         self._is_stopped = True
         if self._long_poll is not None:
             self._long_poll.stop()
 
     def switch_coordinator(self, coordinator: Address) -> bool:
-        """Polls another coordinator at once, from the last index; False where it is the same.
+        """Starts to poll another coordinator immediately, from the last applied index.
 
-        A response that still arrives at the old poll is dropped: its events come from the new one, once.
-        Raises RuntimeError where the system has no thread now: the old poll stays in force.
+        Returns False and changes nothing if the address is the same or the client is not running. A response
+        that still arrives at the old poll is dropped, since the new poll receives its events; each event is
+        therefore applied once. Raises RuntimeError if the system can't start a thread; the old poll then
+        continues.
         """
         with self._lock:
             old_poll = self._long_poll
             if coordinator == self._address or old_poll is None or self._is_stopped:
                 return False
-            # Without a wait: the old poll can't apply its events, and no signal is handled, meanwhile.
+            # Does not wait for a thread. During a wait, the old poll could not apply its events, because this
+            # thread holds the lock, and no signal would be handled.
             long_poll = LongPoll(self, coordinator, self._random.random())
             long_poll.start(timeout_s=0.0)
             self._long_poll = long_poll
@@ -77,17 +86,18 @@
         return True
 
     def next_index(self, long_poll: LongPoll) -> int | None:
-        """The index after which to poll; None where another long poll has taken over."""
+        """Returns the index to poll after; None if another long poll has replaced this one."""
         with self._lock:
             if not self._is_current(long_poll):
                 return None
             return self._watch_state.next_index
 
     def accept_response(self, long_poll: LongPoll, data: object) -> DiscoveryHeartbeat | None:
-        """Applies the decoded body of a complete response; a ConfigError says what is wrong with it.
+        """Applies the decoded body of a complete response; raises ConfigError if the body is invalid.
 
-        Returns the heartbeat that the event loop marks as handled after the response's events; None where
-        the response does not show that the watch is up to date.
+        Returns the heartbeat that the event loop marks as handled after the response's events. Returns None
+        if the response does not show that the watch is up to date, or if another long poll has replaced this
+        one.
         """
         with self._lock:
             if not self._is_current(long_poll):
--- a/olivepost/proxy/discovery/event_parser.py
+++ b/olivepost/proxy/discovery/event_parser.py
@@ -1,4 +1,4 @@
-"""Parses the coordinator's JSON into typed watch events. No I/O and no state."""
+"""Parser that turns the coordinator's JSON into typed watch events. It does no I/O and keeps no state."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberedEvent:
-    """An event with its index in the coordinator's sequence; `event` is None where it is invalid."""
+    """An event with its index in the coordinator's sequence; `event` is None if it is invalid."""
 
     index: int
     event: DiscoveryEvent | None
@@ -22,7 +22,7 @@
 
     @property
     def is_full_update(self) -> bool:
-        """Whether the event lists all endpoints, so that no earlier event is needed."""
+        """Whether the event lists all endpoints, so that no earlier event is needed to apply it."""
         if self.event is None or not isinstance(self.event.change, api.EndpointUpdate):
             return False
         return self.event.change.kind is api.EndpointUpdateKind.FULL
@@ -31,8 +31,8 @@
 def parse_numbered_event(item: object, now: Instant) -> NumberedEvent:
     """Parses one element of the coordinator's `updates`.
 
-    An invalid event is returned with its error, since it must not stop the events after it. An event without
-    a valid index raises a ConfigError, since the sequence is broken.
+    An invalid event is returned with its error, so that the events after it are still applied. An event
+    without a valid index raises a ConfigError, since its place in the sequence is unknown.
     """
     fields = FieldReader("update", item)
     index = fields.integer("index")
@@ -43,7 +43,7 @@
 
 
 def parse_event(fields: FieldReader, now: Instant) -> DiscoveryEvent:
-    """Parses an invalidation or an endpoint update; `now` is in Unix time."""
+    """Parses an invalidation or an endpoint update; `now` is the current Unix time in nanoseconds."""
     if "evict" in fields.data:
         return DiscoveryEvent(_parse_invalidation(fields.section("evict"), now), [])
     return _parse_endpoint_update(fields.section("endpoints"))
@@ -53,7 +53,9 @@
     name = fields.text("ref", "")
     group = fields.integer("shard") if "shard" in fields.data else None
     if not name and group is None:
-        raise fields.error("ref", "is missing; it or 'shard' must say what is invalid")
+        raise fields.error(
+            "ref", "is missing; an invalidation needs an object in 'ref' or a group in 'shard'"
+        )
     age = max(0, now - fields.integer("unix_ms") * MILLISECOND)
     return api.Invalidation(name or None, group, age)
 
@@ -75,7 +77,10 @@
 def _parse_metadata(fields: FieldReader) -> api.EndpointMetadata:
     endpoint_id = fields.text("id")
     if not FIELD_VALUE.fullmatch(endpoint_id):
-        raise fields.error("id", 'must be 1 to 200 visible ASCII characters without any of " + , =')
+        raise fields.error(
+            "id",
+            f'is {endpoint_id[:40]!r}; it must be 1 to 200 visible ASCII characters without any of " + , =',
+        )
     return api.EndpointMetadata(
         id=endpoint_id,
         state=fields.one_of("state", ENDPOINT_STATES, "in_service"),
@@ -88,7 +93,7 @@
 
 
 def _parse_address(fields: FieldReader, state: api.EndpointState) -> Address | None:
-    """The endpoint's address; the coordinator may omit it for one that is removed."""
+    """Parses the endpoint's address; returns None if a removed endpoint is listed without one."""
     if state is api.EndpointState.REMOVED and "addr" not in fields.data:
         return None
     return fields.address("addr")
--- a/olivepost/proxy/discovery/long_poll.py
+++ b/olivepost/proxy/discovery/long_poll.py
@@ -1,4 +1,4 @@
-"""The long poll: a thread that polls one coordinator, with a timeout for each response and backoff."""
+"""The long poll: a thread that polls one coordinator, with a response timeout and backoff after failures."""
 
 from __future__ import annotations
 
@@ -18,38 +18,41 @@
 from olivepost.proxy.threads import start_thread
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# How long the coordinator may hold a poll open. Short, so that a dead one is noticed well before its events
-# count as known everywhere.
+# Longest time for which the coordinator may hold a poll open. It is short, so that a failed coordinator is
+# detected well before its events are expected to be known everywhere.
 POLL_WAIT: Duration = 1 * SECOND
-# For the event loop to handle a response's events before the next poll: a stuck loop must not end discovery.
+# Longest wait for the event loop to handle a response's events before the next poll is sent. It is limited,
+# because a stalled event loop must not stop discovery.
 HANDLING_TIMEOUT_S = 1.0
-# Between two polls that are answered at once: a coordinator that never waits must not take the core.
+# Shortest time between two polls. A coordinator that answers every poll immediately would otherwise keep a
+# CPU core busy.
 MIN_POLL_INTERVAL: Duration = 20 * MILLISECOND
 OK_STATUS = "200"
 
 
 class PollOwner(Protocol):
-    """What a long poll asks of its owner; any long poll's thread may call it."""
+    """Interface that a long poll needs from its owner; the thread of any long poll may call it."""
 
     clock: Clock
     log: EventLog
     max_response_bytes: int
 
     def next_index(self, long_poll: LongPoll) -> int | None:
-        """The index after which to poll; None where another long poll has taken over."""
+        """Returns the index to poll after; None if another long poll has replaced this one."""
 
     def accept_response(self, long_poll: LongPoll, data: object) -> DiscoveryHeartbeat | None:
         """Applies the decoded body of a complete response.
 
-        Returns what is marked once its events are handled; None where there is nothing to wait for.
+        Returns the heartbeat that is marked after the response's events are handled; None if there is nothing
+        to wait for.
         """
 
 
 class LongPoll:
     """A thread that polls one coordinator from `start` until `stop`.
 
-    `stop` may be called from any thread. `_lock` guards `_connection`; the polling thread alone sets it, and
-    uses its own connection without the lock.
+    `stop` may be called from any thread. `_lock` guards `_connection`. Only the polling thread sets it, so
+    that this thread may read it and use the connection without the lock.
     """
 
     def __init__(self, owner: PollOwner, address: Address, seed: float) -> None:
@@ -60,16 +63,16 @@
         self._backoff = PollBackoff(seed)
         self._is_stopped = threading.Event()
         self._is_loss_logged = False
-        self._polled_at: Instant | None = None  # when the last poll was sent
+        self._polled_at: Instant | None = None  # time at which the last poll was sent; None before the first
         self._lock = threading.Lock()
         self._connection: PollConnection | None = None
 
     def start(self, timeout_s: float) -> None:
-        """Starts the thread; raises RuntimeError where the system has none in time."""
+        """Starts the thread; raises RuntimeError if the system can't start one within the timeout."""
         start_thread(self._run, "discovery", timeout_s)
 
     def stop(self) -> None:
-        """Aborts the open poll; a connection that is being made is closed once it is there."""
+        """Aborts the open poll; a connection that is being established is closed afterwards."""
         self._is_stopped.set()
         with self._lock:
             if self._connection is not None:
@@ -86,13 +89,13 @@
         self._close_connection()
 
     def _attempt_poll(self) -> bool:
-        """One poll with its failures handled; returns whether the connection can be used again."""
+        """Polls once and handles a failure; returns whether the connection can be reused."""
         try:
-            can_reuse_connection = self._poll(self._connected())
+            can_reuse_connection = self._poll(self._get_or_open_connection())
         except (OSError, HttpError, ConfigError, ValueError) as error:
             self._record_failure(error)
             return False
-        except Exception:  # the thread's top: no fault may end discovery
+        except Exception:  # top level of the thread: no unexpected error may end discovery
             self._backoff.record_failure()
             self.log.exception("discovery_error")
             return False
@@ -112,8 +115,8 @@
         self._backoff.record_success()
         self._is_loss_logged = False
 
-    def _connected(self) -> PollConnection:
-        """The open connection, or a new one."""
+    def _get_or_open_connection(self) -> PollConnection:
+        """Returns the open connection, or opens one if there is none."""
         if self._connection is not None:
             return self._connection
         connection = PollConnection.open(
@@ -144,16 +147,16 @@
         response = connection.receive_response(self._clock, deadline)
         status = response.start_line.status
         if status != OK_STATUS:
-            raise ConnectionError(f"status {status}")
+            raise ConnectionError(f"the coordinator responded with status {status}, expected {OK_STATUS}")
         body = orjson.loads(response.body)
-        response.body = b""  # frees the received bytes while the decoded body is in use
+        response.body = b""  # frees the received bytes before the decoded body is applied
         heartbeat = self._owner.accept_response(self, body)
         if heartbeat is not None:
             heartbeat.is_handled.wait(HANDLING_TIMEOUT_S)
         return response.keeps_alive
 
     def _wait_for_next_poll(self) -> None:
-        """Keeps two polls apart, by the time at which they were sent."""
+        """Waits until `MIN_POLL_INTERVAL` has passed since the last poll was sent."""
         if self._polled_at is not None:
             remaining = self._polled_at + MIN_POLL_INTERVAL - self._clock.now()
             if remaining > 0:
--- a/olivepost/proxy/discovery/messages.py
+++ b/olivepost/proxy/discovery/messages.py
@@ -11,17 +11,17 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryEvent:
-    """One watch event: a change for the router, and the addresses of the endpoints that it lists."""
+    """A watch event: a change for the router, and the addresses of the endpoints that the change lists."""
 
     change: api.EndpointUpdate | api.Invalidation
     addresses: list[EndpointAddress]
 
 
 class DiscoveryHeartbeat:
-    """The coordinator has answered a poll; the events of its response were posted before this message.
+    """Message that the coordinator has answered a poll; the events of its response were posted before it.
 
-    The event loop sets `is_handled`. No further poll is sent until then, so that endpoint lists don't queue
-    up before a busy event loop.
+    The event loop sets `is_handled`. The long poll waits for this before it polls again, so that endpoint
+    lists don't accumulate in the queue of a busy event loop.
     """
 
     __slots__ = ("is_handled",)
--- a/olivepost/proxy/discovery/poll_backoff.py
+++ b/olivepost/proxy/discovery/poll_backoff.py
@@ -1,4 +1,4 @@
-"""How long the next poll may take and how soon it is sent, by the failures before it."""
+"""Response timeout and backoff of the next poll, which depend on the number of consecutive failures."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from olivepost.units import MILLISECOND, SECOND, Duration
 
-# From a poll's own wait to its response's last byte. Short enough for another poll before events count as
-# known everywhere, 2 s after the wait.
+# Time from the end of a poll's wait to the last byte of its response. It is short enough for another poll
+# before events are expected to be known everywhere, which is 2 s after the end of the wait.
 FIRST_RESPONSE_TIMEOUT: Duration = 600 * MILLISECOND
 MAX_RESPONSE_TIMEOUT: Duration = 4 * SECOND
-MAX_RESPONSE_TIMEOUT_DOUBLINGS = 8  # keeps the shift small; the maximum is reached long before
+MAX_RESPONSE_TIMEOUT_DOUBLINGS = 8  # limits the shift; fewer doublings already reach the maximum
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 0.25
-MAX_BACKOFF_DOUBLINGS = 10  # keeps the shift small; the maximum is reached long before
-MIN_BACKOFF_SHARE = 0.5  # of a backoff; the rest is random
+MAX_BACKOFF_DOUBLINGS = 10  # limits the shift; fewer doublings already reach the maximum
+MIN_BACKOFF_SHARE = 0.5  # fixed share of a backoff; the rest is random
 
 
 class PollBackoff:
-    """Consecutive failures of one long poll. Its thread alone may call this."""
+    """Count of one long poll's consecutive failures. Only the thread of the long poll may call it."""
 
     def __init__(self, seed: float) -> None:
         self._random = random.Random(seed)
@@ -31,20 +31,23 @@
 
     @property
     def response_timeout(self) -> Duration:
-        """For the next response, beyond the poll's own wait; doubled by each failure for long lists."""
+        """Time for the next response after the end of the poll's wait.
+
+        Each failure doubles it, because a long endpoint list may need more time to arrive.
+        """
         doublings = min(self._consecutive_failures, MAX_RESPONSE_TIMEOUT_DOUBLINGS)
         return min(MAX_RESPONSE_TIMEOUT, FIRST_RESPONSE_TIMEOUT << doublings)
 
     def record_failure(self) -> None:
-        """A poll failed."""
+        """Records that a poll failed."""
         self._consecutive_failures += 1
 
     def record_success(self) -> None:
-        """A poll succeeded."""
+        """Records that a poll succeeded, which resets the count of failures."""
         self._consecutive_failures = 0
 
     def draw_backoff_s(self) -> float:
-        """Draws the seconds until the next attempt; call it after one failure or more."""
+        """Draws the random time until the next attempt, in seconds; requires at least one failure."""
         doublings = min(self._consecutive_failures - 1, MAX_BACKOFF_DOUBLINGS)
         longest_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * (1 << doublings))
         return longest_s * (MIN_BACKOFF_SHARE + self._random.random() * (1 - MIN_BACKOFF_SHARE))
--- a/olivepost/proxy/discovery/poll_connection.py
+++ b/olivepost/proxy/discovery/poll_connection.py
@@ -1,4 +1,4 @@
-"""The connection of a long poll: one socket to the coordinator with the parser of its responses."""
+"""The connection of a long poll: a socket to the coordinator, and the parser of the responses."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from olivepost.units import MILLISECOND, Duration, Instant
 
 CONNECT_TIMEOUT: Duration = 500 * MILLISECOND
-MAX_HEAD_SIZE = 8_192  # bytes of a response's status line and headers
-RECEIVE_SIZE = 65_536  # bytes of one read
+MAX_HEAD_SIZE = 8_192  # limit of a response's status line and headers, in bytes
+RECEIVE_SIZE = 65_536  # most bytes that one read takes
 
 
 class PollConnection:
-    """An open connection. The polling thread alone calls it, but for `abort`, which any thread may call."""
+    """An open connection. Any thread may call `abort`; only the polling thread calls the other methods."""
 
     def __init__(self, sock: socket.socket, address: Address, max_response_bytes: int) -> None:
         self.sock = sock
@@ -26,32 +26,36 @@
     def open(
         cls, address: Address, receive_timeout: Duration, send_timeout: Duration, max_response_bytes: int
     ) -> PollConnection:
-        """Connects to the coordinator; an OSError says why it can't be reached."""
+        """Connects to the coordinator; raises OSError if it can't be reached."""
         sock = sockets.connect(address, CONNECT_TIMEOUT, receive_timeout, send_timeout)
         return cls(sock, address, max_response_bytes)
 
     def send_request(self, target: str) -> None:
-        """Sends a request without a body."""
+        """Sends a GET request, which has no body."""
         sockets.send_buffers(self.sock, [http1.request_head(target, self._host)])
 
     def receive_response(self, clock: Clock, deadline: Instant) -> http1.Message[http1.StatusLine]:
-        """Blocks until the response is complete; raises an OSError once the deadline has passed."""
+        """Blocks until the response is complete.
+
+        Raises OSError if the deadline passes first or the connection is lost. Raises HttpError if the
+        response is malformed.
+        """
         while (response := self._parser.take()) is None:
             remaining = deadline - clock.now()
             if remaining <= 0:
-                raise TimeoutError("the response takes too long")
+                raise TimeoutError(f"no complete response from {self._host} before the deadline")
             sockets.set_receive_timeout(self.sock, remaining)
             try:
                 data = self.sock.recv(RECEIVE_SIZE)
-            except BlockingIOError:  # the receive timeout; whether the deadline has passed is checked above
+            except BlockingIOError:  # the receive timeout has passed; the loop checks the deadline
                 continue
             if not data:
-                raise ConnectionError("closed by the coordinator")
+                raise ConnectionError(f"{self._host} closed the connection before a complete response")
             self._parser.feed(data)
         return response
 
     def abort(self) -> None:
-        """Ends a call that is blocked on the socket; the descriptor stays open until `close`."""
+        """Unblocks a call that waits on the socket; the descriptor stays open until `close`."""
         sockets.shutdown(self.sock)
 
     def close(self) -> None:
--- a/olivepost/proxy/discovery/watch_state.py
+++ b/olivepost/proxy/discovery/watch_state.py
@@ -1,6 +1,6 @@
-"""The watch state: which of the coordinator's events are applied, and from which index to poll.
+"""The watch state: which of the coordinator's events have been applied, and the index to poll from.
 
-No I/O and no thread of its own: its owner holds a lock over each call.
+This module does no I/O and has no thread. The owner of a `WatchState` holds a lock during each call.
 """
 
 from __future__ import annotations
@@ -15,39 +15,40 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.units import Duration
 
-# Consecutive responses with a lower index than is applied, after which the coordinator is taken to number its
-# events anew. One that only lags behind sends a lower index too, and applying its old events would undo
-# drains and invalidations.
+# Number of consecutive responses with an index below the last applied one. At this number, the coordinator is
+# assumed to have restarted its numbering. A coordinator that only lags behind also sends lower indices, and
+# applying its old events would undo drains and invalidations.
 MAX_LAGGING_RESPONSES = 3
 INDEX_BEFORE_ALL_EVENTS = 0  # the coordinator's first event has index 1
 
 
 class WatchState:
-    """The position in the coordinator's numbered events."""
+    """Position in the coordinator's sequence of numbered events."""
 
     def __init__(self, clock: Clock, log: EventLog) -> None:
-        self.last_index = INDEX_BEFORE_ALL_EVENTS  # of the last event that is applied
-        self.lagging_responses = 0  # consecutive
+        self.last_index = INDEX_BEFORE_ALL_EVENTS  # index of the last applied event
+        self.lagging_responses = 0  # consecutive responses with an index below `last_index`
         self._clock = clock
         self._log = log
         self._has_endpoints = False  # whether an endpoint update has been applied
-        self._is_resyncing = False  # whether the next poll asks for all events
+        self._is_resyncing = False  # whether the next poll requests all events
 
     @property
     def next_index(self) -> int:
-        """The index after which to poll."""
+        """The index to poll after; the coordinator responds with the events that follow it."""
         return INDEX_BEFORE_ALL_EVENTS if self._is_resyncing else self.last_index
 
     @property
     def is_up_to_date(self) -> bool:
-        """Whether the last response came from a coordinator that is neither behind nor has lost events."""
+        """Whether the last response left no gap and came from a coordinator that does not lag behind."""
         return not self._is_resyncing and self.lagging_responses == 0
 
     def apply_stored(self, data: object) -> list[DiscoveryEvent]:
-        """Applies the events of the configuration, of any age, and returns those that are new, in order.
+        """Applies the events in the configuration, which may have any age, and returns the new ones in order.
 
-        The ages of its invalidations by this process's clock may be wrong. Only their differences are
-        certain, and the last invalidation may have been sent just now.
+        The clocks of the coordinator and this process may differ, so that only the differences between the
+        ages of the invalidations are reliable. The youngest invalidation gets age 0, since it may have been
+        sent immediately before the start.
         """
         events = self._apply(data)
         ages = [event.change.age for event in events if isinstance(event.change, api.Invalidation)]
@@ -57,16 +58,16 @@
     def apply_polled(self, data: object) -> list[DiscoveryEvent]:
         """Applies a poll's response and returns its new events, in order.
 
-        An invalidation counts from now on: its age by this process's clock may be wrong. Taken for older than
-        it is, it would let older responses pass; taken for younger, it costs fills of what was generated
-        since.
+        Each invalidation gets age 0, because its age by this process's clock may be wrong. An age that is too
+        high would allow responses that are stale. An age that is too low only costs fills of responses that
+        were generated after the invalidation.
         """
         return [_with_age(event, lambda _: 0) for event in self._apply(data)]
 
     def _apply(self, data: object) -> list[DiscoveryEvent]:
-        """Advances to the response's index, or begins a resync where events before it are missing.
+        """Advances to the response's index, or begins a resync if earlier events are missing.
 
-        A ConfigError says what is wrong with a response that has no valid indices; nothing of it is applied.
+        Raises ConfigError if the response has no valid indices; none of its events is applied then.
         """
         response = FieldReader("discovery response", data)
         response_index = response.integer("index", INDEX_BEFORE_ALL_EVENTS)
@@ -84,7 +85,7 @@
         return applied
 
     def _parse_new_events(self, response: FieldReader) -> list[NumberedEvent]:
-        """The response's events that are not applied yet, by index; invalid ones are logged."""
+        """Returns the events that have not been applied yet, sorted by index; logs invalid ones."""
         events: list[NumberedEvent] = []
         for item in response.items("updates"):
             event = parse_numbered_event(item, self._clock.now())
@@ -102,14 +103,14 @@
             self.lagging_responses = 0
 
     def _has_gap_before(self, new_events: list[NumberedEvent]) -> bool:
-        """Whether events are missing between the last one applied and the first new one."""
+        """Whether events are missing between the last applied event and the first new one."""
         if not new_events:
             return False
         first = new_events[0]
         return first.index != self.last_index + 1 and not first.is_full_update
 
     def _begin_resync(self, response_index: int) -> None:
-        """Has the next poll ask for all events from the first."""
+        """Makes the next poll request all events from the first one."""
         self._log.event("event_gap", last_index=self.last_index, response_index=response_index)
         self._is_resyncing = True
         if self.lagging_responses:
@@ -117,7 +118,10 @@
             self.lagging_responses = 0
 
     def _restored_if_first(self, event: DiscoveryEvent) -> DiscoveryEvent:
-        """Marks the first endpoint update after a start, which restores a list instead of changing one."""
+        """Returns the event; the first endpoint update after a start becomes one of kind RESTORED.
+
+        The first update restores an endpoint list instead of changing one.
+        """
         if self._has_endpoints or not isinstance(event.change, api.EndpointUpdate):
             return event
         self._has_endpoints = True
@@ -126,7 +130,7 @@
 
 
 def _with_age(event: DiscoveryEvent, age_of: Callable[[Duration], Duration]) -> DiscoveryEvent:
-    """An invalidation with another age, by the one it has; any other event as it is."""
+    """Returns an invalidation with its age replaced by `age_of(age)`; any other event unchanged."""
     change = event.change
     if not isinstance(change, api.Invalidation):
         return event
--- a/olivepost/proxy/downstream/body_budget.py
+++ b/olivepost/proxy/downstream/body_budget.py
@@ -1,4 +1,4 @@
-"""The memory budget that large request bodies share, and each connection's part of it."""
+"""The memory budget shared by large request bodies, and each connection's reservation in it."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class LargeBodyBudget:
-    """Counts the bytes that large request bodies may take together; small bodies are not counted.
+    """Budget in bytes for all large request bodies together; small bodies are not counted.
 
     Any thread may call it; `_lock` guards `reserved_bytes`.
     """
 
     def __init__(self, max_bytes: int, small_body_bytes: int) -> None:
-        self.small_body_bytes = small_body_bytes  # up to which a body needs no reservation
+        self.small_body_bytes = small_body_bytes  # largest body that needs no reservation
         self.reserved_bytes = 0
         self._max_bytes = max_bytes
         self._lock = threading.Lock()
 
     def reserve(self, size_bytes: int) -> bool:
-        """Reserves so many bytes until `release`; false where they don't fit."""
+        """Reserves bytes until `release`; returns False if they would exceed the budget."""
         with self._lock:
             if self.reserved_bytes + size_bytes > self._max_bytes:
                 return False
@@ -26,15 +26,15 @@
             return True
 
     def release(self, size_bytes: int) -> None:
-        """Releases bytes that were reserved."""
+        """Returns reserved bytes to the budget."""
         with self._lock:
             self.reserved_bytes -= size_bytes
 
 
 class LargeBodyReservation:
-    """What one connection has reserved for the body of the request that it receives or has in flight.
+    """Bytes that one connection has reserved for the body of the request that it receives or has in flight.
 
-    The lock of the connection guards it.
+    The lock of the connection guards the reservation.
     """
 
     def __init__(self, budget: LargeBodyBudget) -> None:
@@ -42,9 +42,9 @@
         self._reserved_bytes = 0
 
     def reserve(self, size_bytes: int) -> bool:
-        """Reserves a body's bytes where it needs that; returns whether it may be read.
+        """Reserves the bytes of a body if necessary; returns whether the body may be read.
 
-        A small body needs no reservation, and one that is reserved already needs no other.
+        A small body needs no reservation, and a body that already has one needs no second one.
         """
         if size_bytes <= self._budget.small_body_bytes or self._reserved_bytes:
             return True
@@ -54,7 +54,7 @@
         return True
 
     def release(self) -> None:
-        """Releases what is reserved, if anything is."""
+        """Releases the reservation, if there is one."""
         if self._reserved_bytes:
             self._budget.release(self._reserved_bytes)
             self._reserved_bytes = 0
--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its parts, and the thread that reads it and closes its socket at the end."""
+"""One client's connection: its parts, and the reader thread, which closes the socket at the end."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 from olivepost.proxy.exchange import Exchange, RequestAbandoned
 from olivepost.units import Duration
 
-READ_BUFFER_TIMEOUT_S = 1.0  # a new connection's wait for a read buffer of the pool
-# Reasons for which a connection that has no request in flight ends without a line in the log.
+READ_BUFFER_TIMEOUT_S = 1.0  # longest wait of a new connection for a read buffer from the pool
+# Close reasons that are not logged if the connection has no request in flight.
 ORDINARY_CLOSE_REASONS = (CloseReason.CLIENT_CLOSED, CloseReason.AFTER_RESPONSE, CloseReason.IDLE_TIMEOUT)
 
 
 class DownstreamConnection:
     """A client's connection. Its reader thread calls `run` and owns the socket.
 
-    `lifecycle` is what other threads see of it: state, lock and closes. Requests are read by `RequestReader`
-    on the reader thread, responses are written by `ResponseDelivery` on writer threads. `queue_delay` is for
-    how long the connection has waited for its slot, as far as is known.
+    `lifecycle` is the part that other threads use: its state, its lock and the operations that close it.
+    `RequestReader` reads requests on the reader thread, and `ResponseDelivery` writes responses on writer
+    threads. `queue_delay` is an estimate of the time for which the connection has waited for its slot.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._reader = RequestReader(context, self.lifecycle, partial(writers.submit, delivery), queue_delay)
 
     def run(self) -> None:
-        """Reads requests until the connection ends; the reader thread's entry point."""
+        """Reads requests until the connection ends; this is the entry point of the reader thread."""
         context = self._context
         buffers = context.read_buffers.acquire(1, READ_BUFFER_TIMEOUT_S)
         try:
@@ -57,7 +57,7 @@
                 self._reader.read(buffers[0])
         except OSError:
             context.log.increment("connections_reset")
-        except Exception:  # the top of a thread: a fault ends this connection only
+        except Exception:  # top level of the thread: an unexpected error ends only this connection
             self.lifecycle.record_close_reason(CloseReason.ERROR)
             context.log.exception("downstream_connection_error")
         finally:
@@ -67,7 +67,7 @@
             self._on_closed(self.lifecycle)
 
     def _configure_socket(self) -> None:
-        """Tries to set the socket's options; requests are served without them, too."""
+        """Tries to set the socket's options; if that fails, requests are served without them."""
         limits = self._context.limits
         with contextlib.suppress(OSError):
             sockets.configure(self._sock, receive_timeout=0, send_timeout=limits.write_stall_timeout)
@@ -75,9 +75,9 @@
             sockets.set_send_buffer(self._sock, limits.max_response_body_bytes)
 
     def _close(self) -> None:
-        """Closes the socket and abandons the request in flight."""
+        """Closes the socket and abandons the request in flight, if there is one."""
         lifecycle = self.lifecycle
-        lifecycle.is_closed = True  # before the event loop is notified: no attempt begins from here on
+        lifecycle.is_closed = True  # set before the event loop is notified, so that no further attempt begins
         sockets.shutdown(self._sock)  # wakes a writer that waits for this client
         with lifecycle.lock:
             exchange = lifecycle.exchange
@@ -89,7 +89,7 @@
             self._context.post(RequestAbandoned(exchange))
 
     def _record_close(self, exchange: Exchange | None) -> None:
-        """Counts the close by its reason; logs one with a request in flight, or for an unusual reason."""
+        """Counts the close by its reason; logs it if a request was in flight or the reason is unusual."""
         log = self._context.log
         reason = self.lifecycle.close_reason
         log.increment(f"connections_closed_{reason.value}")
--- a/olivepost/proxy/downstream/connection_admission.py
+++ b/olivepost/proxy/downstream/connection_admission.py
@@ -1,4 +1,4 @@
-"""Admission of accepted connections: one slot each, up to the connection cap, and a reader thread."""
+"""Admission of accepted connections: each gets a slot, up to the connection cap, and a reader thread."""
 
 from __future__ import annotations
 
@@ -19,22 +19,24 @@
 from olivepost.proxy.http1 import response_head
 from olivepost.units import SECOND
 
-SLOT_RETRY_INTERVAL_S = 0.02  # between two attempts to evict a connection at the cap
-# For a client and all that wait behind it, until each has a slot or a rejection.
+SLOT_RETRY_INTERVAL_S = 0.02  # pause between two attempts to evict a connection at the cap
+# Longest time until a client and all clients that wait behind it have a slot or a rejection each.
 MAX_SLOT_WAIT_S = 0.7
-# For one client, where slots become free often enough for all: the youngest connections can't be evicted yet.
+# Shortest timeout of one client while slots become free often enough for all waiting clients. With a shorter
+# one, the client could be rejected before the youngest connections may be evicted.
 PATIENT_SLOT_WAIT_S = 0.1
-SLOT_WAIT_STEP = 0.25  # weight of a new sample in the mean wait for a slot
-# Attempts to start a connection's reader thread, and the pause between two: a second in all.
+SLOT_WAIT_STEP = 0.25  # weight of a new sample in the moving average of waits for a slot
+# Attempts to start a connection's reader thread, and the pause between two attempts: one second in total.
 READER_START_ATTEMPTS = 100
 READER_START_PAUSE_S = 0.01
 
 
 class ConnectionAdmission:
-    """Turns accepted sockets into connections.
+    """Admission control, which turns accepted sockets into connections.
 
     The accept thread calls `admit`, the main thread sets `connection_limit`, and each connection's reader
-    thread gives its slot back at the end. The semaphore counts the free slots; `stopped` ends a wait for one.
+    thread releases its slot at the end. The semaphore `_slots` counts the free slots. When `stopped` is set,
+    a wait for a slot ends.
     """
 
     def __init__(
@@ -44,7 +46,7 @@
         evictor: ConnectionEvictor,
         stopped: threading.Event,
     ) -> None:
-        # Connections that may be open at the present level of memory pressure; at most one per slot.
+        # Number of connections that may be open at the current memory pressure level; at most one per slot.
         self.connection_limit = context.limits.max_client_connections
         self._context = context
         self._connections = connections
@@ -52,14 +54,16 @@
         self._stopped = stopped
         self._writers = ResponseWriters(context.limits.writer_threads, context.log)
         self._slots = threading.Semaphore(context.limits.max_client_connections)
-        # The accept thread's: the mean wait of the last clients at the cap, and the delay of the one in hand.
+        # Moving average of the waits for a slot at the cap, and the queue delay of the client that is being
+        # admitted. Only the accept thread uses them.
         self._mean_slot_wait_s = 0.0
         self._queue_delay_s = 0.0
 
     def admit(self, sock: socket.socket, count_waiting: Callable[[], int]) -> None:
-        """Starts a connection once there is a slot; rejects it where there is none in time.
+        """Starts a connection after it gets a slot; rejects it if no slot becomes free in time.
 
-        `count_waiting` says how many connections wait to be accepted behind this one; it is asked at the cap.
+        `count_waiting` returns the number of connections that wait to be accepted behind this one. It is
+        called only at the cap.
         """
         self._queue_delay_s = 0.0
         try:
@@ -78,27 +82,28 @@
             raise
 
     def _take_free_slot(self) -> bool:
-        """Takes a slot, if one is free and memory pressure allows one more connection."""
+        """Takes a slot if one is free and memory pressure allows it; returns whether a slot was taken."""
         return not self._is_at_memory_limit and self._slots.acquire(blocking=False)
 
     @property
     def _is_at_memory_limit(self) -> bool:
-        """Whether memory pressure keeps free slots unused."""
+        """Whether memory pressure allows no further connection, even if slots are free."""
         is_limited = self.connection_limit < self._context.limits.max_client_connections
         return is_limited and len(self._connections) >= self.connection_limit
 
     def _slot_timeout_s(self, client_count: int) -> float:
-        """How long the first of the waiting clients may wait, for all to have a response in time."""
+        """Returns how long the first of the waiting clients may wait, so that all get a response in time."""
         timeout_s = MAX_SLOT_WAIT_S / client_count
         if self._mean_slot_wait_s * client_count <= MAX_SLOT_WAIT_S:
             return max(timeout_s, PATIENT_SLOT_WAIT_S)
         return timeout_s
 
     def _wait_for_slot(self, waiting_count: int) -> bool:
-        """Takes a slot at the cap; False where there is none in time, or `stopped` is set.
+        """Waits for a slot at the cap; returns False if none becomes free in time or `stopped` is set.
 
-        Evicts an idle connection. Where all are in use, responses end their connections meanwhile, so that
-        clients take turns; but not for a flood of connections without requests, which are evicted soon.
+        Evicts an idle connection. If all connections are in use, responses end their connections during the
+        wait, so that clients take turns. Responses don't do so during a flood of connections without
+        requests, because those connections are evicted soon.
         """
         context = self._context
         context.log.increment("connection_cap_reached")
@@ -119,14 +124,15 @@
             context.is_slot_wanted = False
             waited_s = time.monotonic() - began_at
             self._mean_slot_wait_s += SLOT_WAIT_STEP * (waited_s - self._mean_slot_wait_s)
-            # Before it was accepted it waited behind about as many as wait behind it now.
+            # Before it was accepted, the client waited behind about as many clients as now wait behind it.
             self._queue_delay_s = waited_s + min(MAX_SLOT_WAIT_S, waiting_count * self._mean_slot_wait_s)
         return False
 
     def _reject(self, sock: socket.socket) -> None:
-        """Responds 503 to a client that gets no slot, without waiting for it, and closes the connection.
+        """Sends status 503 to a client that gets no slot, without waiting for it, and closes the connection.
 
-        What it has sent is received first: a close over unread bytes would reset the connection.
+        The bytes that it has sent are received first, because a close with unread bytes would reset the
+        connection.
         """
         self._context.log.increment("connections_rejected")
         with sock, contextlib.suppress(OSError):
@@ -143,24 +149,28 @@
             self._remove(connection.lifecycle)
 
     def _start_reader(self, connection: DownstreamConnection) -> bool:
-        """Starts a connection's thread; where the system has none, idle connections give theirs up.
+        """Starts a connection's reader thread; returns whether the system could start one.
 
-        The client may have sent a request already, so the connection waits for a thread before it is closed.
+        If it can't, idle connections are evicted to free their threads, and the start is retried. The
+        connection is not closed at the first failure, because the client may have sent a request already.
         """
         for _ in range(READER_START_ATTEMPTS):
             try:
-                # threading.Thread.start waits until the new thread has run: on a busy core that is a thread
-                # switch for each connection, during which no other is accepted.
+                # threading.Thread.start waits until the new thread has run. On a busy core that costs a
+                # thread switch for each connection, during which no other connection is accepted.
                 _thread.start_new_thread(connection.run, ())
             except RuntimeError:
                 self._context.log.increment("threads_short")
-                self._evictor.evict_idle(needed=connection.lifecycle)
+                self._evictor.evict_idle(excluded=connection.lifecycle)
                 time.sleep(READER_START_PAUSE_S)
             else:
                 return True
         return False
 
     def _remove(self, connection: ConnectionLifecycle) -> None:
-        """Removes a connection whose socket is closed, and frees its slot; its reader thread calls this."""
+        """Removes a connection whose socket is closed, and releases its slot.
+
+        Its reader thread calls this, or the accept thread if no reader thread could be started.
+        """
         self._connections.discard(connection)
         self._slots.release()
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -1,4 +1,4 @@
-"""The state of one client's connection, the lock that guards it, and every way in which it closes."""
+"""The state of one client's connection, the lock that guards it, and the operations that close it."""
 
 from __future__ import annotations
 
@@ -15,40 +15,41 @@
 from olivepost.proxy.http1 import RequestParser, response_head
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# For the client to close its side after our half-close, so that no reset overtakes the response (RFC 9112,
-# section 9.6).
+# Time for the client to close its side after the proxy's half-close. Without it, a reset could overtake the
+# response (RFC 9112, section 9.6).
 LINGER_TIMEOUT: Duration = 1 * SECOND
-# For the reader thread to take a request that arrived before the deadline and is not read yet.
+# Additional time for the reader thread to receive a request that arrived before the deadline.
 READER_GRACE: Duration = 200 * MILLISECOND
 
 
 class CloseReason(Enum):
-    """Why a client's connection was closed; the values stand in the log and in names of counters."""
+    """Reason for the close of a client's connection; the values appear in the log and in counter names."""
 
     CLIENT_CLOSED = "client_closed"
-    EVICTED = "evicted"  # idle, at the connection cap or close to the memory limit
+    EVICTED = "evicted"  # closed while idle, at the connection cap or close to the memory limit
     IDLE_TIMEOUT = "idle_timeout"
-    REQUEST_TIMEOUT = "request_timeout"  # a part of a request
-    WRITE_TIMEOUT = "write_timeout"  # a response that the client does not read
+    REQUEST_TIMEOUT = "request_timeout"  # the request was incomplete at its deadline
+    WRITE_TIMEOUT = "write_timeout"  # the client did not read its response in time
     WRITE_FAILED = "write_failed"
     DRAINING = "draining"
-    AFTER_RESPONSE = "after_response"  # as the client or the proxy has announced
+    AFTER_RESPONSE = "after_response"  # the client or the proxy had announced the close
     NO_READ_BUFFER = "no_read_buffer"
     ERROR = "error"
 
 
 class ConnectionLifecycle:
-    """State and close of a connection, which has one request in flight at most.
+    """State of a connection with at most one request in flight, and the operations that close it.
 
     A connection is idle, receives a request, has a request in flight (`exchange`), or is closing.
 
-    `lock` guards every other field and orders received bytes and closes: bytes are received with it, and a
-    thread that closes the connection sets `is_closing` with it first. So a request that was received before
-    the close gets its response, and one that arrives after it is not forwarded.
+    `lock` guards all other fields and puts received bytes and closes in order. Bytes are received while the
+    lock is held, and a thread that closes the connection first sets `is_closing` while it holds the lock.
+    Therefore a request that was received before the close gets its response, and a request that arrives
+    after the close is not forwarded.
 
-    Three accesses go without the lock: the accept thread and the deadline thread read fields and properties
-    to select connections, and check again with the lock before they act; the reader thread sets `is_closed`,
-    once; and `abort` is called while a writer holds the lock and waits for the client.
+    Three accesses do not take the lock. The accept thread and the deadline thread read fields and properties
+    to select connections, and check them again with the lock before they act. The reader thread sets
+    `is_closed`, once. `abort` may be called while a writer holds the lock and waits for the client.
     """
 
     def __init__(self, context: DownstreamContext, sock: socket.socket) -> None:
@@ -56,22 +57,24 @@
         self.sock = sock
         self.parser = RequestParser(context.limits.max_head_bytes, context.limits.max_request_body_bytes)
         self.body_reservation = LargeBodyReservation(context.large_bodies)
-        self.exchange: Exchange | None = None  # of the request in flight
-        self.keeps_alive = True  # as the last request asked
-        self.is_closing = False  # the last response is sent, or none will be
+        self.exchange: Exchange | None = None  # exchange of the request in flight, if there is one
+        # Whether the connection stays open after the response. The last request decides this, unless the
+        # proxy has to end the connection.
+        self.keeps_alive = True
+        self.is_closing = False  # the last response was sent, or no further response will be
         self.is_write_blocked = False  # a writer holds the lock and waits for the client to read
-        self.is_closed = False  # by the client, or after our close
-        self.close_reason = CloseReason.CLIENT_CLOSED  # as long as the proxy has not closed it
-        self.has_received_request = False  # a complete request was received
-        self.idle_since: Instant = context.clock.now()  # when it last became idle, or was half-closed
-        # When the connection must have left its present state, whatever bytes arrive until then; None while a
-        # request is in flight, which has the event loop's own deadline.
+        self.is_closed = False  # whether the client or the reader thread has closed it
+        self.close_reason = CloseReason.CLIENT_CLOSED  # kept unless the proxy closes the connection
+        self.has_received_request = False  # whether a complete request was received
+        self.idle_since: Instant = context.clock.now()  # time at which it last became idle or was half-closed
+        # Time by which the connection must leave its current state, even if bytes arrive until then. None
+        # while a request is in flight, since the event loop enforces the deadline of that request.
         self.deadline: Instant | None = self.idle_since + context.limits.first_request_timeout
         self._context = context
 
     @property
     def is_idle(self) -> bool:
-        """Whether it has received a request before, and none is in flight."""
+        """Whether the connection has received a request before, and none is in flight now."""
         return self.has_received_request and self.exchange is None
 
     @property
@@ -83,28 +86,28 @@
 
     @property
     def has_nothing_unread(self) -> bool:
-        """Whether the socket has no received bytes that the reader thread has not taken yet."""
+        """Whether the reader thread is known to have taken all bytes that the socket has received."""
         return sockets.has_nothing_unread(self.sock)
 
     def is_closed_by_client(self) -> bool:
-        """Whether the client has closed, reset or half-closed, also where the reader thread is late."""
+        """Whether the client has closed, reset or half-closed, even if the reader thread has not noticed."""
         return self.is_closed or sockets.is_closed_by_peer(self.sock)
 
     def is_overdue(self, now: Instant) -> bool:
         """Whether the deadline has passed."""
-        deadline = self.deadline  # another thread may set it to None meanwhile
+        deadline = self.deadline  # read once, since another thread may set it to None
         return deadline is not None and deadline < now
 
-    # Closes by other threads: the accept thread, the deadline thread and the graceful shutdown.
+    # Closes that other threads request: the accept thread, the deadline thread and the graceful shutdown.
 
     def evict(self) -> bool:
-        """Closes the connection at once, unless a request is in flight or unread; returns whether it did.
+        """Closes the connection immediately, unless a request is in flight or unread; returns whether it did.
 
-        A part of a request gets status 503.
+        An incomplete request gets status 503.
         """
         with self._try_lock() as is_locked:
             if not is_locked:
-                return False  # its reader or a writer uses it
+                return False  # the reader or a writer is using the connection
             if self.exchange is not None or not self.has_nothing_unread:
                 return False
             self.record_close_reason(CloseReason.EVICTED)
@@ -114,19 +117,19 @@
             return True
 
     def expire(self) -> None:
-        """Closes a connection whose deadline has passed; a part of a request gets status 408."""
+        """Closes a connection whose deadline has passed; an incomplete request gets status 408."""
         with self._try_lock() as is_locked:
             if is_locked:
                 self._expire_locked()
-            elif self.is_write_blocked:  # otherwise its reader has just received something
+            elif self.is_write_blocked:  # otherwise the reader holds the lock, since bytes have arrived
                 self.deadline = None
                 self.abort(CloseReason.WRITE_TIMEOUT)
 
     def close_if_idle(self) -> bool:
-        """Half-closes an idle connection, without waiting for a thread that uses it.
+        """Half-closes an idle connection, without waiting for a thread that is using it.
 
-        One with unread bytes ends after the response to them. Returns whether the connection is ending;
-        the caller asks again where it is not.
+        A connection with unread bytes ends after the response to them. Returns whether the connection is
+        ending; if it is not, the caller tries again later.
         """
         with self._try_lock() as is_locked:
             if is_locked and not self.is_closing and not self.is_closed:
@@ -136,7 +139,7 @@
             return self.is_closing or self.is_closed
 
     def abort(self, reason: CloseReason) -> None:
-        """Shuts down the socket at once; the client can tell that its response is incomplete."""
+        """Shuts down the socket immediately; the client can detect that its response is incomplete."""
         self.record_close_reason(reason)
         self._context.log.increment("responses_aborted")
         self.keeps_alive = False
@@ -144,7 +147,7 @@
 
     @contextmanager
     def _try_lock(self) -> Iterator[bool]:
-        """Takes the lock where it is free; yields whether it was."""
+        """Takes the lock if it is free; yields whether it was taken."""
         is_locked = self.lock.acquire(blocking=False)
         try:
             yield is_locked
@@ -167,27 +170,27 @@
         else:
             self.deadline = now + READER_GRACE  # the reader thread is late, not the client
 
-    # Transitions, with the lock held.
+    # State transitions; the caller holds the lock.
 
     @property
     def stays_open(self) -> bool:
-        """Whether the connection stays open after the response in hand."""
+        """Whether the connection stays open after the current response."""
         context = self._context
         return self.keeps_alive and not (context.is_draining or context.is_slot_wanted)
 
     def become_idle(self) -> None:
-        """No request is in flight: the next one must be complete by the keep-alive deadline."""
+        """Marks the connection as idle; the next request must be complete by the keep-alive deadline."""
         self.body_reservation.release()
         self.idle_since = self._context.clock.now()
         self.deadline = self.idle_since + self._context.limits.keepalive_timeout
 
     def record_close_reason(self, reason: CloseReason) -> None:
-        """Records why the proxy closes the connection; the first reason counts."""
+        """Records why the proxy closes the connection; only the first reason is kept."""
         if self.close_reason is CloseReason.CLIENT_CLOSED:
             self.close_reason = reason
 
     def half_close(self, reason: CloseReason) -> None:
-        """Closes our side; the client has the linger timeout to close its own."""
+        """Closes the proxy's side; the client has `LINGER_TIMEOUT` to close its own side."""
         self.record_close_reason(reason)
         self.is_closing = True
         self.idle_since = self._context.clock.now()
@@ -197,15 +200,18 @@
         sockets.shutdown(self.sock, socket.SHUT_WR)
 
     def _shut_down(self, reason: CloseReason) -> None:
-        """Closes both directions; what the reader thread still receives is dropped."""
+        """Shuts down both directions; bytes that the reader thread still receives are dropped."""
         self.record_close_reason(reason)
         self.deadline = None
         self.is_closing = True
         sockets.shutdown(self.sock)
 
     def send_head(self, status: int, headers: Mapping[str, str]) -> None:
-        """Sends a bodiless response of the proxy's own; a client that can't take it at once is cut off."""
-        closes = not self.stays_open  # read once: a drain that begins meanwhile must not change it
+        """Sends a response of the proxy itself, without a body.
+
+        Aborts the connection if the socket can't take the whole response immediately.
+        """
+        closes = not self.stays_open  # read once, so that a drain that begins meanwhile does not change it
         is_sent = self._try_send(response_head(status, 0, headers, closes))
         if not is_sent:
             self.abort(CloseReason.WRITE_FAILED)
--- a/olivepost/proxy/downstream/connection_set.py
+++ b/olivepost/proxy/downstream/connection_set.py
@@ -8,13 +8,14 @@
 
 
 class ConnectionSet:
-    """The open downstream connections, as other threads than their own see them. Thread-safe.
+    """Thread-safe set of the open client connections, through which other threads reach them.
 
-    `_lock` guards `_connections` and `peak_count`; their length and the peak may be read without it.
+    `_lock` guards `_connections` and `peak_count`. The number of connections and the peak may be read without
+    the lock.
     """
 
     def __init__(self) -> None:
-        self.peak_count = 0  # of connections open at the same time
+        self.peak_count = 0  # largest number of connections open at the same time
         self._lock = threading.Lock()
         self._connections: set[ConnectionLifecycle] = set()
 
@@ -22,7 +23,7 @@
         return len(self._connections)
 
     def add(self, connection: ConnectionLifecycle) -> None:
-        """Records a connection that has been accepted."""
+        """Adds a connection that has been accepted."""
         with self._lock:
             self._connections.add(connection)
             self.peak_count = max(self.peak_count, len(self._connections))
@@ -33,6 +34,6 @@
             self._connections.discard(connection)
 
     def snapshot(self) -> list[ConnectionLifecycle]:
-        """The connections that are open now, in no order."""
+        """Returns the connections that are open now, in no particular order."""
         with self._lock:
             return list(self._connections)
--- a/olivepost/proxy/downstream/context.py
+++ b/olivepost/proxy/downstream/context.py
@@ -1,4 +1,4 @@
-"""What all downstream connections of one proxy share."""
+"""Services, limits and flags that all client connections of one proxy share."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @dataclass(slots=True, eq=False)
 class DownstreamContext:
-    """The services and limits that connections use.
+    """Services, limits and flags that client connections use.
 
-    Any thread may read it. Two fields change: the main thread sets `is_draining`, once, at the shutdown, and
-    the accept thread sets `is_slot_wanted` while a client waits for a slot.
+    Any thread may read the fields. Two of them change: the main thread sets `is_draining`, once, at the
+    shutdown, and the accept thread sets `is_slot_wanted` while a client waits for a slot.
     """
 
     limits: ResourceLimits
@@ -27,9 +27,9 @@
     read_buffers: BufferPool
     clock: Clock
     log: EventLog
-    post: Callable[[RequestReceived | RequestAbandoned], None]  # to the event loop
-    is_draining: bool = False  # every response from now on ends its connection
-    is_slot_wanted: bool = False  # every response ends its connection, for a client that waits for a slot
+    post: Callable[[RequestReceived | RequestAbandoned], None]  # posts a message to the event loop
+    is_draining: bool = False  # the shutdown has begun, and every response ends its connection
+    is_slot_wanted: bool = False  # every response ends its connection, since a client waits for a slot
     large_bodies: LargeBodyBudget = field(init=False)
 
     def __post_init__(self) -> None:
--- a/olivepost/proxy/downstream/deadline_watch.py
+++ b/olivepost/proxy/downstream/deadline_watch.py
@@ -1,4 +1,4 @@
-"""Closes client connections whose deadline has passed."""
+"""The thread that closes client connections whose deadline has passed."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 
-DEADLINE_CHECK_INTERVAL_S = 0.1  # by which a connection may outlive its deadline
+DEADLINE_CHECK_INTERVAL_S = 0.1  # longest time by which a connection may outlive its deadline
 
 
 class DeadlineWatch:
-    """The deadline thread; it runs from `start` until `stopped` is set, and decides on no deadline itself.
+    """The deadline thread, which runs from `start` until `stopped` is set.
 
-    It also calls `on_check` at each check.
+    It does not set the deadlines; each connection sets its own. It also calls `on_check` at each check.
     """
 
     def __init__(
@@ -31,7 +31,7 @@
         self._on_check = on_check
 
     def start(self) -> None:
-        """Starts the thread; raises RuntimeError where the system has none in time."""
+        """Starts the thread; raises RuntimeError if the system can't start one in time."""
         start_thread(self._run, "deadlines", START_TIMEOUT_S)
 
     def _run(self) -> None:
@@ -39,7 +39,7 @@
             try:
                 self._expire_connections()
                 self._on_check()
-            except Exception:  # the top of a thread: the deadlines of all connections depend on it
+            except Exception:  # top level of the thread: the deadlines of all connections depend on it
                 self._context.log.exception("deadline_error")
 
     def _expire_connections(self) -> None:
@@ -50,5 +50,5 @@
             log.increment("connection_deadlines_exceeded")
             try:
                 connection.expire()
-            except Exception:  # a fault in one connection must not keep the others open
+            except Exception:  # an unexpected error in one connection must not keep the others open
                 log.exception("downstream_connection_error")
--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -1,4 +1,4 @@
-"""The client side as a whole: its listener, admission, connections and deadline watch."""
+"""The whole client side: listener, admission, connections and deadline watch."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class DownstreamServer:
-    """Owns the parts of the client side; the main thread starts and stops them.
+    """Owner of the parts of the client side; the main thread starts and stops them.
 
-    Counts and flags may be read by any thread. What the parts share is `connections`, which has a lock of its
-    own, and `_stopped`, which ends the deadline thread and a wait for a slot.
+    Any thread may read the counts and flags. The parts share `connections`, which has its own lock, and
+    `_stopped`, which ends the deadline thread and any wait for a slot.
     """
 
     def __init__(self, context: DownstreamContext) -> None:
@@ -29,19 +29,19 @@
         self._evictor = ConnectionEvictor(context, self.connections)
         self.admission = ConnectionAdmission(context, self.connections, self._evictor, self._stopped)
         self._listener = Listener(context.log, context.limits.backlog, self.admission.admit)
-        self.on_deadline_check: Callable[[], object] = lambda: None  # set before `listen`
+        self.on_deadline_check: Callable[[], object] = lambda: None  # the owner may set it before `listen`
         self._deadline_watch = DeadlineWatch(
             context, self.connections, self._stopped, lambda: self.on_deadline_check()
         )
 
     @property
     def open_count(self) -> int:
-        """Connections that are open."""
+        """The number of open connections."""
         return len(self.connections)
 
     @property
     def peak_count(self) -> int:
-        """The most connections that were open at the same time."""
+        """The largest number of connections that were open at the same time."""
         return self.connections.peak_count
 
     @property
@@ -55,35 +55,35 @@
         return any(connection.has_pending_response for connection in self.connections.snapshot())
 
     def listen(self, address: Address) -> Address:
-        """Binds and starts to accept; returns the bound address; raises OSError."""
+        """Binds the address and starts to accept; returns the bound address. Raises OSError if it can't."""
         bound = self._listener.listen(address)
         self._deadline_watch.start()
         return bound
 
-    # Memory pressure: the main thread calls these with what `MemoryShedder` makes of a level.
+    # Memory pressure: `MemoryShedder` calls these on the main thread, as the level requires.
 
     def limit_connections(self, limit: int) -> None:
-        """Admits no further connection while so many are open."""
+        """Sets the number of open connections at which no further connection is admitted."""
         self.admission.connection_limit = limit
 
     def evict_idle(self) -> None:
-        """Closes a few connections without a pending response, those without any request first."""
+        """Closes a few connections without a pending response; those without any request come first."""
         self._evictor.evict_idle()
 
-    # The graceful shutdown, in this order.
+    # Steps of the graceful shutdown, in this order.
 
     def drain(self) -> None:
         """Begins the graceful shutdown: every response from now on ends its connection."""
         self.context.is_draining = True
 
     def close_idle(self) -> list[ConnectionLifecycle]:
-        """Half-closes connections without a request in flight; returns those that are not ending yet."""
+        """Half-closes connections without a request in flight; returns all that are not ending yet."""
         return [connection for connection in self.connections.snapshot() if not connection.close_if_idle()]
 
     def stop_accepting(self, timeout_s: float = ACCEPT_STOP_TIMEOUT_S) -> None:
-        """Closes the listener once all that the kernel has accepted is taken; waits up to the timeout."""
+        """Closes the listener when its accept queue is empty; waits for this up to the timeout."""
         self._listener.stop(timeout_s)
 
     def stop_watching(self) -> None:
-        """Ends the deadline thread, and a wait for a slot."""
+        """Ends the deadline thread and any wait for a slot."""
         self._stopped.set()
--- a/olivepost/proxy/downstream/eviction.py
+++ b/olivepost/proxy/downstream/eviction.py
@@ -1,4 +1,4 @@
-"""Eviction: which client connections are closed where others need their slots, threads or memory."""
+"""Eviction of client connections whose slots, threads or memory are needed for others."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.units import MILLISECOND, Duration
 
-# A connection that was accepted, or became idle, less long ago is not evicted: its request may be on its way,
-# and a reset could overtake its response.
+# Time after a connection was accepted or became idle in which it is not evicted. Its next request may be on
+# its way, and a reset could overtake its last response.
 MIN_IDLE_BEFORE_EVICTION: Duration = 50 * MILLISECOND
-MAX_EVICTIONS_AT_ONCE = 8  # idle connections that one call of `evict_idle` closes
-# Once connections without any request reach a quarter of the cap, they count as a flood: their deadlines end
-# them, and no connection that has had requests is evicted for them.
+MAX_EVICTIONS_AT_ONCE = 8  # largest number of connections that one call of `evict_idle` closes
+# Connections without any request count as a flood if they take a quarter of the cap or more. They are closed
+# at their own deadlines at the latest, and no connection that has had a request is evicted for them.
 UNUSED_FLOOD_DIVISOR = 4
 
 
 class ConnectionEvictor:
-    """Closes connections without a request in flight. Any thread may call it; it keeps no state."""
+    """Evictor of connections without a request in flight. Any thread may call it; it keeps no state."""
 
     def __init__(self, context: DownstreamContext, connections: ConnectionSet) -> None:
         self._context = context
@@ -32,35 +32,37 @@
 
     @property
     def has_unused_flood(self) -> bool:
-        """Whether connections without any request take a large share of the cap."""
+        """Whether connections without any request take so many slots that they count as a flood."""
         return self._is_flood(self._unused(self._connections.snapshot()))
 
-    def evict_idle(self, needed: ConnectionLifecycle | None = None) -> None:
-        """Closes up to `MAX_EVICTIONS_AT_ONCE` connections without a pending response, but not `needed`."""
+    def evict_idle(self, excluded: ConnectionLifecycle | None = None) -> None:
+        """Closes up to `MAX_EVICTIONS_AT_ONCE` connections without a pending response, except `excluded`."""
         for connection in self._candidates()[:MAX_EVICTIONS_AT_ONCE]:
-            is_unused = connection is not needed and not connection.has_pending_response
-            if is_unused and connection.evict():
+            is_evictable = connection is not excluded and not connection.has_pending_response
+            if is_evictable and connection.evict():
                 self._context.log.increment("connections_evicted")
 
     def _candidates(self) -> list[ConnectionLifecycle]:
-        """Connections to evict, in order: those without any request yet, else the longest idle.
+        """Returns the connections that may be evicted, in the order in which to evict them.
 
-        One that has sent a part of its first request is left to finish it, but in a flood.
+        These are the connections without any request yet or, if there are none, the idle connections; the
+        longest idle comes first. A connection that has sent a part of its first request is not evicted, so
+        that it can finish the request. In a flood it may be evicted, after those that have sent nothing.
         """
-        latest = self._context.clock.now() - MIN_IDLE_BEFORE_EVICTION
+        idle_before = self._context.clock.now() - MIN_IDLE_BEFORE_EVICTION
         connections = self._connections.snapshot()
         unused = self._unused(connections)
         is_flood = self._is_flood(unused)
         candidates = [
             connection
             for connection in unused
-            if connection.idle_since < latest and (is_flood or not connection.has_pending_response)
+            if connection.idle_since < idle_before and (is_flood or not connection.has_pending_response)
         ]
         if not candidates and not is_flood:
             candidates = [
                 connection
                 for connection in connections
-                if connection.is_idle and connection.idle_since < latest
+                if connection.is_idle and connection.idle_since < idle_before
             ]
         return sorted(
             candidates, key=lambda connection: (connection.has_pending_response, connection.idle_since)
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -15,25 +15,27 @@
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 from olivepost.units import MILLISECOND, Duration
 
-ACCEPT_STOP_TIMEOUT_S = 1.0  # that the accept thread has to take what the kernel has accepted
-ACCEPT_TIMEOUT: Duration = 50 * MILLISECOND  # between two checks for the end of the listener
-# After a failed accept; doubled with each further failure, up to the longest: without descriptors, open ones
-# must be closed first.
+ACCEPT_STOP_TIMEOUT_S = 1.0  # time for the accept thread to empty the accept queue
+ACCEPT_TIMEOUT: Duration = 50 * MILLISECOND  # interval between two checks whether the listener has to stop
+# Pause after a failed accept. It doubles with each further failure, up to the maximum: a process without free
+# descriptors must close some before it can accept again.
 MIN_ACCEPT_PAUSE_S = 0.001
 MAX_ACCEPT_PAUSE_S = 0.05
-# Errors of one connection that ended before it was accepted, or of a signal: nothing is short.
+# Errors that indicate no shortage: a connection ended before it was accepted, or a signal arrived.
 TRANSIENT_ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EINTR)
-BIND_TIMEOUT_S = 8.0  # for the address to become free, at a start right after a kill
-BIND_RETRY_PAUSE_S = 0.05  # between two attempts to bind
+# Longest wait for the address to become free, when the proxy starts immediately after another was killed.
+BIND_TIMEOUT_S = 8.0
+BIND_RETRY_PAUSE_S = 0.05  # pause between two attempts to bind
 
 Admit = Callable[[socket.socket, Callable[[], int]], None]
 
 
 class Listener:
-    """Accepts connections, and gives each socket to `admit`, which may wait and ask how many wait behind it.
+    """Listening socket, and the thread that accepts connections and passes each socket to `admit`.
 
-    The main thread calls `listen` once and then `stop`; `admit` runs on the accept thread, which closes the
-    listening socket.
+    `admit` may wait. Its second argument returns the number of connections that wait to be accepted. The main
+    thread calls `listen` once and then `stop`. `admit` runs on the accept thread, which closes the listening
+    socket.
     """
 
     def __init__(self, log: EventLog, backlog: int, admit: Admit) -> None:
@@ -42,12 +44,13 @@
         self._admit = admit
         self._thread: threading.Thread | None = None
         self._is_stopping = False
-        self._accept_pause_s = MIN_ACCEPT_PAUSE_S  # after the next failure; the accept thread's
+        # Pause after the next failure; only the accept thread uses it.
+        self._accept_pause_s = MIN_ACCEPT_PAUSE_S
 
     def listen(self, address: Address) -> Address:
-        """Binds and starts to accept; returns the bound address; raises OSError.
+        """Binds the address and starts to accept; returns the bound address. Raises OSError if it can't.
 
-        Waits for an address that a proxy which was killed still holds.
+        Waits up to `BIND_TIMEOUT_S` for an address that a killed proxy still holds.
         """
         listener = self._bind_in_time(address)
         bound: Address = listener.getsockname()
@@ -55,18 +58,18 @@
         return bound
 
     def stop(self, timeout_s: float) -> None:
-        """Closes the listener once all that the kernel has accepted is taken; waits up to the timeout."""
+        """Closes the listener when its accept queue is empty; waits for this up to the timeout."""
         self._is_stopping = True
         if self._thread is not None:
             self._thread.join(timeout_s)
 
     def _bind_in_time(self, address: Address) -> socket.socket:
-        until = time.monotonic() + BIND_TIMEOUT_S
+        deadline = time.monotonic() + BIND_TIMEOUT_S
         while True:
             try:
                 return self._bind(address)
             except OSError as error:
-                if time.monotonic() >= until:
+                if time.monotonic() >= deadline:
                     raise
                 self._log.sampled_event("bind_failed", reason=error.strerror)
                 time.sleep(BIND_RETRY_PAUSE_S)
@@ -90,7 +93,7 @@
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
-                if self._is_stopping:  # the kernel's queue is empty
+                if self._is_stopping:  # the accept queue is empty
                     break
                 continue
             except OSError as error:
@@ -99,12 +102,12 @@
             self._accept_pause_s = MIN_ACCEPT_PAUSE_S
             try:
                 self._admit(sock, count_waiting)
-            except Exception:  # the top of a thread: no connection's fault may end the listener
+            except Exception:  # top level of the thread: no error in one connection may end the listener
                 log.exception("accept_error")
         listener.close()
 
     def _record_accept_failure(self, error: OSError) -> None:
-        """Counts a failed accept; where the system is short of something, logs it and pauses."""
+        """Counts a failed accept; if the error may indicate a shortage, also logs it and pauses."""
         self._log.increment("accept_failed")
         if error.errno not in TRANSIENT_ACCEPT_ERRORS:
             self._log.sampled_event("accept_failed", reason=error.strerror)
--- a/olivepost/proxy/downstream/request_reader.py
+++ b/olivepost/proxy/downstream/request_reader.py
@@ -1,4 +1,4 @@
-"""Reads a client's requests: bytes from its socket to exchanges for the event loop."""
+"""Reader of a client's requests: turns bytes from its socket into exchanges for the event loop."""
 
 from __future__ import annotations
 
@@ -12,16 +12,17 @@
 from olivepost.proxy.http1 import HttpError, Message, RequestLine
 from olivepost.units import Duration, Instant
 
-MAX_LINGER_BYTES = 4_194_304  # received and dropped after our half-close, before the connection is closed
+# Most bytes that are received and dropped after the proxy's half-close, before the connection is closed.
+MAX_LINGER_BYTES = 4_194_304
 
 
 class RequestReader:
-    """The requests of one connection; all methods are the connection's reader thread's.
+    """Reader of the requests of one connection; only the connection's reader thread calls its methods.
 
-    It reads also while a request is in flight, so that a client's close is noticed at once. The lock of
-    the connection's lifecycle guards `_dropped_bytes` too. `deliver` is given to each exchange, for the event
-    loop's thread to call with the final response. The first bytes count as received `queue_delay` before
-    they are read: their client's time has run since then.
+    It also reads while a request is in flight, so that a close by the client is noticed immediately. The lock
+    of the connection's lifecycle also guards `_dropped_bytes`. Each exchange gets `deliver`, which the event
+    loop's thread calls with the final response. The first bytes count as received `queue_delay` before they
+    are read, because the client's timeout has been running since then.
     """
 
     def __init__(
@@ -35,13 +36,13 @@
         self._lifecycle = lifecycle
         self._deliver = deliver
         self._queue_delay = queue_delay
-        self._dropped_bytes = 0  # received after our close
+        self._dropped_bytes = 0  # bytes received after the proxy's half-close
 
     def read(self, buffer: memoryview) -> None:
         """Reads until the connection ends; raises OSError.
 
-        Waits for bytes without the lock and receives them with it: between a plain receive and the lock
-        another thread could close the connection after a request that it has not seen.
+        Waits for bytes without the lock, and receives them with the lock. If it received them before it took
+        the lock, another thread could close the connection in between, without seeing the received request.
         """
         lifecycle = self._lifecycle
         while sockets.wait_readable(lifecycle.sock):
@@ -54,7 +55,7 @@
                 if not count:
                     return
                 self._queue_delay = 0
-                if lifecycle.is_closing:  # only the client's close is waited for
+                if lifecycle.is_closing:  # only the client's close is still awaited
                     self._dropped_bytes += count
                     if self._dropped_bytes > MAX_LINGER_BYTES:
                         return
@@ -63,12 +64,12 @@
                 else:
                     self._receive(buffer[:count], received_at)
 
-    # With the lock held.
+    # The caller holds the lock.
 
     def _receive(self, data: memoryview, received_at: Instant) -> None:
         lifecycle = self._lifecycle
         if lifecycle.has_received_request and lifecycle.parser.is_idle:
-            # Its first byte may arrive late in the keep-alive time: the request has a time of its own.
+            # The first byte may arrive late in the keep-alive time, so the request has its own deadline.
             lifecycle.deadline = received_at + self._context.limits.first_request_timeout
         lifecycle.parser.feed(data)
         self._take_requests(received_at)
@@ -82,7 +83,7 @@
                 message = parser.take()
                 if message is None:
                     if not lifecycle.body_reservation.reserve(parser.expected_body_bytes):
-                        raise HttpError(503, "no capacity for the body")
+                        raise HttpError(503, f"no memory for a body of {parser.expected_body_bytes} bytes")
                     return
                 lifecycle.keeps_alive = message.keeps_alive
                 self._route(message, received_at)
@@ -94,12 +95,12 @@
                 lifecycle.send_head(error.status, ALLOW_HEADER if error.status == 405 else {})
 
     def _reject_pipelining(self) -> None:
-        """Bytes behind a request in flight are not parsed: the connection ends after the response."""
+        """Ends the connection after the response; bytes behind a request in flight are not parsed."""
         self._context.log.increment("pipelining_rejected")
         self._lifecycle.keeps_alive = False
 
     def _route(self, message: Message[RequestLine], received_at: Instant) -> None:
-        """Answers a health check, posts any other request to the event loop; raises HttpError."""
+        """Answers a health check or posts any other request to the event loop; raises HttpError."""
         context = self._context
         lifecycle = self._lifecycle
         if is_health_check(message.start_line):
--- a/olivepost/proxy/downstream/response_delivery.py
+++ b/olivepost/proxy/downstream/response_delivery.py
@@ -1,4 +1,4 @@
-"""Writes the final responses of one client's connection."""
+"""Delivery of the final responses on one client's connection."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 
 
 class ResponseDelivery:
-    """The responses of one connection; `ResponseWriters` calls it, on a writer or a slow writer thread.
+    """Delivery of one connection's responses; `ResponseWriters` calls it on a writer or slow-writer thread.
 
-    A response is released once it is written, once the write has failed, or where its exchange was abandoned
-    before. The lock of the connection's lifecycle guards `_closes_after_response` too.
+    A response is released after it is written, after the write fails, or if its exchange was abandoned
+    before. The lock of the connection's lifecycle also guards `_closes_after_response`.
     """
 
     def __init__(self, context: DownstreamContext, lifecycle: ConnectionLifecycle) -> None:
         self._context = context
         self._lifecycle = lifecycle
-        self._closes_after_response = False  # as the response in hand announces
+        self._closes_after_response = False  # whether the current response announces a close
 
     def write(self, exchange: Exchange, response: Response) -> list[memoryview]:
-        """Writes the final response without waiting; returns what the socket did not take."""
+        """Writes the final response without waiting; returns the buffers that the socket did not take."""
         lifecycle = self._lifecycle
         with lifecycle.lock:
             if self._release_if_abandoned(exchange, response):
@@ -47,7 +47,10 @@
             return unsent
 
     def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview]) -> None:
-        """Writes the rest, waiting for the client to read, up to the write stall timeout for each part."""
+        """Writes the remaining buffers and waits for the client to read.
+
+        The response is aborted if the client reads nothing for the write stall timeout.
+        """
         lifecycle = self._lifecycle
         with lifecycle.lock:
             if self._release_if_abandoned(exchange, response):
@@ -65,34 +68,34 @@
             self._complete(response)
 
     def abandon_response(self, exchange: Exchange, response: Response) -> None:
-        """Cuts off a response that no thread can finish."""
+        """Aborts a response that no thread can finish."""
         with self._lifecycle.lock:
             if not self._release_if_abandoned(exchange, response):
                 self._lifecycle.abort(CloseReason.WRITE_FAILED)
                 self._complete(response)
 
     def abort(self, reason: CloseReason) -> None:
-        """Shuts down the socket at once, without the lock."""
+        """Shuts down the socket immediately, without the lock."""
         self._lifecycle.abort(reason)
 
-    # With the lock held.
+    # The caller holds the lock.
 
     def _release_if_abandoned(self, exchange: Exchange, response: Response) -> bool:
-        """Releases the response of an exchange that the connection no longer has; returns whether it did."""
+        """Releases the response if the connection no longer has its exchange; returns whether it did."""
         if self._lifecycle.exchange is exchange and not self._lifecycle.is_closed:
             return False
         response.release()
         return True
 
     def _write_deadline(self, exchange: Exchange) -> Instant:
-        """When a slow client must have read its response."""
+        """Returns the time by which a slow client must have read its response."""
         now = self._context.clock.now()
         limits = self._context.limits
         request_deadline = exchange.received_at + exchange.timeout
         return min(max(request_deadline, now + limits.write_stall_timeout), now + limits.slow_client_timeout)
 
     def _complete(self, response: Response) -> None:
-        """After a response: the connection becomes idle, or closes."""
+        """Ends the exchange after its response; the connection becomes idle or closes."""
         response.release()
         lifecycle = self._lifecycle
         self._context.log.increment(response.kind.value)
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -13,22 +13,22 @@
 
 
 class ResponseTarget(Protocol):
-    """The connection that a response is written to, as the writer threads see it.
+    """Interface of the connection that a response is written to, as the writer threads use it.
 
-    Whatever `write` or `finish_writing` raises, the response is released.
+    The response is released even if `write` or `finish_writing` raises an exception.
     """
 
     def write(self, exchange: Exchange, response: Response, /) -> list[memoryview]:
-        """Writes the response without waiting; returns what the socket did not take."""
+        """Writes the response without waiting; returns the buffers that the socket did not take."""
 
     def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview], /) -> None:
-        """Writes the rest, waiting for the client to read."""
+        """Writes the remaining buffers and waits for the client to read."""
 
     def abandon_response(self, exchange: Exchange, response: Response, /) -> None:
-        """Cuts off a response that no thread can finish."""
+        """Aborts a response that no thread can finish."""
 
     def abort(self, reason: CloseReason, /) -> None:
-        """Shuts down the socket at once."""
+        """Shuts down the socket immediately."""
 
 
 class WriteJob(NamedTuple):
@@ -40,11 +40,11 @@
 
 
 class ResponseWriters:
-    """A few threads that write responses without waiting for a client.
+    """Fixed number of threads that write responses without waiting for a client.
 
-    What a socket does not take at once is written by a thread of its own, so that a client that reads slowly
-    delays no other and the event loop never starts a thread. Any thread may call `submit`. The threads are
-    daemons and run until the process exits.
+    If a socket does not take a whole response at once, a separate thread writes the rest. A client that reads
+    slowly therefore delays no other client, and the event loop never starts a thread. Any thread may call
+    `submit`. The threads are daemons and run until the process exits.
     """
 
     def __init__(self, count: int, log: EventLog) -> None:
@@ -65,12 +65,16 @@
                 unsent = job.target.write(job.exchange, job.response)
                 if unsent:
                     self._start_slow_writer(job, unsent)
-            except Exception:  # the top of a thread: a fault in one connection must not end the writer of all
+            except Exception:  # top level of the thread: an error in one connection must not end the writer
                 log.exception("response_writer_error")
                 job.target.abort(CloseReason.ERROR)
 
     def _start_slow_writer(self, job: WriteJob, unsent: list[memoryview]) -> None:
-        """Starts the thread that finishes a response; without one, the client can tell that it is cut off."""
+        """Starts the thread that finishes a response.
+
+        If the system can't start one, the connection is aborted, so that the client can detect that the
+        response is incomplete.
+        """
         self._log.increment("slow_clients")
         thread = threading.Thread(target=self._finish, args=(job, unsent), name="slow-writer", daemon=True)
         try:
@@ -83,6 +87,6 @@
         log = self._log
         try:
             job.target.finish_writing(job.exchange, job.response, unsent)
-        except Exception:  # the top of a thread: a fault is logged with its trace
+        except Exception:  # top level of the thread: the error is logged with its stack trace
             log.exception("response_writer_error")
             job.target.abort(CloseReason.ERROR)
--- a/olivepost/proxy/downstream/routes.py
+++ b/olivepost/proxy/downstream/routes.py
@@ -1,4 +1,4 @@
-"""Maps a client's HTTP request to an exchange; checks its method, target and fields."""
+"""Mapping of a client's HTTP request to an exchange, with checks of its method, target and fields."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 HEALTH_TARGET = "/-/healthy"
 METHODS = ("GET", "PUT")
-ALLOW_HEADER = {"Allow": ", ".join(METHODS)}  # of each response with status 405
-MAX_GROUP = 255  # the largest number that a group of objects has
+ALLOW_HEADER = {"Allow": ", ".join(METHODS)}  # field of every response with status 405
+MAX_GROUP = 255  # largest group number of an object
 _OBJECT_TARGET = re.compile(r"/api/v2/([^/]+)/([0-9a-f]{16})/slice-(0|[1-9][0-9]{0,8})", re.ASCII)
 _CALL_ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
 _TIMEOUT_MS = re.compile(r"[0-9]{1,9}", re.ASCII)
 _GROUP = re.compile(r"[0-9]{1,3}", re.ASCII)
 _IDEMPOTENCY_KEY = re.compile(r"[!#-*\-.0-9:;<>-~]{1,128}", re.ASCII)
-# Without the characters that a field of the line protocol can't hold.
+# Strong entity tag without the characters that a field of the line protocol can't contain.
 _STRONG_ETAG = re.compile(r'"([!#-+\--<>-~]{1,128})"', re.ASCII)
 
 
 def is_health_check(request_line: RequestLine) -> bool:
-    """Whether a request asks for the proxy's health, which the proxy answers itself."""
+    """Whether a request is a health check, which the proxy answers itself."""
     return request_line.target == HEALTH_TARGET and request_line.method in METHODS
 
 
@@ -35,20 +35,20 @@
     deliver: Callable[[Exchange, Response], None],
     is_client_disconnected: Callable[[], bool],
 ) -> Exchange:
-    """Makes the exchange of a request that was read completely at `received_at`.
+    """Builds the exchange of a request that was read completely at `received_at`.
 
     Raises HttpError 405 for a method that is not allowed, 404 for an unknown target or class, and 400 for
     a field that is missing or malformed.
     """
     method, target, _ = message.start_line
     if method not in METHODS:
-        raise HttpError(405, "only GET and PUT")
+        raise HttpError(405, f"method {method[:20]!r} is not allowed; use {' or '.join(METHODS)}")
     match = _OBJECT_TARGET.fullmatch(target)
     if match is None or match[1] not in classes:
-        raise HttpError(404, "unknown target")
+        raise HttpError(404, f"target {target[:80]!r} names no object of a configured class")
     is_write = method == "PUT"
     if is_write and not classes[match[1]].is_uncacheable:
-        raise HttpError(405, "a class without writes")
+        raise HttpError(405, f"class {match[1]!r} does not allow PUT")
     return Exchange(
         id=_required_field(message, "x-call-id", _CALL_ID),
         class_name=match[1],
@@ -69,29 +69,29 @@
 def _required_field(message: Message[RequestLine], name: str, pattern: re.Pattern[str]) -> str:
     value = message.header(name)
     if value is None or not pattern.fullmatch(value):
-        raise HttpError(400, f"missing or bad '{name}'")
+        raise HttpError(400, f"field '{name}' is missing or does not match {pattern.pattern}")
     return value
 
 
 def _group(message: Message[RequestLine]) -> int:
     group = int(_required_field(message, "x-set", _GROUP))
     if group > MAX_GROUP:
-        raise HttpError(400, "bad 'x-set'")
+        raise HttpError(400, f"field 'x-set' must be from 0 to {MAX_GROUP}, not {group}")
     return group
 
 
 def _idempotency_key(message: Message[RequestLine]) -> str | None:
-    """The client's key for retries of this request; None where it gave none."""
+    """Returns the client's key for retries of this request; None if the client sent none."""
     if not message.header("x-dedupe-key"):
         return None
     return _required_field(message, "x-dedupe-key", _IDEMPOTENCY_KEY)
 
 
 def _client_etag(message: Message[RequestLine]) -> str | None:
-    """The one strong entity tag of If-None-Match, without its quotes.
+    """Returns the only entity tag of If-None-Match without its quotes, if it is a strong one.
 
-    None for lists, weak tags and what a field of the line protocol can't hold: the request is then forwarded
-    without a condition.
+    Returns None for a list, a weak tag, or a tag that a field of the line protocol can't contain. The request
+    is then forwarded without a condition.
     """
     values = message.headers.get("if-none-match", ())
     match = _STRONG_ETAG.fullmatch(values[0]) if len(values) == 1 else None
