--- a/olivepost/proxy/discovery/poll_backoff.py
+++ b/olivepost/proxy/discovery/poll_backoff.py
@@ -31,7 +31,7 @@
 
     @property
     def response_timeout(self) -> Duration:
-        """Time for the next response after the end of the poll's wait.
+        """Returns the time for the next response after the end of the poll's wait.
 
         Each failure doubles it, because a long endpoint list may need more time to arrive.
         """
--- a/olivepost/proxy/discovery/watch_state.py
+++ b/olivepost/proxy/discovery/watch_state.py
@@ -35,7 +35,7 @@
 
     @property
     def next_index(self) -> int:
-        """The index to poll after; the coordinator responds with the events that follow it."""
+        """Returns the index to poll after; the coordinator responds with the events that follow it."""
         return INDEX_BEFORE_ALL_EVENTS if self._is_resyncing else self.last_index
 
     @property
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -211,7 +211,7 @@
 
         Aborts the connection if the socket can't take the whole response immediately.
         """
-        closes = not self.stays_open  # read once, so that a drain that begins meanwhile does not change it
+        closes = not self.stays_open  # read once, since a drain may begin before the close below
         is_sent = self._try_send(response_head(status, 0, headers, closes))
         if not is_sent:
             self.abort(CloseReason.WRITE_FAILED)
--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -36,12 +36,12 @@
 
     @property
     def open_count(self) -> int:
-        """The number of open connections."""
+        """Returns the number of open connections."""
         return len(self.connections)
 
     @property
     def peak_count(self) -> int:
-        """The largest number of connections that were open at the same time."""
+        """Returns the largest number of connections that were open at the same time."""
         return self.connections.peak_count
 
     @property
--- a/olivepost/proxy/downstream/eviction.py
+++ b/olivepost/proxy/downstream/eviction.py
@@ -32,7 +32,7 @@
 
     @property
     def has_unused_flood(self) -> bool:
-        """Whether connections without any request take so many slots that they count as a flood."""
+        """Whether connections without any request take a quarter of the cap or more, which is a flood."""
         return self._is_flood(self._unused(self._connections.snapshot()))
 
     def evict_idle(self, excluded: ConnectionLifecycle | None = None) -> None:
