--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -34,7 +34,7 @@
 
 
 def toy_config(**changes: Any) -> dict[str, Any]:
-    """Returns the example's configuration with an ephemeral port, smaller limits and the given changes."""
+    """Returns the example's configuration with an ephemeral port, less memory and the given changes."""
     data: dict[str, Any] = json.loads(CONFIG.read_text())
     return {**data, "listen": "127.0.0.1:0", "limits": {"memory_mb": 64, "sockets": 1024}, **changes}
 
--- a/tests/routing/invariant_checker.py
+++ b/tests/routing/invariant_checker.py
@@ -41,7 +41,7 @@
     request: api.Request
     deadline: Instant
     attempt_count: int = 0
-    in_flight: dict[int, api.ForwardAttempt] = field(default_factory=dict)  # by attempt number
+    in_flight: dict[int, api.ForwardAttempt] = field(default_factory=dict)  # attempts by number
     executed: list[tuple[Instant, str]] = field(default_factory=list)  # time of the outcome, and cache
     is_over: bool = False
 
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -23,9 +23,9 @@
     ("level", "gamma"),
     [
         (0.5, 0.4),  # far below the ceiling, Γ = ϑs
-        (0.85, 0.4),  # at 1 - 3ε/2, Γ is still ϑs
-        (0.9, 0.7),  # halfway, Γ = ϑs + (1 - ϑs)/2
-        (0.95, 1.0),  # at 1 - ε/2, Γ = 1
+        (0.85, 0.4),  # at 1 - 3ε/2, the lower bound, Γ is still ϑs
+        (0.9, 0.7),  # halfway between these bounds, Γ = ϑs + (1 - ϑs)/2
+        (0.95, 1.0),  # at 1 - ε/2, the upper bound, Γ = 1
         (1.0, 1.0),
     ],
 )
--- a/tests/routing_state/test_name_table.py
+++ b/tests/routing_state/test_name_table.py
@@ -30,7 +30,7 @@
         renewed, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    # A name's first renewal gives it an expiry time apart from its queue entry's: an integer of 32 bytes.
+    # A renewed name's expiry time is another integer object than its queue entry's, which takes 32 bytes.
     assert renewed_once < filled + 40 * CAPACITY
     assert renewed < renewed_once + CAPACITY
 
