--- a/benchmarks/branch/cache.py
+++ b/benchmarks/branch/cache.py
@@ -34,7 +34,7 @@
     """Work that was sent to a cache, as transfer time at full rate."""
 
     sent_at: Instant
-    amount: float  # in ns
+    amount: float  # transfer time in ns
 
 
 @dataclass(slots=True)
--- a/benchmarks/branch_runs.py
+++ b/benchmarks/branch_runs.py
@@ -148,10 +148,10 @@
             0: self._restart_proxy,
             1: self._pause_proxy,
             2: self._change_link,
-            3: partial(self._rarely, self._restore_snapshot),
-            4: partial(self._rarely, self._store.restart_empty),
+            3: partial(self._run_rarely, self._restore_snapshot),
+            4: partial(self._run_rarely, self._store.restart_empty),
             5: self._make_store_unresponsive,
-            6: partial(self._rarely, self._restart_cache),
+            6: partial(self._run_rarely, self._restart_cache),
             7: self._invalidate_group,
             8: self._store.snapshot,
         }
@@ -163,7 +163,7 @@
         self.branch.run(self._draw.randrange(MAX_OPERATION_INTERVAL))
         self.branch.check_quotas()
 
-    def _rarely(self, make_fault: Callable[[], None]) -> None:
+    def _run_rarely(self, make_fault: Callable[[], None]) -> None:
         if self._draw.random() < RARE_FAULT_CHANCE:
             make_fault()
         else:
--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -61,7 +61,7 @@
 
     # Storage time in Unix ms by name, least recently used first.
     stored: dict[str, int] = field(default_factory=dict)
-    fills: dict[str, PendingFill] = field(default_factory=dict)  # by name
+    fills: dict[str, PendingFill] = field(default_factory=dict)  # fills in flight by name
 
     def look_up(self, now_ms: int, name: str, max_age_ms: int | None) -> int | None:
         """Returns when the response that may be served was stored, or `None` if there is none.
@@ -215,7 +215,7 @@
         send_response(command, name, started_ms, "fill")
 
     def restart(self, cache_id: str) -> None:
-        """Empties a cache, which then warms up, and publishes the present time as its start time."""
+        """Empties a cache, which then warms up, and publishes the current time as its start time."""
         with self._scheduler.condition:
             self._states[cache_id].stored.clear()
             self._states[cache_id].fills.clear()
--- a/benchmarks/fleet_runs.py
+++ b/benchmarks/fleet_runs.py
@@ -54,7 +54,8 @@
     served_older_than_purge: int
     proxy_cpu_us: float
     store_cpu_us: float | None  # `None` without a store
-    recovery_ms: float | None  # from the fault's end until all proxies use the store; `None` without a fault
+    # Time from the fault's end until all proxies use the store; `None` without a fault.
+    recovery_ms: float | None
 
 
 def run_fleet(scenario: str, load: LoadOptions) -> FleetRun:
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -62,7 +62,7 @@
 class LoadResult:
     """The latencies that clients saw. The lock guards the other fields while the load runs."""
 
-    latencies_s: list[float] = field(default_factory=list)  # of requests that were served
+    latencies_s: list[float] = field(default_factory=list)  # latencies of the requests that were served
     request_count: int = 0
     lock: threading.Lock = field(default_factory=threading.Lock)
 
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -157,13 +157,15 @@
         cases += [BudgetCase(has_store, are_all_restarted=True) for has_store in (False, True)]
     with ProcessPoolExecutor(WORKER_PROCESSES) as pool:
         budgets = {
-            case: pool.map(measure_budget_use, [BudgetJob(*case, each, plan.budget_rate) for each in seeds])
+            case: pool.map(
+                measure_budget_use, [BudgetJob(*case, run_seed, plan.budget_rate) for run_seed in seeds]
+            )
             for case in cases
         }
         double_fills = {
             has_store: pool.map(
                 measure_double_fills,
-                [DoubleFillJob(has_store, each, plan.double_fill_rate) for each in seeds],
+                [DoubleFillJob(has_store, run_seed, plan.double_fill_rate) for run_seed in seeds],
             )
             for has_store in (False, True)
         }
--- a/standins/redis/session.py
+++ b/standins/redis/session.py
@@ -18,7 +18,7 @@
 from standins.redis.transaction import Transaction
 
 DEFAULT_USER = b"default"
-SERVER_VERSION = b"7.4.0"  # in the reply to HELLO
+SERVER_VERSION = b"7.4.0"  # version of Redis in the reply to HELLO
 ALLOWED_UNAUTHENTICATED = frozenset({"AUTH", "HELLO", "QUIT"})
 # Commands that run at once in a transaction.
 NEVER_QUEUED = frozenset({"EXEC", "DISCARD", "MULTI", "WATCH", "QUIT"})
