--- a/standins/redis/faults.py
+++ b/standins/redis/faults.py
@@ -12,7 +12,7 @@
 __all__ = ["Faults", "ScheduleError", "Step", "read_schedule"]
 
 
-class SpoiltReply(NamedTuple):
+class FaultyReply(NamedTuple):
     """The bytes of a reply that are sent, after faults were applied to it."""
 
     data: bytes
@@ -43,13 +43,13 @@
             return 0.0
         return self.slow_ms / 1000 * draw.lognormvariate(0.0, self.slow_spread)
 
-    def spoil(self, data: bytes, draw: random.Random) -> SpoiltReply:
+    def apply_to_reply(self, data: bytes, draw: random.Random) -> FaultyReply:
         """Applies the faults `garble` and `cut` to an encoded reply."""
         if self.garble and draw.random() < self.garble and data:
             data = flip_bit(data, draw)
         if self.cut and draw.random() < self.cut:
-            return SpoiltReply(data[: draw.randrange(len(data))], is_cut=True)
-        return SpoiltReply(data, is_cut=False)
+            return FaultyReply(data[: draw.randrange(len(data))], is_cut=True)
+        return FaultyReply(data, is_cut=False)
 
 
 def flip_bit(data: bytes, draw: random.Random) -> bytes:
--- a/standins/redis/server.py
+++ b/standins/redis/server.py
@@ -215,7 +215,7 @@
             await asyncio.sleep(delay_s)
         if name in SELF_REPLYING and not isinstance(reply, CommandError):
             return True
-        spoilt = self.faults.spoil(session.encode(reply), self._draw)
-        writer.write(spoilt.data)
+        faulty_reply = self.faults.apply_to_reply(session.encode(reply), self._draw)
+        writer.write(faulty_reply.data)
         await writer.drain()
-        return not (spoilt.is_cut or name == b"QUIT")
+        return not (faulty_reply.is_cut or name == b"QUIT")
--- a/tests/shared_store/test_client.py
+++ b/tests/shared_store/test_client.py
@@ -11,7 +11,7 @@
 from olivepost.shared_store import client
 from olivepost.shared_store.operations import AdvanceGeneration
 from olivepost.shared_store.settings import SharedStoreSettings
-from standins.redis.faults import SpoiltReply
+from standins.redis.faults import FaultyReply
 from standins.redis.server import Server
 
 
@@ -23,13 +23,13 @@
         store = client.create_client(settings, settings.stores[0])
         (reply,) = client.run_operations(store, [AdvanceGeneration(0, 0)], "b", "me", is_transaction=True)
         assert isinstance(reply, list)
-        send_complete = server.faults.spoil
+        send_complete = server.faults.apply_to_reply
         cuts = [True]
 
-        def cut_first_reply(data: bytes, draw: random.Random) -> SpoiltReply:
-            return SpoiltReply(data[:1], cuts.pop()) if cuts else send_complete(data, draw)
+        def cut_first_reply(data: bytes, draw: random.Random) -> FaultyReply:
+            return FaultyReply(data[:1], cuts.pop()) if cuts else send_complete(data, draw)
 
-        server.faults.spoil = cut_first_reply  # type: ignore[method-assign]
+        server.faults.apply_to_reply = cut_first_reply  # type: ignore[method-assign]
         before = int(server.keyspace.data[b"b:generation"])
 
         advance = AdvanceGeneration(before, before)
