--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""The circuit breaker of one store: stops its use while replies are late or lost. No clock, no I/O."""
+"""The circuit breaker that stops the use of a store while replies are late or lost. No clock, no I/O."""
 
 from __future__ import annotations
 
@@ -8,15 +8,19 @@
 
 from olivepost.units import Duration, Instant
 
-MAX_CONSECUTIVE_FAILURES = 5  # as many open the breaker
-RECENT_REPLIES = 20  # over which the failure rate is taken
-MAX_FAILURE_RATE = 0.5  # share of the recent replies; above it the breaker opens
-SUCCESSES_TO_CLOSE = 2  # consecutive, while the breaker is half-open
-MIN_JITTER_SHARE = 0.5  # of a backoff; the rest is random
+MAX_CONSECUTIVE_FAILURES = 5  # number of failures in a row that opens the breaker
+RECENT_REPLIES = 20  # number of latest replies from which the failure rate is computed
+MAX_FAILURE_RATE = 0.5  # share of failures in the recent replies; a higher one opens the breaker
+SUCCESSES_TO_CLOSE = 2  # number of successes in a row that closes a half-open breaker
+MIN_JITTER_SHARE = 0.5  # share of a backoff that is always waited; a random part of the rest is added
 
 
 class BreakerState(Enum):
-    """Closed: the store is used. Open: it is not. Half-open: syncs try it, requests don't wait for it."""
+    """The state of a circuit breaker.
+
+    The store is used while its breaker is closed, and not used while it is open. While the breaker is
+    half-open, syncs try the store and requests don't wait for it.
+    """
 
     CLOSED = "closed"
     OPEN = "open"
@@ -24,33 +28,37 @@
 
 
 class CircuitBreaker:
-    """Counts one store's replies in time and its failures. Used by the coordinator's thread only.
+    """A counter of one store's timely replies and failures, which decides whether the store is used.
 
-    `random_source` is shared by all stores of the proxy. A new breaker is half-open.
+    Used by the coordinator's thread only. `random_source` is shared by all stores of the proxy. A new breaker
+    is half-open.
     """
 
     def __init__(self, random_source: random.Random, min_backoff: Duration, max_backoff: Duration) -> None:
         self.state = BreakerState.HALF_OPEN
-        self.retry_at: Instant | None = None  # when an open breaker becomes half-open; None: it is not open
+        self.retry_at: Instant | None = None  # when it becomes half-open; `None` unless it is open
         self._random = random_source
         self._min_backoff = min_backoff
         self._max_backoff = max_backoff
-        self._backoff: Duration | None = None  # the last one; None: the breaker has closed since
-        self._trial_successes = 0  # consecutive, while the breaker is half-open
+        self._backoff: Duration | None = None  # latest backoff; `None` if the breaker has closed since
+        self._trial_successes = 0  # successes in a row while the breaker is half-open
         self._consecutive_failures = 0
         self._recent_failures: deque[bool] = deque(maxlen=RECENT_REPLIES)
 
     def record_success(self, now: Instant) -> None:
-        """A reply came in time."""
+        """Records that a reply came in time."""
         self._recent_failures.append(False)
         self._consecutive_failures = 0
         if self.state is BreakerState.HALF_OPEN:
             self._record_trial_success()
         else:
-            self._open_if_failing(now)  # this reply may complete the recent ones
+            self._open_if_failing(now)  # this reply may complete the last `RECENT_REPLIES`
 
     def record_failure(self, now: Instant) -> None:
-        """A reply was late or lost, whether the store is slow, silent, full or rejects commands."""
+        """Records that a reply was late or lost, regardless of the cause.
+
+        The store may be slow, silent or full, or may reject commands.
+        """
         self._recent_failures.append(True)
         self._consecutive_failures += 1
         if self.state is BreakerState.HALF_OPEN:
@@ -91,7 +99,7 @@
         self.state = BreakerState.OPEN
         self._trial_successes = 0
         self._backoff = self._next_backoff()
-        # Jitter: proxies that lost a store together must not all retry it in the same moment.
+        # The jitter prevents proxies that lost a store at the same time from all retrying it at once.
         share = MIN_JITTER_SHARE + self._random.random() * (1 - MIN_JITTER_SHARE)
         self.retry_at = now + int(self._backoff * share)
 
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -1,6 +1,6 @@
 """The Redis client of one store.
 
-It never retries, its timeouts are short, and it reads the password at each connection.
+It never retries, its timeouts are short, and it reads the password each time it connects.
 """
 
 from __future__ import annotations
@@ -23,18 +23,24 @@
 from olivepost.units import SECOND
 
 PROTOCOL_VERSION = 3  # RESP3
-DEFAULT_CONNECTIONS = 2  # a scan and a command within it
+DEFAULT_CONNECTIONS = 2  # one for a scan, and one for commands that are sent during the scan
 
 
 class PasswordFile(CredentialProvider):
-    """Reads the password from its file at each connection, so that it may change while the proxy runs."""
+    """Credentials whose password is read from a file each time the client connects.
+
+    The password may therefore change while the proxy runs.
+    """
 
     def __init__(self, user: str | None, path: Path) -> None:
         self._user = user
         self._path = path
 
     def get_credentials(self) -> tuple[str] | tuple[str, str]:
-        """Returns user, if any, and password; raises redis.AuthenticationError without either."""
+        """Returns the user, if one is set, and the password.
+
+        Raises redis.AuthenticationError if the password can't be read.
+        """
         try:
             password = read_secret(self._path)
         except (OSError, ValueError) as error:
@@ -45,9 +51,10 @@
 def create_client(
     settings: SharedStoreSettings, store: StoreSettings, connections: int = DEFAULT_CONNECTIONS
 ) -> redis.Redis:
-    """Returns a client with a connection pool of its own; it connects with the first command.
+    """Returns a client with a connection pool of its own; it connects when it sends the first command.
 
-    It never repeats a command: one whose reply was lost may have run, and a repeat would grant quota twice.
+    The client never repeats a command. A command whose reply was lost may have run, and repeating it would
+    grant quota twice.
     """
     host, port = store.address
     return redis.Redis(
@@ -95,16 +102,17 @@
     *,
     is_transaction: bool,
 ) -> list[object]:
-    """Runs operations in one round trip; returns each one's reply, or the exception that it raised.
+    """Runs operations in one round trip and returns the reply, or the exception, of each.
 
-    Raises redis.RedisError or OSError where the round trip failed: any of the operations may have run then.
+    Operations whose script the store does not have are sent again after the scripts are loaded. Raises
+    redis.RedisError or OSError if a round trip fails; any of the operations may have run in that case.
     """
     calls = [encode_operation(operation, prefix, incarnation) for operation in operations]
     replies = _execute(client, calls, is_transaction)
     not_run = [
         index for index, reply in enumerate(replies) if isinstance(reply, redis.exceptions.NoScriptError)
     ]
-    if not_run:  # the store has restarted and lost its scripts
+    if not_run:  # the store has no scripts, for example because it has restarted
         _load_scripts(client)
         repeated = _execute(client, [calls[index] for index in not_run], is_transaction)
         for index, reply in zip(not_run, repeated, strict=True):
--- a/olivepost/shared_store/fault_log.py
+++ b/olivepost/shared_store/fault_log.py
@@ -1,4 +1,4 @@
-"""Logs why a store could not be used, at a bounded rate."""
+"""The log of the reasons why stores could not be used, written at a bounded rate."""
 
 from __future__ import annotations
 
@@ -8,14 +8,16 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.units import SECOND, Duration, Instant
 
-LOG_INTERVAL: Duration = 10 * SECOND  # between two lines of one kind
-MAX_REASON_LENGTH = 160  # characters in the log
-KIND_LENGTH = 40  # characters of a reason that make its kind; the rest differs with each fault
-MAX_KINDS = 64  # remembered; beyond them all are forgotten, and each may be logged again at once
+LOG_INTERVAL: Duration = 10 * SECOND  # shortest time between two lines of one kind
+MAX_REASON_LENGTH = 160  # characters of a reason in the log
+KIND_LENGTH = 40  # leading characters of a reason that identify its kind; the rest differs by fault
+# Number of kinds that are remembered. If there are more, all are forgotten, and each may be logged again
+# at once.
+MAX_KINDS = 64
 
 
 class FaultLog:
-    """Counts every fault and logs one line of each kind per interval.
+    """A log that counts every store fault and writes one line of each kind per interval.
 
     Any thread may call it; `_lock` guards `_logged_at`.
     """
@@ -24,17 +26,17 @@
         self._clock = clock
         self._log = log
         self._lock = threading.Lock()
-        self._logged_at: dict[str, Instant] = {}  # by kind
+        self._logged_at: dict[str, Instant] = {}  # time of the last line, by kind
 
     def record(self, fault: Exception) -> None:
-        """Counts a fault, and logs it unless its kind has been logged within the interval."""
+        """Counts a fault, and logs it unless its kind was logged less than `LOG_INTERVAL` ago."""
         self._log.increment("store_faults")
         reason = f"{type(fault).__name__}: {fault}"[:MAX_REASON_LENGTH]
         if self._begin_interval(reason[:KIND_LENGTH]):
             self._log.event("store_fault", why=reason)
 
     def _begin_interval(self, kind: str) -> bool:
-        """Begins an interval in which a kind is not logged again; False where one is running."""
+        """Begins an interval in which a kind is not logged again; returns False if one is already running."""
         now = self._clock.now()
         with self._lock:
             logged_at = self._logged_at.get(kind)
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -1,4 +1,4 @@
-"""Generations of the stores: adopts a later one, and advances it where a store has lost state.
+"""Generations of the stores: adopting a later one, and advancing it after a store has lost state.
 
 After either, all invalidations are published again before the store is trusted.
 """
@@ -21,7 +21,7 @@
 
 
 class GenerationManager:
-    """Keeps each store's generation, and its trust, up to date. Used by the coordinator's thread only."""
+    """The manager of each store's generation and trust level. Used by the coordinator's thread only."""
 
     def __init__(
         self, context: CoordinatorContext, commands: CommandTracker, invalidations: KnownInvalidations
@@ -33,7 +33,7 @@
     def handle_verdict(
         self, now: Instant, store: StoreHealth, verdict: ReplyVerdict, generation: int
     ) -> None:
-        """Reacts to a reply that does not count; `generation` is the one that the reply carries."""
+        """Handles a reply whose values are not used; `generation` is the one that the reply carries."""
         self._context.counts[f"replies_{verdict.value}"] += 1
         if verdict is ReplyVerdict.MOVED:
             self._adopt(now, store, generation)
@@ -41,7 +41,7 @@
             self._advance(now, store, generation)
 
     def _advance(self, now: Instant, store: StoreHealth, found: int) -> None:
-        """Requests a new generation, so that no record of the store's present state counts."""
+        """Requests a new generation, which makes all records that the store has now unreachable."""
         store.trust = TrustLevel.NONE
         if store.is_advancing:
             return
@@ -72,9 +72,9 @@
         self.publish_next_chunk(now, store)
 
     def publish_next_chunk(self, now: Instant, store: StoreHealth) -> None:
-        """Publishes the next chunk of invalidations again.
+        """Publishes the next of the chunks of invalidations that are to be published again.
 
-        An empty one where there are none, so that the store confirms its generation all the same.
+        If there is none, an empty chunk is published, so that the store still confirms its generation.
         """
         chunk = store.unpublished[0] if store.unpublished else ()
         operation = PublishInvalidations(store.generation, chunk)
@@ -84,7 +84,7 @@
         self, store: StoreHealth, chunk: InvalidationChunk, now: Instant, values: ReplyValues | None
     ) -> None:
         if values is None:
-            return  # the next sync tries again
+            return  # the next sync publishes the chunk again
         if store.trust is not TrustLevel.RESTORING:
             return
         store.confirm_published(chunk)
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -1,7 +1,7 @@
-"""Runs the shared store's coordinator: owns its thread, its queue of events and the workers of each store.
+"""The host of the store coordinator, which owns its thread, its queue of events and each store's workers.
 
-It makes no decision. One thread drives the coordinator. Each store has two workers, a thread and a connection
-each: one for commands that requests wait for, one for all others.
+The host makes no decision. One thread runs the coordinator. Each store has two workers, each with a thread
+and a connection. One worker runs the commands that requests wait for, the other one runs all others.
 """
 
 from __future__ import annotations
@@ -23,20 +23,25 @@
 from olivepost.shared_store.store_worker import Lane, StoreWorker, WorkerContext
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-TICK_INTERVAL: Duration = 10 * MILLISECOND  # the shortest `sync`, and the resolution of reply timeouts
-MAX_QUEUED_EVENTS = 20_000  # beyond them, lookups and reports are dropped
-INCARNATION_BITS = 64  # enough that no two processes of a branch have the same
+# The shortest `sync` that can be set, and the resolution of reply timeouts.
+TICK_INTERVAL: Duration = 10 * MILLISECOND
+# When this many events are queued, new lookups, reports and all others but `UNDROPPABLE_EVENTS` are dropped.
+MAX_QUEUED_EVENTS = 20_000
+INCARNATION_BITS = 64  # random bits, enough that no two processes of a branch get the same incarnation
 SEED_BITS = 64
-CLOSE_TIMEOUT_S = 1.0  # for all threads together; one that waits for an unresponsive store is left behind
+# Time for all threads together to end. A thread that waits for an unresponsive store is left running.
+CLOSE_TIMEOUT_S = 1.0
 
-# Without its reply a command would stay pending for good, without its release a lease.
+# If one of these events were dropped, its command would stay pending forever, or its lease would only end
+# when it expires.
 UNDROPPABLE_EVENTS = (messages.StoreReply, messages.ReplyLost, messages.LeaseReleased)
 
 
 class StoreHost:
-    """The shared stores as the proxy's event loop uses them. Any thread may call it; no call waits.
+    """The shared stores as the proxy's event loop uses them.
 
-    `coordinator` belongs to the coordinator's thread; others only read its counts and stores.
+    Any thread may call the methods; none of them blocks, except `start` and `close`. `coordinator` belongs to
+    the coordinator's thread; other threads only read its counts and stores.
     """
 
     def __init__(
@@ -58,14 +63,14 @@
         self._context = WorkerContext(
             settings, incarnation, clock, log, FaultLog(clock, log), self._queue_event
         )
-        self._events: queue.SimpleQueue[messages.Event | None] = queue.SimpleQueue()  # None ends the thread
+        self._events: queue.SimpleQueue[messages.Event | None] = queue.SimpleQueue()  # `None` ends the thread
         self._workers: dict[tuple[str, Lane], StoreWorker] = {}
         self._thread: threading.Thread | None = None  # None before `start`
 
     def start(self) -> None:
-        """Starts all threads; connections are made with the first commands.
+        """Starts all threads; each worker connects when it runs its first command.
 
-        Raises RuntimeError where the system has none in time.
+        Raises RuntimeError if the system can't start a thread within `START_TIMEOUT_S`.
         """
         for store in self._settings.stores:
             for lane in Lane:
@@ -75,7 +80,10 @@
         self._thread = start_thread(self._run, "store-coordinator", START_TIMEOUT_S)
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Ends all threads, and waits for them up to the timeout; commands in flight are left to theirs."""
+        """Requests the end of all threads and waits for them until the timeout.
+
+        A command in flight is not interrupted; it ends with its reply or at its own timeout.
+        """
         until = time.monotonic() + timeout_s
         self._events.put(None)
         for worker in self._workers.values():
@@ -90,7 +98,10 @@
         self._queue_event(messages.LookupRequested(lookup, object_name, group))
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None) -> None:
-        """Releases a fill lease; `generated_at` is that of the response in Unix time, None: unknown."""
+        """Releases a fill lease.
+
+        `generated_at` is when the response was generated, in Unix time; `None` if that is unknown.
+        """
         generated_at_ms = None if generated_at is None else generated_at // MILLISECOND
         self._queue_event(messages.LeaseReleased(release, generated_at_ms))
 
@@ -111,7 +122,7 @@
         self._queue_event(messages.InvalidationReceived(invalidation, invalidated_at // MILLISECOND))
 
     def metrics(self) -> dict[str, object]:
-        """Returns counters since the start, and the state of each store."""
+        """Returns the counters since the start, and the state of each store."""
         stores = {
             name: {
                 "circuit_breaker": store.breaker.state.value,
@@ -123,7 +134,7 @@
         return {"counters": dict(self.coordinator.counts), "stores": stores}
 
     def _queue_event(self, event: messages.Event) -> None:
-        """Queues an event for the coordinator, from any thread."""
+        """Queues an event for the coordinator, from any thread; counts and drops it if the queue is full."""
         is_full = self._events.qsize() >= MAX_QUEUED_EVENTS
         if is_full and not isinstance(event, UNDROPPABLE_EVENTS):
             self._log.increment("store_events_dropped")
@@ -131,7 +142,7 @@
         self._events.put(event)
 
     def _run(self) -> None:
-        """Handles events, and a tick at each interval."""
+        """Handles events, and a tick each `TICK_INTERVAL`, until a `None` is queued."""
         next_tick = self._clock.now()
         while True:
             now = self._clock.now()
@@ -150,10 +161,11 @@
     def _handle(self, event: messages.Event) -> None:
         try:
             actions = self.coordinator.handle(self._clock.now(), event)
-        except Exception:  # the thread's top: one event's fault must not stop the handling of others
+        except Exception:
+            # Nothing above catches this, and one event's fault must not stop the handling of others.
             log = self._log
             log.exception("store_coordinator_error", kind=type(event).__name__)
-            if isinstance(event, messages.LookupRequested):  # its request waits for a hint
+            if isinstance(event, messages.LookupRequested):  # the request waits for a hint
                 self._post(api.CacheHint(event.lookup.request_id))
             return
         for action in actions:
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -1,6 +1,7 @@
-"""The commands `olivepost sharing ...`: read stores by their keys, or delete their records.
+"""The commands `olivepost sharing ...`, which read the records of the stores or delete them.
 
-For operators at a terminal, apart from any running proxy. `--json` prints the rows with their keys as here.
+They are for operators at a terminal and don't involve a running proxy. `--json` prints the rows with the same
+keys as in this module.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
 )
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
-MAX_KEYS = 100_000  # read by one command
+MAX_KEYS = 100_000  # largest number of keys that one command reads from a store
 SCAN_COUNT = 1_000  # keys that the server examines in one step of a scan
-OPERATOR_INCARNATION = "operator"  # the calling process, for the scripts
-ENVELOPE_FIELDS = ("type", "v")  # of every stored record: its tag and its version
+OPERATOR_INCARNATION = "operator"  # sent to the scripts in place of a proxy process's incarnation
+ENVELOPE_FIELDS = ("type", "v")  # fields of every stored record, for its tag and its version
 
-LEASE_KIND = "c"  # of a key below the generation's prefix
-LOCATION_KIND = "h"
+LEASE_KIND = "c"  # first part of a fill lease's key, after the generation's prefix
+LOCATION_KIND = "h"  # first part of a cache location's key
 NAME_PATTERN = f"[{LEASE_KIND}{LOCATION_KIND}]:*"
-LABELS = {LEASE_KIND: "claim", LOCATION_KIND: "holder"}  # as rows have them
+LABELS = {LEASE_KIND: "claim", LOCATION_KIND: "holder"}  # values of `kind` in the rows
 
 Row = dict[str, object]
 
 
 class Verb(Enum):
-    """What a command does."""
+    """The command to run, by its name on the command line."""
 
     PING = "ping"
     CLAIMS = "claims"
@@ -54,7 +55,7 @@
 
 
 class StoreContentError(Exception):
-    """The value of `key` in a store is not one that proxies write."""
+    """An error about a value of `key` in a store that no proxy writes."""
 
     def __init__(self, key: str, value: bytes) -> None:
         super().__init__(f"{key} must be a whole number, not {value[:40]!r}")
@@ -63,7 +64,7 @@
 
 
 class StoreFault(NamedTuple):
-    """Why a store could not be used."""
+    """The name of a store that could not be used, and the reason."""
 
     store: str
     fault: str
@@ -71,7 +72,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """The result of a command: its rows, and the stores that could not be used."""
+    """The result of a command, with its rows and the stores that could not be used."""
 
     verb: Verb
     rows: list[Row] = field(default_factory=list)
@@ -79,9 +80,9 @@
 
 
 def run(settings: SharedStoreSettings, verb: Verb, names: list[str], store_name: str | None) -> Report:
-    """Runs a command on one store, or on all where `store_name` is None.
+    """Runs a command on one store, or on all stores if `store_name` is `None`.
 
-    `names` are those that `forget` deletes; without any it deletes everything.
+    `names` are the names that `forget` deletes; if there are none, it deletes everything.
     """
     report = Report(verb)
     for store in settings.stores:
@@ -110,17 +111,17 @@
 
 
 class StoreInspector:
-    """Runs commands in one store, under the generation that it has at the start."""
+    """The commands on one store, in the generation that the store has when the inspector is created."""
 
     def __init__(self, settings: SharedStoreSettings, store: StoreSettings, connection: Any) -> None:
         self._settings = settings
         self._store = store
-        self._connection = connection  # a redis.Redis; its stubs type replies as either sync or async
+        self._connection = connection  # a redis.Redis, whose stubs don't tell sync replies from async ones
         self._generation = self._read_generation()
         self._prefix = f"{settings.key_prefix}:{self._generation}:"
 
     def run(self, verb: Verb, names: list[str]) -> list[Row]:
-        """Returns the rows of a command."""
+        """Runs a command and returns its rows."""
         match verb:
             case Verb.PING:
                 return [self._ping()]
@@ -156,7 +157,7 @@
         }
 
     def _describe_name(self, key: bytes) -> Row:
-        """Returns a fill lease or a cache location; what can't be read is shown with the reason."""
+        """Returns the row of a fill lease or a cache location; if it is malformed, `odd` has the reason."""
         kind, _, name = key[len(self._prefix) :].decode(errors="replace").partition(":")
         row: Row = {"name": name, "kind": LABELS[kind]}
         try:
@@ -174,7 +175,7 @@
         return _stored_fields(decode_record(CacheLocation, self._connection.hget(key, "rec")))
 
     def _invalidations(self) -> Iterator[Row]:
-        """Yields invalidations, the oldest first."""
+        """Yields the rows of invalidations, the oldest first; if one is malformed, `odd` has the reason."""
         times = self._connection.hgetall(f"{self._prefix}purges")
         for key, at_ms in sorted(times.items(), key=lambda item: item[1]):
             try:
@@ -184,7 +185,7 @@
                 yield {"odd": str(error)}
 
     def _forget_names(self, names: list[str]) -> list[Row]:
-        """Deletes the leases and locations of the names that belong to this store."""
+        """Deletes the fill leases and cache locations of those names that belong to this store."""
         stores = tuple(store.name for store in self._settings.stores)
         return [
             {"name": name, "forgotten": self._delete_name(name)}
@@ -197,7 +198,7 @@
         return self._connection.delete(*keys)
 
     def _advance_generation(self) -> Row:
-        """Makes everything in the store unreachable."""
+        """Advances the store's generation, which makes all records in the store unreachable."""
         operation = AdvanceGeneration(self._generation, self._generation)
         prefix = self._settings.key_prefix
         (reply,) = client.run_operations(
@@ -210,14 +211,14 @@
 
 
 def _stored_fields(record: msgspec.Struct) -> Row:
-    """Returns a record's own fields by their stored names."""
+    """Returns a record's fields by their stored names, without `ENVELOPE_FIELDS`."""
     fields: Row = msgspec.to_builtins(record)
     return {name: value for name, value in fields.items() if name not in ENVELOPE_FIELDS}
 
 
 def _print_table(rows: list[Row]) -> None:
     if not rows:
-        print("nothing there")
+        print("no records found")
         return
     columns = list(dict.fromkeys(key for row in rows for key in row))
     table = Table(*columns)
--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -1,45 +1,49 @@
 """The Lua scripts that run in a store.
 
-Each operation is one script, so that it is atomic. Scripts are Lua 5.1 for servers of the Redis kind. Each
-first compares the generation and, where the store has another, returns that and does nothing. All keys but
-the generation's own stand under PREFIX:GENERATION:, so that a new generation makes all older keys
-unreachable; they expire a day later at most. Scripts make up key names, so a store is a single server, not
-a cluster; the proxies spread names over several stores themselves.
+Each operation is one script, which makes it atomic. The scripts are in Lua 5.1, for Redis and compatible
+servers. Each script first compares the generation. If the store has another generation, the script returns
+that one and does nothing else. All keys except the generation's own begin with PREFIX:GENERATION:. A new
+generation therefore makes all older keys unreachable; they expire within a day. The scripts compute key
+names, so a store must be a single server, not a cluster. The proxies themselves distribute names over several
+stores.
 
-Running proxies of two versions share a store's loaded scripts by their SHA-1 digests, and each other's keys
-and replies: the Lua text stays byte for byte the same, which a test guards. Notes on it stand in Python
-comments.
+Proxies of two versions that run at the same time use the same loaded scripts of a store, by their SHA-1
+digests, and read each other's keys and replies. The Lua text must therefore stay the same byte for byte,
+which a test checks. Notes on the Lua code are in Python comments.
 
 Keys under PREFIX:GENERATION: (times in milliseconds)
 
-    seen:PROCESS   the last sync serial of a proxy's process          string, expires after 600,000
+    seen:PROCESS   last sync serial of a proxy process                string, expires after 600,000
     purges         invalidation key -> Unix millisecond               hash
-    log            invalidation keys by number, the newest highest    sorted set
-    number, floor  last number; latest invalidation that was evicted  strings
+    log            invalidation keys by number, highest is newest     sorted set
+    number, floor  last number in `log`; latest time that was evicted strings
     fence          last fencing number                                string
     c:NAME         fencing number and record of a fill lease          string, expires with the lease
-    h:NAME         rec, at, wrong: a cache location                   hash, expires after `holders.keep`
-    needs          PROCESS|BUDGET -> stamp, fresh, left, record       hash: quota requests
+    h:NAME         rec, at, wrong (fields of a cache location)        hash, expires after `holders.keep`
+    needs          PROCESS|QUOTA -> stamp, fresh, left, record        hash of quota requests
     p:PROCESS      quota grants for a process                         list, expires after 5,000
-    suspects       PROCESS|ENDPOINT -> the store's millisecond        hash: outlier reports
+    suspects       PROCESS|ENDPOINT -> the store's millisecond        hash of outlier reports
 """
 
 from __future__ import annotations
 
 from olivepost.shared_store.records import MAX_RECORD_BYTES
 
-# These are part of the scripts' text, hence of their digests.
-MAX_INVALIDATIONS = 8_192  # in one store
-MAX_SYNC_ROWS = 256  # of each kind in one reply, which bounds its size and the server's time
-QUOTA_REQUEST_TTL_MS = 2_500  # since it was last renewed, by a sync
-OUTLIER_REPORT_TTL_MS = 3_000  # since it was last renewed, by a sync
-QUOTA_GRANT_TTL_MS = 5_000  # of a process that no longer takes its grants
-SERIAL_TTL_MS = 600_000  # of a process that no longer syncs
-KEY_TTL_MS = 86_400_000  # renewed by every sync: an abandoned generation's keys must expire
-
-# KEYS[1] is the generation's key in every script. ARGV: generation, key prefix, process, then the script's
-# own. Defines `P` (key prefix), `seen` (this process's last serial), `time`, `now` (the server's clock, the
-# latter in Unix milliseconds) and `num` (a whole number as text).
+# These numbers are part of the scripts' text, so changing one changes the scripts' digests.
+MAX_INVALIDATIONS = 8_192  # invalidations that one store keeps
+MAX_SYNC_ROWS = 256  # rows of each kind in one reply; bounds the reply's size and the server's time
+QUOTA_REQUEST_TTL_MS = 2_500  # time to live of a quota request since a sync last renewed it
+OUTLIER_REPORT_TTL_MS = 3_000  # time to live of an outlier report since a sync last renewed it
+QUOTA_GRANT_TTL_MS = 5_000  # time to live of the grants for a process that no longer takes them
+SERIAL_TTL_MS = 600_000  # time to live of the serial of a process that no longer syncs
+KEY_TTL_MS = (
+    86_400_000  # time to live of a key; every sync renews it, so only an abandoned generation's keys expire
+)
+
+# The beginning of all scripts but the last. KEYS[1] is the generation's key in every script. ARGV has the
+# generation, the key prefix and the process, followed by the script's own arguments. The prologue defines `P`
+# (the prefix of this generation's keys), `seen` (this process's last serial), `time` (the server's clock in
+# seconds and microseconds), `now` (the same in Unix milliseconds) and `num` (formats a whole number as text).
 _PROLOGUE = """
 local gen = redis.call('GET', KEYS[1]) or '0'
 if gen ~= ARGV[1] or gen == '0' then return {gen, '0'} end
@@ -50,8 +54,8 @@
 local function num(n) return string.format('%.0f', n) end
 """
 
-# The function `purged`: the latest Unix millisecond of an invalidation of any of the keys, at least the
-# floor.
+# The definition of the function `purged`. It returns the latest Unix millisecond at which any of the keys was
+# invalidated, or the floor if that is later.
 _LATEST_INVALIDATION = """
 local function purged(keys)
   local last = tonumber(redis.call('GET', P .. 'floor') or '0')
@@ -62,13 +66,16 @@
 end
 """
 
-# ARGV from 4: serial, number of the last invalidation read, count of quota requests, each request's field
-# and record, then endpoint ids. Replies with generation, previous serial, and four lists: new invalidations
-# (number, key, Unix millisecond), quota requests (field, stamp, record), quota grants for this process
-# (records; taken out), outlier reports ("process|endpoint"). Of a quota request the store keeps `stamp`
-# (when it was first made: the oldest is met first), `fresh` (when it was last renewed) and `left` (the
-# amount that is not granted yet; "-": all of it, "0": none). A renewed request keeps its stamp until it has
-# been met, and its `left` only while its record is the same.
+# ARGV from 4: the serial, the number of the last invalidation read, the count of quota requests, the field
+# and the record of each request, then the ids of the endpoints to report as outliers. The reply has the
+# generation, the previous serial, and four lists: new invalidations (number, key, Unix millisecond), quota
+# requests (field, stamp, record), quota grants for this process (records, which are deleted from the store),
+# and outlier reports ("process|endpoint").
+#
+# For each quota request, the store keeps `stamp` (when the request was first made; the oldest is met first),
+# `fresh` (when it was last renewed) and `left` (the amount that is not granted yet; "-" means all of it, "0"
+# means none). A renewed request keeps its stamp until it has been met, and keeps its `left` only as long as
+# its record is the same.
 SYNC = (
     _PROLOGUE
     + f"""
@@ -121,10 +128,11 @@
 """
 )
 
-# ARGV from 4: name, the lease's milliseconds (0: only look up), the lease's record, invalidation keys that
-# concern the name. Replies with generation, serial, and one of: 'held' and a location's record; 'taken',
-# another process's lease and its remaining milliseconds; 'mine' and the new lease's fencing number; 'none'.
-# A location that is not younger than the last invalidation, or too large, is deleted.
+# ARGV from 4: the name, the lease's duration in milliseconds (0 means that no lease is requested), the
+# lease's record, and the invalidation keys that concern the name. The reply has the generation, the serial,
+# and one of these: 'held' and a location's record; 'taken', another process's lease and its remaining
+# milliseconds; 'mine' and the new lease's fencing number; 'none'. A location is deleted if it is not younger
+# than the last invalidation, or if its record is too large.
 LOOK_UP = (
     _PROLOGUE
     + _LATEST_INVALIDATION
@@ -154,9 +162,9 @@
 """
 )
 
-# ARGV from 4: name, the lease (number and record), a location's record or "", the Unix millisecond at which
-# its response was generated, the location's time to live. Replies 'done', or 'lost' where the lease is
-# another.
+# ARGV from 4: the name, the lease (number and record), a location's record or "", the Unix millisecond at
+# which the location's response was generated, and the location's time to live in milliseconds. The reply is
+# 'done', or 'lost' if the lease is no longer the current one of the name.
 RELEASE_LEASE = (
     _PROLOGUE
     + """
@@ -170,8 +178,9 @@
 """
 )
 
-# ARGV from 4: name, a location's record, how many times it was found stale. At two it is deleted. Replies
-# 'dropped', 'counted', or 'other' where the store has another record.
+# ARGV from 4: the name, a location's record, and the number of times it was found stale. The location is
+# deleted when the sum of these numbers reaches two. The reply is 'dropped' if it was deleted, 'counted' if it
+# was not, or 'other' if the store has another record.
 REPORT_STALE = (
     _PROLOGUE
     + """
@@ -184,9 +193,9 @@
 """
 )
 
-# ARGV from 4: pairs of an invalidation key and its Unix millisecond, which may be 10 s ahead at most.
-# Beyond MAX_INVALIDATIONS the oldest are deleted, and the latest of their times becomes the floor of all
-# keys.
+# ARGV from 4: pairs of an invalidation key and its Unix millisecond, which is limited to 10 s after the
+# server's clock. If there are more than MAX_INVALIDATIONS, the oldest are deleted, and the latest of their
+# times becomes the floor of all keys.
 INVALIDATE = (
     _PROLOGUE
     + f"""
@@ -213,8 +222,9 @@
 """
 )
 
-# ARGV from 4: the quota request's field, its nonce, the process that made it, the amount, the grant's
-# record. Replies 'handed', or 'not wanted' where the request was removed, met or renewed with another nonce.
+# ARGV from 4: the quota request's field, its nonce, the process that made it, the amount, and the grant's
+# record. The reply is 'handed', or 'not wanted' if the request was removed, was met, or was renewed with
+# another nonce.
 GRANT_QUOTA = (
     _PROLOGUE
     + f"""
@@ -234,8 +244,9 @@
 """
 )
 
-# ARGV: the generation expected, the least. The only script without the prologue. The new generation is
-# above the server's clock in seconds too, so that one restored from a snapshot is not used a second time.
+# ARGV: the expected generation and the minimum. This is the only script without the prologue. The new
+# generation is also above the server's clock in seconds, so that a store that was restored from a snapshot
+# does not use a generation a second time.
 ADVANCE_GENERATION = """
 local gen = redis.call('GET', KEYS[1]) or '0'
 if gen ~= ARGV[1] then return {gen, '0'} end
--- a/olivepost/shared_store/malformed_records.py
+++ b/olivepost/shared_store/malformed_records.py
@@ -1,4 +1,4 @@
-"""Counts stored records that can't be used, and writes a summary to the log."""
+"""The count of stored records that can't be used, and its summary in the log."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from olivepost.shared_store.records import RecordError
 from olivepost.units import SECOND, Duration, Instant
 
-REPORT_INTERVAL: Duration = 60 * SECOND  # between two lines of the log
-MAX_REASONS = 16  # in one line of the log
-MAX_REASON_LENGTH = 120  # characters
+REPORT_INTERVAL: Duration = 60 * SECOND  # shortest time between two lines of the log
+MAX_REASONS = 16  # different reasons in one line of the log; further ones are only counted as a metric
+MAX_REASON_LENGTH = 120  # characters of a reason in the log
 
 
 class MalformedRecords:
-    """Malformed records by reason, since the last report. Used by the coordinator's thread only."""
+    """Malformed records since the last report, by reason. Used by the coordinator's thread only."""
 
     def __init__(self, context: CoordinatorContext) -> None:
         self._context = context
@@ -23,7 +23,7 @@
         self._reported_at: Instant | None = None
 
     def skip_errors(self, read: Callable[..., None], *arguments: object) -> None:
-        """Calls `read`, which reads one row of a reply; a `RecordError` is counted, its row skipped."""
+        """Calls `read` for one row of a reply; if it raises `RecordError`, counts that and skips the row."""
         try:
             read(*arguments)
         except RecordError as error:
@@ -37,7 +37,7 @@
             self._reasons[reason] += 1
 
     def report_if_due(self, now: Instant) -> None:
-        """Writes the reasons since the last report to the log, once an interval."""
+        """Writes the reasons since the last report to the log, once per `REPORT_INTERVAL`."""
         if not self._reasons:
             return
         if self._reported_at is not None and now - self._reported_at < REPORT_INTERVAL:
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -1,6 +1,7 @@
-"""Events and actions of the shared store's decision part. Types only.
+"""The events that the store coordinator handles, and the actions that it returns. Types only.
 
-Names that end in `_ms` are Unix milliseconds of other clocks (the platform's coordinator, the origin).
+Names that end in `_ms` are Unix milliseconds by other clocks, those of the platform's coordinator and of the
+origin.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupRequested:
-    """The router looks up the name of a request."""
+    """The router's lookup of the name of a request."""
 
     lookup: api.LookUpHint
     object: str
@@ -24,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """A request that asked for a fill lease has ended.
+    """The end of a request that asked for a fill lease.
 
-    `generated_at_ms` is when its response was generated; None: unknown.
+    `generated_at_ms` is when its response was generated; `None` if that is unknown.
     """
 
     release: api.ReleaseLease
@@ -35,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """A store's reply to the command of a ticket.
+    """A store's reply to the command with this ticket.
 
-    `generation` is the store's, `serial` the number of the last heartbeat of this process that it had before
-    the command; heartbeats are numbered from 1.
+    `generation` is the store's generation. `serial` is the number of this process's last heartbeat that the
+    store had received before the command. Heartbeats are numbered from 1; 0 means that the reply has none.
     """
 
     ticket: int
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyLost:
-    """No usable reply will come; whether the store ran the command is unknown."""
+    """The loss of a usable reply to a command; whether the store ran the command is unknown."""
 
     ticket: int
     reason: str
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidationReceived:
-    """The platform's coordinator has sent an invalidation."""
+    """An invalidation that the platform's coordinator has sent."""
 
     invalidation: api.Invalidation
     at_ms: int
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; sent every few milliseconds."""
+    """A notice that time has passed, which the host gives every 10 ms."""
 
 
 Event = (
@@ -87,9 +88,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCommand:
-    """Send an operation to a store; exactly one `StoreReply` or `ReplyLost` with the ticket must follow.
+    """A command to a store; exactly one `StoreReply` or `ReplyLost` with the ticket must follow.
 
-    `is_urgent`: a request waits for the reply.
+    `is_urgent` is true if a request waits for the reply.
     """
 
     ticket: int
@@ -100,14 +101,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyRouter:
-    """Pass an event to the router."""
+    """An event to pass to the router."""
 
     event: api.Event
 
 
 @dataclass(frozen=True, slots=True)
 class LogEvent:
-    """Write an event with its fields to the log."""
+    """An event to write to the log, with its fields."""
 
     name: str
     fields: dict[str, object] = field(default_factory=dict)
--- a/olivepost/shared_store/operations.py
+++ b/olivepost/shared_store/operations.py
@@ -1,7 +1,8 @@
-"""Operations that a store executes, and what their replies are about. Types only.
+"""Operations that a store executes, and the types of their replies. Types only.
 
-Each operation carries the generation that the proxy has adopted; a store of another generation only returns
-its own. `scripts` encodes operations. Names that end in `_ms` are Unix milliseconds or spans in milliseconds.
+Each operation carries the generation that the proxy has adopted. A store with another generation does not
+execute the operation and only returns its own generation. `scripts` encodes operations. Names that end in
+`_ms` are points in time as Unix milliseconds, or durations in milliseconds.
 """
 
 from __future__ import annotations
@@ -10,17 +11,17 @@
 from enum import Enum
 from typing import NamedTuple
 
-NO_GENERATION = 0  # as scripts return it for a store that has none; generations are numbered from 1
+NO_GENERATION = 0  # returned by scripts if a store has no generation; generations are numbered from 1
 
 
 class InvalidationRow(NamedTuple):
-    """An invalidation as a store keeps it: the key's text, and its Unix millisecond."""
+    """An invalidation as a store keeps it, with the key's text and the Unix millisecond."""
 
     key: str
     at_ms: int
 
 
-InvalidationChunk = tuple[InvalidationRow, ...]  # rows that are published by one operation
+InvalidationChunk = tuple[InvalidationRow, ...]  # rows that one operation publishes
 
 
 class QuotaRequestRow(NamedTuple):
@@ -32,10 +33,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncOperation:
-    """The periodic exchange: sends a heartbeat with requests and reports, reads those of other proxies.
+    """The periodic exchange, which sends a heartbeat and reads what other proxies have sent.
 
-    `outliers` are the ids of endpoints that this proxy has ejected; `last_invalidation` is the number of the
-    last invalidation read.
+    The heartbeat carries quota requests and outlier reports; the reply has those of other proxies.
+    `serial` is the heartbeat's number, and `last_invalidation` the number of the last invalidation read.
+    `outliers` are the ids of endpoints that this proxy has ejected.
     """
 
     generation: int
@@ -54,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LookUp:
-    """Which cache has or fills a name.
+    """A lookup of the cache that has or fills a name.
 
-    With a lease request, the fill lease is acquired where no other proxy has it. `invalidation_keys` are
-    those of invalidations that concern the name.
+    If it carries a lease request, the fill lease is acquired unless the store has a location or another lease
+    of the name. `invalidation_keys` are the keys of invalidations that concern the name.
     """
 
     generation: int
@@ -75,9 +77,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishLocation:
-    """Releases the fill lease `lease` if it is the current one.
+    """The release of the fill lease `lease`, without effect unless it is the name's current one.
 
-    The name's cache location is published too, if there is one, and kept for `lifetime_ms`.
+    If there is a `location`, it is published as the name's cache location and kept for `lifetime_ms`.
     """
 
     generation: int
@@ -89,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportStaleLocation:
-    """Counts `reports` that a cache location is stale; at two the store deletes it."""
+    """A number of reports that a cache location is stale; after two reports the store deletes it."""
 
     generation: int
     name: str
@@ -99,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishInvalidations:
-    """Publishes invalidations; of each key the latest counts."""
+    """The publication of invalidations; the store keeps the latest one of each key."""
 
     generation: int
     rows: InvalidationChunk
@@ -107,9 +109,10 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantQuota:
-    """Grants quota to the proxy process `recipient`, completely or not at all.
+    """A grant of quota to the proxy process `recipient`, which is made completely or not at all.
 
-    `request_field` is the field of the request, `nonce` the one that it must still have.
+    `request_field` is the field of the request in the store, and `nonce` is the nonce that the request must
+    still have.
     """
 
     generation: int
@@ -122,7 +125,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvanceGeneration:
-    """Sets a generation above `minimum`, if the store is still at `expected` (or at `NO_GENERATION`)."""
+    """The change to a new generation above `minimum`, made only if the store is still at `expected`.
+
+    `expected` is `NO_GENERATION` for a store that has no generation.
+    """
 
     expected: int
     minimum: int
@@ -140,7 +146,7 @@
 
 
 class ReplyType(bytes, Enum):
-    """What a reply is about: its first value, as the store's scripts return it."""
+    """The type of a reply, as the first value after generation and serial in the script's reply."""
 
     LEASE_GRANTED = b"mine"
     LEASE_TAKEN = b"taken"
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -1,9 +1,9 @@
 """The records that a shared store keeps, byte for byte: their fields, checksum and limits.
 
 A record is the CRC-32C of its JSON in eight hexadecimal digits, a space, and the JSON. Anything else (another
-version, a wrong type, too many bytes, a flipped bit) raises `RecordError`: the reader skips it, and nothing
-repairs it. Field names and tags are stored names: an attribute with another name carries the stored one as
-`name`.
+version, a wrong type, too many bytes, a flipped bit) raises `RecordError`. The reader then skips the record,
+and nothing repairs it. Field names and tags are stored, so they must not change. An attribute with another
+name gives the stored one as `name`.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 
 from olivepost.units import Duration, Instant
 
-RECORD_VERSION = 1  # raised when a field changes its meaning; other versions are skipped
+RECORD_VERSION = 1  # increased when a field changes its meaning; records of other versions are skipped
 MAX_RECORD_BYTES = 1_024
-MAX_INTEGER_DIGITS = 18  # every decimal of this length fits into 64 bits
+MAX_INTEGER_DIGITS = 18  # every decimal number of this length fits into 64 bits
 MAX_OBJECT_LENGTH = 256  # characters of an object's name in an invalidation
-MAX_GROUP_DIGITS = 9  # of a group's number in an invalidation
+MAX_GROUP_DIGITS = 9  # digits of a group's number in an invalidation
 
 
 class RecordError(Exception):
-    """A stored record or a part of a store's reply that can't be used.
+    """An error about a stored record, or a part of a store's reply, that can't be used.
 
-    `problem` says what is wrong, `allowed` what would have been accepted; None: the problem says it.
+    `problem` says what is wrong. `allowed` says what is accepted; `None` if `problem` already says it.
     """
 
     def __init__(self, problem: str, allowed: str | None = None) -> None:
@@ -44,7 +44,7 @@
 class FillLease(StoredRecord, frozen=True, tag="claim", kw_only=True):
     """The lease to fill a name into a cache.
 
-    `proxy` and `incarnation` are its owner's, `source` is the endpoint that the cache fills from.
+    `proxy` and `incarnation` identify the lease's owner. `source` is the endpoint that the cache fills from.
     """
 
     proxy: str = msgspec.field(name="owner")
@@ -55,7 +55,7 @@
 
 
 class CacheLocation(StoredRecord, frozen=True, tag="holder", kw_only=True):
-    """Which cache has a name, with which rank, and when its response was generated (Unix milliseconds)."""
+    """The cache that has a name, the cached response's rank, and the Unix millisecond of its generation."""
 
     cache: str
     cache_started_at: Instant = msgspec.field(name="started")
@@ -65,9 +65,9 @@
 
 
 class QuotaRequest(StoredRecord, frozen=True, tag="need", kw_only=True):
-    """A proxy lacks an amount of one quota.
+    """A proxy's request for the amount of one quota that it lacks.
 
-    A grant that names the nonce counts from the moment of the request, for `duration` nanoseconds.
+    A grant that names the nonce is valid for `duration` nanoseconds from the time of the request.
     """
 
     incarnation: str = msgspec.field(name="process")
@@ -78,7 +78,7 @@
 
 
 class QuotaGrant(StoredRecord, frozen=True, tag="piece", kw_only=True):
-    """What one proxy donates in answer to one quota request."""
+    """The amount that one proxy donates in answer to one quota request."""
 
     id: str
     key: str
@@ -90,13 +90,13 @@
 
 
 def encode_record(record: StoredRecord) -> bytes:
-    """Returns the record as a store keeps it."""
+    """Returns the bytes of the record as a store keeps it."""
     body = msgspec.json.encode(record)
     return b"%08x " % crc32c.crc32c(body) + body
 
 
 def decode_record(record_type: type[RecordType], data: object) -> RecordType:
-    """Returns the record of one type in `data`; raises `RecordError` where there is none."""
+    """Returns the record in `data`; raises `RecordError` unless it is a valid one of the given type."""
     if not isinstance(data, bytes):
         raise RecordError(f"a record of type {type(data).__name__}", "bytes")
     if len(data) > MAX_RECORD_BYTES:
@@ -114,7 +114,7 @@
 
 
 def parse_integer(value: object) -> int:
-    """Returns an integer of a store's reply; raises `RecordError` where the value is none."""
+    """Returns an integer of a store's reply; raises `RecordError` if the value is not an integer."""
     if isinstance(value, int):
         return value
     if not (isinstance(value, bytes) and value.isdigit() and len(value) <= MAX_INTEGER_DIGITS):
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidationKey:
-    """What an invalidation concerns: one object, or a group of objects."""
+    """The object, or the group of objects, that an invalidation concerns."""
 
     object: str | None
     group: int | None
@@ -135,7 +135,7 @@
 
     @classmethod
     def read(cls, data: bytes) -> InvalidationKey:
-        """Returns the key that a store keeps as `data`; raises `RecordError` where it is none."""
+        """Returns the key that a store keeps as `data`; raises `RecordError` if `data` is not a key."""
         text = data.decode(errors="replace")
         kind, _, rest = text.partition(":")
         if kind == "o" and rest and len(rest) <= MAX_OBJECT_LENGTH:
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -1,6 +1,6 @@
-"""Encodes a store's operations as script calls and reads the scripts' replies.
+"""The encoding of a store's operations as script calls, and the reading of the scripts' replies.
 
-The scripts themselves stand in `lua`.
+The scripts themselves are in `lua`.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 from olivepost.shared_store import lua, messages, operations
 from olivepost.shared_store.records import RecordError, parse_integer
 
-MAX_EXCERPT_LENGTH = 60  # characters of an unreadable reply in the log
-NO_LEASE = (0, b"")  # duration and record, for a lookup that requests no lease
-NO_LOCATION = operations.LocationPublication(b"", 0)  # for a release that publishes nothing
-HEADER_LENGTH = 2  # values that every reply begins with: generation and serial
+MAX_EXCERPT_LENGTH = 60  # characters of a malformed reply in the reason of its `ReplyLost`
+NO_LEASE = (0, b"")  # duration and record in a lookup that requests no lease
+NO_LOCATION = operations.LocationPublication(b"", 0)  # argument of a release without a location
+HEADER_LENGTH = 2  # number of values, generation and serial, that begin every reply
 
 
 class ScriptName(Enum):
-    """Which script an operation runs."""
+    """The script that an operation runs."""
 
     SYNC = "sync"
     LOOK_UP = "look up"
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptCall:
-    """One operation as a store takes it: the script, its one key, and its arguments."""
+    """One operation as it is sent to a store, with the script, the script's only key, and its arguments."""
 
     name: ScriptName
     key: str
@@ -55,7 +55,7 @@
 
 
 def encode_operation(operation: operations.StoreOperation, prefix: str, incarnation: str) -> ScriptCall:
-    """Returns the call for an operation of one process, on the keys under a prefix."""
+    """Returns the script call for an operation of the process `incarnation` on the keys under `prefix`."""
     key = f"{prefix}:generation"
     if isinstance(operation, operations.AdvanceGeneration):
         return ScriptCall(ScriptName.ADVANCE_GENERATION, key, (operation.expected, operation.minimum))
@@ -96,16 +96,22 @@
 
 
 def read_reply(ticket: int, reply: object) -> messages.StoreReply | messages.ReplyLost:
-    """Returns a script's reply as an event; `ReplyLost` where it does not have the form of replies."""
+    """Returns a script's reply as an event, which is `ReplyLost` if the reply is malformed."""
     if not isinstance(reply, Sequence) or isinstance(reply, (str, bytes)) or len(reply) < HEADER_LENGTH:
-        return messages.ReplyLost(ticket, f"a reply of another form: {_excerpt(reply)}")
+        return messages.ReplyLost(
+            ticket, f"a reply must be a list of at least {HEADER_LENGTH} values, not {_excerpt(reply)}"
+        )
     try:
         generation = parse_integer(reply[0])
         serial = parse_integer(reply[1])
     except RecordError:
-        return messages.ReplyLost(ticket, f"a reply without its generation: {_excerpt(reply)}")
+        return messages.ReplyLost(
+            ticket, f"a reply must begin with generation and serial, not {_excerpt(reply)}"
+        )
     if generation < 0 or serial < 0:
-        return messages.ReplyLost(ticket, f"a reply without its generation: {_excerpt(reply)}")
+        return messages.ReplyLost(
+            ticket, f"a reply must begin with generation and serial, not {_excerpt(reply)}"
+        )
     return messages.StoreReply(ticket, generation, serial, tuple(reply[HEADER_LENGTH:]))
 
 
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -1,6 +1,6 @@
 """The section `sharing` of the operator's file: the stores, timeouts, and what is shared through them.
 
-Fields have the names of the file's keys. Durations are of type `Duration` here and `250ms` in the file.
+Fields have the names of the file's keys. A duration is a `Duration` here and a text like `250ms` in the file.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
 
 
 class StoreTls(SettingsSection):
-    """An encrypted connection; the certificate is always verified, also against the address's host name."""
+    """The encryption of a store's connections.
+
+    The store's certificate is always verified, also against the host name of the address.
+    """
 
     ca_file: Path = Field(description="certificate authorities that may have signed the store's certificate")
     cert_file: Path | None = Field(default=None, description="client certificate of this proxy")
@@ -32,7 +35,7 @@
     @model_validator(mode="after")
     def _require_certificate_with_key(self) -> Self:
         if (self.cert_file is None) != (self.key_file is None):
-            raise ValueError("cert_file and key_file go together")
+            raise ValueError("cert_file and key_file must be set together")
         return self
 
 
@@ -41,13 +44,14 @@
 
     name: str = Field(
         pattern=NAME_PATTERN,
-        description="identifies the store in the log and on the command line; keys are spread by it",
+        description="store's name in the log and on the command line; keys are distributed over stores by it",
     )
     address: HostPort
     database: int = Field(default=0, ge=0, le=MAX_DATABASE)
     user: str | None = Field(default=None, max_length=MAX_USER_LENGTH)
     password_file: Path | None = Field(
-        default=None, description="read at each connection, so that the password may change in service"
+        default=None,
+        description="file that is read at each connection, so that the password may change in service",
     )
     tls: StoreTls | None = None
 
@@ -59,16 +63,17 @@
 
 
 class FillLeaseSettings(SettingsSection):
-    """Leases on fills, so that one proxy of a branch fills an object and the others follow it."""
+    """Leases on fills, so that one proxy of a branch fills an object and the others use its fill."""
 
     enabled: bool = True
     most: Annotated[Duration, DurationRange("100ms", "60s")] = Field(
-        default=10 * SECOND, description="longest lease; its request's remaining time, if that is less"
+        default=10 * SECOND,
+        description="longest duration of a lease, or the remaining time of its request if that is less",
     )
 
 
 class CacheLocationSettings(SettingsSection):
-    """Published locations: which cache has an object."""
+    """Published locations, which tell the other proxies which cache has an object."""
 
     enabled: bool = True
     keep: Annotated[Duration, DurationRange("1s", "24h")] = Field(
@@ -77,7 +82,7 @@
 
 
 class InvalidationSettings(SettingsSection):
-    """Invalidations (purges) that are published, and followed from other proxies."""
+    """Invalidations (purges) that are published, and read from other proxies."""
 
     enabled: bool = True
 
@@ -87,7 +92,8 @@
 
     enabled: bool = True
     loan: Annotated[Duration, DurationRange("100ms", "1950ms")] = Field(
-        default=1_900 * MILLISECOND, description="how long received quota counts, from when it was requested"
+        default=1_900 * MILLISECOND,
+        description="how long received quota is valid, from the time of its request",
     )
 
 
@@ -98,7 +104,10 @@
 
 
 class TrialSettings(SettingsSection):
-    """Delays before a half-open trial of a store whose circuit breaker is open: exponential, with jitter."""
+    """Delays before a half-open trial of a store whose circuit breaker is open.
+
+    They begin with `first`, double up to `most`, and have jitter.
+    """
 
     first: Annotated[Duration, DurationRange("10ms", "10s")] = 100 * MILLISECOND
     most: Annotated[Duration, DurationRange("100ms", "60s")] = 1 * SECOND
@@ -106,30 +115,36 @@
     @model_validator(mode="after")
     def _require_ordered_delays(self) -> Self:
         if self.most < self.first:
-            raise ValueError(f"most must not be under first ({format_duration(self.first)})")
+            raise ValueError(
+                f"most ({format_duration(self.most)}) must be at least first ({format_duration(self.first)})"
+            )
         return self
 
 
 class QueueLimits(SettingsSection):
-    """Commands that may wait for a store's connection; further ones are dropped, requests never are."""
+    """Limits on the commands that may wait for a store's connection.
+
+    Further commands are dropped, but requests never are.
+    """
 
     urgent: int = Field(default=256, ge=1, le=MAX_QUEUE_LENGTH)
     upkeep: int = Field(default=1_024, ge=16, le=MAX_QUEUE_LENGTH)
 
 
 class SharedStoreSettings(SettingsSection):
-    """What the proxies of one branch share, and through which stores."""
+    """The stores that the proxies of one branch use, and what they share through them."""
 
     branch: str = Field(
-        pattern=NAME_PATTERN, description="the same for all proxies of one branch, and for no others"
+        pattern=NAME_PATTERN,
+        description="name of the branch; it must be the same for all its proxies, and for no others",
     )
     stores: list[StoreSettings] = Field(min_length=1, max_length=MAX_STORES)
     wait: Annotated[Duration, DurationRange("1ms", "100ms")] = Field(
         default=10 * MILLISECOND,
-        description="longest wait of one request for all its lookups; 2 % of its time, if that is less",
+        description="longest wait of a request for all lookups, or 2 % of its remaining time if that is less",
     )
     give_up: Annotated[Duration, DurationRange("20ms", "5s")] = Field(
-        default=250 * MILLISECOND, description="a connection without a reply for so long is closed"
+        default=250 * MILLISECOND, description="time without a reply after which a connection is closed"
     )
     connect: Annotated[Duration, DurationRange("10ms", "5s")] = Field(
         default=500 * MILLISECOND, description="timeout of a new connection"
@@ -150,9 +165,12 @@
     def _require_consistency(self) -> Self:
         names = [store.name for store in self.stores]
         if len(set(names)) < len(names):
-            raise ValueError(f"stores have the same name: {', '.join(sorted(names))}")
+            raise ValueError(f"stores must not have the same name: {', '.join(sorted(names))}")
         if self.give_up < self.wait:
-            raise ValueError(f"give_up must not be under wait ({format_duration(self.wait)})")
+            raise ValueError(
+                f"give_up ({format_duration(self.give_up)}) must be at least wait "
+                f"({format_duration(self.wait)})"
+            )
         return self
 
     @property
@@ -161,7 +179,7 @@
         return f"olivepost:{self.branch}"
 
     def terms(self, proxy_name: str, incarnation: str) -> SharingTerms:
-        """Returns the coordinator's terms by these settings, for one process of a proxy."""
+        """Returns the terms that these settings give the store coordinator of one proxy process."""
         return SharingTerms(
             proxy=proxy_name,
             incarnation=incarnation,
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -1,11 +1,12 @@
-"""Decides whether one shared store is used: its circuit breaker, and the trust in its generation.
-
-A store that came back empty, or from an old snapshot, must not be trusted: its cache locations may be older
-than invalidations, its leases may belong to others. Each proxy process therefore leaves a growing serial with
-every sync. A store that does not know the last confirmed serial has lost state, whatever its generation is,
-and the proxy that notices advances the generation. All other records are kept under a generation, so that
-those of older ones become unreachable for all proxies at once. After each change of the generation a proxy
-publishes its invalidations again, and trusts what it reads only once they are confirmed. No clock, no I/O.
+"""The health of one shared store, by its circuit breaker and the trust in its generation.
+
+It decides whether the store is used. A store that came back empty, or from an old snapshot, must not be
+trusted. Its cache locations may be older than invalidations, and its leases may belong to other owners. Each
+proxy process therefore stores a growing serial with every sync. A store that does not know the last confirmed
+serial has lost state, regardless of its generation, and the proxy that notices it advances the
+generation. All other records are kept under a generation, so that records of older generations become
+unreachable for all proxies at once. After each change of the generation, a proxy publishes its invalidations
+again, and trusts what it reads only after they are confirmed. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -21,7 +22,10 @@
 
 
 class TrustLevel(Enum):
-    """How far a store's records count: not at all, while invalidations are published again, or fully."""
+    """The level of trust in a store.
+
+    The store's records are used only at `TRUSTED`. At `RESTORING`, invalidations are being published again.
+    """
 
     NONE = "none"
     RESTORING = "restoring"
@@ -29,9 +33,9 @@
 
 
 class ReplyVerdict(Enum):
-    """What a reply shows about its store."""
+    """The conclusion about a store from one of its replies."""
 
-    CURRENT = "current"  # the reply counts
+    CURRENT = "current"  # the reply's values are used
     STALE = "stale"  # the command was sent under an earlier generation
     EMPTY = "empty"  # the store has no generation
     ROLLED_BACK = "rolled_back"  # the store has lost state
@@ -45,12 +49,12 @@
     name: str
     breaker: CircuitBreaker
     trust: TrustLevel = TrustLevel.NONE
-    generation: int = NO_GENERATION  # the one that this proxy has adopted
-    last_serial: int = 0  # of the heartbeats sent, which are numbered from 1
-    confirmed_serial: int = 0  # the last one that the store has confirmed in this generation
-    last_invalidation: int = 0  # number of the last invalidation read; the store numbers them from 1
-    unpublished: deque[InvalidationChunk] = field(default_factory=deque)  # still to be published again
-    is_advancing: bool = False  # a new generation has been requested
+    generation: int = NO_GENERATION  # generation that this proxy has adopted
+    last_serial: int = 0  # number of the last heartbeat sent; heartbeats are numbered from 1
+    confirmed_serial: int = 0  # last serial that the store has confirmed in this generation
+    last_invalidation: int = 0  # number of the last invalidation read; the store numbers invalidations from 1
+    unpublished: deque[InvalidationChunk] = field(default_factory=deque)  # chunks still to be published again
+    is_advancing: bool = False  # whether a new generation has been requested
 
     @property
     def is_available(self) -> bool:
@@ -59,7 +63,7 @@
 
     @property
     def accepts_publications(self) -> bool:
-        """Whether something may be published there that no request waits for."""
+        """Whether publications that no request waits for may be sent to the store."""
         return self.trust is TrustLevel.TRUSTED and self.breaker.state is not BreakerState.OPEN
 
     def issue_serial(self) -> int:
@@ -68,9 +72,9 @@
         return self.last_serial
 
     def judge_reply(self, reply: StoreReply, generation: int, confirmed_serial: int) -> ReplyVerdict:
-        """Returns what a reply shows.
+        """Returns what a reply shows about the store.
 
-        `generation` and `confirmed_serial` are those of the moment when the command was sent.
+        `generation` and `confirmed_serial` are the values at the time when the command was sent.
         """
         if reply.generation == NO_GENERATION:
             return ReplyVerdict.EMPTY
@@ -80,12 +84,12 @@
             return ReplyVerdict.MOVED
         if generation != self.generation:
             return ReplyVerdict.STALE
-        # Once a store has lost state, a serial that it got since proves nothing until a new generation.
+        # After a store has lost state, a later serial proves nothing until a new generation is adopted.
         has_lost_state = reply.serial < confirmed_serial or self.trust is TrustLevel.NONE
         return ReplyVerdict.ROLLED_BACK if has_lost_state else ReplyVerdict.CURRENT
 
     def adopt(self, generation: int, chunks: Iterable[InvalidationChunk]) -> None:
-        """Adopts another generation; the store is trusted once all chunks are published and confirmed."""
+        """Adopts another generation; the store is trusted after all chunks are published and confirmed."""
         self.generation = generation
         self.confirmed_serial = 0
         self.last_invalidation = 0
@@ -93,7 +97,7 @@
         self.unpublished = deque(chunks)
 
     def confirm_published(self, chunk: InvalidationChunk) -> None:
-        """Records that a chunk of invalidations is confirmed; after the last one the store is trusted."""
+        """Records that the store confirmed a chunk of invalidations; it is trusted after the last chunk."""
         if self.trust is not TrustLevel.RESTORING:
             return
         if self.unpublished and self.unpublished[0] is chunk:
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -20,14 +20,17 @@
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 from olivepost.units import Instant
 
-MAX_BATCH = 64  # commands of one round trip: the first one waits for the last
+MAX_BATCH = 64  # commands in one round trip; the first one's reply waits for the last one
 MAX_REASON_LENGTH = 120  # characters of a store's error that the coordinator receives
 
 ReplyEvent = messages.StoreReply | messages.ReplyLost
 
 
 class Lane(Enum):
-    """Which commands a worker runs, so that upkeep never delays a command that a request waits for."""
+    """The kind of commands that a worker runs.
+
+    Upkeep has a lane of its own, so that it never delays a command that a request waits for.
+    """
 
     URGENT = "urgent"
     UPKEEP = "upkeep"
@@ -42,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerContext:
-    """What all workers of a process share. `post` takes replies, from any thread."""
+    """The state that all workers of a process share. `post` accepts replies from any thread."""
 
     settings: SharedStoreSettings
     incarnation: str
@@ -53,10 +56,11 @@
 
 
 class StoreWorker:
-    """Runs the commands of one lane in one store; each gets exactly one `StoreReply` or `ReplyLost`.
+    """A worker that runs the commands of one lane in one store.
 
-    The queue is bounded. A command that doesn't fit, or whose reply would come too late to be used, is never
-    sent. Any thread may call the public methods; `_changed` guards `_queue` and `_is_closed`.
+    Each command gets exactly one `StoreReply` or `ReplyLost`, unless it is still queued when the worker is
+    closed. The queue is bounded. A command that doesn't fit, or whose reply would come too late to be used,
+    is never sent. Any thread may call the public methods; `_changed` guards `_queue` and `_is_closed`.
     """
 
     def __init__(self, context: WorkerContext, store: StoreSettings, lane: Lane) -> None:
@@ -70,14 +74,14 @@
         self._changed = threading.Condition()
         self._is_closed = False
         self._thread_name = f"store-{lane.value}"
-        self._thread: threading.Thread | None = None  # None before `start`
+        self._thread: threading.Thread | None = None  # `None` before `start`
 
     def start(self) -> None:
-        """Starts the thread; raises RuntimeError where the system has none in time."""
+        """Starts the thread; raises RuntimeError if the system can't start one within `START_TIMEOUT_S`."""
         self._thread = start_thread(self._run, self._thread_name, START_TIMEOUT_S)
 
     def submit(self, command: messages.StoreCommand) -> None:
-        """Queues a command; its reply is lost at once where the queue is full or the worker closed."""
+        """Queues a command; its reply is lost at once if the queue is full or the worker is closed."""
         with self._changed:
             if len(self._queue) < self._max_queued and not self._is_closed:
                 self._queue.append(QueuedCommand(command, self._context.clock.now()))
@@ -87,13 +91,16 @@
         self._context.post(messages.ReplyLost(command.ticket, "the queue is full"))
 
     def close(self) -> None:
-        """Requests the thread's end; commands that still wait are dropped without a reply."""
+        """Requests the thread's end; commands that are still queued are dropped without a reply."""
         with self._changed:
             self._is_closed = True
             self._changed.notify()
 
     def join(self, timeout_s: float) -> None:
-        """Waits for the thread's end; where its store is unresponsive, the thread ends at its timeout."""
+        """Waits for the thread's end until the timeout.
+
+        If the store is unresponsive, the thread ends when its connection times out.
+        """
         if self._thread is not None:
             self._thread.join(timeout_s)
 
@@ -105,7 +112,7 @@
         self._client.close()
 
     def _take_batch(self) -> list[QueuedCommand]:
-        """Waits for commands and removes them from the queue; returns none once the worker is closed."""
+        """Waits for commands and removes them from the queue; returns an empty list after `close`."""
         with self._changed:
             self._changed.wait_for(lambda: self._queue or self._is_closed)
             if self._is_closed:
@@ -113,7 +120,7 @@
             return [self._queue.popleft() for _ in range(min(MAX_BATCH, len(self._queue)))]
 
     def _drop_expired(self, batch: list[QueuedCommand]) -> list[messages.StoreCommand]:
-        """Reports the commands that have waited too long as lost; returns the others."""
+        """Reports commands that have waited too long as lost and returns the others."""
         commands: list[messages.StoreCommand] = []
         for command, queued_at in batch:
             if self._context.clock.now() - queued_at <= self._max_wait:
@@ -137,7 +144,8 @@
         except (redis.RedisError, OSError) as error:
             self._fail(commands, error)
             return
-        except Exception as error:  # the thread's top: every command must get its event
+        except Exception as error:
+            # Nothing above catches this, and every command must get its `StoreReply` or `ReplyLost`.
             log = context.log
             log.exception("store_worker_error")
             self._fail(commands, error)
