--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -40,7 +40,9 @@
         self._random = random_source
         self._min_backoff = min_backoff
         self._max_backoff = max_backoff
-        self._backoff: Duration | None = None  # latest backoff; `None` if the breaker has closed since
+        self._backoff: Duration | None = (
+            None  # latest backoff; `None` at first and after the breaker has closed
+        )
         self._trial_successes = 0  # successes in a row while the breaker is half-open
         self._consecutive_failures = 0
         self._recent_failures: deque[bool] = deque(maxlen=RECENT_REPLIES)
@@ -52,7 +54,7 @@
         if self.state is BreakerState.HALF_OPEN:
             self._record_trial_success()
         else:
-            self._open_if_failing(now)  # this reply may complete the last `RECENT_REPLIES`
+            self._open_if_failing(now)  # with this reply, the number may reach `RECENT_REPLIES`
 
     def record_failure(self, now: Instant) -> None:
         """Records that a reply was late or lost, regardless of the cause.
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -72,7 +72,7 @@
         self.publish_next_chunk(now, store)
 
     def publish_next_chunk(self, now: Instant, store: StoreHealth) -> None:
-        """Publishes the next of the chunks of invalidations that are to be published again.
+        """Publishes the next chunk of the invalidations that must be published again.
 
         If there is none, an empty chunk is published, so that the store still confirms its generation.
         """
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -1,4 +1,4 @@
-"""The host of the store coordinator, which owns its thread, its queue of events and each store's workers.
+"""The host of the store coordinator; it owns the thread, the queue of events and each store's workers.
 
 The host makes no decision. One thread runs the coordinator. Each store has two workers, each with a thread
 and a connection. One worker runs the commands that requests wait for, the other one runs all others.
@@ -65,7 +65,7 @@
         )
         self._events: queue.SimpleQueue[messages.Event | None] = queue.SimpleQueue()  # `None` ends the thread
         self._workers: dict[tuple[str, Lane], StoreWorker] = {}
-        self._thread: threading.Thread | None = None  # None before `start`
+        self._thread: threading.Thread | None = None  # `None` before `start`
 
     def start(self) -> None:
         """Starts all threads; each worker connects when it runs its first command.
@@ -142,7 +142,7 @@
         self._events.put(event)
 
     def _run(self) -> None:
-        """Handles events, and a tick each `TICK_INTERVAL`, until a `None` is queued."""
+        """Handles queued events, and a tick every `TICK_INTERVAL`, until a `None` is queued."""
         next_tick = self._clock.now()
         while True:
             now = self._clock.now()
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """A notice that time has passed, which the host gives every 10 ms."""
+    """The notice that time has passed, which the host sends every 10 ms."""
 
 
 Event = (
--- a/olivepost/shared_store/operations.py
+++ b/olivepost/shared_store/operations.py
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportStaleLocation:
-    """A number of reports that a cache location is stale; after two reports the store deletes it."""
+    """A number of reports that a cache location is stale; the store deletes it at the second report."""
 
     generation: int
     name: str
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -114,7 +114,7 @@
 
 
 def parse_integer(value: object) -> int:
-    """Returns an integer of a store's reply; raises `RecordError` if the value is not an integer."""
+    """Returns an integer from a store's reply; raises `RecordError` if the value is not an integer."""
     if isinstance(value, int):
         return value
     if not (isinstance(value, bytes) and value.isdigit() and len(value) <= MAX_INTEGER_DIGITS):
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -40,7 +40,7 @@
 
 
 class StoreSettings(SettingsSection):
-    """One server of the Redis kind, 6.2 or later; a cluster is not supported."""
+    """One Redis server, or a compatible one, of version 6.2 or later; a cluster is not supported."""
 
     name: str = Field(
         pattern=NAME_PATTERN,
