--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -40,9 +40,8 @@
         self._random = random_source
         self._min_backoff = min_backoff
         self._max_backoff = max_backoff
-        self._backoff: Duration | None = (
-            None  # latest backoff; `None` at first and after the breaker has closed
-        )
+        # The latest backoff; `None` at first and after the breaker has closed.
+        self._backoff: Duration | None = None
         self._trial_successes = 0  # successes in a row while the breaker is half-open
         self._consecutive_failures = 0
         self._recent_failures: deque[bool] = deque(maxlen=RECENT_REPLIES)
@@ -54,7 +53,7 @@
         if self.state is BreakerState.HALF_OPEN:
             self._record_trial_success()
         else:
-            self._open_if_failing(now)  # with this reply, the number may reach `RECENT_REPLIES`
+            self._open_if_failing(now)  # this reply may complete the sliding window of recent ones
 
     def record_failure(self, now: Instant) -> None:
         """Records that a reply was late or lost, regardless of the cause.
