--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -36,9 +36,8 @@
 OUTLIER_REPORT_TTL_MS = 3_000  # time to live of an outlier report since a sync last renewed it
 QUOTA_GRANT_TTL_MS = 5_000  # time to live of the grants for a process that no longer takes them
 SERIAL_TTL_MS = 600_000  # time to live of the serial of a process that no longer syncs
-KEY_TTL_MS = (
-    86_400_000  # time to live of a key; every sync renews it, so only an abandoned generation's keys expire
-)
+# Time to live of a key. Every sync renews it, so only an abandoned generation's keys expire.
+KEY_TTL_MS = 86_400_000
 
 # The beginning of all scripts but the last. KEYS[1] is the generation's key in every script. ARGV has the
 # generation, the key prefix and the process, followed by the script's own arguments. The prologue defines `P`
