--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -31,7 +31,7 @@
 
 def test_log_without_a_reader_drops_and_counts_lines() -> None:
     read, write = os.pipe()
-    log = EventLog(Clock(), "n1", max_bytes=3_600, descriptor=write)  # three lines
+    log = EventLog(Clock(), "n1", max_bytes=3_600, descriptor=write)  # enough for three lines
     for _ in range(2_000):
         log.event("long", text="x" * 1_000)
         assert log.waiting_bytes <= 3_600
@@ -62,9 +62,9 @@
     log.close(20.0)
     os.close(write)
     with os.fdopen(read, "rb") as lines:
-        logged = len(list(lines))
-    assert logged <= 2 * MAX_SAMPLES_PER_S  # a second may end on the way
-    assert log.counters()["frequent_not_logged"] == 1_000 - logged
+        logged_count = len(list(lines))
+    assert logged_count <= 2 * MAX_SAMPLES_PER_S  # the events may fall into two seconds
+    assert log.counters()["frequent_not_logged"] == 1_000 - logged_count
 
 
 def test_field_that_cannot_be_written_drops_its_line_only() -> None:
--- a/tests/proxy/test_exchange.py
+++ b/tests/proxy/test_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange: one request, one response."""
+"""Exchanges: each one delivers exactly one response to its request."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: any split of the bytes gives the same messages, garbage only its own error."""
+"""HTTP/1.1 parser: any split of the bytes gives the same messages; garbage raises only `HttpError`."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 def parse(
     chunks: list[bytes], make_parser: Callable[[int, int], Parser[Any]] = RequestParser
 ) -> list[Message[Any]]:
-    """Feeds the chunks to a new parser, and takes all messages after each."""
+    """Feeds the chunks to a new parser and returns the messages, which are taken after each chunk."""
     parser = make_parser(MAX_HEAD_SIZE, MAX_BODY_SIZE)
     messages = list[Message[Any]]()
     for chunk in chunks:
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Invariants in debug and in release builds."""
+"""Checks of invariants in debug builds and in release builds (`python -O`)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from olivepost.proxy import invariants
 
-RELEASE = """
+RELEASE_PROGRAM = """
 from olivepost.proxy import invariants
 from olivepost.proxy.buffers import BufferPool
 assert False, "no assertions in this build"
@@ -22,7 +22,9 @@
 
 
 def test_release_build_counts_violations_and_goes_on() -> None:
-    done = subprocess.run([sys.executable, "-O", "-c", RELEASE], capture_output=True, text=True, check=True)
+    done = subprocess.run(
+        [sys.executable, "-O", "-c", RELEASE_PROGRAM], capture_output=True, text=True, check=True
+    )
     assert done.stdout == "{'buffer_released_once': 1} 0 2\n"
 
 
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -1,4 +1,4 @@
-"""Memory pressure: the levels, and what is freed at each of them."""
+"""Memory pressure: its levels, and what the proxy frees or rejects at each of them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeMemory:
-    """A monitor whose memory in use is set by the test."""
+    """A memory monitor that reads the memory in use from `used`, which the test sets."""
 
     def __init__(self) -> None:
         self.used = 0
@@ -33,8 +33,8 @@
         self.log = EventLog(Clock(), "n1", descriptor=self._descriptor)
         self.monitor = MemoryMonitor(LIMIT, self.log, self.levels.append, lambda: self.used)
 
-    def at(self, share: float) -> Level:
-        """The level at a share of the limit."""
+    def level_at(self, share: float) -> Level:
+        """Checks the memory with a share of the limit in use; returns the level."""
         self.used = int(share * LIMIT)
         self.monitor.check()
         return self.monitor.level
@@ -53,12 +53,12 @@
     ],
 )
 def test_level_follows_the_share_of_the_limit(share: float, level: Level) -> None:
-    assert FakeMemory().at(share) is level
+    assert FakeMemory().level_at(share) is level
 
 
 def test_level_ends_a_margin_below_its_share() -> None:
     memory = FakeMemory()
-    assert [memory.at(share) for share in (0.94, 0.92, 0.90, 0.87, 0.5)] == [
+    assert [memory.level_at(share) for share in (0.94, 0.92, 0.90, 0.87, 0.5)] == [
         Level.REJECT,
         Level.REJECT,
         Level.LIMIT_CONNECTIONS,
@@ -71,10 +71,10 @@
 
 def test_memory_is_checked_more_often_under_pressure() -> None:
     memory = FakeMemory()
-    memory.at(0.5)
+    memory.level_at(0.5)
     assert (memory.monitor.interval, memory.levels) == (CHECK_INTERVAL, [])
-    memory.at(0.9)
-    memory.at(0.9)
+    memory.level_at(0.9)
+    memory.level_at(0.9)
     assert memory.monitor.interval == PRESSURE_CHECK_INTERVAL
     assert memory.levels == [Level.LIMIT_CONNECTIONS] * 2
 
@@ -88,7 +88,7 @@
 
 
 def set_memory_use(proxy: ProxyHarness, share: float) -> None:
-    """Has the proxy find this share of its memory in use, as its main thread does."""
+    """Makes the proxy find a share of its memory limit in use, and checks it as the main thread does."""
     limit = proxy.parts.config.limits.memory.limit
     proxy.parts.memory_monitor.read_resident_bytes = lambda: int(share * limit)
     proxy.parts.memory_monitor.check()
@@ -99,7 +99,7 @@
         running_proxy(flow_bytes_per_s=1_000_000, link_bytes_per_s=8_000_000) as proxy,
         proxy.connect() as client,
     ):
-        for part in (0, 1, 2, 3) * 2:  # the second response of a name is stored
+        for part in (0, 1, 2, 3) * 2:  # the second response for a name is stored
             assert client.request(part=part).status == 200
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 4)
         set_memory_use(proxy, 0.81)
@@ -107,7 +107,7 @@
         set_memory_use(proxy, 0.81)
         set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
-        assert client.request().status == 200  # requests and connections go on
+        assert client.request().status == 200  # the connection is still open and served
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use <= 60)
         set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.touched_bytes < 300_000)
@@ -127,7 +127,11 @@
 
 
 def has_evicted_under_pressure(proxy: ProxyHarness) -> bool:
-    """Whether a connection is closed under pressure: one that was just used is not, for a while."""
+    """Puts the proxy under memory pressure; returns whether it has evicted an idle connection.
+
+    The call has to be repeated, because a connection is not evicted before it has been idle for
+    `MIN_IDLE_BEFORE_EVICTION`.
+    """
     set_memory_use(proxy, 0.85)
     return proxy.counter("connections_evicted") > 0
 
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -1,4 +1,4 @@
-"""What the metrics line is made of."""
+"""Values of the `metrics` event that are read from the operating system."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_pending_exchanges.py
+++ b/tests/proxy/test_pending_exchanges.py
@@ -1,4 +1,4 @@
-"""The record of pending requests and their attempts."""
+"""The table of pending requests and their attempts."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     assert pending.attempt_of_timer(10) is None
 
 
-def test_deferred_attempt_is_withdrawn_once_and_only_if_concerned() -> None:
+def test_deferred_attempt_is_withdrawn_once_and_only_if_it_matches() -> None:
     pending = PendingExchanges()
     exchange = make_exchange([])
     attempt = make_attempt(exchange, 1)
--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -1,4 +1,4 @@
-"""Every request that is given up, failed attempt and ended connection leaves its reason in the log."""
+"""Reasons that are logged or counted for given-up requests, failed attempts and closed connections."""
 
 from __future__ import annotations
 
@@ -13,12 +13,15 @@
 
 LogLines = list[dict[str, object]]
 
-REJECTED_BY_ALL = "f000000000000000"
+REJECTED_BY_ALL = "f000000000000000"  # the toy endpoints reject names that begin with "f"
 
 
 @pytest.fixture
 def log_lines(monkeypatch: pytest.MonkeyPatch) -> LogLines:
-    """The log's lines, without the proxies' own descriptor."""
+    """Returns a list that receives each line that the test's proxies log.
+
+    The fixture intercepts `os.write`, because the proxies log to the null device.
+    """
     lines: LogLines = []
     write = os.write
 
@@ -32,7 +35,7 @@
 
 
 def first_event(proxy: ProxyHarness, lines: LogLines, name: str) -> dict[str, object]:
-    """The first event of a name, once it is logged."""
+    """Waits until an event with a name is logged; returns the first such event."""
     assert proxy.wait_until(lambda: any(line["event"] == name for line in lines))
     return next(line for line in lines if line["event"] == name)
 
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests of clients: what is forwarded, and which response they get."""
+"""Client requests: what the proxy forwards, and which response the client gets."""
 
 from __future__ import annotations
 
@@ -171,7 +171,7 @@
 
 
 def test_only_the_etag_that_the_client_sent_gets_304() -> None:
-    """An endpoint that names another etag, or none, does not confirm the client's copy."""
+    """A `VALID` response with another ETag, or without one, does not confirm the client's copy."""
     names = iter(["other", ""])
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
--- a/tests/proxy/test_routes.py
+++ b/tests/proxy/test_routes.py
@@ -20,7 +20,7 @@
 
 
 def build(method: str = "GET", target: str = f"/api/v2/image/{OBJECT}/slice-3", **fields: str) -> Exchange:
-    """The exchange of a request; a field given as '' is left out."""
+    """Returns the exchange of a request. A field with the value '' is left out of the request."""
     given = FIELDS | {name.replace("_", "-"): value for name, value in fields.items()}
     headers: dict[str, tuple[str, ...]] = {name: (value,) for name, value in given.items() if value}
     message = Message(RequestLine(method, target, "HTTP/1.1"), headers, b"body")
@@ -96,7 +96,7 @@
         ),
         (Response(ResponseKind.FAILED), False, b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"),
     ],
-    ids=["not modified", "rejected with a time", "rejected", "failed"],
+    ids=["not modified", "rejected with a retry time", "rejected", "failed"],
 )
 def test_response_without_a_body_is_one_head(response: Response, closes: bool, expected: bytes) -> None:
     assert encode_response(response, closes) == [expected]
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what comes after SIGTERM, and the responses still pending then."""
+"""Graceful shutdown: requests that arrive after SIGTERM, and responses that are pending at that time."""
 
 from __future__ import annotations
 
@@ -40,8 +40,8 @@
     with running_proxy(delayed_replies) as proxy, proxy.connect() as client, proxy.connect() as idle:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
-        ending = threading.Thread(target=proxy.server.shut_down)
-        ending.start()
+        shutdown_thread = threading.Thread(target=proxy.server.shut_down)
+        shutdown_thread.start()
         assert proxy.wait_until(lambda: proxy.parts.downstream.is_draining)
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
@@ -54,13 +54,13 @@
         assert idle.is_closed_by_proxy()
         client.sock.close()
         idle.sock.close()
-        ending.join(WAIT_TIMEOUT_S)
-        assert not ending.is_alive()
+        shutdown_thread.join(WAIT_TIMEOUT_S)
+        assert not shutdown_thread.is_alive()
         assert proxy.parts.downstream.open_count == 0
 
 
 def test_connections_accepted_by_the_kernel_are_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A busy proxy has requests that wait to be read, and connections that wait to be accepted."""
+    """A busy proxy may have unread requests and connections in its accept queue when it shuts down."""
     may_start = threading.Event()
     start = ConnectionAdmission._start_connection
 
@@ -75,15 +75,15 @@
         for client in waiting:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.parts.downstream.drain()
-        stopping = threading.Thread(target=proxy.parts.downstream.stop_accepting)
-        stopping.start()
+        stop_thread = threading.Thread(target=proxy.parts.downstream.stop_accepting)
+        stop_thread.start()
         may_start.set()
         for client in waiting:
             status, headers, _ = client.read_response()
             assert (status, headers["connection"]) == (200, "close")
             assert client.is_closed_by_proxy()
             client.sock.close()
-        stopping.join(WAIT_TIMEOUT_S)
+        stop_thread.join(WAIT_TIMEOUT_S)
         with pytest.raises(ConnectionRefusedError):
             proxy.connect()
 
@@ -92,13 +92,13 @@
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         (connection,) = proxy.parts.downstream.connections.snapshot()
-        with connection.lock:  # its reader has to wait
+        with connection.lock:  # its reader thread has to wait for it
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: not connection.has_nothing_unread)
             proxy.parts.downstream.drain()
-            closing = threading.Thread(target=proxy.parts.downstream.close_idle)
-            closing.start()
-        closing.join(WAIT_TIMEOUT_S)
+            close_thread = threading.Thread(target=proxy.parts.downstream.close_idle)
+            close_thread.start()
+        close_thread.join(WAIT_TIMEOUT_S)
         status, headers, _ = client.read_response()
         assert (status, headers["connection"]) == (200, "close")
 
@@ -108,14 +108,15 @@
         client = proxy.connect()
         assert client.request().status == 200
         proxy.parts.downstream.stop_accepting()
-        again = ProxyHarness(listen=f"127.0.0.1:{proxy.address[1]}")
-        with again.connect() as other:
+        restarted = ProxyHarness(listen=f"127.0.0.1:{proxy.address[1]}")
+        with restarted.connect() as other:
             assert other.request().status == 200
-        again.close()
+        restarted.close()
         client.sock.close()
 
 
-KILLED_AFTER = 1500 * MS  # after SIGTERM, with `short_shutdown`
+# Time between SIGTERM and the platform's kill in tests that use the fixture `short_shutdown`.
+KILLED_AFTER = 1500 * MS
 
 
 @pytest.mark.usefixtures("short_shutdown")
@@ -123,12 +124,12 @@
     with running_proxy(never_reply) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
-        ending, began = start_shutdown(proxy)
+        shutdown_thread, began_at = start_shutdown(proxy)
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             assert (client.read_response().status, late.read_response().status) == (503, 503)
-            assert proxy.parts.clock.now() < began + KILLED_AFTER
-        ending.join(WAIT_TIMEOUT_S)
+            assert proxy.parts.clock.now() < began_at + KILLED_AFTER
+        shutdown_thread.join(WAIT_TIMEOUT_S)
         assert proxy.parts.event_loop.pending_count == 0
 
 
@@ -140,10 +141,10 @@
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 1)
         assert delayed_connects.has_started.wait(WAIT_TIMEOUT_S)
-        ending, began = start_shutdown(proxy)
+        shutdown_thread, began_at = start_shutdown(proxy)
         assert client.read_response().status == 503
-        assert proxy.parts.clock.now() < began + KILLED_AFTER
-        ending.join(WAIT_TIMEOUT_S)
+        assert proxy.parts.clock.now() < began_at + KILLED_AFTER
+        shutdown_thread.join(WAIT_TIMEOUT_S)
         delayed_connects.may_connect.set()
         assert no_attempt_was_sent(proxy)
 
@@ -162,19 +163,22 @@
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
-        ending, began = start_shutdown(proxy)
-        past_client_close = began + 600 * MS
+        shutdown_thread, began_at = start_shutdown(proxy)
+        past_client_close = began_at + 600 * MS
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > past_client_close)
         may_write.set()
         assert client.read_response().status == 200
         client.sock.close()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
 
 
 def test_client_that_waits_at_the_connection_limit_is_served_at_shutdown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The accept thread has accepted it while all slots are in use; closing the listener must not lose it."""
+    """The accept thread has accepted the client's connection while all slots are in use.
+
+    Closing the listener must not lose this connection.
+    """
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies, limits={"sockets": 64, "memory_mb": 64}) as proxy:
@@ -185,14 +189,14 @@
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: proxy.counter("connection_cap_reached") == 1)
-            ending, began = start_shutdown(proxy)
-            assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 200 * MS)
+            shutdown_thread, began_at = start_shutdown(proxy)
+            assert proxy.wait_until(lambda: proxy.parts.clock.now() > began_at + 200 * MS)
             delayed_replies.may_reply.set()
             for client in busy:
                 assert client.read_response().status in (200, 503)
                 client.sock.close()
             assert late.read_response().status == 200
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
 
 
 @pytest.mark.usefixtures("short_shutdown")
@@ -203,9 +207,9 @@
     ):
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
-        ending, _ = start_shutdown(proxy)
+        shutdown_thread, _ = start_shutdown(proxy)
         assert client.read_response().status == 502
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
 
 
 @pytest.mark.usefixtures("small_send_buffer")
@@ -219,30 +223,30 @@
         assert proxy.wait_until(
             lambda: proxy.counter("slow_clients") == 1 and proxy.parts.event_loop.pending_count == 0
         )
-        ending, began = start_shutdown(proxy)
-        # Past the times to accept and to close: a pending response is waited for all the same.
-        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 400 * MS)
-        assert ending.is_alive()
-        got = b""
+        shutdown_thread, began_at = start_shutdown(proxy)
+        # The times to accept and to close are over, but the proxy still waits for the pending response.
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began_at + 400 * MS)
+        assert shutdown_thread.is_alive()
+        received = b""
         while chunk := sock.recv(65_536):
-            got += chunk
-        assert got.count(b"x") >= 240_000
+            received += chunk
+        assert received.count(b"x") >= 240_000
         sock.close()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
 
 
 @pytest.mark.usefixtures("small_send_buffer")
 def test_connection_that_is_written_to_during_shutdown_closes_once_it_is_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its response was begun before the shutdown, and did not announce the connection's end."""
+    """The response was begun before the shutdown, so it did not announce the connection's close."""
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     with running_proxy(reply_with_large_body) as proxy:
         sock = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
         assert proxy.wait_until(lambda: proxy.counter("slow_clients") == 1)
         connection = only_connection(proxy)
-        ending, began = start_shutdown(proxy)
-        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 200 * MS)
+        shutdown_thread, began_at = start_shutdown(proxy)
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began_at + 200 * MS)
         assert not connection.is_closing
         received_bytes = 0
         while received_bytes < 240_000:
@@ -253,7 +257,7 @@
             pass
         assert proxy.parts.clock.now() < idle_at + 500 * MS
         sock.close()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
 
 
 def test_partly_read_request_is_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -264,13 +268,13 @@
         client.send(request[:30])
         connection = only_connection(proxy)
         assert proxy.wait_until(lambda: not connection.parser.is_idle)
-        ending, began = start_shutdown(proxy)
-        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 400 * MS)
+        shutdown_thread, began_at = start_shutdown(proxy)
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began_at + 400 * MS)
         client.send(request[30:])
         status, headers, body = client.read_response()
         assert (status, headers["connection"], body) == (200, "close", body_of(OBJECT_NAME, "3"))
         client.sock.close()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
 
 
 def test_second_sigterm_and_reload_during_draining_change_nothing() -> None:
@@ -287,18 +291,18 @@
         proxy.server._wait_for_signal = wait_for_signal
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
-        ending, _ = start_shutdown(proxy)
+        shutdown_thread, _ = start_shutdown(proxy)
         assert proxy.wait_until(lambda: next(requests, None) is None)
         delayed_replies.may_reply.set()
         assert client.read_response().status == 200
         client.sock.close()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
         assert proxy.parts.downstream.open_count == 0
 
 
 @pytest.mark.usefixtures("small_send_buffer", "short_shutdown")
 def test_slow_reader_does_not_delay_the_exit_past_the_kill() -> None:
-    """The kill comes when the grace period is over, whether or not the last log lines are written."""
+    """The platform kills the process when the grace period ends, even if log lines are not written yet."""
     kill_after_s = (shutdown.MAX_DEADLINE + shutdown.ACCEPT_FOR) / SECOND
     with running_proxy(reply_with_large_body, bounds={"slow_client_timeout": 5 * SECOND}) as proxy:
         slow_client = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
@@ -311,12 +315,12 @@
 
         reader = threading.Thread(target=read_slowly)
         reader.start()
-        ending = threading.Thread(target=proxy.server.shut_down)
-        ending.start()
-        ending.join(kill_after_s)
-        is_late = ending.is_alive()
+        shutdown_thread = threading.Thread(target=proxy.server.shut_down)
+        shutdown_thread.start()
+        shutdown_thread.join(kill_after_s)
+        is_late = shutdown_thread.is_alive()
         is_over.set()
         reader.join()
         slow_client.close()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
         assert not is_late
--- a/tests/proxy/test_shutdown_exit.py
+++ b/tests/proxy/test_shutdown_exit.py
@@ -1,4 +1,4 @@
-"""The exit of a graceful shutdown: before the kill, whatever its steps wait for."""
+"""Exit of a graceful shutdown: it comes before the kill, even if a step of the shutdown is delayed."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 def kill_after_s() -> float:
-    """When the platform kills, from SIGTERM on, by the schedule of the test."""
+    """Returns the time between SIGTERM and the platform's kill, as the test has set it."""
     return (shutdown.MAX_DEADLINE + shutdown.ACCEPT_FOR) / SECOND
 
 
 @contextmanager
 def proxy_with_slow_reader() -> Iterator[ProxyHarness]:
-    """A proxy whose one client does not read its response, so that a shutdown takes until its exit."""
+    """Runs a proxy whose only client does not read its response, so that a shutdown waits until `exit_by`."""
     with running_proxy(reply_with_large_body, bounds={"slow_client_timeout": 5 * SECOND}) as proxy:
         slow_client = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
         assert proxy.wait_until(lambda: proxy.counter("slow_clients") == 1)
@@ -44,7 +44,10 @@
 def test_log_that_nobody_reads_does_not_delay_the_exit_past_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: steps of a shutdown that each wait for a time of their own, one after another."""
+    """Regression test: each step of a shutdown waited for its own timeout, one after another.
+
+    The sum of the timeouts could exceed the time until the kill.
+    """
     with proxy_with_slow_reader() as proxy:
         may_write = threading.Event()
 
@@ -52,18 +55,18 @@
             may_write.wait(WAIT_TIMEOUT_S)
 
         monkeypatch.setattr(EventLog, "_write_line", write_late)
-        ending = threading.Thread(target=proxy.server.shut_down)
-        ending.start()
-        ending.join(kill_after_s())
-        is_late = ending.is_alive()
+        shutdown_thread = threading.Thread(target=proxy.server.shut_down)
+        shutdown_thread.start()
+        shutdown_thread.join(kill_after_s())
+        is_late = shutdown_thread.is_alive()
         may_write.set()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
         assert not is_late
 
 
 @pytest.mark.usefixtures("small_send_buffer", "short_shutdown")
 def test_reloads_do_not_delay_the_exit_past_the_kill() -> None:
-    """Regression: a configuration that is read on the main thread when the end is near."""
+    """Regression test: shortly before the kill, the main thread still read the configuration for a reload."""
     with proxy_with_slow_reader() as proxy:
         config = proxy.parts.config
 
@@ -77,16 +80,16 @@
 
         proxy.server._source = ConfigurationSource(read_slowly, lambda: None)
         proxy.server._wait_for_signal = receive_reload
-        ending, _ = start_shutdown(proxy)
-        ending.join(kill_after_s())
-        is_late = ending.is_alive()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread, _ = start_shutdown(proxy)
+        shutdown_thread.join(kill_after_s())
+        is_late = shutdown_thread.is_alive()
+        shutdown_thread.join(WAIT_TIMEOUT_S)
         assert not is_late
 
 
 @pytest.mark.usefixtures("short_shutdown")
 def test_repeated_signals_leave_clients_their_time_to_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: a time that is counted in waits, which every signal ends early."""
+    """Regression test: the time for clients to close was counted in waits, and a signal ends a wait early."""
     monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.5)
     with running_proxy() as proxy, proxy.connect() as idle:
         assert idle.request().status == 200
@@ -96,15 +99,18 @@
             return SignalRequest.SHUT_DOWN
 
         proxy.server._wait_for_signal = receive_signals
-        ending, began = start_shutdown(proxy)
-        ending.join(WAIT_TIMEOUT_S)
-        assert proxy.parts.clock.now() > began + shutdown.ACCEPT_FOR + 450 * MS
+        shutdown_thread, began_at = start_shutdown(proxy)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
+        assert proxy.parts.clock.now() > began_at + shutdown.ACCEPT_FOR + 450 * MS
 
 
 def test_pause_of_the_main_thread_does_not_end_the_wait_for_a_pending_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: a process that stood still for longer than clients have to close, and then exits."""
+    """Regression test: the process exited although a response was pending.
+
+    It had been paused for longer than clients have to close their connections.
+    """
     monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     delayed_replies = DelayedReplies()
@@ -112,10 +118,10 @@
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         proxy.wait_for_fetches()
         proxy.server._wait_for_signal = lambda _: wait_without_signals(100 * MS)
-        ending, began = start_shutdown(proxy)
-        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began + 500 * MS)
-        assert ending.is_alive()
+        shutdown_thread, began_at = start_shutdown(proxy)
+        assert proxy.wait_until(lambda: proxy.parts.clock.now() > began_at + 500 * MS)
+        assert shutdown_thread.is_alive()
         delayed_replies.may_reply.set()
         assert client.read_response().status == 200
         client.sock.close()
-        ending.join(WAIT_TIMEOUT_S)
+        shutdown_thread.join(WAIT_TIMEOUT_S)
--- a/tests/proxy/test_shutdown_schedule.py
+++ b/tests/proxy/test_shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""The times of a graceful shutdown."""
+"""The schedule of a graceful shutdown."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -1,4 +1,4 @@
-"""What the proxy asks of the kernel about its sockets."""
+"""Socket timeouts in the kernel's format, and socket states that the proxy reads from the kernel."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     ("timeout", "timeval"),
     [(1, (0, 1)), (999_999_999, (1, 0)), (1_600_000_001, (1, 600_001)), (0, (0, 0))],
 )
-def test_timeout_is_never_rounded_to_for_ever(timeout: int, timeval: tuple[int, int]) -> None:
+def test_timeout_is_never_rounded_to_no_timeout(timeout: int, timeval: tuple[int, int]) -> None:
     assert struct.unpack("ll", _timeval(timeout)) == timeval
 
 
@@ -29,13 +29,13 @@
         assert accept_queue_length(listener) == 2
         for client in clients:
             client.close()
-    assert accept_queue_length(listener) == 0  # closed: the system doesn't tell
+    assert accept_queue_length(listener) == 0  # the system reports no length for a closed socket
 
 
 def test_close_is_noticed_where_the_system_refuses_to_show_received_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: an attempt for a client that has disconnected."""
+    """Regression test: the proxy sent an attempt for a client that had already disconnected."""
 
     def refuse(*_: object) -> bytes:
         raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
@@ -49,6 +49,6 @@
         assert not has_nothing_unread(near)
         far.close()
         assert is_closed_by_peer(near)
-        near.close()  # as the connection's own thread may do meanwhile
+        near.close()  # the connection's own thread may close it at any time
         assert not is_closed_by_peer(near)
         assert not has_nothing_unread(near)
--- a/tests/proxy/test_stall_watch.py
+++ b/tests/proxy/test_stall_watch.py
@@ -1,4 +1,4 @@
-"""Threads that handle one step for too long are reported with their stack."""
+"""Stall watch: a thread that spends too long on one step is reported with its stack."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class FakeClock(Clock):
-    """A clock that a test sets."""
+    """A clock whose time the test sets."""
 
     time = 100 * SECOND
 
@@ -28,7 +28,7 @@
 
 
 class RecordingLog(EventLog):
-    """An event log that keeps its events."""
+    """An event log that keeps its events in a list and does not write them."""
 
     def __init__(self, clock: Clock) -> None:
         self.events: list[tuple[str, dict[str, Any]]] = []
@@ -73,7 +73,7 @@
 
 @pytest.mark.parametrize("standard_error", ["open", "closed"])
 def test_signal_for_a_dump_of_all_threads_does_not_end_the_process(standard_error: str) -> None:
-    """Regression: a process that does not start, or ends by the signal, where it has no standard error."""
+    """Regression test: a process without standard error did not start, or was ended by the signal."""
     close = "os.close(2); sys.stderr = None" if standard_error == "closed" else "pass"
     program = (
         f"import os, signal, sys; {close}; from olivepost.proxy.server import register_thread_dump;"
@@ -87,16 +87,20 @@
 @pytest.mark.parametrize("thread", ["event-loop", "main"])
 def test_stalled_thread_of_a_proxy_is_reported(thread: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(stall_watch, "STALLED_AFTER", 100 * MILLISECOND)
-    may_go_on = threading.Event()
+    may_continue = threading.Event()
     with running_proxy() as proxy:
         assert proxy.counter("threads_stalled") == 0
         if thread == "event-loop":
-            monkeypatch.setattr(proxy.parts.event_loop, "_fire_due", lambda: may_go_on.wait(WAIT_TIMEOUT_S))
+            monkeypatch.setattr(
+                proxy.parts.event_loop, "_fire_due", lambda: may_continue.wait(WAIT_TIMEOUT_S)
+            )
         else:
-            monkeypatch.setattr(proxy.parts.memory_monitor, "check", lambda: may_go_on.wait(WAIT_TIMEOUT_S))
+            monkeypatch.setattr(
+                proxy.parts.memory_monitor, "check", lambda: may_continue.wait(WAIT_TIMEOUT_S)
+            )
             waiting = threading.Thread(
                 target=proxy.server._wait_until, args=(proxy.parts.clock.now() + 10 * MILLISECOND,)
             )
             waiting.start()
         assert proxy.wait_until(lambda: proxy.counter("threads_stalled") >= 1)
-        may_go_on.set()
+        may_continue.set()
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -1,4 +1,4 @@
-"""System calls and thread starts that fail for a while lose no request."""
+"""Temporary failures of system calls and thread starts, which must not lose any request."""
 
 from __future__ import annotations
 
@@ -25,34 +25,42 @@
 from tests.proxy.fakes import MS, DelayedReplies, no_attempt_was_sent
 from tests.proxy_harness import HttpClient, ProxyHarness, running_proxy
 
-STAND_IN_THREADS = ("MainThread", "Thread-")  # of the client and of the toy endpoints
+# Name prefixes of the threads that run the test's client and the toy endpoints.
+TEST_THREAD_PREFIXES = ("MainThread", "Thread-")
 SHORTAGES = [errno.ENOBUFS, errno.ENOMEM]
-RECEIVE = socket.socket.recv
+ORIGINAL_RECV = socket.socket.recv
 
 
-def failing(call: Callable[..., Any], error: Exception, times: int, thread: str = "") -> Callable[..., Any]:
-    """The call, which fails so many times first, on threads with this name prefix."""
+def failing(
+    call: Callable[..., Any], error: Exception, times: int, thread_prefix: str = ""
+) -> Callable[..., Any]:
+    """Returns a function that raises `error` the first `times` times and then does what `call` does.
+
+    Only calls on threads whose name begins with `thread_prefix` fail.
+    """
     failures = iter(range(times))
 
     def fail_first(*args: Any, **kwargs: Any) -> Any:
-        is_concerned = threading.current_thread().name.startswith(thread)
-        if is_concerned and next(failures, None) is not None:
+        is_affected = threading.current_thread().name.startswith(thread_prefix)
+        if is_affected and next(failures, None) is not None:
             raise error
         return call(*args, **kwargs)
 
     return fail_first
 
 
-def os_error(number: int) -> OSError:
-    return OSError(number, os.strerror(number))
+def os_error(error_number: int) -> OSError:
+    return OSError(error_number, os.strerror(error_number))
 
 
 @pytest.mark.parametrize(
-    "number",
+    "error_number",
     [errno.ECONNABORTED, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EPROTO, errno.EPERM],
 )
-def test_accept_that_fails_is_repeated(number: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(socket.socket, "accept", failing(socket.socket.accept, os_error(number), 3, "accept"))
+def test_accept_that_fails_is_repeated(error_number: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(
+        socket.socket, "accept", failing(socket.socket.accept, os_error(error_number), 3, "accept")
+    )
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         assert proxy.counter("accept_failed") == 3
@@ -73,13 +81,13 @@
 
 
 def test_accepts_that_fail_now_and_then_hold_up_no_queue(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: a pause that is long for one failure: all that wait to be accepted wait it out."""
+    """Regression test: a long pause after a single failure delayed every client in the accept queue."""
     accept = socket.socket.accept
     counts = itertools.count()
 
     def fail_every_second(sock: socket.socket) -> Any:
-        is_of_proxy = threading.current_thread().name == "accept"
-        if is_of_proxy and next(counts) % 2:
+        is_proxy_thread = threading.current_thread().name == "accept"
+        if is_proxy_thread and next(counts) % 2:
             raise os_error(errno.ENFILE)
         return accept(sock)
 
@@ -102,22 +110,22 @@
         assert proxy.counter("threads_short") == 5
 
 
-@pytest.mark.parametrize("number", SHORTAGES)
+@pytest.mark.parametrize("error_number", SHORTAGES)
 @pytest.mark.parametrize("name", ["recv", "recv_into", "send", "sendmsg"])
 def test_transfer_continues_after_a_shortage_of_memory(
-    name: str, number: int, monkeypatch: pytest.MonkeyPatch
+    name: str, error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         call = getattr(socket.socket, name)
-        fails = threading.local()
+        calls = threading.local()
 
         def fail_at_times(sock: socket.socket, *args: Any) -> Any:
-            count = getattr(fails, "count", 0)
-            fails.count = count + 1
-            is_of_proxy = not threading.current_thread().name.startswith(STAND_IN_THREADS)
-            if is_of_proxy and count % 3 == 0:
-                raise os_error(number)
+            count = getattr(calls, "count", 0)
+            calls.count = count + 1
+            is_proxy_thread = not threading.current_thread().name.startswith(TEST_THREAD_PREFIXES)
+            if is_proxy_thread and count % 3 == 0:
+                raise os_error(error_number)
             return call(sock, *args)
 
         monkeypatch.setattr(socket.socket, name, fail_at_times)
@@ -126,22 +134,22 @@
             assert (status, bool(body)) == (200, True)
 
 
-def failing_peeks(sock: socket.socket, size: int, flags: int = 0) -> bytes:
-    """`socket.recv` where looking at a socket without waiting fails for good."""
+def recv_with_failing_peeks(sock: socket.socket, size: int, flags: int = 0) -> bytes:
+    """Receives as `socket.recv` does, but fails for every peek that does not wait."""
     peek = socket.MSG_PEEK | socket.MSG_DONTWAIT
     if flags & peek == peek:
         raise os_error(errno.ENOBUFS)
-    return RECEIVE(sock, size, flags)
+    return ORIGINAL_RECV(sock, size, flags)
 
 
 def test_peeks_that_fail_for_good_delay_no_other_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: a pause for each connection on the threads of shutdown, deadlines and accept."""
+    """Regression test: the threads for shutdown, deadlines and accepting paused once for each connection."""
     with running_proxy() as proxy:
         clients = [proxy.connect() for _ in range(30)]
         for client in clients:
             assert client.request().status == 200
         connections = proxy.parts.downstream.connections.snapshot()
-        monkeypatch.setattr(socket.socket, "recv", failing_peeks)
+        monkeypatch.setattr(socket.socket, "recv", recv_with_failing_peeks)
         began_at = time.monotonic()
         for connection in connections[:10]:
             assert connection.evict()
@@ -158,17 +166,20 @@
 def test_connection_whose_bytes_cannot_be_looked_at_is_not_closed_over_a_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression: a request that is lost since the system refuses to show it, by poll as well."""
+    """Regression test: a request was lost because its connection was closed as idle.
+
+    The system reported the received bytes neither to a peek nor to `poll`.
+    """
     with running_proxy() as proxy, proxy.connect() as client, proxy.connect() as idle:
         assert client.request().status == 200
         assert idle.request().status == 200
         connections = proxy.parts.downstream.connections.snapshot()
         with contextlib.ExitStack() as locks:
-            for connection in connections:  # their readers have to wait
+            for connection in connections:  # their reader threads have to wait for it
                 locks.enter_context(connection.lock)
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: sum(not c.has_nothing_unread for c in connections) == 1)
-            monkeypatch.setattr(socket.socket, "recv", failing_peeks)
+            monkeypatch.setattr(socket.socket, "recv", recv_with_failing_peeks)
             assert sum(not connection.has_nothing_unread for connection in connections) == 1
             monkeypatch.setattr(sockets, "_polled_events", lambda *_: None)
             assert not any(connection.has_nothing_unread for connection in connections)
@@ -180,7 +191,7 @@
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
         with proxy.connect() as client:
             assert client.request().status == 200
-            # Longer than the listener's receive timeout, which accepted sockets inherit.
+            # The pause is longer than the listener's receive timeout, which accepted sockets inherit.
             time.sleep(4 * ACCEPT_TIMEOUT / SECOND)
             assert client.request(part=4).status == 200
 
@@ -191,7 +202,7 @@
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies) as proxy, proxy.connect() as first:
         delayed_replies.may_reply.set()
-        assert first.request().status == 200  # the connections to the caches are there
+        assert first.request().status == 200  # the proxy is now connected to the caches
         delayed_replies.may_reply.clear()
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
         with proxy.connect() as client:
@@ -206,11 +217,11 @@
     return [endpoint.failure_score for endpoint in endpoints]
 
 
-@pytest.mark.parametrize("number", [*SHORTAGES, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL])
+@pytest.mark.parametrize("error_number", [*SHORTAGES, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL])
 def test_connect_that_fails_by_a_local_error_is_repeated_and_charged_to_no_endpoint(
-    number: int, monkeypatch: pytest.MonkeyPatch
+    error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    connect = failing(sockets.connect, os_error(number), 4, "upstream-writer-")
+    connect = failing(sockets.connect, os_error(error_number), 4, "upstream-writer-")
     monkeypatch.setattr(sockets, "connect", connect)
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
@@ -230,12 +241,12 @@
 
 def test_shortage_of_reader_threads_is_charged_to_no_endpoint(monkeypatch: pytest.MonkeyPatch) -> None:
     error = RuntimeError("can't start new thread")
-    begin = threading.Thread.start
+    original_start = threading.Thread.start
 
     def start(thread: threading.Thread) -> None:
         if thread.name == "upstream-reader":
             raise error
-        begin(thread)
+        original_start(thread)
 
     monkeypatch.setattr(threading.Thread, "start", start)
     with running_proxy() as proxy, proxy.connect() as client:
@@ -255,12 +266,12 @@
 
 def test_start_waits_for_threads(monkeypatch: pytest.MonkeyPatch) -> None:
     error = RuntimeError("can't start new thread")
-    begin = threading.Thread.start
-    start = failing(begin, error, 20)
+    original_start = threading.Thread.start
+    start = failing(original_start, error, 20)
 
     def start_late(thread: threading.Thread) -> None:
-        if thread.name.startswith(STAND_IN_THREADS):
-            begin(thread)
+        if thread.name.startswith(TEST_THREAD_PREFIXES):
+            original_start(thread)
         else:
             start(thread)
 
@@ -282,12 +293,15 @@
             with pytest.raises(RuntimeError):
                 proxy.parts.discovery.switch_coordinator(address)
         polls = proxy.coordinator.polls
-        assert proxy.coordinator.wait_for_poll(polls + 1)  # the old poll goes on
-        assert proxy.parts.discovery.switch_coordinator(address)  # and the next reload moves it
+        assert proxy.coordinator.wait_for_poll(polls + 1)  # the old poll continues
+        assert proxy.parts.discovery.switch_coordinator(address)  # the next reload succeeds
 
 
 def test_reload_waits_for_no_thread_and_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: a main thread that handles no signal, and a poll whose events wait, for seconds."""
+    """Regression test: a reload waited for a thread for seconds.
+
+    Meanwhile, the main thread handled no signal, and the events of the running poll were not applied.
+    """
     with running_proxy() as proxy, running_proxy() as other:
         assert proxy.coordinator.wait_for_poll(1)
         host, _, port = other.coordinator.address.rpartition(":")
@@ -303,7 +317,7 @@
             proxy.server.reload()
             assert time.monotonic() < began_at + 1
         assert other.coordinator.polls == polls
-        proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)  # as the main thread always does
+        proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)  # repeats the reload, as in `run`
         assert other.coordinator.wait_for_poll(polls + 2)
 
 
@@ -317,7 +331,7 @@
 
 
 def test_client_that_sends_beside_a_failing_poll_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery's own system calls always fail: requests are routed by the known list."""
+    """Discovery always fails to connect, so requests are routed by the configured list of known endpoints."""
     connect = failing(sockets.connect, os_error(errno.ENETUNREACH), 1_000_000, "discovery")
     monkeypatch.setattr(sockets, "connect", connect)
     with running_proxy() as proxy, proxy.connect() as client:
@@ -327,7 +341,10 @@
 
 
 def test_connection_that_waits_for_a_thread_is_not_evicted_for_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its request may arrive while it waits, for longer than idle connections are spared."""
+    """The connection waits for a thread for longer than `MIN_IDLE_BEFORE_EVICTION`.
+
+    Its request may arrive in this time.
+    """
     start = failing(_thread.start_new_thread, RuntimeError("can't start new thread"), 30)
     with running_proxy() as proxy:
         monkeypatch.setattr(_thread, "start_new_thread", start)
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -1,4 +1,4 @@
-"""Requests that write are forwarded with body and idempotency key, never cached, and bounded in size."""
+"""Write requests: forwarded with their body and idempotency key, never cached, and limited in size."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 def write_settings(effect: str = "idempotency_key") -> dict[str, Any]:
-    """The example's settings, with a first class that clients may write."""
+    """Returns the example's settings with a first class that accepts writes."""
     example: dict[str, Any] = toy_config()["settings"]
-    row = {**example["classes"][0], "effect": effect, "window": 5_000_000_000}
+    writable_class = {**example["classes"][0], "effect": effect, "window": 5_000_000_000}
     family = {**example["family-info"], "pass-on": [True]}
-    return {**example, "classes": [row, *example["classes"][1:]], "family-info": family}
+    return {**example, "classes": [writable_class, *example["classes"][1:]], "family-info": family}
 
 
 def put_request(body: bytes = b"z" * 100, name: str = OBJECT_NAME, **headers: str) -> bytes:
-    """A PUT request, with its body."""
+    """Returns a PUT request with its body."""
     request = HttpClient.encode_request(
         name, "segment", 3, 15_000, **{"Content_Length": str(len(body)), **headers}
     )
@@ -39,7 +39,7 @@
 
 
 def serve_writes(endpoint: ToyEndpoint, command: Command) -> None:
-    """Answers a request with a body, and all others as the toy endpoints do."""
+    """Responds with `done` to a fetch that has a body, and to all other commands as the toy endpoints do."""
     if command.verb == "fetch" and command.body:
         command.respond("HIT", b"done", why="fill", entity="new", issued="1")
     else:
@@ -47,7 +47,7 @@
 
 
 def reserved_bytes(proxy: ProxyHarness) -> int:
-    """What large request bodies have reserved of their budget."""
+    """Returns the number of bytes that large request bodies have reserved from their budget."""
     return proxy.parts.downstream.context.large_bodies.reserved_bytes
 
 
@@ -92,7 +92,7 @@
 
 
 def test_platform_classes_reject_writes() -> None:
-    """Request bodies stay small there, and no memory is reserved for large ones."""
+    """Without a class that accepts writes, bodies must be small and no memory is budgeted for large ones."""
     limits = read_config(toy_config(), {}).limits
     assert limits.max_request_body_bytes == SMALL_BODY_BYTES
     assert limits.large_body_bytes == 0
@@ -103,11 +103,14 @@
 
 
 def test_large_bodies_share_one_budget_and_release_their_parts() -> None:
-    """One too many is rejected before it is read; a response and a client that closes release theirs."""
-    gate = threading.Event()
+    """A body that exceeds the budget is rejected before it is read.
+
+    A response releases the reservation of its request, and a client that disconnects releases its own.
+    """
+    may_reply = threading.Event()
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        gate.wait(WAIT_TIMEOUT_S)
+        may_reply.wait(WAIT_TIMEOUT_S)
         serve_writes(endpoint, command)
 
     largest_body = b"y" * MAX_OBJECT_BYTES
@@ -115,17 +118,17 @@
         reply, settings=write_settings("read_like"), bounds={"large_body_bytes": 2 * MAX_OBJECT_BYTES}
     ) as proxy:
         first = proxy.connect()
-        leaving = proxy.connect()
+        disconnecting = proxy.connect()
         late = proxy.connect()
         first.send(put_request(largest_body))
-        leaving.send(put_request(largest_body, "0" * 16)[: -MAX_OBJECT_BYTES // 2])
+        disconnecting.send(put_request(largest_body, "0" * 16)[: -MAX_OBJECT_BYTES // 2])
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 2 * MAX_OBJECT_BYTES)
         late.send(put_request(largest_body, "1" * 16)[:-MAX_OBJECT_BYTES])
         assert late.read_response().status == 503
         assert late.is_closed_by_proxy()
-        leaving.sock.close()
+        disconnecting.sock.close()
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == MAX_OBJECT_BYTES)
-        gate.set()
+        may_reply.set()
         assert first.read_response().status == 200
         assert proxy.wait_until(lambda: reserved_bytes(proxy) == 0)
         first.send(put_request(largest_body))
@@ -139,7 +142,10 @@
 
 
 def test_large_body_of_a_health_check_releases_its_reservation() -> None:
-    """Its connection stays open: it is the response that releases, not the end of the keep-alive time."""
+    """The response releases the reservation, not the close of the connection.
+
+    The long keep-alive timeout keeps the connection open.
+    """
     keepalive = {"keepalive_timeout": 60_000_000_000}
     with (
         running_proxy(serve_writes, settings=write_settings(), bounds=keepalive) as proxy,
