--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the proxy's tests."""
+"""Fixtures for the tests of the proxy process."""
 
 from __future__ import annotations
 
@@ -23,9 +23,10 @@
 
 @pytest.fixture
 def may_notice_close(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """The first upstream connection is closed by its endpoint before a request is written.
+    """Makes the proxy wait until the endpoint has closed the first upstream connection.
 
-    Its reader does not notice before the event is set.
+    The writer thread waits for that close before it writes a request. The reader thread does not notice the
+    close until the event is set.
     """
     may_notice = threading.Event()
     has_connected = threading.Event()
@@ -59,7 +60,7 @@
 
 @pytest.fixture
 def short_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The platform kills one and a half seconds after SIGTERM, however long the deadlines are."""
+    """Limits the time from SIGTERM to the kill to 1.5 s, even if a request class has a longer deadline."""
     monkeypatch.setattr(shutdown, "MAX_DEADLINE", 1100 * MS)
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 400 * MS)
     monkeypatch.setattr(shutdown, "RESPONSE_MARGIN", 600 * MS)
--- a/tests/proxy/discovery/test_client.py
+++ b/tests/proxy/discovery/test_client.py
@@ -1,4 +1,7 @@
-"""Discovery's client: events applied once and in order, gaps, renumbering, and a change of coordinator."""
+"""Tests of the discovery client.
+
+Events are applied once and in order, even after gaps, renumbering or a change of coordinator.
+"""
 
 import os
 from collections.abc import Iterator
@@ -21,7 +24,7 @@
 
 
 class IdleLongPoll(LongPoll):
-    """A long poll without a thread."""
+    """A long poll that starts no thread and sends no request."""
 
     def __init__(self, owner: DiscoveryClient, address: Address, seed: float) -> None:
         self.is_stopped = False
@@ -35,7 +38,7 @@
 
 @dataclass
 class ClientHarness:
-    """A client under test, and the messages that it has posted."""
+    """The discovery client under test, and the messages that it has posted."""
 
     client: DiscoveryClient
     log: EventLog
@@ -55,7 +58,7 @@
 
 
 def invalidation(index: int) -> dict[str, object]:
-    """An event whose group is its index."""
+    """Returns an event that invalidates the group whose number is the event's index."""
     return {"index": index, "evict": {"shard": index, "unix_ms": 0}}
 
 
@@ -64,82 +67,82 @@
 
 
 @pytest.fixture
-def watch(monkeypatch: pytest.MonkeyPatch) -> Iterator[ClientHarness]:
+def harness(monkeypatch: pytest.MonkeyPatch) -> Iterator[ClientHarness]:
     monkeypatch.setattr(client_module, "LongPoll", IdleLongPoll)
-    nowhere = os.open(os.devnull, os.O_WRONLY)
+    devnull = os.open(os.devnull, os.O_WRONLY)
     clock = Clock()
-    log = EventLog(clock, "test", descriptor=nowhere)
+    log = EventLog(clock, "test", descriptor=devnull)
     posted: list[DiscoveryEvent | DiscoveryHeartbeat] = []
     client = DiscoveryClient(COORDINATOR, clock, log, posted.append, 1)
     client.start({"index": 1, "updates": [full_update(1)]})
     yield ClientHarness(client, log, posted)
     client.stop()
     log.close()
-    os.close(nowhere)
+    os.close(devnull)
 
 
-def test_first_endpoint_update_is_posted_as_restored(watch: ClientHarness) -> None:
-    watch.receive(2, full_update(2))
+def test_first_endpoint_update_is_posted_as_restored(harness: ClientHarness) -> None:
+    harness.receive(2, full_update(2))
 
-    events = [message for message in watch.posted if isinstance(message, DiscoveryEvent)]
+    events = [message for message in harness.posted if isinstance(message, DiscoveryEvent)]
     updates = [event.change for event in events if isinstance(event.change, api.EndpointUpdate)]
     kinds = [update.kind for update in updates]
     assert kinds == [api.EndpointUpdateKind.RESTORED, api.EndpointUpdateKind.FULL]
 
 
-def test_events_are_applied_once_and_in_order(watch: ClientHarness) -> None:
-    watch.receive(3, invalidation(3), invalidation(2))
-    watch.receive(4, invalidation(3), invalidation(4))
+def test_events_are_applied_once_and_in_order(harness: ClientHarness) -> None:
+    harness.receive(3, invalidation(3), invalidation(2))
+    harness.receive(4, invalidation(3), invalidation(4))
 
-    assert watch.invalidated_groups() == [2, 3, 4]
-    assert watch.client.next_index(watch.long_poll) == 4
-    assert isinstance(watch.posted[-1], DiscoveryHeartbeat)
+    assert harness.invalidated_groups() == [2, 3, 4]
+    assert harness.client.next_index(harness.long_poll) == 4
+    assert isinstance(harness.posted[-1], DiscoveryHeartbeat)
 
 
-def test_gap_makes_the_next_poll_request_all_events(watch: ClientHarness) -> None:
-    watch.receive(4, invalidation(4))
+def test_gap_makes_the_next_poll_request_all_events(harness: ClientHarness) -> None:
+    harness.receive(4, invalidation(4))
 
-    assert watch.invalidated_groups() == []
-    assert watch.client.next_index(watch.long_poll) == 0
-    assert not any(isinstance(message, DiscoveryHeartbeat) for message in watch.posted)
+    assert harness.invalidated_groups() == []
+    assert harness.client.next_index(harness.long_poll) == 0
+    assert not any(isinstance(message, DiscoveryHeartbeat) for message in harness.posted)
 
-    watch.receive(4, invalidation(3), invalidation(4))
+    harness.receive(4, invalidation(3), invalidation(4))
 
-    assert watch.invalidated_groups() == [3, 4]
-    assert watch.client.next_index(watch.long_poll) == 4
+    assert harness.invalidated_groups() == [3, 4]
+    assert harness.client.next_index(harness.long_poll) == 4
 
 
-def test_coordinator_that_renumbers_its_events_is_followed_from_the_first(watch: ClientHarness) -> None:
-    watch.receive(5, *(invalidation(index) for index in range(2, 6)))
+def test_coordinator_that_renumbers_its_events_is_followed_from_the_first(harness: ClientHarness) -> None:
+    harness.receive(5, *(invalidation(index) for index in range(2, 6)))
 
     for _ in range(MAX_LAGGING_RESPONSES - 1):
-        watch.receive(1)
-        assert watch.client.next_index(watch.long_poll) == 5
+        harness.receive(1)
+        assert harness.client.next_index(harness.long_poll) == 5
 
-    watch.receive(1)
-    assert watch.client.next_index(watch.long_poll) == 0
+    harness.receive(1)
+    assert harness.client.next_index(harness.long_poll) == 0
 
-    watch.receive(1, invalidation(1))
-    assert watch.invalidated_groups() == [2, 3, 4, 5, 1]
+    harness.receive(1, invalidation(1))
+    assert harness.invalidated_groups() == [2, 3, 4, 5, 1]
 
 
-def test_invalid_event_is_counted_and_skipped(watch: ClientHarness) -> None:
-    watch.receive(3, {"index": 2, "evict": {}}, invalidation(3))
+def test_invalid_event_is_counted_and_skipped(harness: ClientHarness) -> None:
+    harness.receive(3, {"index": 2, "evict": {}}, invalidation(3))
 
-    assert watch.log.counters()["invalid_events"] == 1
-    assert watch.invalidated_groups() == [3]
+    assert harness.log.counters()["invalid_events"] == 1
+    assert harness.invalidated_groups() == [3]
 
 
-def test_response_to_a_replaced_poll_is_dropped(watch: ClientHarness) -> None:
-    replaced = watch.long_poll
+def test_response_to_a_replaced_poll_is_dropped(harness: ClientHarness) -> None:
+    replaced = harness.long_poll
 
-    assert watch.client.switch_coordinator(OTHER_COORDINATOR)
-    assert not watch.client.switch_coordinator(OTHER_COORDINATOR)
+    assert harness.client.switch_coordinator(OTHER_COORDINATOR)
+    assert not harness.client.switch_coordinator(OTHER_COORDINATOR)
     assert isinstance(replaced, IdleLongPoll)
     assert replaced.is_stopped
 
-    watch.client.accept_response(replaced, {"index": 2, "updates": [invalidation(2)]})
+    harness.client.accept_response(replaced, {"index": 2, "updates": [invalidation(2)]})
 
-    assert watch.invalidated_groups() == []
-    assert watch.client.next_index(replaced) is None
-    assert watch.client.next_index(watch.long_poll) == 1
+    assert harness.invalidated_groups() == []
+    assert harness.client.next_index(replaced) is None
+    assert harness.client.next_index(harness.long_poll) == 1
--- a/tests/proxy/discovery/test_event_parser.py
+++ b/tests/proxy/discovery/test_event_parser.py
@@ -1,4 +1,4 @@
-"""The coordinator's JSON parsed into watch events."""
+"""Tests of the parser that turns the coordinator's JSON into discovery events."""
 
 import pytest
 
--- a/tests/proxy/discovery/test_faulty_coordinators.py
+++ b/tests/proxy/discovery/test_faulty_coordinators.py
@@ -1,4 +1,4 @@
-"""Coordinators that stall, lag, send bytes one by one or do not respond."""
+"""Tests with coordinators that stall, lag, send responses byte by byte or do not respond."""
 
 from __future__ import annotations
 
@@ -17,7 +17,11 @@
 
 
 class StallingCoordinator(Coordinator):
-    """Sends half a response to its first poll, then nothing or a byte now and then, and stays open."""
+    """A coordinator that stalls within its response to the first poll.
+
+    It sends half of that response and keeps the connection open. After that, it sends nothing or, with
+    `trickles`, one byte every 100 ms until `is_over` is set. Later polls get complete responses.
+    """
 
     def __init__(self, trickles: bool) -> None:
         self.trickles = trickles
@@ -81,7 +85,7 @@
 
 
 class BytewiseCoordinator(Coordinator):
-    """Sends its responses a byte at a time."""
+    """A coordinator that sends its responses one byte at a time."""
 
     def reply(self, sock: socket.socket, data: bytes) -> None:
         for position in range(len(data)):
@@ -89,7 +93,7 @@
 
 
 class UnresponsiveCoordinator(Coordinator):
-    """Accepts so many polls and does not respond to them; each stays open."""
+    """A coordinator that accepts its first `polls` polls without a response and keeps them open."""
 
     def __init__(self, polls: int) -> None:
         self.polls_left = polls
@@ -117,7 +121,10 @@
 
 
 def test_drain_during_unresponsive_polls_is_applied_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The open poll gets no response, nor the next one; the cache drains meanwhile and stays up."""
+    """Checks a drain that begins while neither the open poll nor the next one gets a response.
+
+    The draining cache stays reachable, so it would receive a request that is wrongly sent to it.
+    """
     monkeypatch.setattr(long_poll, "POLL_WAIT", 100 * MS)
     monkeypatch.setattr(poll_backoff, "FIRST_RESPONSE_TIMEOUT", 100 * MS)
     with running_proxy() as proxy, proxy.connect() as client:
@@ -127,10 +134,10 @@
         assert other.wait_for_poll(1)
         other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
-        before = len(proxy.caches[0].received())
-        # On a busy machine the one cache that is left may stall for a moment: a rejection then
-        # is not discovery's doing. What counts is that nothing goes to the draining one.
+        fetches_before = len(proxy.caches[0].received())
+        # One response of 200 is enough. On a busy machine the only remaining cache may stall briefly, and
+        # requests are then rejected for a reason other than discovery. The draining cache must get none.
         assert 200 in {client.request(part=part).status for part in range(12)}
-        assert len(proxy.caches[0].received()) == before
+        assert len(proxy.caches[0].received()) == fetches_before
         other.is_over.set()
         other.close()
--- a/tests/proxy/discovery/test_flow_control.py
+++ b/tests/proxy/discovery/test_flow_control.py
@@ -1,4 +1,7 @@
-"""Discovery neither polls without pause nor ahead of the event loop."""
+"""Tests of flow control in discovery.
+
+Polls are kept apart, and the next poll waits until the event loop has handled the last response.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from olivepost.units import SECOND, Instant
 from tests.proxy_harness import running_proxy
 
-WATCHED_S = 1.0
+OBSERVATION_S = 1.0
 
 
 def test_coordinator_that_answers_at_once_is_not_polled_without_pause(
@@ -22,11 +25,11 @@
     monkeypatch.setattr(Coordinator, "_wait", lambda *_: None)
     with running_proxy() as proxy:
         assert proxy.coordinator.wait_for_poll(1)
-        before = proxy.coordinator.polls
+        polls_before = proxy.coordinator.polls
 
-        time.sleep(WATCHED_S)
+        time.sleep(OBSERVATION_S)
 
-        assert proxy.coordinator.polls - before <= WATCHED_S * SECOND / MIN_POLL_INTERVAL + 1
+        assert proxy.coordinator.polls - polls_before <= OBSERVATION_S * SECOND / MIN_POLL_INTERVAL + 1
 
 
 def test_next_list_is_polled_once_the_last_one_is_handled() -> None:
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -1,4 +1,4 @@
-"""Endpoints, waits and delays that several tests of the whole proxy share."""
+"""Fake endpoints, delays and helpers that several tests of a complete proxy share."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from tests.proxy_harness import WAIT_TIMEOUT_S, ProxyHarness, toy_config
 
 MS = 1_000_000
-UNCACHED_NAME = "0a3a9c21e0b4d655"  # no toy cache has it
+UNCACHED_NAME = "0a3a9c21e0b4d655"  # toy caches do not store names that begin with 0
 
 
 def never_reply(endpoint: ToyEndpoint, command: Command) -> None:
-    """An endpoint that accepts everything and does not respond."""
+    """Accepts a command and never responds to it."""
 
 
 class DelayedReplies:
-    """Endpoints that respond once `may_reply` is set."""
+    """A reply function of endpoints that wait until `may_reply` is set before they respond."""
 
     def __init__(self) -> None:
         self.may_reply = threading.Event()
@@ -36,26 +36,29 @@
 
 
 def only_connection(proxy: ProxyHarness) -> ConnectionLifecycle:
-    """The one connection that is open."""
+    """Returns the only client connection, once exactly one is open."""
     assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 1)
     (connection,) = proxy.parts.downstream.connections.snapshot()
     return connection
 
 
 def idle_connection(proxy: ProxyHarness) -> ConnectionLifecycle:
-    """The one connection, once its response is written and its writer is done with it."""
+    """Returns the only client connection, once its response is written and no thread holds its lock."""
     connection = only_connection(proxy)
     assert proxy.wait_until(lambda: connection.is_idle and not connection.lock.locked())
     return connection
 
 
 def no_attempt_was_sent(proxy: ProxyHarness) -> bool:
-    """Whether no endpoint has received a command."""
+    """Whether no endpoint has received a `fetch` command."""
     return not any(endpoint.received() for endpoint in proxy.endpoints)
 
 
 class DelayedConnects:
-    """Upstream connections are established once `may_connect` is set."""
+    """A patch of `sockets.connect` that delays upstream connections until `may_connect` is set.
+
+    `has_started` is set when a writer thread is about to connect.
+    """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.may_connect = threading.Event()
@@ -72,14 +75,20 @@
 
 
 def settings_with_idempotency(effect: str, **changes: Any) -> dict[str, Any]:
-    """The example's settings with a first class of that idempotency."""
+    """Returns the example's settings with another `effect` of the first request class.
+
+    `changes` are applied to the same class.
+    """
     settings: dict[str, Any] = toy_config()["settings"]
-    row = {**settings["classes"][0], "effect": effect, **changes}
-    return {**settings, "classes": [row, *settings["classes"][1:]]}
+    first_class = {**settings["classes"][0], "effect": effect, **changes}
+    return {**settings, "classes": [first_class, *settings["classes"][1:]]}
 
 
 class DelayedAborts:
-    """Aborts are written once `may_abort` is set; with `is_reset`, their connection is reset instead."""
+    """A patch of the connection writer that delays aborts until `may_abort` is set.
+
+    With `is_reset`, the connection is then reset, and the abort is not written.
+    """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.may_abort = threading.Event()
@@ -97,24 +106,26 @@
 
 
 def draining_entries(proxy: ProxyHarness, count: int) -> list[dict[str, Any]]:
-    return [{**row, "state": "terminating"} for row in proxy.listed_endpoints[:count]]
+    """Returns the first `count` entries of the endpoint list with the state of a draining endpoint."""
+    return [{**entry, "state": "terminating"} for entry in proxy.listed_endpoints[:count]]
 
 
 def cache_a_is_draining(proxy: ProxyHarness) -> bool:
+    """Whether the router has been told that cache `a` is draining."""
     return (
         proxy.parts.event_loop._router.state.endpoints.by_id["a"].metadata.state is api.EndpointState.DRAINING
     )
 
 
 class StartedShutdown(NamedTuple):
-    """The thread of a shutdown, and when it began."""
+    """The thread that runs a shutdown, and the time at which the shutdown began."""
 
     thread: threading.Thread
     began_at: Instant
 
 
 def start_shutdown(proxy: ProxyHarness) -> StartedShutdown:
-    """Starts the shutdown as SIGTERM does."""
+    """Starts a graceful shutdown as SIGTERM does, and waits until the proxy is draining."""
     thread = threading.Thread(target=proxy.server.shut_down)
     began_at = proxy.parts.clock.now()
     thread.start()
--- a/tests/proxy/test_buffers.py
+++ b/tests/proxy/test_buffers.py
@@ -1,4 +1,4 @@
-"""Buffer pool and pooled bodies."""
+"""Tests of the buffer pool and of pooled bodies."""
 
 from __future__ import annotations
 
@@ -73,14 +73,14 @@
     pool.release(taken)
     again = pool.acquire(4)
     assert again is not None
-    assert pool.touched_bytes == 10 * 4_096  # those that were used before are used first
+    assert pool.touched_bytes == 10 * 4_096  # buffers that were used before are acquired first
     assert pool.trim() == 6 * 4_096
     assert pool.touched_bytes == 4 * 4_096
     pool.release(again)
-    everything = pool.acquire(100)
-    assert everything is not None
-    assert len({id(buffer) for buffer in everything}) == 100
-    for number, buffer in enumerate(everything):
+    all_buffers = pool.acquire(100)
+    assert all_buffers is not None
+    assert len({id(buffer) for buffer in all_buffers}) == 100
+    for number, buffer in enumerate(all_buffers):
         buffer[:] = bytes([number]) * 4_096
-    assert [buffer[4_095] for buffer in everything] == list(range(100))
-    pool.release(everything)
+    assert [buffer[4_095] for buffer in all_buffers] == list(range(100))
+    pool.release(all_buffers)
--- a/tests/proxy/test_cached_responses.py
+++ b/tests/proxy/test_cached_responses.py
@@ -1,4 +1,4 @@
-"""The response cache in a whole proxy."""
+"""Tests of the response cache in a complete proxy."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def request_until_cached(proxy: ProxyHarness, client: HttpClient) -> None:
-    """The first response is for a new name, the second is stored, the third comes from the cache."""
+    """Sends three requests for the same object, so that the last response comes from the response cache.
+
+    The first response is not stored because the name is new. The second one is stored.
+    """
     assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
     for _ in range(3):
         assert client.request().body == body_of(OBJECT_NAME, "3")
@@ -56,7 +59,7 @@
 
 @pytest.mark.parametrize("clock_error_ms", [5_000, -5_000, 3_600_000, -3_600_000])
 def test_invalidation_evicts_cached_responses_whatever_the_wall_clock_was(clock_error_ms: int) -> None:
-    """Endpoints and coordinator share a clock, which this process's may be ahead of or behind."""
+    """Checks clocks of this process that are ahead of or behind the one of the endpoints and coordinator."""
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb != "fetch":
@@ -89,7 +92,7 @@
 
 
 def request_repeatedly(proxy: ProxyHarness, client: HttpClient) -> None:
-    """Asks until a response is stored."""
+    """Sends two requests for the same object and waits until a response is stored."""
     assert proxy.wait_until(lambda: proxy.parts.event_loop._lifecycle.discovery_received_at)
     for _ in range(2):
         assert client.request().status == 200
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -1,4 +1,4 @@
-"""Clients that disconnect before their response."""
+"""Tests of clients that disconnect before they receive a response."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def delay_abandonment(monkeypatch: pytest.MonkeyPatch, may_notice: threading.Event) -> None:
-    """The event loop ignores disconnects until the event is set."""
+    """Makes the event loop ignore disconnects until `may_notice` is set."""
     abandon = ExchangeLifecycle.abandon
 
     def abandon_late(self: ExchangeLifecycle, now: int, exchange: Any, response: Any) -> None:
@@ -43,21 +43,21 @@
 
 
 def delay_reader(monkeypatch: pytest.MonkeyPatch, may_notice: threading.Event) -> None:
-    """Readers of clients wait for the event before their second read."""
+    """Makes the reader threads of clients wait for `may_notice` before every read but the first."""
     wait_readable = sockets.wait_readable
     has_read = threading.Event()
 
-    def wait_longer(sock: socket.socket) -> bool:
+    def wait_readable_late(sock: socket.socket) -> bool:
         if has_read.is_set() and threading.current_thread().name.startswith("Dummy"):
             may_notice.wait(WAIT_TIMEOUT_S)
         has_read.set()
         return wait_readable(sock)
 
-    monkeypatch.setattr(sockets, "wait_readable", wait_longer)
+    monkeypatch.setattr(sockets, "wait_readable", wait_readable_late)
 
 
 def reset(sock: socket.socket) -> None:
-    """Closes with a reset."""
+    """Closes a socket with a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
     sock.close()
 
@@ -74,7 +74,7 @@
     disconnect: Disconnect,
     late_thread: str,
 ) -> None:
-    """The disconnect has not been handled yet: it waits in the event loop's queue, or for its reader."""
+    """Checks disconnects that the event loop or the connection's reader thread has not handled yet."""
     may_notice = threading.Event()
     if late_thread == "event loop":
         delay_abandonment(monkeypatch, may_notice)
@@ -93,7 +93,7 @@
         assert no_attempt_was_sent(proxy)
         may_notice.set()
         client.sock.close()
-        with proxy.connect() as other:  # the upstream connection goes on
+        with proxy.connect() as other:  # the upstream connection stays open
             assert other.request(part=7).status == 200
         assert proxy.parts.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
         assert proxy.parts.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
@@ -107,11 +107,11 @@
     with running_proxy(
         reply_to_liveness_checks, settings=settings_with_idempotency("read_like", aim=15 * SECOND)
     ) as proxy:
-        leaving = [proxy.connect() for _ in range(6)]
-        for number, client in enumerate(leaving):
+        disconnecting_clients = [proxy.connect() for _ in range(6)]
+        for number, client in enumerate(disconnecting_clients):
             client.send(HttpClient.encode_request(part=number, timeout_ms=15_000))
         sent = {command.id for command in proxy.wait_for_fetches(6)}
-        for client in leaving:
+        for client in disconnecting_clients:
             client.sock.close()
         assert proxy.wait_until(lambda: proxy.parts.event_loop.pending_count == 0)
         assert proxy.wait_until(
--- a/tests/proxy/test_client_limits.py
+++ b/tests/proxy/test_client_limits.py
@@ -1,4 +1,4 @@
-"""Limits on clients: connections, times and buffers."""
+"""Tests of the limits on clients: connections, timeouts and buffers."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 @pytest.mark.usefixtures("small_send_buffer")
 def test_client_that_does_not_read_delays_no_other_client() -> None:
     with running_proxy(reply_with_large_body) as proxy:
-        count = 8  # more than there are writer threads
-        stuck = [request_with_small_receive_buffer(proxy) for _ in range(count)]
+        count = 8  # more clients than writer threads
+        slow_clients = [request_with_small_receive_buffer(proxy) for _ in range(count)]
         assert proxy.wait_until(lambda: proxy.counter("slow_clients") == count)
         with proxy.connect() as client:
             assert client.request().status == 200
-        for sock in stuck:
+        for sock in slow_clients:
             sock.close()
 
 
@@ -48,7 +48,7 @@
 
 
 def test_exhausted_body_buffers_leave_the_proxy_responsive() -> None:
-    """Requests are still rejected in time, and no endpoint's failure score rises."""
+    """Checks that requests are still rejected in time and that no endpoint's failure score rises."""
     with running_proxy() as proxy, proxy.connect() as client:
         taken = proxy.parts.body_buffers.acquire(proxy.parts.config.limits.body_buffers)
         assert taken is not None
@@ -74,7 +74,7 @@
         assert proxy.counter("connection_deadlines_exceeded") >= 1
     with running_proxy(bounds=SHORT_TIMEOUTS) as proxy, proxy.connect() as client:
         assert client.request().status == 200
-        assert client.is_closed_by_proxy()  # after one request, idle
+        assert client.is_closed_by_proxy()  # idle after its first request
 
 
 @pytest.mark.parametrize("data", [b"GET /api/v2/segm", HttpClient.encode_request(Content_Length="9")])
@@ -103,7 +103,7 @@
 
 
 def test_endless_sender_is_closed_after_its_rejection() -> None:
-    """What is read after the proxy's close is bounded in bytes and in time."""
+    """Checks that the bytes and the time of reading are limited after the proxy has closed its side."""
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(Content_Length="60000000"))
         with pytest.raises(ConnectionError):
@@ -135,16 +135,19 @@
 
 @pytest.mark.usefixtures("small_send_buffer")
 def test_slow_reader_is_closed_where_no_thread_can_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without a thread for the rest of a response the connection closes and its buffers are released."""
+    """Checks that the connection closes and its buffers are released.
+
+    The rest of the response can't be written, because no thread can be started for it.
+    """
     with running_proxy(reply_with_large_body) as proxy:
         start = threading.Thread.start
 
-        def short(thread: threading.Thread) -> None:
+        def start_unless_slow_writer(thread: threading.Thread) -> None:
             if thread.name == "slow-writer":
                 raise RuntimeError("can't start new thread")
             start(thread)
 
-        monkeypatch.setattr(threading.Thread, "start", short)
+        monkeypatch.setattr(threading.Thread, "start", start_unless_slow_writer)
         sock = request_with_small_receive_buffer(proxy)
         assert proxy.wait_until(lambda: proxy.counter("threads_short") == 1)
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use == 0)
--- a/tests/proxy/test_clock.py
+++ b/tests/proxy/test_clock.py
@@ -1,4 +1,4 @@
-"""The proxy's clock."""
+"""Tests of the proxy's clock."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
     clock = Clock()
     now = clock.now()
     assert clock.from_unix(now) == now
-    clock.observe(now - 5_000_000_000)  # an old time says nothing
+    clock.observe(now - 5_000_000_000)  # a time in the past shows no error of the clock
     assert clock.from_unix(now) == now
     clock.observe(clock.now() + 3_600_000_000_000)
     later = clock.from_unix(now + 3_600_000_000_000)
     assert abs(later - now) < 1_000_000_000
-    assert clock.now() - now < 1_000_000_000  # spans stay as they are
+    assert clock.now() - now < 1_000_000_000  # durations on this clock stay correct
--- a/tests/proxy/test_connection_limit.py
+++ b/tests/proxy/test_connection_limit.py
@@ -1,4 +1,4 @@
-"""More clients than there may be connections: who is evicted, who waits, who is rejected."""
+"""Tests of more clients than the connection limit allows: evicted, waiting and rejected clients."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
     running_proxy,
 )
 
-MANY_REQUESTS = 200  # of one client
+MAX_BUSY_CLIENT_REQUESTS = 200
+# Resource limits that allow few client connections.
 FEW_CONNECTIONS = {"sockets": 64, "memory_mb": 64}
 
 
 def clients_with_pending_requests(proxy: ProxyHarness) -> list[HttpClient]:
-    """One client for each connection that there may be, each with a request that has no response yet."""
+    """Returns as many clients as the limit allows, each with a request that has no response yet."""
     clients = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
     for client in clients:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
@@ -42,7 +43,7 @@
         clients = [proxy.connect() for _ in range(cap)]
         for client in clients:
             assert client.request().status == 200
-        assert clients[0].request().status == 200  # no longer the longest idle
+        assert clients[0].request().status == 200  # so that it is no longer the longest idle
         with proxy.connect() as late:
             assert late.request().status == 200
         assert clients[1].is_closed_by_proxy()
@@ -98,7 +99,7 @@
 
 
 def test_client_is_rejected_where_no_slot_becomes_free_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: silence: all slots are taken by requests without a response."""
+    """Guards against a client that gets no response because all slots are taken by pending requests."""
     monkeypatch.setattr(connection_admission, "MAX_SLOT_WAIT_S", 0.1)
     monkeypatch.setattr(connection_admission, "PATIENT_SLOT_WAIT_S", 0.1)
     delayed_replies = DelayedReplies()
@@ -117,7 +118,7 @@
 
 
 def test_wait_for_a_slot_is_taken_from_the_time_of_the_request() -> None:
-    """Regression: a final response that comes late by the time that its client has waited for a slot."""
+    """Guards against a final response that is late by the time for which its client waited for a slot."""
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies, limits=FEW_CONNECTIONS) as proxy:
         clients = clients_with_pending_requests(proxy)
@@ -125,7 +126,8 @@
             sent_at = time.monotonic()
             late.send(HttpClient.encode_request(timeout_ms=1_000))
             time.sleep(0.5)
-            clients[0].sock.close()  # its slot goes to the late client, whose request gets no reply either
+            # Frees a slot for the late client. The endpoints do not reply to its request either.
+            clients[0].sock.close()
             assert late.read_response().status == 503
             assert time.monotonic() < sent_at + 1.2
         delayed_replies.may_reply.set()
@@ -135,7 +137,7 @@
 
 
 def test_client_is_rejected_where_the_wait_for_its_slot_raises(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: a client that is dropped without a response for a fault in the eviction of another."""
+    """Guards against a client that is dropped without a response if the eviction of another one raises."""
     with running_proxy(limits=FEW_CONNECTIONS) as proxy:
         clients = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
         for client in clients:
@@ -161,7 +163,7 @@
 
 
 def test_client_that_writes_its_first_request_slowly_is_not_evicted() -> None:
-    """Regression: a request that is read in part and closed without a response."""
+    """Guards against an eviction without a response after a part of the first request has been read."""
     with running_proxy(limits=FEW_CONNECTIONS) as proxy, proxy.connect() as slow:
         request = HttpClient.encode_request(timeout_ms=15_000)
         slow.send(request[:30])
@@ -203,8 +205,8 @@
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             headers: dict[str, str] = {}
-            with contextlib.suppress(ConnectionError):  # it may also be evicted between two requests
-                for _ in range(MANY_REQUESTS):
+            with contextlib.suppress(ConnectionError):  # the busy client may also be evicted between requests
+                for _ in range(MAX_BUSY_CLIENT_REQUESTS):
                     if "connection" in headers:
                         break
                     headers = busy.request(timeout_ms=15_000).headers
@@ -213,7 +215,10 @@
 
 
 def test_client_that_was_just_served_is_not_evicted() -> None:
-    """A reset could overtake the response; at the limit another is evicted, or none yet."""
+    """Guards against a reset that overtakes a response.
+
+    At the limit, another client is evicted, or none until one has been idle for long enough.
+    """
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         cap = proxy.parts.config.limits.max_client_connections
         served = [proxy.connect() for _ in range(cap)]
@@ -234,7 +239,7 @@
 
 
 def test_idle_clients_at_the_limit_keep_out_neither_discovery_nor_upstream_nor_clients() -> None:
-    """Discovery is down meanwhile; when it is up again, a descriptor is left to poll it."""
+    """Checks that a descriptor is left to poll the coordinator, which restarts after the clients connect."""
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         assert proxy.coordinator.wait_for_poll(1)
         proxy.coordinator.close()
@@ -254,7 +259,7 @@
 
 
 def test_flood_of_idle_clients_is_admitted_as_fast_as_slots_become_free() -> None:
-    """An evicted client's slot goes to the next one at once, not at the next check."""
+    """Checks that the next client gets an evicted client's slot at once, not only at the next check."""
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         flood = [proxy.connect() for _ in range(10 * proxy.parts.config.limits.max_client_connections)]
         began_at = time.monotonic()
--- a/tests/proxy/test_delay_histogram.py
+++ b/tests/proxy/test_delay_histogram.py
@@ -1,4 +1,4 @@
-"""The histogram of durations: the percentiles of a sorted list, within one part in 32."""
+"""Tests of the histogram of durations: percentiles equal those of a sorted list within one part in 32."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 
 def test_percentiles_of_any_range_are_those_of_the_sorted_samples() -> None:
-    draw = random.Random(5)
-    samples = sorted(int(10 ** draw.uniform(0, 11)) for _ in range(5_000))
+    generator = random.Random(5)
+    samples = sorted(int(10 ** generator.uniform(0, 11)) for _ in range(5_000))
     histogram = DelayHistogram()
     for sample in samples:
         histogram.record(sample)
--- a/tests/proxy/test_discovery_changes.py
+++ b/tests/proxy/test_discovery_changes.py
@@ -1,4 +1,4 @@
-"""Service discovery: changes of the endpoint list, invalidations, faulty coordinators."""
+"""Tests of service discovery: changes of the endpoint list, invalidations and faulty coordinators."""
 
 from __future__ import annotations
 
@@ -65,7 +65,10 @@
 
 @pytest.mark.parametrize("clock_error_ms", [0, -500, 5_000, -5_000, HOUR_MS, -HOUR_MS])
 def test_invalidations_bound_the_age_of_cached_responses(clock_error_ms: int) -> None:
-    """The age counts from the invalidation, whatever this process's wall clock was at its start."""
+    """Checks that the maximum age is measured from the invalidation.
+
+    An error of this process's wall clock, which is read at its start, must make no difference.
+    """
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         invalidated_at = time.monotonic()
@@ -130,7 +133,8 @@
         other.add(evict={"shard": 2, "unix_ms": time.time_ns() // 1_000_000})
         assert proxy.parts.discovery.switch_coordinator(read_address(other.address))
         assert not proxy.parts.discovery.switch_coordinator(read_address(other.address))
-        proxy.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})  # no longer polled
+        # The first coordinator is no longer polled, so this event has no effect.
+        proxy.coordinator.add(evict={"shard": 3, "unix_ms": time.time_ns() // 1_000_000})
         assert proxy.wait_until(lambda: len(invalidations) == 2)
         assert other.wait_for_poll(2)
         assert other.follows[0] == 2
@@ -149,8 +153,8 @@
         other = Coordinator()
         other.events = list(proxy.coordinator.events)
         other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
-        moved = dataclasses.replace(proxy.parts.config, coordinator=read_address(other.address))
-        proxy.server._source = ConfigurationSource(lambda: moved, lambda: None)
+        changed_config = dataclasses.replace(proxy.parts.config, coordinator=read_address(other.address))
+        proxy.server._source = ConfigurationSource(lambda: changed_config, lambda: None)
         proxy.server.reload()
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
         assert other.follows[0] == 1
@@ -158,7 +162,7 @@
 
 
 def test_proxy_serves_by_the_known_list_before_discovery_responds() -> None:
-    """Discovery is down at the start: the known endpoint list is used."""
+    """Checks that the endpoint list of the configuration is used if discovery is down at the start."""
     coordinator = Coordinator()
     coordinator.close()
     with running_proxy() as other:
@@ -181,7 +185,10 @@
 def test_invalidations_of_the_start_are_no_older_than_their_distance_from_the_last(
     clock_error_ms: int,
 ) -> None:
-    """This process's clock may be wrong: only differences are sure, and the last one may be new."""
+    """Checks the ages of the invalidations in the configuration if this process's clock may be wrong.
+
+    Only the differences between their times are certain, and the last invalidation may have an age of 0.
+    """
     now_ms = time.time_ns() // 1_000_000 - clock_error_ms
     updates = [
         {"index": index, "evict": {"shard": index, "unix_ms": now_ms - age_ms}}
@@ -194,8 +201,8 @@
             ages.append(event.change.age)
 
     with running_proxy() as proxy:
-        nowhere = read_address("127.0.0.1:9")
-        client = DiscoveryClient(nowhere, proxy.parts.clock, proxy.parts.log, post, seed=1)
+        closed_address = read_address("127.0.0.1:9")
+        client = DiscoveryClient(closed_address, proxy.parts.clock, proxy.parts.log, post, seed=1)
         client.start({"index": 2, "updates": updates})
         client.stop()
     assert len(ages) == 2
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -1,4 +1,4 @@
-"""Requests that arrive at the close, the eviction or the deadline of a client's connection."""
+"""Tests of requests that arrive at the close, the eviction or the deadline of a client's connection."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 def test_request_that_arrives_during_the_close_is_not_forwarded(
     close: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It is in the kernel's buffer at the close: what is read after that is not forwarded."""
+    """Checks that a request in the kernel's buffer at the close is not forwarded when it is read later."""
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         connection = idle_connection(proxy)
@@ -51,13 +51,13 @@
     may_read = threading.Event()
     wait_readable = sockets.wait_readable
 
-    def wait_longer(sock: socket.socket) -> bool:
+    def wait_readable_late(sock: socket.socket) -> bool:
         is_readable = wait_readable(sock)
         if is_delayed.is_set():
             may_read.wait(WAIT_TIMEOUT_S)
         return is_readable
 
-    monkeypatch.setattr(sockets, "wait_readable", wait_longer)
+    monkeypatch.setattr(sockets, "wait_readable", wait_readable_late)
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         connection = idle_connection(proxy)
@@ -70,7 +70,7 @@
 
 
 def test_request_that_was_read_is_served_after_the_connection_deadline() -> None:
-    """The deadline was checked before the request was read, and is enforced after that."""
+    """Checks a deadline that passed before the request was read but is enforced only after that."""
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
--- a/tests/proxy/test_error_isolation.py
+++ b/tests/proxy/test_error_isolation.py
@@ -1,4 +1,4 @@
-"""Unexpected errors end no more than the connection or the request in which they occur."""
+"""Tests that an unexpected error ends only the connection or the request in which it occurs."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 def test_error_in_a_response_writer_releases_the_body(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: buffers that no response holds any more; `running_proxy` checks that none is in use."""
+    """Guards against buffers that are never released; `running_proxy` checks that none is still in use."""
     with running_proxy() as proxy, proxy.connect() as client, proxy.connect() as other:
         with monkeypatch.context() as patched:
             patched.setattr("olivepost.proxy.downstream.response_delivery.encode_response", None)
@@ -57,7 +57,7 @@
     monkeypatch.setattr(sockets, "send_buffers", send_with_fault)
     with running_proxy(reply_with_large_body) as proxy:
         sock = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
-        # A client that reads before would take all of it, and no slow writer would be needed.
+        # If the client read earlier, it could receive the whole response without a slow writer.
         assert proxy.wait_until(lambda: proxy.counter("slow_clients") == 1)
         while sock.recv(65_536):
             pass
--- a/tests/proxy/upstream/fakes.py
+++ b/tests/proxy/upstream/fakes.py
@@ -1,4 +1,4 @@
-"""An exchange and resource limits for tests of upstream modules without sockets."""
+"""An exchange and resource limits for tests of upstream modules that need no sockets."""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_command.py
+++ b/tests/proxy/upstream/test_command.py
@@ -1,4 +1,4 @@
-"""Fields of a `fetch` command, as they stand on the wire."""
+"""Tests of the fields of a `fetch` command as they are sent to an endpoint."""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_completion.py
+++ b/tests/proxy/upstream/test_completion.py
@@ -1,4 +1,4 @@
-"""How an upstream request ended: by a complete response, or with its connection."""
+"""Tests of the outcomes of upstream requests, which end with a complete response or a lost connection."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from tests.proxy.upstream.fakes import REQUEST_ID, START, make_exchange
 
 
-class ClockAt(Clock):
+class FixedClock(Clock):
     """A clock that always shows the same time."""
 
     def __init__(self, now: int) -> None:
@@ -34,7 +34,7 @@
     return UpstreamRequest(exchange, 0, "cache-1", "parent-1", START, {}, body=body)
 
 
-def make_line(status: str, **fields: str) -> ResponseLine:
+def make_response_line(status: str, **fields: str) -> ResponseLine:
     return ResponseLine(REQUEST_ID, status, fields, 0)
 
 
@@ -57,7 +57,9 @@
 def test_failure_status_ends_the_attempt_with_its_own_status(
     status: str, expected: api.AttemptStatus, log: EventLog
 ) -> None:
-    completed = completed_from_response(make_request(), make_line(status, why="lacking"), ClockAt(START), log)
+    completed = completed_from_response(
+        make_request(), make_response_line(status, why="lacking"), FixedClock(START), log
+    )
     assert (completed.status, completed.cache_status) == (expected, api.CacheStatus.SOURCE_MISS)
     assert completed.response is None
     assert not log.counters()
@@ -66,7 +68,7 @@
 @pytest.mark.parametrize("unknown", ["HIT", "PONG", "hit", "VALID"])
 def test_response_without_content_is_an_error_and_counted(unknown: str, log: EventLog) -> None:
     assert (
-        completed_from_response(make_request(), make_line(unknown), ClockAt(START), log).status
+        completed_from_response(make_request(), make_response_line(unknown), FixedClock(START), log).status
         is api.AttemptStatus.ERROR
     )
     assert log.counters() == {"unexpected_responses": 1}
@@ -75,7 +77,7 @@
 def test_response_without_body_buffers_is_not_attributed_to_the_endpoint(log: EventLog) -> None:
     request = make_request()
     request.is_missing_buffers = True
-    completed = completed_from_response(request, make_line("HIT"), ClockAt(START), log)
+    completed = completed_from_response(request, make_response_line("HIT"), FixedClock(START), log)
     assert completed.status is api.AttemptStatus.CANCELLED
 
 
@@ -83,7 +85,7 @@
     ("issued", "generated_at"),
     [
         ("1764575999123", 1_764_575_999_123 * MILLISECOND),
-        ("1764576000123", START),  # generated after it was received: this process's clock is behind
+        ("1764576000123", START),  # a time after its receipt shows that this process's clock is behind
         ("", None),
         ("soon", None),
         ("²", None),
@@ -95,8 +97,8 @@
 ) -> None:
     body = PooledBody.reserve(BufferPool(1, 8), 8, 0)
     assert body is not None
-    served = make_line("HIT", why="warm", entity="tag", issued=issued)
-    completed = completed_from_response(make_request(body=body), served, ClockAt(START), log)
+    served = make_response_line("HIT", why="warm", entity="tag", issued=issued)
+    completed = completed_from_response(make_request(body=body), served, FixedClock(START), log)
     assert completed.status is api.AttemptStatus.OK
     assert completed.response is not None
     assert completed.response.kind is ResponseKind.SERVED
@@ -106,12 +108,12 @@
 
 def test_only_the_clients_own_tag_is_not_modified(log: EventLog) -> None:
     completed = completed_from_response(
-        make_request("mine"), make_line("VALID", entity="mine"), ClockAt(START), log
+        make_request("mine"), make_response_line("VALID", entity="mine"), FixedClock(START), log
     )
     assert completed.response is not None
     assert completed.response.kind is ResponseKind.NOT_MODIFIED
     other = completed_from_response(
-        make_request("mine"), make_line("VALID", entity="other"), ClockAt(START), log
+        make_request("mine"), make_response_line("VALID", entity="other"), FixedClock(START), log
     )
     assert (other.response, other.status) == (None, api.AttemptStatus.ERROR)
 
--- a/tests/proxy/upstream/test_connections.py
+++ b/tests/proxy/upstream/test_connections.py
@@ -1,4 +1,4 @@
-"""Upstream connections: many requests on each, and races with aborts and closes."""
+"""Tests of upstream connections: many requests on each connection, and races with aborts and closes."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         received.append(command)
         if len(received) == 6:
-            for waiting in reversed(received):
-                respond_normally(endpoint, waiting)
+            for earlier_command in reversed(received):
+                respond_normally(endpoint, earlier_command)
 
     with running_proxy(reply) as proxy:
         clients = [proxy.connect() for _ in range(6)]
@@ -65,7 +65,10 @@
 
 
 def test_duplicate_response_is_not_taken_for_the_next_attempt() -> None:
-    """The fill has the id of the lookup before it; the lookup's second NONE must not end the fill."""
+    """Guards against a fill that is ended by the second NONE response to the lookup before it.
+
+    The fill and the lookup have the same request id.
+    """
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         respond_normally(endpoint, command)
@@ -92,8 +95,8 @@
             respond_normally(endpoint, command)
             if len(endpoint.received("alive")) >= 2:
                 has_been_checked.set()
-                for waiting in received:
-                    respond_normally(endpoint, waiting)
+                for earlier_command in received:
+                    respond_normally(endpoint, earlier_command)
 
     with (
         running_proxy(reply, bounds={"liveness_check_delay": 100 * MILLISECOND}) as proxy,
@@ -133,7 +136,7 @@
 
 
 class ClosingEndpoint(ToyEndpoint):
-    """Closes its first connection at once."""
+    """An endpoint that closes its first connection at once."""
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
         if len(self.connections) > 1:
@@ -143,7 +146,10 @@
 def test_request_is_not_written_to_a_connection_that_its_endpoint_has_closed(
     may_notice_close: threading.Event, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Once written it may have been executed, and a non-idempotent request could only fail."""
+    """Guards against the failure of a non-idempotent request that is written to a closed connection.
+
+    A request that has been written may have been executed, so a non-idempotent one is not retried.
+    """
     monkeypatch.setattr("tests.proxy_harness.ToyEndpoint", ClosingEndpoint)
     with (
         running_proxy(settings=settings_with_idempotency("non_idempotent")) as proxy,
@@ -167,7 +173,7 @@
 def test_retry_whose_connection_is_established_after_its_window_is_not_sent(
     delayed_connects: DelayedConnects,
 ) -> None:
-    """The idempotency window ends before the first byte would be written on a late connection."""
+    """Checks a retry whose idempotency window ends before its first byte could be written."""
     with (
         running_proxy(settings=settings_with_idempotency("idempotency_key", window=5 * SECOND)) as proxy,
         proxy.connect() as client,
@@ -186,7 +192,8 @@
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > window_end)
         delayed_connects.may_connect.set()
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
-        assert client.read_response().status == 200  # it was not executed: another attempt may be
+        # The first attempt was not executed, so another one is allowed.
+        assert client.read_response().status == 200
         assert len(proxy.wait_for_fetches()) == 1
 
 
@@ -214,7 +221,7 @@
 
 
 def forwarded_request(proxy: ProxyHarness, client: HttpClient) -> UpstreamRequest:
-    """A request that a connection has sent."""
+    """Sends a client's request and returns the upstream request that was forwarded for it."""
     forwarded: list[UpstreamRequest] = []
     forward = proxy.parts.upstream.forward
 
--- a/tests/proxy/upstream/test_endpoint_failures.py
+++ b/tests/proxy/upstream/test_endpoint_failures.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail, stall or do not respond."""
+"""Tests with endpoints that fail, stall or do not respond."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
     ],
 )
 def test_connection_with_malformed_frames_is_closed(line: bytes) -> None:
-    """Its attempt counts as lost; the request is retried or gets its final response."""
+    """Checks that the attempt counts as lost and its request is retried or gets a final response."""
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "fetch":
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("partial_response", PARTIAL_RESPONSES)
 def test_stalled_connection_is_closed_and_its_requests_are_retried(partial_response: bytes) -> None:
-    """It stalls within a response or before one, and liveness checks get no reply either."""
+    """Checks connections that stall before or within a response and do not reply to liveness checks."""
     stalled: list[socket.socket] = []
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
@@ -120,13 +120,13 @@
 
 
 def test_lost_connection_counts_as_one_failure_for_all_its_requests() -> None:
-    is_cut = threading.Event()
+    are_connections_closed = threading.Event()
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
-        if is_cut.is_set():
+        if are_connections_closed.is_set():
             respond_normally(endpoint, command)
         elif len(proxy.wait_for_fetches()) >= 24:
-            is_cut.set()
+            are_connections_closed.set()
             for cache in proxy.caches:
                 for sock in cache.connections:
                     sock.shutdown(socket.SHUT_RDWR)
--- a/tests/proxy/upstream/test_line_protocol.py
+++ b/tests/proxy/upstream/test_line_protocol.py
@@ -1,4 +1,7 @@
-"""Line protocol: any split of the bytes gives the same responses, malformed bytes only its own error."""
+"""Tests of the line protocol.
+
+Any split of the bytes gives the same responses, and malformed bytes raise nothing but `LineProtocolError`.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 
 
 def parse(chunks: list[bytes], max_body_bytes: int = 1000) -> list[object]:
-    """Returns what a parser yields, with the chunks of a body joined."""
+    """Returns the items that a parser yields, with the chunks of each body joined."""
     parser = ResponseParser(max_body_bytes)
     parsed: list[object] = []
     for chunk in chunks:
--- a/tests/proxy/upstream/test_liveness.py
+++ b/tests/proxy/upstream/test_liveness.py
@@ -1,4 +1,4 @@
-"""Liveness of an upstream connection: stalled responses, and when a liveness check is due."""
+"""Tests of the liveness monitor of an upstream connection: stalled responses and due liveness checks."""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_single_attempt.py
+++ b/tests/proxy/upstream/test_single_attempt.py
@@ -1,4 +1,4 @@
-"""Where two attempts of a request may not be in flight together, the next one waits for the one before."""
+"""Tests of settings that allow one attempt of a request at a time: the next one waits for the one before."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 
 
 def settings_without_hedged_requests(**changes: Any) -> dict[str, Any]:
-    """The example's settings where two attempts of a request may not be in flight together."""
+    """Returns the example's settings, changed so that only one attempt of a request may be in flight."""
     settings: dict[str, Any] = toy_config()["settings"]
     return {**settings, "limits": {**settings["limits"], "second-copies": False}, **changes}
 
 
 class SlowFirstCache:
-    """Replies of caches of which the first to receive a fetch responds to liveness checks only."""
+    """A reply function of caches; the first cache to receive a fetch replies to liveness checks only."""
 
     def __init__(self) -> None:
-        self.first: str | None = None
+        self.first_id: str | None = None
 
     def __call__(self, endpoint: ToyEndpoint, command: Command) -> None:
-        if command.verb == "fetch" and self.first is None:
-            self.first = endpoint.id
-        if command.verb == "alive" or endpoint.id != self.first:
+        if command.verb == "fetch" and self.first_id is None:
+            self.first_id = endpoint.id
+        if command.verb == "alive" or endpoint.id != self.first_id:
             respond_normally(endpoint, command)
 
 
@@ -45,14 +45,17 @@
 def test_next_attempt_waits_for_the_abort_of_the_one_before(
     is_reset: bool, delayed_aborts: DelayedAborts
 ) -> None:
-    """The abort waits in its connection's outbox; the close of that connection ends the attempt as well."""
+    """Checks that the next attempt begins only after the abort is written or its connection is closed.
+
+    The writer thread delays the abort, so that the deferred attempt can be observed.
+    """
     slow = SlowFirstCache()
     delayed_aborts.is_reset = is_reset
     with running_proxy(slow, settings=settings_without_hedged_requests()) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         pending = proxy.parts.event_loop._pending.by_id
         assert proxy.wait_until(lambda: any(exchange.deferred_attempt for exchange in list(pending.values())))
-        assert {endpoint.id for endpoint in proxy.caches if endpoint.received()} == {slow.first}
+        assert {endpoint.id for endpoint in proxy.caches if endpoint.received()} == {slow.first_id}
         delayed_aborts.may_abort.set()
         assert client.read_response().status == 200
 
@@ -65,9 +68,11 @@
         client.send(HttpClient.encode_request(timeout_ms=15_000))
         pending = proxy.parts.event_loop._pending.by_id
         assert proxy.wait_until(lambda: any(exchange.deferred_attempt for exchange in list(pending.values())))
-        other = next(endpoint for endpoint in proxy.caches if endpoint.id != slow.first)
-        rows = [{**row, "state": "terminating"} for row in proxy.listed_endpoints if row["id"] == other.id]
-        proxy.coordinator.add(endpoints={"version": 2, "full": False, "servers": rows})
+        other = next(endpoint for endpoint in proxy.caches if endpoint.id != slow.first_id)
+        entries = [
+            {**entry, "state": "terminating"} for entry in proxy.listed_endpoints if entry["id"] == other.id
+        ]
+        proxy.coordinator.add(endpoints={"version": 2, "full": False, "servers": entries})
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
         delayed_aborts.may_abort.set()
         assert client.read_response().status in (200, 503)
@@ -75,7 +80,7 @@
 
 
 def test_connection_is_closed_before_its_requests_are_reported_lost() -> None:
-    """A lost request may be retried at once: the old attempt must not be in flight any more."""
+    """Guards against two attempts in flight: a request may be retried as soon as its loss is reported."""
     has_failed = threading.Event()
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
