--- a/tests/soak/child_process.py
+++ b/tests/soak/child_process.py
@@ -1,4 +1,4 @@
-"""Processes that a test starts, and that end with it whatever happens."""
+"""Child processes of a test, which end with the test, also if it fails."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class ChildProcess(ClosedAtExit):
-    """A Python process of the test's own, killed at the end of the `with` block.
+    """A Python process that is killed at the end of the `with` block.
 
-    `arguments` follow the interpreter's name. With `has_pipes`, the test reads the process's output and may
-    write to its input; with `captures_errors`, it reads standard error.
-    `variables` is the process's environment; None: that of the test.
+    `arguments` are the interpreter's arguments. If `has_pipes` is set, the test reads the process's standard
+    output and may write to its standard input. If `captures_errors` is set, it also reads standard error.
+    `variables` are the process's environment variables; with None, the process inherits those of the test.
     """
 
     def __init__(
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,8 @@
-"""Clients of a soak: regular ones, and others that disconnect, stay idle, pipeline or write slowly."""
+"""Clients of a soak, which run on threads of the test's process.
+
+Regular clients send valid requests and read the responses. The others disconnect early, stay idle, pipeline
+requests, read or write slowly, or use a connection after the proxy announced its end.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +19,21 @@
 from tests.soak.traffic import object_name, reset_on_close
 
 SOCKET_TIMEOUT_S = 8.0
-NAMES = 400
+NAMES = 400  # number of objects that clients request
 MIN_TIMEOUT_S = 1.2
-TIMEOUT_RANGE_S = 1.3
-CLASSES = ("segment", "image", "order")  # the last one is not idempotent
+TIMEOUT_RANGE_S = 1.3  # largest random addition to `MIN_TIMEOUT_S`
+CLASSES = ("segment", "image", "order")  # requests of the last class are not idempotent
 IDLE_CLIENTS = 30
 RECONNECT_PAUSE_S = 0.05
 SLOW_READ_BYTES = 3_000
 SLOW_READ_INTERVAL_S = 0.25
 SLOW_READER_TIMEOUT_S = 15.0
 SMALL_RECEIVE_BUFFER_BYTES = 4_096
-PERSISTENT_CLIENT_INTERVAL_S = 0.1  # between two requests on the same connection
+PERSISTENT_CLIENT_INTERVAL_S = 0.1  # time between two requests on the same connection
 
 
 class SoakClients:
-    """All clients of one run; `stop` ends them once their requests have completed or timed out."""
+    """All clients of one run, except those in other processes."""
 
     def __init__(self, address: Address, oracle: Oracle, seed: int) -> None:
         self._address = address
@@ -43,7 +47,7 @@
     def start(
         self, regular: int, disconnecting: int, misbehaving: int, slow: int = 0, persistent: int = 0
     ) -> None:
-        """Starts a thread for each client."""
+        """Starts one thread for each client; the parameters are the numbers of clients of each kind."""
         kinds = [
             *itertools.repeat(self._run_regular_client, regular),
             *itertools.repeat(self._run_disconnecting_client, disconnecting),
@@ -64,7 +68,10 @@
                 self._idle_sockets.append(socket.create_connection(self._address, SOCKET_TIMEOUT_S))
 
     def stop(self) -> None:
-        """Ends all clients, once each request in flight has completed or timed out."""
+        """Ends all clients after their requests in flight have completed or timed out.
+
+        Waits at most `SOCKET_TIMEOUT_S` for each client.
+        """
         self._is_stopped.set()
         for thread in self._threads:
             thread.join(SOCKET_TIMEOUT_S)
@@ -72,10 +79,10 @@
             sock.close()
 
     def new_request(self, random_source: random.Random) -> ClientRequest:
-        """A request, not sent yet."""
+        """Returns a request that has not been sent, with a new id and a random name, class and timeout."""
         with self._oracle.lock:
             request_id = f"{self._seed:04x}{next(self._ids):012x}"
-        # The smaller of two draws: some names are requested more often.
+        # The smaller of two random numbers, so that some names are requested more often than others.
         number = min(random_source.randrange(NAMES), random_source.randrange(NAMES))
         name = object_name(number)
         timeout_s = MIN_TIMEOUT_S + random_source.random() * TIMEOUT_RANGE_S
@@ -125,7 +132,7 @@
             request.ended_at = time.monotonic()
 
     def _run_slow_reader(self, random_source: random.Random) -> None:
-        """Has a large response pending at every moment, and reads it in small pieces."""
+        """Requests one large response after another, and reads each in small pieces."""
         while not self._is_stopped.wait(RECONNECT_PAUSE_S):
             if not self._oracle.accepts_new_connections():
                 continue
@@ -137,14 +144,18 @@
                 request.name = random_source.choice(sorted(LARGE_NAMES))
                 request.class_name = "segment"
                 request.timeout_s = SLOW_READER_TIMEOUT_S
-                request.outcome = Outcome.DISCONNECTED  # it may be cut off at its limit, or at the exit
+                # The proxy may cut off the response at its write timeout or at its exit.
+                request.outcome = Outcome.DISCONNECTED
                 request.ended_at = float("inf")
                 send_request(self._oracle, sock, request)
                 while sock.recv(SLOW_READ_BYTES):
                     self._is_stopped.wait(SLOW_READ_INTERVAL_S)
 
     def _run_persistent_client(self, random_source: random.Random) -> None:
-        """Sends requests on one connection until it is closed, also after a response announced its end."""
+        """Sends requests on one connection until the proxy closes it, then opens the next connection.
+
+        Also sends a request after a response with `Connection: close`.
+        """
         while not self._is_stopped.wait(RECONNECT_PAUSE_S):
             sock = self._connect()
             if sock is None:
@@ -184,7 +195,7 @@
         time.sleep(random_source.random() * 0.3)
 
     def _pipeline_requests(self, sock: socket.socket, random_source: random.Random) -> None:
-        """Pipelines requests, and disconnects without reading."""
+        """Pipelines 50 requests, and disconnects without reading a response."""
         requests = [self.new_request(random_source) for _ in range(50)]
         for request in requests:
             request.outcome = Outcome.DISCONNECTED
@@ -194,7 +205,7 @@
         time.sleep(random_source.random() * 0.3)
 
     def _write_slowly(self, sock: socket.socket, random_source: random.Random) -> None:
-        """Writes a request in small chunks, and waits for its response."""
+        """Writes a request in chunks of 20 bytes, and waits for its response."""
         request = self.new_request(random_source)
         text = encode_request(request)
         for start in range(0, len(text) - 1, 20):
@@ -206,7 +217,7 @@
 
 
 def encode_request(request: ClientRequest) -> bytes:
-    """The bytes of a request."""
+    """Returns the bytes of a request."""
     method = "PUT" if request.class_name == "order" else "GET"
     return (
         f"{method} /api/v2/{request.class_name}/{request.name}/slice-0 HTTP/1.1\r\nHost: b\r\n"
@@ -215,7 +226,10 @@
 
 
 def send_request(oracle: Oracle, sock: socket.socket, request: ClientRequest, data: bytes = b"") -> bool:
-    """Sends a request, or its last bytes; false where the connection failed, and no response is expected."""
+    """Records a request and sends it, or sends its remaining bytes if `data` contains them.
+
+    Returns False if the connection failed, so that no response is expected.
+    """
     request.sent_at = time.monotonic()
     oracle.add_request(request)
     try:
@@ -229,7 +243,7 @@
 
 
 def read_response(sock: socket.socket, request: ClientRequest) -> bool:
-    """Reads the final response; whether the connection stays open."""
+    """Reads a response into its request; returns whether the connection stays open."""
     data = b""
     try:
         while b"\r\n\r\n" not in data:
@@ -244,7 +258,7 @@
         return False  # the request stays pending
     except OSError:
         request.ended_at = time.monotonic()
-        # After a head, the client can tell that the response is incomplete.
+        # If part of a response has arrived, the client can tell that the response is incomplete.
         request.outcome = Outcome.COMPLETED if data else Outcome.CLOSED
         return False
     request.ended_at = time.monotonic()
@@ -256,7 +270,7 @@
 
 
 def receive(sock: socket.socket) -> bytes:
-    """The next bytes; raises ConnectionError at end of stream."""
+    """Returns the next bytes; raises ConnectionError at the end of the stream."""
     data = sock.recv(65_536)
     if not data:
         raise ConnectionError("closed by the proxy")
--- a/tests/soak/endpoints_process.py
+++ b/tests/soak/endpoints_process.py
@@ -1,7 +1,7 @@
-"""Stand-in endpoints in a process of their own: `python -m tests.soak.endpoints_process CACHES BODY_BYTES`.
+"""Stand-in endpoints in a separate process: `python -m tests.soak.endpoints_process CACHES BODY_BYTES`.
 
-Prints the endpoint list as one JSON line, then serves until its standard input ends. Commands are not
-recorded, so that a long load takes no memory here.
+The process prints the endpoint list as one JSON line, then serves until its standard input ends. It doesn't
+record commands, so that its memory doesn't grow during a long load.
 """
 
 from __future__ import annotations
@@ -16,11 +16,13 @@
 from tests.soak.child_process import ChildProcess
 
 NANOSECONDS_PER_MS = 1_000_000
-RESPONSES_PER_FILL = 2  # so that hits stay below the router's target, and names live longest
+# One in this number of responses is a fill. The hit ratio then stays below the router's target, so that the
+# router keeps names for the longest time.
+RESPONSES_PER_FILL = 2
 
 
 class FixedBodyEndpoint(ToyEndpoint):
-    """An endpoint that responds to every fetch with the same bytes."""
+    """An endpoint that responds to every `fetch` command with the same body."""
 
     def __init__(self, endpoint_id: str, body: bytes) -> None:
         self._body = body
@@ -28,7 +30,7 @@
         super().__init__(endpoint_id)
 
     def serve(self, sock: Any, lines: Any) -> None:
-        """Responds to each command as it arrives."""
+        """Responds to each command when it arrives."""
         while (command := read_command(sock, lines)) is not None:
             self._respond(command)
 
@@ -42,7 +44,7 @@
 
 
 class EndpointsProcess(ChildProcess):
-    """The stand-in endpoints; `listed_endpoints` is their endpoint list."""
+    """A process of stand-in endpoints; `listed_endpoints` is their endpoint list."""
 
     def __init__(self, caches: int, body_bytes: int) -> None:
         super().__init__(["-m", "tests.soak.endpoints_process", str(caches), str(body_bytes)], has_pipes=True)
--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -1,4 +1,4 @@
-"""Endpoints and coordinator of a soak, in the test's process, with seeded faults."""
+"""Endpoints and coordinator of a soak, which run in the test's process and show the faults of a seed."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 ENDPOINT_IDS = ("c0", "c1", "c2", "c3", "p0", "p1", "o0")  # caches, parents, the origin
 BODY_REPEATS = 40
-LARGE_BODY_REPEATS = 15_000  # 240 KB
+LARGE_BODY_REPEATS = 15_000  # bodies of 240 KB
 LARGE_NAMES = frozenset(object_name(number) for number in range(1_000, 1_010))
-MAX_INVALIDATION_DELAY_S = 5.5  # less than the settings' invalidation lifetime
-SILENCE_POLL_S = 0.05
-TRUNCATED_BYTES = 60
+MAX_INVALIDATION_DELAY_S = 5.5  # shorter than the time for which the settings keep an invalidation
+SILENCE_POLL_S = 0.05  # interval at which a silent coordinator checks its mode
+TRUNCATED_BYTES = 60  # length of a truncated response
 STATUS_WORDS = {
     EndpointFault.ERROR: "FAULT",
     EndpointFault.REJECT: "SHED",
@@ -33,8 +33,8 @@
 class SoakEndpoint(Server):
     """A cache, a parent or the origin.
 
-    `_stored_lock` guards `_stored_ms`: the names of stored responses, each with the Unix time in ms at which
-    its response was generated.
+    `_stored_ms` maps the name of each stored response to the Unix time in ms at which the response was
+    generated. `_stored_lock` guards it.
     """
 
     def __init__(self, endpoint_id: str, oracle: Oracle, plan: FaultPlan) -> None:
@@ -46,7 +46,7 @@
         super().__init__()
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        """Responds to the commands of one connection."""
+        """Responds to the commands of one connection until it ends or a fault closes it."""
         while True:
             first = lines.read(1)
             began_at = time.monotonic()
@@ -63,7 +63,7 @@
                     return
 
     def drop_older_than(self, name: str, unix_ms: int) -> None:
-        """Drops a stored response that an invalidation concerns."""
+        """Drops the stored response for a name if it was generated before an invalidation's time."""
         with self._stored_lock:
             if self._stored_ms.get(name, unix_ms) < unix_ms:
                 del self._stored_ms[name]
@@ -73,7 +73,7 @@
             sock.sendall(f"{check_id} PONG\r\n".encode())
 
     def _fetch(self, sock: socket.socket, request_id: str, fields: dict[str, str], began_at: float) -> bool:
-        """Handles one command by the plan; False where the connection is to be closed."""
+        """Handles one `fetch` command; returns False if the fault plan closes the connection."""
         name = fields["name"]
         arrival = Arrival(request_id, self.id, fields.get("miss", self.id), name, began_at)
         self._oracle.add_arrival(arrival)
@@ -95,14 +95,19 @@
         if response.split(b" ", 2)[1] == b"NONE":
             arrival.execution = Execution.NONE
         if fault is EndpointFault.DELAY:
-            # In a thread of its own: the commands behind this one are to be read when they arrive.
+            # A separate thread waits, so that this thread reads the next commands when they arrive.
             threading.Timer(random.random(), send_if_open, (sock, response)).start()
         else:
             sock.sendall(faulty_response(fault, request_id, response))
         return True
 
     def _response(self, request_id: str, name: str, fields: dict[str, str]) -> bytes:
-        """The ordinary response: a stored one, or a filled one where the command names a source."""
+        """Returns the response of an endpoint without a fault.
+
+        Responds with a stored response if one is stored and fresh enough. Otherwise, a cache fills the
+        response only if the command names a source, and responds with `NONE` if it names none; a parent or
+        the origin always fills it.
+        """
         now_ms = time.time_ns() // 1_000_000
         max_age_ms = int(fields.get("within", "0"))
         with self._stored_lock:
@@ -120,12 +125,12 @@
 
 
 def empty_response(request_id: str, status_word: str) -> bytes:
-    """A response without fields and body."""
+    """Returns a response without fields and without a body."""
     return f"{request_id} {status_word} - 0\r\n\r\n".encode()
 
 
 def faulty_response(fault: EndpointFault | None, request_id: str, response: bytes) -> bytes:
-    """What an endpoint with a fault sends in place of a response; without one, the response."""
+    """Returns what an endpoint with a fault sends instead of a response; without a fault, the response."""
     match fault:
         case EndpointFault.ERROR:
             return empty_response(request_id, STATUS_WORDS[fault])
@@ -148,14 +153,14 @@
 
 
 class SoakCoordinator(Coordinator):
-    """Service discovery whose `mode` the run changes."""
+    """A coordinator whose `mode` the run changes."""
 
     def __init__(self) -> None:
         self.mode = DiscoveryMode.NORMAL
         super().__init__()
 
     def serve(self, sock: socket.socket, lines: Any) -> None:
-        """Responds to polls as the mode says."""
+        """Responds to the polls of one connection as the current mode says."""
         while line := lines.readline():
             skip_headers(lines)
             if self.mode is DiscoveryMode.DOWN:
@@ -172,7 +177,10 @@
 
 
 class SoakEnvironment:
-    """The caches, parents, origin and coordinator that one run's proxy meets."""
+    """The caches, parents, origin and coordinator of one run.
+
+    `plans` and `rows` contain the fault plan and the entry in the endpoint list for each endpoint id.
+    """
 
     def __init__(self, seed: int, oracle: Oracle) -> None:
         self.oracle = oracle
@@ -187,7 +195,7 @@
         self.publish(list(self.rows.values()), is_full=True)
 
     def publish(self, rows: list[dict[str, Any]], is_full: bool) -> None:
-        """Publishes an endpoint list, or changes to it."""
+        """Publishes the entries of a complete endpoint list, or only those that have changed."""
         version = len(self.coordinator.events) + 1
         self.coordinator.add(endpoints={"version": version, "full": is_full, "servers": rows})
 
@@ -196,7 +204,7 @@
         self.publish(list(self.rows.values()), is_full=True)
 
     def drainable_ids(self) -> list[str]:
-        """The caches and parents that are not draining."""
+        """Returns the ids of the caches and parents that are not draining."""
         return [
             endpoint_id
             for endpoint_id, row in self.rows.items()
@@ -204,13 +212,13 @@
         ]
 
     def drain(self, endpoint_id: str) -> None:
-        """Publishes that an endpoint is draining, from now to the end of the run."""
+        """Publishes that an endpoint is draining; it drains until the end of the run."""
         self.rows[endpoint_id]["state"] = "terminating"
         self.publish([self.rows[endpoint_id]], is_full=False)
         self.oracle.record_drain(endpoint_id)
 
     def invalidate(self, name: str) -> None:
-        """Publishes an invalidation; endpoints carry it out after random delays."""
+        """Publishes an invalidation of a name; each endpoint applies it after a random delay."""
         unix_ms = time.time_ns() // 1_000_000
         self.coordinator.add(evict={"ref": name, "unix_ms": unix_ms})
         self.oracle.record_invalidation(name, unix_ms)
@@ -228,7 +236,7 @@
 
 
 def endpoint_row(endpoint: SoakEndpoint) -> dict[str, Any]:
-    """An endpoint as the coordinator lists it: its kind and zone by the first letter of its id."""
+    """Returns an endpoint's entry in the endpoint list; the id's first letter decides its kind and zone."""
     kinds = {"c": ("standard", "west"), "p": ("parent", "hub"), "o": ("origin", "hub")}
     kind, zone = kinds[endpoint.id[0]]
     return listed_endpoint(endpoint, kind, zone, weight=40)
--- a/tests/soak/fault_injector.py
+++ b/tests/soak/fault_injector.py
@@ -1,4 +1,4 @@
-"""Injects faults into a running soak, one after another, as its seed chooses."""
+"""Faults that are injected into a running soak one after another; the seed chooses them."""
 
 from __future__ import annotations
 
@@ -14,21 +14,22 @@
 from tests.soak.proxy_process import ProxyProcess
 from tests.soak.traffic import object_name
 
-COMMON_FAULT_SHARE = 0.15  # of endpoint faults, that all endpoints show
-FAULT_SHARES = (0.1, 0.5, 1.0)  # of an endpoint's commands
+COMMON_FAULT_SHARE = 0.15  # share of endpoint faults that affect all endpoints
+FAULT_SHARES = (0.1, 0.5, 1.0)  # share of an endpoint's commands that a fault affects
 DISCOVERY_FAULTS = (DiscoveryMode.SILENT, DiscoveryMode.DOWN)
-MAX_OUTAGE_S = 0.4
-MAX_INTERVAL_S = 0.4  # between two faults
-MAX_PAUSE_S = 1.0
+MAX_OUTAGE_S = 0.4  # longest outage of discovery
+MAX_INTERVAL_S = 0.4  # longest time between two faults
+MAX_PAUSE_S = 1.0  # longest time for which the proxy is stopped
 MAX_RELOAD_INTERVAL_S = 0.02
-INVALIDATIONS = 5
-MIN_READY_ENDPOINTS = 3
+INVALIDATIONS = 5  # number of invalidations in one step
+MIN_READY_ENDPOINTS = 3  # number of caches and parents that are left in service
 
 
 class FaultInjector:
-    """The faults of one run. All draws come from one random source, so that a seed always injects the same.
+    """Injects the faults of one run.
 
-    `proxy` is the process that runs now: it changes when the run restarts it.
+    All random choices come from one random source, so that a seed always injects the same faults. `proxy`
+    returns the current proxy process, since the run may restart the proxy.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         ]
 
     def inject_next(self) -> None:
-        """Injects one fault, then waits for a moment."""
+        """Injects one fault, then waits for a random time of up to `MAX_INTERVAL_S`."""
         self._random_source.choice(self._steps)()
         time.sleep(self._random_source.random() * MAX_INTERVAL_S)
 
@@ -80,7 +81,7 @@
         self._oracle.discovery_outages.append((began_at, time.monotonic()))
 
     def _publish_repeatedly(self) -> None:
-        """Complete lists in quick succession."""
+        """Publishes complete endpoint lists without a pause in between."""
         for _ in range(self._random_source.randrange(1, 20)):
             self._environment.publish_all()
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -8,33 +8,37 @@
 
 
 class EndpointFault(Enum):
-    """What an endpoint does in place of its ordinary response; in the order in which a seed chooses."""
+    """Faults of an endpoint, each with what the endpoint does instead of responding normally.
+
+    The order of the members decides which fault a seed chooses, so it must not change.
+    """
 
     HANG = "never responds"
-    TRUNCATE = "closes the connection within a response"
+    TRUNCATE = "closes the connection in the middle of a response"
     RESET = "resets the connection"
-    GARBLE = "sends bytes that are no response before its response"
+    GARBLE = "sends invalid bytes before its response"
     ENDLESS = "announces a body that never ends"
     DUPLICATE = "sends its response twice"
-    UNKNOWN_REQUEST = "responds to a request that was never sent before its response"
-    DELAY = "responds late"
-    ERROR = "responds with an error"
-    REJECT = "rejects, without executing"
-    REJECT_AS_LATE = "rejects as too late, without executing"
+    UNKNOWN_REQUEST = "sends a response to an unknown request before its response"
+    DELAY = "sends its response late"
+    ERROR = "responds with an error status"
+    REJECT = "rejects the request without executing it"
+    REJECT_AS_LATE = "rejects the request as too late without executing it"
 
 
 class DiscoveryMode(Enum):
-    """How the coordinator treats polls."""
+    """Reaction of the coordinator to polls."""
 
-    NORMAL = "responds"
-    SILENT = "accepts polls and does not respond"
-    DOWN = "closes the connection"
+    NORMAL = "responds to polls"
+    SILENT = "receives polls and does not respond"
+    DOWN = "closes the connection of a poll"
 
 
 class FaultPlan:
-    """The fault that an endpoint shows now, and the share of commands that meet it.
+    """The current fault of an endpoint, and the share of its commands that the fault affects.
 
-    The run changes both; `_lock` guards the random source, which all connections of the endpoint use.
+    The run changes both while the endpoint serves. `_lock` guards the random source, which the threads of all
+    connections to the endpoint use.
     """
 
     def __init__(self, seed: int) -> None:
@@ -44,7 +48,7 @@
         self._lock = threading.Lock()
 
     def sample(self) -> EndpointFault | None:
-        """The fault of one command; None for an ordinary response."""
+        """Returns the fault that affects the next command; None if the endpoint responds normally."""
         with self._lock:
             is_hit = self._random_source.random() < self.share
         return self.fault if is_hit else None
--- a/tests/soak/faulty_calls.py
+++ b/tests/soak/faulty_calls.py
@@ -1,11 +1,15 @@
-"""Imported first in a proxy under soak: makes its system calls, threads and wall clock fail by a seed.
+"""Faults of system calls, thread starts and the wall clock in a proxy, which imports this module first.
 
-The variables: SOAK_SEED, SOAK_CALLS (the share of calls that fail while they do), SOAK_CLOCK_S (by how much
-the wall clock is stepped at the start), SOAK_STEP_S (by how much it is stepped after some seconds),
-SOAK_SMALL_SEND_BUFFERS (if set, the system grants no larger ones) and SOAK_PEEK_SHORTAGE (if set, looking at
-a socket's bytes without waiting fails from some seconds after the start on).
+Environment variables choose the faults:
 
-SIGUSR2 writes to standard error where the main thread is.
+- SOAK_SEED: seed of the random choices
+- SOAK_CALLS: share of socket calls and thread starts that fail between `FAULTS_FROM_S` and `FAULTS_UNTIL_S`
+- SOAK_CLOCK_S: error of the wall clock from the start, in seconds
+- SOAK_STEP_S: additional error of the wall clock after `STEP_AFTER_S`, in seconds
+- SOAK_SMALL_SEND_BUFFERS: if set, sockets get small send buffers, as if the system granted no larger ones
+- SOAK_PEEK_SHORTAGE: if set, every non-blocking peek at received bytes fails after `SHORTAGE_FROM_S`
+
+On SIGUSR2, the process writes the main thread's stack to standard error.
 """
 
 from __future__ import annotations
@@ -22,7 +26,8 @@
 from collections.abc import Callable
 from typing import Any
 
-FAULTS_FROM_S = 1.5  # after the start, so that it is the running proxy whose calls fail
+# Times after the start. Calls fail only from `FAULTS_FROM_S` on, when the proxy has started and is running.
+FAULTS_FROM_S = 1.5
 FAULTS_UNTIL_S = 6.0
 STEP_AFTER_S = 2.0
 SHORTAGE_FROM_S = 4.0
@@ -98,8 +103,8 @@
     return receive
 
 
-# Of one thread, unlike the proxy's own SIGUSR1, whose dump ends after a hundred threads: the system gives a
-# process's signals to the main thread.
+# Writes the stack of one thread: the main thread, to which the system delivers a process's signals. The
+# proxy's own SIGUSR1 writes the stacks of all threads, and its output ends after a hundred threads.
 faulthandler.register(signal.SIGUSR2, all_threads=False)
 patched: Any = socket.socket
 if os.environ.get("SOAK_SMALL_SEND_BUFFERS"):
--- a/tests/soak/load_process.py
+++ b/tests/soak/load_process.py
@@ -1,7 +1,8 @@
-"""Clients in a process of their own: `python -m tests.soak.load_process HOST PORT OPTIONS`.
+"""Clients in a separate process: `python -m tests.soak.load_process HOST PORT OPTIONS`.
 
-OPTIONS is the JSON of `LoadOptions`. Prints a `LoadReport` as one JSON line, once the load's time is over or
-its standard input ends. A line on standard input ends the opening of further connections.
+OPTIONS is a JSON object with the fields of `LoadOptions`. The process prints a `LoadReport` as one JSON line
+when the load's duration is over or its standard input ends. After a line on its standard input, it opens no
+further connections.
 """
 
 from __future__ import annotations
@@ -23,69 +24,71 @@
 from tests.soak.child_process import ChildProcess
 from tests.soak.traffic import object_name
 
-EXIT_TIMEOUT_S = 60.0  # beyond the load's duration
+EXIT_TIMEOUT_S = 60.0  # added to the load's duration
 RECEIVE_BYTES = 262_144
 END_OF_HEAD = b"\r\n\r\n"
 CONNECT_TIMEOUT_S = 5.0
-RECONNECT_PAUSE_S = 0.05  # after a connection that was refused
+RECONNECT_PAUSE_S = 0.05  # time until the next attempt after a refused connection
 SELECT_TIMEOUT_S = 0.02
-REQUEST_NUMBER_BITS = 40  # of a request's id; the load's seed stands above them
-LATE_SHARE = 0.5  # of a request's timeout, from which a request is reported with its times
+REQUEST_NUMBER_BITS = 40  # low bits of a request id; the higher bits are the load's seed
+LATE_SHARE = 0.5  # a request that takes longer than this share of its timeout is reported
 
 
 @dataclass(frozen=True, slots=True)
 class LoadOptions:
-    """A closed-loop load: each connection sends its next request after a response, and a time to think."""
+    """Options of a closed-loop load: each client waits for a response and a think time between requests."""
 
     seed: int
     duration_s: float
     connections: int
-    names: int  # objects requested, uniformly
+    names: int  # number of objects, which are requested uniformly
     class_name: str = "segment"
     timeout_ms: int = 3_000
     think_time_s: float = 0.0
 
     @property
     def first_request_id(self) -> int:
-        """The number of the load's first request."""
+        """The id of the load's first request, as a number."""
         return (self.seed << REQUEST_NUMBER_BITS) + 1
 
     @property
     def id_prefix(self) -> str:
-        """With which the ids of all of the load's requests begin."""
+        """The characters with which the ids of all requests of the load begin."""
         return f"{self.first_request_id:016x}"[: -REQUEST_NUMBER_BITS // 4]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadRequest:
-    """A request that took long or got no response; times are monotonic seconds."""
+    """A request that was answered late or not at all; times are monotonic seconds."""
 
     id: str
     name: str
     sent_at: float
-    ended_at: float | None  # None: still pending at the end of the load
-    is_closed: bool  # its connection ended before a response
+    ended_at: float | None  # None if the request was pending at the end of the load
+    is_closed: bool  # whether the connection ended before a complete response
     is_first_on_connection: bool
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """What the clients of a load have seen."""
+    """Observations of a load's clients."""
 
-    statuses: Counter[str] = field(default_factory=Counter)  # responses by status, and connections `closed`
-    longest_first_wait_s: float = 0.0  # for the first response on a connection, also where none came
+    # Responses by status. `closed` and `refused` count connections that the proxy closed or refused.
+    statuses: Counter[str] = field(default_factory=Counter)
+    # Longest wait for the first response on a connection, including waits that ended without a response.
+    longest_first_wait_s: float = 0.0
     late_requests: list[LoadRequest] = field(default_factory=list)
 
     @classmethod
     def from_json(cls, text: str | bytes) -> LoadReport:
-        """Reads what a load process printed."""
+        """Reads the report that a load process has printed."""
         data = json.loads(text)
         late_requests = [LoadRequest(**request) for request in data["late_requests"]]
         return cls(Counter(data["statuses"]), data["longest_first_wait_s"], late_requests)
 
 
 class LoadProcess(ChildProcess):
-    """A load in a process of its own."""
+    """A load in a separate process."""
 
     def __init__(self, address: Address, options: LoadOptions) -> None:
         arguments = [address.host, str(address.port), json.dumps(asdict(options))]
@@ -93,34 +96,35 @@
         self._timeout_s = options.duration_s + EXIT_TIMEOUT_S
 
     def stop_connecting(self) -> None:
-        """Lets the clients open no further connection; they go on using those that are open."""
+        """Stops the clients from opening connections; they continue to use the open ones."""
         assert self.process.stdin is not None
         self.process.stdin.write(b"stop connecting\n")
         self.process.stdin.flush()
 
     def wait_for_report(self) -> LoadReport:
-        """Ends the load, or waits for its end; returns what its clients have seen."""
+        """Ends the load, waits for its process to exit, and returns its report."""
         output, _ = self.process.communicate(timeout=self._timeout_s)
         return LoadReport.from_json(output)
 
     def wait_for_end(self) -> LoadReport:
-        """Waits until the load's time is over; returns what its clients have seen."""
+        """Waits until the load's duration is over; returns its report."""
         assert self.process.stdout is not None
-        output = self.process.stdout.read()  # not `communicate`, which closes the input and so ends the load
+        # `communicate` would close standard input and so end the load early.
+        output = self.process.stdout.read()
         return LoadReport.from_json(output)
 
 
 class LoadConnection:
-    """One connection, with its one request in flight."""
+    """A client connection, which has at most one request in flight."""
 
     def __init__(self, address: Address) -> None:
         self.sock = socket.create_connection(address, CONNECT_TIMEOUT_S)
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.request_id = ""
         self.name = ""
-        self.sent_at: float | None = None  # None: no request is in flight
+        self.sent_at: float | None = None  # None if no request is in flight
         self.response_count = 0
-        self.is_kept_open = True  # as the last response says
+        self.is_kept_open = True  # False after a response with `Connection: close`
         self._received = bytearray()
 
     def send(self, name: int, request_id: int, options: LoadOptions) -> None:
@@ -135,7 +139,7 @@
         self.sock.sendall(head.encode())
 
     def receive(self) -> str | None:
-        """The status of the response once it is complete, None before.
+        """Receives bytes; returns the status of the response if it is complete, None otherwise.
 
         Raises ConnectionError at the end of the stream.
         """
@@ -158,22 +162,24 @@
 
 
 class Load:
-    """The clients of one load, on one thread."""
+    """The clients of one load, which run on one thread."""
 
     def __init__(self, address: Address, options: LoadOptions) -> None:
         self._address = address
         self._options = options
         self._random_source = random.Random(options.seed)
         self._request_ids = itertools.count(options.first_request_id)
-        self._order = itertools.count()  # of entries that are due at the same time
-        self._due: list[tuple[float, int, LoadConnection | None]] = []  # None: a client without a connection
+        # Heap of clients that wait: the time at which one sends or connects, a sequence number that orders
+        # equal times, and its connection. The connection is None if the client has to connect.
+        self._order = itertools.count()
+        self._due: list[tuple[float, int, LoadConnection | None]] = []
         self._selector = selectors.DefaultSelector()
         self._may_connect = True
         self._is_over = False
         self._report = LoadReport()
 
     def run(self) -> LoadReport:
-        """Keeps all clients going until the time is over or standard input ends."""
+        """Runs all clients until the duration is over or standard input ends; returns the report."""
         end_at = time.monotonic() + self._options.duration_s
         self._selector.register(sys.stdin, selectors.EVENT_READ)
         for _ in range(self._options.connections):
@@ -192,7 +198,7 @@
         heapq.heappush(self._due, (time.monotonic() + delay_s, next(self._order), connection))
 
     def _act_on_due(self) -> None:
-        """Connects clients, and sends the requests of those that have thought."""
+        """Connects the clients that wait to connect, and sends the requests whose think time is over."""
         while self._due and self._due[0][0] <= time.monotonic():
             _, _, connection = heapq.heappop(self._due)
             if connection is None:
@@ -236,7 +242,7 @@
             self._close(connection)
 
     def _close(self, connection: LoadConnection) -> None:
-        """Closes a connection; its client thinks, and connects again."""
+        """Closes a connection; its client connects again after the think time."""
         if connection.sent_at is not None:
             self._record(connection, time.monotonic(), is_closed=True)
         self._due = [entry for entry in self._due if entry[2] is not connection]
@@ -246,7 +252,7 @@
         self._schedule(self._options.think_time_s, None)
 
     def _record(self, connection: LoadConnection, ended_at: float | None, *, is_closed: bool) -> None:
-        """Records how a request ended, or that it is still pending."""
+        """Records the end of a request; `ended_at` is None if the request is still pending."""
         sent_at = connection.sent_at
         assert sent_at is not None
         connection.sent_at = None
@@ -274,7 +280,7 @@
 
 
 def main(address: Address, options: LoadOptions) -> None:
-    """Runs the load, and prints its report."""
+    """Runs a load and prints its report."""
     print(orjson.dumps(Load(address, options).run()).decode())
 
 
--- a/tests/soak/misbehaving_clients_process.py
+++ b/tests/soak/misbehaving_clients_process.py
@@ -1,10 +1,10 @@
-"""Clients that misbehave, in a process of their own.
+"""Misbehaving clients in a separate process.
 
-`python -m tests.soak.misbehaving_clients_process HOST PORT CLIENTS SEED`.
+    python -m tests.soak.misbehaving_clients_process HOST PORT CLIENTS SEED
 
-Each of its threads connects again and again, and does one of: pipeline requests and never read, send a
-partial head or body, send a request and disconnect at once, send a head without end, stay idle,
-read a response slowly. They go on until the process is killed.
+Each client has a thread that connects repeatedly until the process is killed. On each connection, it
+misbehaves in one random way: it pipelines requests and never reads, sends a partial head or body, disconnects
+right after a request, sends a head that is too long, stays idle, or reads a response slowly.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 from tests.soak.traffic import reset_on_close
 
 CONNECTION_TIMEOUT_S = 5.0
-RECONNECT_PAUSE_S = 0.02  # between two connections of one thread
-MAX_IDLE_S = 0.5  # for which a silent client stays
+RECONNECT_PAUSE_S = 0.02  # time between two connections of one client
+MAX_IDLE_S = 0.5  # scale of the times for which clients stay idle
 PIPELINED_REQUESTS = 200
-SLOW_READS = 40
+SLOW_READS = 40  # bytes that a slow reader reads before it disconnects
 SMALL_BUFFER_BYTES = 4_096
 
 
 class MisbehavingClientsProcess(ChildProcess):
-    """A process of misbehaving clients."""
+    """A process that runs misbehaving clients."""
 
     def __init__(self, address: Address, clients: int, seed: int) -> None:
         arguments = [address.host, str(address.port), str(clients), str(seed)]
@@ -38,7 +38,7 @@
 
 
 def request(random_source: random.Random) -> bytes:
-    """A request that could be served."""
+    """Returns a valid request with a random name and id."""
     return (
         f"GET /api/v2/segment/{random_source.getrandbits(64):016x}/slice-0 HTTP/1.1\r\nHost: b\r\n"
         f"X-Call-Id: {random_source.getrandbits(64):016x}\r\nX-Patience-Ms: 2000\r\nX-Set: 3\r\n\r\n"
@@ -52,13 +52,13 @@
 
 
 def send_partial_head(sock: socket.socket, random_source: random.Random) -> None:
-    """Disconnects within a request's head."""
+    """Sends part of a request's head, waits and disconnects."""
     sock.sendall(request(random_source)[:60])
     time.sleep(random_source.random() * MAX_IDLE_S)
 
 
 def send_partial_body(sock: socket.socket, random_source: random.Random) -> None:
-    """Disconnects within a request's body."""
+    """Sends half of a request's body, waits and disconnects."""
     sock.sendall(
         request(random_source).replace(b"\r\n\r\n", b"\r\nContent-Length: 16000\r\n\r\n") + b"x" * 8_000
     )
@@ -66,7 +66,7 @@
 
 
 def request_and_disconnect(sock: socket.socket, random_source: random.Random) -> None:
-    """Resets or closes right behind a request."""
+    """Sends a request and resets or closes the connection without waiting."""
     sock.sendall(request(random_source))
     if random_source.random() < 0.5:
         reset_on_close(sock)
@@ -79,12 +79,12 @@
 
 
 def stay_idle(sock: socket.socket, random_source: random.Random) -> None:
-    """Holds a connection without sending anything."""
+    """Keeps a connection open without sending anything."""
     time.sleep(random_source.random() * 2 * MAX_IDLE_S)
 
 
 def read_slowly(sock: socket.socket, random_source: random.Random) -> None:
-    """Reads a response byte by byte."""
+    """Reads the first bytes of a response one by one."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER_BYTES)
     sock.sendall(request(random_source))
     for _ in range(SLOW_READS):
@@ -105,7 +105,7 @@
 
 
 def misbehave(address: Address, seed: int) -> None:
-    """Runs one client until the process ends."""
+    """Runs one misbehaving client until the process ends."""
     random_source = random.Random(seed)
     while True:
         with (
--- a/tests/soak/options.py
+++ b/tests/soak/options.py
@@ -1,4 +1,4 @@
-"""What a seed chooses for a whole soak, and the proxy's configuration that follows from it."""
+"""Options that a seed chooses for a whole soak, and the proxy's configuration for them."""
 
 from __future__ import annotations
 
@@ -11,39 +11,44 @@
 from tests.soak.environment import SoakEnvironment
 
 NON_IDEMPOTENT_CLASS = "order"
-MAX_SOCKETS = 256
+MAX_SOCKETS = 256  # descriptor limit of a proxy without a crowd
 CLOCK_ERRORS_S = (0, 0, 5, -5, 3_600, -3_600)
 MEMORY_LIMITS_MB = (32, 48, 64, 96)
 FAILING_CALL_SHARES = (0.0, 0.0, 0.02, 0.1)
-IDLE_CLIENTS_SHARE = 0.3  # of all seeds
-KILLED_SHARE = 0.2
+IDLE_CLIENTS_SHARE = 0.3  # share of all seeds
+KILLED_SHARE = 0.2  # share of all seeds
 
-# Seeds below play what they always have; from here on `PressureOptions` come on top.
+# Seeds below this one get no pressure, so that their runs are the same as before `PressureOptions` existed.
 FIRST_PRESSURE_SEED = 1_000
+# A crowd is a load with more clients than the proxy may have connections.
 CROWD_FACTORS = (0, 2, 3, 4)  # clients for each connection that the proxy may have
-CROWD_SOCKETS = (64, 96)  # with a crowd: few descriptors, so that the test's machine can play the crowd
+# Descriptor limits of a proxy with a crowd. They are low, so that the test's machine can run all clients.
+CROWD_SOCKETS = (64, 96)
 SLOW_READERS = (0, 1, 4)
-STALLED_LOG_SHARE = 0.4  # of the seeds that have pressure
-LASTING_SHORTAGE_SHARE = 0.25
+STALLED_LOG_SHARE = 0.4  # share of the seeds with pressure
+LASTING_SHORTAGE_SHARE = 0.25  # share of the seeds with pressure
 UNRESPONSIVE_STORES = (0, 0, 4)
-MIN_STORE_MEMORY_MB = 96  # the shared store's libraries take memory of their own
+MIN_STORE_MEMORY_MB = 96  # lowest limit with shared stores, whose libraries take additional memory
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """The options of one run."""
+    """The options of one run, which every seed has."""
 
     memory_mb: int
-    failing_calls: float  # share of system calls that fail
+    failing_calls: float  # share of system calls and thread starts that fail
     clock_s: int  # error of the proxy's wall clock at its start
-    step_s: int  # by which that clock is stepped later
+    step_s: int  # later step of that clock
     has_idle_clients: bool
-    is_killed: bool  # once on the way, with SIGKILL
+    is_killed: bool  # whether the proxy is killed with SIGKILL once during the run, and restarted
 
     @classmethod
     def sample(cls, random_source: random.Random) -> SoakOptions:
-        """The options that a seed's random source gives; always the same number of draws."""
+        """Returns the options that a seed's random source chooses.
+
+        Always draws the same number of values, because the run uses this source for its faults afterwards.
+        """
         return cls(
             memory_mb=random_source.choice(MEMORY_LIMITS_MB),
             failing_calls=random_source.choice(FAILING_CALL_SHARES),
@@ -54,7 +59,7 @@
         )
 
     def variables(self, seed: int) -> dict[str, str]:
-        """The environment variables that `tests.soak.faulty_calls` reads."""
+        """Returns the environment variables that `tests.soak.faulty_calls` reads."""
         return {
             "SOAK_SEED": str(seed),
             "SOAK_CALLS": str(self.failing_calls),
@@ -65,20 +70,23 @@
 
 @dataclass(frozen=True, slots=True)
 class PressureOptions:
-    """What a seed chooses on top of `SoakOptions`, from a random source of its own."""
+    """Additional options of one run that put the proxy under pressure.
+
+    A separate random source chooses them, so that `SoakOptions` and the injected faults don't depend on them.
+    """
 
     max_sockets: int = MAX_SOCKETS
     crowd_factor: int = 0
     slow_readers: int = 0
-    persistent_clients: int = 0  # that use a connection until it is closed, whatever a response announced
-    has_stalled_log: bool = False  # the log is not read from shortly before SIGTERM on
-    has_lasting_shortage: bool = False  # peeks at a socket fail from some time on
+    persistent_clients: int = 0  # clients that also use a connection after a response announced its end
+    has_stalled_log: bool = False  # whether the test stops reading the log shortly before SIGTERM
+    has_lasting_shortage: bool = False  # whether peeks at sockets fail from some time until the exit
     unresponsive_stores: int = 0
-    has_signal_series: bool = False  # SIGTERM, SIGHUP and SIGINT for as long as the process lives
+    has_signal_series: bool = False  # whether SIGTERM, SIGHUP and SIGINT are sent until the process ends
 
     @classmethod
     def sample(cls, seed: int, options: SoakOptions) -> PressureOptions:
-        """The options of a seed; none below `FIRST_PRESSURE_SEED`."""
+        """Returns the options of a seed; the defaults, without pressure, below `FIRST_PRESSURE_SEED`."""
         if seed < FIRST_PRESSURE_SEED:
             return cls()
         random_source = random.Random(f"pressure {seed}")
@@ -100,7 +108,7 @@
         )
 
     def variables(self) -> dict[str, str]:
-        """The environment variables that `tests.soak.faulty_calls` reads."""
+        """Returns the environment variables that `tests.soak.faulty_calls` reads."""
         return {
             "SOAK_SMALL_SEND_BUFFERS": "1" if self.slow_readers else "",
             "SOAK_PEEK_SHORTAGE": "1" if self.has_lasting_shortage else "",
@@ -110,7 +118,7 @@
 def soak_config(
     environment: SoakEnvironment, memory_mb: int, listen: str, max_sockets: int = MAX_SOCKETS
 ) -> dict[str, Any]:
-    """The proxy's configuration: three classes, of which one is not idempotent."""
+    """Returns the proxy's configuration with three classes, of which one is not idempotent."""
     config = toy_config(
         name="soak",
         listen=listen,
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,6 +1,6 @@
-"""The oracle of a soak: what clients, endpoints and discovery observed, and which invariants that violates.
+"""The oracle of a soak, which checks invariants on what clients, endpoints and discovery observed.
 
-All times are monotonic seconds of the test's process, where clients, endpoints and coordinator run.
+All times are monotonic seconds of the test's process, in which the clients, endpoints and coordinator run.
 """
 
 from __future__ import annotations
@@ -12,19 +12,21 @@
 from enum import Enum
 from operator import attrgetter
 
-RESPONSE_SLACK_S = 0.5  # after a request's deadline, within which its response may still come
-DISCONNECT_SLACK_S = 0.1  # after a client disconnected, for an attempt to reach an endpoint
-SOCKET_SLACK_S = 0.05  # added to each limit of the settings, for its way over sockets
-DRAIN_GRACE_S = 0.5
-INVALIDATION_GRACE_S = 0.3
-DISCOVERY_RECOVERY_S = 2.0  # after an outage of discovery, until the proxy must know what was published
-ACCEPT_AFTER_SIGTERM_S = 0.4  # new connections; requests on open ones may come until the kill
-CLOSE_RACE_S = 0.05  # a request may cross the close of an idle connection
-SCHEDULING_SLACK_S = 0.15  # for the test's own threads to be scheduled
+RESPONSE_SLACK_S = 0.5  # a response may arrive up to this time after its request's deadline
+DISCONNECT_SLACK_S = 0.1  # attempts may reach endpoints up to this time after the client disconnected
+SOCKET_SLACK_S = 0.05  # added to each time limit of the settings, for the transfer over sockets
+DRAIN_GRACE_S = 0.5  # attempts may reach a draining endpoint up to this time after its update
+INVALIDATION_GRACE_S = 0.3  # an invalidated response may be served up to this time afterwards
+DISCOVERY_RECOVERY_S = 2.0  # time after an outage of discovery at which the proxy must know all updates
+# Clients open connections up to this time after SIGTERM. They send requests on open connections until the
+# proxy exits or is killed.
+ACCEPT_AFTER_SIGTERM_S = 0.4
+CLOSE_RACE_S = 0.05  # a request that ends this soon may have crossed the close of its idle connection
+SCHEDULING_SLACK_S = 0.15  # added to each time limit, for scheduling delays of the test's own threads
 
 
 class Outcome(Enum):
-    """How a request ended for its client."""
+    """Outcome of a request for its client."""
 
     PENDING = "pending"
     COMPLETED = "completed"
@@ -33,7 +35,7 @@
 
 
 class Execution(Enum):
-    """Whether an endpoint executed a request."""
+    """Knowledge of whether an endpoint executed a request."""
 
     POSSIBLE = "may have been executed"
     NONE = "not executed"
@@ -41,15 +43,15 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request, as its client saw it."""
+    """One request, with its response as the client received it."""
 
     id: str
     name: str
     class_name: str
-    sent_at: float  # when its last byte was sent
+    sent_at: float  # time at which the last byte was sent
     timeout_s: float
     is_first_on_connection: bool = True
-    is_after_announced_close: bool = False  # the response before it had announced the connection's end
+    is_after_announced_close: bool = False  # whether the previous response had `Connection: close`
     outcome: Outcome = Outcome.PENDING
     ended_at: float = 0.0
     status: int = 0
@@ -65,21 +67,24 @@
     endpoint: str
     source: str
     name: str
-    began_at: float  # when its first byte arrived
+    began_at: float  # time at which the first byte arrived
     execution: Execution = Execution.POSSIBLE
 
     @property
     def label(self) -> str:
-        """What lines of text call it."""
+        """Description of the command in a violation's text."""
         return f"request {self.request_id} at {self.endpoint}"
 
 
 @dataclass
 class Oracle:
-    """All records of a run; `lock` guards them. `pauses` are spans in which the proxy could not run."""
+    """Records the observations of a run, and finds the violated invariants.
+
+    `lock` guards the records. `pauses` are the spans of time in which the proxy or the test could not run.
+    """
 
     non_idempotent_class: str
-    load_id_prefix: str = "-"  # of request ids of a load process; '-': there is none
+    load_id_prefix: str = "-"  # prefix of a load process's request ids; "-" matches no request id
     lock: threading.Lock = field(default_factory=threading.Lock)
     requests: dict[str, ClientRequest] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
@@ -89,39 +94,39 @@
     discovery_outages: list[tuple[float, float]] = field(default_factory=list)
     killed_at: list[float] = field(default_factory=list)
     terminated_at: float = float("inf")
-    observed_faults: list[str] = field(default_factory=list)  # by the run itself
+    observed_faults: list[str] = field(default_factory=list)  # faults of the proxy that the run observed
 
     def add_request(self, request: ClientRequest) -> None:
-        """A client has sent a request."""
+        """Records a request that a client sends."""
         with self.lock:
             self.requests[request.id] = request
 
     def add_arrival(self, arrival: Arrival) -> None:
-        """An endpoint has received a command."""
+        """Records a command that an endpoint has received."""
         with self.lock:
             self.arrivals.append(arrival)
 
     def record_fault(self, text: str) -> None:
-        """The run itself observed a fault of the proxy."""
+        """Records a fault of the proxy that the run itself observed."""
         with self.lock:
             self.observed_faults.append(text)
 
     def record_drain(self, endpoint_id: str) -> None:
-        """Discovery published that an endpoint is draining."""
+        """Records that discovery has published an endpoint as draining."""
         with self.lock:
             self.drained_at[endpoint_id] = self._notified_at()
 
     def record_invalidation(self, name: str, unix_ms: int) -> None:
-        """Discovery published an invalidation."""
+        """Records that discovery has published an invalidation."""
         with self.lock:
             self.invalidated[name].append((self._notified_at(), unix_ms))
 
     def accepts_new_connections(self) -> bool:
-        """Whether clients still open connections: after SIGTERM only for a short time."""
+        """Whether clients may open connections, which ends `ACCEPT_AFTER_SIGTERM_S` after SIGTERM."""
         return time.monotonic() < self.terminated_at + ACCEPT_AFTER_SIGTERM_S
 
     def _notified_at(self) -> float:
-        """When the proxy must know what is published now."""
+        """Returns the time at which the proxy must know an update that is published now."""
         now = time.monotonic()
         recoveries = [
             end + DISCOVERY_RECOVERY_S
@@ -131,7 +136,7 @@
         return max([now, *recoveries])
 
     def violations(self) -> list[str]:
-        """Every violation, as a line of text."""
+        """Returns all violations, each as a line of text."""
         found = list(self.observed_faults)
         for request in self.requests.values():
             found += self._violations_of(request)
@@ -143,7 +148,7 @@
         return sum(max(0.0, min(end, until) - max(begin, since)) for since, until in self.pauses)
 
     def _due_at(self, begin: float, end: float) -> float:
-        """The end of a span that begins then, extended by each pause within it."""
+        """Returns the end of a span of time, extended by each pause within the span."""
         for since, until in sorted(self.pauses):
             if since < end and until > begin:
                 end += until - max(since, begin)
@@ -202,13 +207,13 @@
         for arrival in self.arrivals:
             found += self._violations_of_draining(arrival)
             if arrival.request_id.startswith(self.load_id_prefix):
-                continue  # the load's own process keeps its requests, and reports the late ones
+                continue  # the load process keeps records of its requests, and reports the late ones
             request = self.requests.get(arrival.request_id)
             if request is None or request.name != arrival.name:
                 found.append(f"{arrival.label}: no client sent it")
                 continue
             if request.is_after_announced_close:
-                found.append(f"{arrival.label}: sent on a connection whose end was announced, and forwarded")
+                found.append(f"{arrival.label}: forwarded from a connection whose end was announced")
             found += self._violation_of_disconnect(arrival, request)
         return found
 
@@ -236,7 +241,7 @@
         return found
 
     def _repeated_effects(self) -> list[str]:
-        """Requests of the non-idempotent class, sent again after they may have been executed."""
+        """Returns violations by non-idempotent requests that were sent again after a possible execution."""
         found = []
         possible: set[str] = set()
         for arrival in sorted(self.arrivals, key=attrgetter("began_at")):
--- a/tests/soak/proxy_process.py
+++ b/tests/soak/proxy_process.py
@@ -1,4 +1,4 @@
-"""A proxy as a process of its own: started as the deploy file says, with its log events and its memory."""
+"""A proxy in a separate process, started as in the deploy file, with access to its log and its memory."""
 
 from __future__ import annotations
 
@@ -18,18 +18,19 @@
 READY_TIMEOUT_S = 30.0
 EXIT_TIMEOUT_S = 20.0
 KILOBYTE = 1_024
-SMALL_PIPE_BYTES = 4_096  # the least that the system gives a pipe
-DUMP_TIMEOUT_S = 0.5  # for the process to write where its threads are
-DUMP_INTERVAL_S = 0.02
-MAX_STACK_LINES = 8  # the innermost ones
+SMALL_PIPE_BYTES = 4_096  # smallest capacity that the system allows for a pipe
+DUMP_TIMEOUT_S = 0.5  # longest wait for the process to write its main thread's stack
+DUMP_INTERVAL_S = 0.02  # interval at which the test checks for that stack
+MAX_STACK_LINES = 8  # number of innermost frames that are kept
 STACK_MARK = "Stack (most recent call first)"
 PROXY_VARIABLES = {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": str(ROOT)}
 
 
 class ProxyProcess(ChildProcess):
-    """One proxy process; two threads read its standard output and error until it ends.
+    """One proxy process; two threads read its standard output and standard error until it ends.
 
-    `variables` adds to the test's environment, `preload` is a module that the proxy imports first.
+    The proxy gets the test's environment variables and `variables`. If `preload` names a module, the proxy
+    imports that module first. With `has_small_log_pipe`, the pipe for the log has the smallest capacity.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         self._is_log_read.set()
         self.events: list[dict[str, Any]] = []
         self.address = Address("", 0)
-        self.ended_at = 0.0  # monotonic seconds, once `wait` has seen the end
+        self.ended_at = 0.0  # monotonic seconds; set when `wait` sees the end of the process
         self._is_ready = threading.Event()
         self._error_lines: list[str] = []
         path = folder / f"{config['name']}.json"
@@ -70,19 +71,19 @@
         return self
 
     def wait_until_ready(self) -> None:
-        """Waits until the proxy accepts connections; raises AssertionError where it does not start."""
+        """Waits until the proxy accepts connections; raises AssertionError if it does not start."""
         if not self._is_ready.wait(READY_TIMEOUT_S) or not self.address.port:
             self.close()
             raise AssertionError(f"the proxy did not start: {self.errors}")
 
     @property
     def errors(self) -> str:
-        """What the process wrote to standard error."""
+        """Text that the process has written to standard error."""
         return "\n".join(self._error_lines)
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code; None while the process runs."""
+        """Exit code of the process; None while it runs."""
         return self.process.poll()
 
     def signal(self, number: signal.Signals) -> None:
@@ -91,7 +92,7 @@
             self.process.send_signal(number)
 
     def wait(self, timeout_s: float = EXIT_TIMEOUT_S) -> int | None:
-        """The exit code once the process has ended; None where it does not in time."""
+        """Waits for the end of the process; returns its exit code, or None after the timeout."""
         try:
             code = self.process.wait(timeout_s)
         except subprocess.TimeoutExpired:
@@ -108,11 +109,11 @@
         self.wait()
 
     def stall_log(self) -> None:
-        """Reads no further line of the log until the process has ended."""
+        """Stops reading the log until the process has ended."""
         self._is_log_read.clear()
 
     def main_thread_stack(self) -> str:
-        """Where the main thread is, as the process writes it on SIGUSR2; empty where it does not in time."""
+        """Returns the main thread's stack, which the process writes on SIGUSR2; empty after the timeout."""
         known = len(self._error_lines)
         self.signal(signal.SIGUSR2)
         for _ in range(int(DUMP_TIMEOUT_S / DUMP_INTERVAL_S)):
@@ -123,7 +124,10 @@
         return ""
 
     def status_kb(self, name: str) -> int:
-        """A value of /proc/PID/status in KB: `VmRSS` now, `VmHWM` at most; 0 once the process has ended."""
+        """Returns a value of /proc/PID/status in KB; 0 if the process has ended.
+
+        `VmRSS` is the current resident memory and `VmHWM` its peak.
+        """
         try:
             lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         except OSError:
@@ -131,14 +135,14 @@
         return next((int(line.split()[1]) for line in lines if line.startswith(f"{name}:")), 0)
 
     def descriptor_count(self) -> int:
-        """Open descriptors; 0 once the process has ended."""
+        """Returns the number of open descriptors; 0 if the process has ended."""
         try:
             return sum(1 for _ in Path(f"/proc/{self.process.pid}/fd").iterdir())
         except OSError:
             return 0
 
     def named_events(self, name: str) -> list[dict[str, Any]]:
-        """The log's events of a name so far."""
+        """Returns the log events with this name that have been read so far."""
         return [event for event in list(self.events) if event["event"] == name]
 
     def _read_log(self) -> None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,8 +1,8 @@
-"""One soak: a real proxy among seeded faults, and an oracle that finds violated invariants.
+"""One soak: a real proxy process, faults that a seed chooses, and an oracle that finds violated invariants.
 
     python -m tests.soak.run SEED [SEED...]
 
-plays seeds alone and prints what was violated, if anything was.
+runs the seeds one after another and prints each violation.
 """
 
 from __future__ import annotations
@@ -33,22 +33,24 @@
 from tests.soak.proxy_process import KILOBYTE, ProxyProcess
 from tests.soak.unresponsive_store import UnresponsiveStores
 
-ANY_PORT = "127.0.0.1:0"  # of the system's choice
-PLAY_S = 8.0
-KILL_AFTER_S = 3.0 + 0.7  # after SIGTERM, at the earliest: the longest deadline, and the platform's margin
-KILL_MARGIN_S = 0.04  # before that, for the test to see the end
+ANY_PORT = "127.0.0.1:0"  # the system chooses the port
+PLAY_S = 8.0  # time in which faults are injected, until SIGTERM
+# The platform kills a process no earlier than this time after SIGTERM: the longest deadline and a margin.
+KILL_AFTER_S = 3.0 + 0.7
+KILL_MARGIN_S = 0.04  # the proxy must end this long before the kill, so that the test sees the end in time
 SIGNAL_INTERVAL_S = 0.01
-LATE_IDLE_CLIENTS = 100  # just before SIGTERM
-TRACE_BEFORE_KILL_S = 0.5  # a process that still runs then says where its main thread is
+LATE_IDLE_CLIENTS = 100  # idle connections that are opened just before SIGTERM
+TRACE_BEFORE_KILL_S = 0.5  # a proxy that still runs this long before the kill writes its main thread's stack
 LOG_STALL_BEFORE_SIGTERM_S = 1.0
 CROWD_THINK_TIME_S = 0.05
 CROWD_TIMEOUT_MS = 2_500
-CROWD_SEED_SHIFT = 1_000_000  # so that ids of a crowd's requests differ from those of the run's own clients
-SAMPLE_INTERVAL_S = 0.05
-MAX_SAMPLE_GAP_S = 0.15
-MAX_START_S = 6.0
-PRINTED_FINDINGS = 8
-PRINTED_CHARACTERS = 3_000
+# Added to the seed, so that ids of the crowd's requests differ from those of the run's own clients.
+CROWD_SEED_SHIFT = 1_000_000
+SAMPLE_INTERVAL_S = 0.05  # interval at which memory and descriptors are sampled
+MAX_SAMPLE_GAP_S = 0.15  # a longer time between two samples is recorded as a pause of the test
+MAX_START_S = 6.0  # longest allowed start of the proxy
+PRINTED_FINDINGS = 8  # most printed findings of a seed
+PRINTED_CHARACTERS = 3_000  # most printed characters of a finding
 
 
 class SoakRun:
@@ -58,8 +60,8 @@
         self._random_source = random.Random(seed)
         self.options = SoakOptions.sample(self._random_source)
         self.pressure = PressureOptions.sample(seed, self.options)
-        self.exit_s: float | None = None  # from SIGTERM; None: it was killed
-        self.longest_first_wait_s = 0.0  # of the crowd's clients
+        self.exit_s: float | None = None  # time from SIGTERM to the exit; None if the proxy was killed
+        self.longest_first_wait_s = 0.0  # longest first wait of the crowd's clients
         self._seed = seed
         self._folder = folder
         self._oracle = Oracle(NON_IDEMPOTENT_CLASS)
@@ -69,7 +71,7 @@
         self._is_over = threading.Event()
 
     def play(self) -> list[str]:
-        """Plays the run; returns what was violated."""
+        """Runs the soak; returns a line for each violation, and the log events that belong to it."""
         sampler = threading.Thread(target=self._sample_resources, daemon=True)
         sampler.start()
         clients = SoakClients(self._proxy.address, self._oracle, self._seed)
@@ -86,7 +88,8 @@
         try:
             self._inject_faults()
             if self.options.has_idle_clients and self.pressure.has_signal_series:
-                clients.open_idle_connections(LATE_IDLE_CLIENTS)  # the first ones have reached their deadline
+                # The first idle connections have reached their deadline by now.
+                clients.open_idle_connections(LATE_IDLE_CLIENTS)
             self._terminate(crowd)
         finally:
             clients.stop()
@@ -113,7 +116,7 @@
         proxy.wait_until_ready()
         start_s = time.monotonic() - began_at
         if start_s > MAX_START_S:
-            self._oracle.record_fault(f"the proxy took {start_s:.1f} s to start")
+            self._oracle.record_fault(f"the proxy took {start_s:.1f} s to start, longer than {MAX_START_S} s")
         return proxy
 
     def _config(self, listen: str) -> dict[str, Any]:
@@ -122,7 +125,7 @@
         )
 
     def _start_crowd(self) -> LoadProcess | None:
-        """More clients than the proxy may have connections, in a process of their own."""
+        """Starts a process with more clients than the proxy may have connections, if the options say so."""
         if not self.pressure.crowd_factor:
             return None
         limits = read_config(self._config(ANY_PORT), {}).limits
@@ -139,7 +142,7 @@
         return LoadProcess(self._proxy.address, options)
 
     def _add_report(self, crowd: LoadProcess) -> None:
-        """Gives the oracle the crowd's requests that took long or had no response."""
+        """Passes the crowd's late and unanswered requests to the oracle."""
         report = crowd.wait_for_report()
         self.longest_first_wait_s = report.longest_first_wait_s
         for request in report.late_requests:
@@ -166,7 +169,10 @@
         self._proxy = self._start_proxy(f"{host}:{port}")
 
     def _terminate(self, crowd: LoadProcess | None) -> None:
-        """Sends SIGTERM and other signals; clients go on until the process has ended or is killed."""
+        """Sends SIGTERM and other signals, and waits until the process has ended or its time is over.
+
+        The clients continue to send requests in this time.
+        """
         began_at = time.monotonic()
         self._oracle.terminated_at = began_at
         if crowd is not None:
@@ -179,15 +185,18 @@
         if code is None:
             self._oracle.killed_at.append(time.monotonic())
             self._oracle.record_fault(
-                f"the proxy still ran {KILL_AFTER_S} s after SIGTERM; it was at {stack}"
+                f"the proxy still ran {KILL_AFTER_S} s after SIGTERM; main thread: {stack}"
             )
             return
         self.exit_s = self._proxy.ended_at - began_at
         if code != 0:
-            self._oracle.record_fault(f"the proxy ended with code {code}: {self._proxy.errors}")
+            self._oracle.record_fault(f"the proxy exited with code {code}: {self._proxy.errors}")
 
     def _send_signals(self, until: float) -> None:
-        """SIGTERM twice, each with a SIGHUP behind it; in a series, more until the process has ended."""
+        """Sends SIGTERM twice, each followed by SIGHUP.
+
+        If the options ask for a series, sends random shutdown signals until the process ends or `until`.
+        """
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
             self._proxy.signal(number)
             time.sleep(SIGNAL_INTERVAL_S)
@@ -196,19 +205,19 @@
             time.sleep(SIGNAL_INTERVAL_S)
 
     def _sample_resources(self) -> None:
-        """Watches memory and descriptors of the process that runs; stops at the first excess."""
+        """Checks the memory peak and the descriptors of the current proxy; stops after the first excess."""
         last_at = time.monotonic()
         while not self._is_over.wait(SAMPLE_INTERVAL_S):
             now = time.monotonic()
-            if now - last_at > MAX_SAMPLE_GAP_S:  # this process itself was held up
+            if now - last_at > MAX_SAMPLE_GAP_S:  # the test's own process was not scheduled
                 self._oracle.pauses.append((last_at, now))
             last_at = now
             peak_kb = self._proxy.status_kb("VmHWM")
             if peak_kb > self.options.memory_mb * KILOBYTE:
-                self._oracle.record_fault(f"{peak_kb} KB of {self.options.memory_mb} MB")
+                self._oracle.record_fault(f"memory peak of {peak_kb} KB exceeds {self.options.memory_mb} MB")
                 return
             if self._proxy.descriptor_count() > self.pressure.max_sockets:
-                self._oracle.record_fault("more descriptors than allowed")
+                self._oracle.record_fault("the proxy has more open descriptors than allowed")
                 return
 
     def _findings(self) -> list[str]:
@@ -227,7 +236,10 @@
 
 
 def crowd_request(request: LoadRequest) -> ClientRequest:
-    """A request of the crowd, as the oracle keeps it; a response's bytes are not checked."""
+    """Returns a request of the crowd in the form that the oracle checks.
+
+    It has no status and body, so that the oracle doesn't check the bytes of its response.
+    """
     outcome = Outcome.CLOSED if request.is_closed else Outcome.COMPLETED
     if request.ended_at is None:
         outcome = Outcome.PENDING
@@ -245,14 +257,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """One played seed."""
+    """The result of one seed."""
 
-    findings: list[str]  # what was violated, with the options of the seed in front
-    summary: str  # what was measured
+    findings: list[str]  # the seed's options and all violations; empty without a violation
+    summary: str  # measured times
 
 
 def play(seed: int) -> SoakResult:
-    """Plays one seed."""
+    """Runs one seed."""
     with tempfile.TemporaryDirectory() as folder:
         run = SoakRun(seed, Path(folder))
         found = run.play()
@@ -263,7 +275,7 @@
 
 
 def main(seeds: list[int]) -> int:
-    """Plays seeds one after another; 1 where any of them violated an invariant."""
+    """Runs seeds one after another; returns 1 if any of them violated an invariant, 0 otherwise."""
     failed = 0
     for seed in seeds:
         result = play(seed)
--- a/tests/soak/test_connection_cap.py
+++ b/tests/soak/test_connection_cap.py
@@ -1,4 +1,4 @@
-"""Real proxy processes before more clients than they may have connections."""
+"""Real proxy processes with more clients than they may have connections."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 MEMORY_MB = 64
 SOCKETS = 64
-CONNECTION_CAP = 30  # of a process with so many descriptors
+CONNECTION_CAP = 30  # client connections of a proxy with `SOCKETS` descriptors
 CLIENTS = (CONNECTION_CAP, 2 * CONNECTION_CAP)
 LOAD_S = 4.0
 THINK_TIME_S = 0.02
 MAX_FIRST_WAIT_S = 1.0
-MIN_THROUGHPUT_SHARE = 0.8  # of the throughput at the cap
+MIN_THROUGHPUT_SHARE = 0.8  # relative to the throughput at the cap
 
 
 @pytest.fixture(scope="module")
 def reports(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[int, LoadReport]]:
-    """A load at the cap and one at twice the cap, on two proxies side by side."""
+    """Reports of a load at the cap and one at twice the cap, which run at the same time on two proxies."""
     with ExitStack() as stack, EndpointsProcess(caches=4, body_bytes=2_000) as endpoints:
         loads = {}
         for clients in CLIENTS:
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("clients", CLIENTS)
 def test_every_client_of_a_crowd_has_a_response_soon(reports: dict[int, LoadReport], clients: int) -> None:
-    """Regression: clients that wait for a slot until others leave."""
+    """Guards against clients that wait for a connection until other clients disconnect."""
     report = reports[clients]
     assert report.longest_first_wait_s < MAX_FIRST_WAIT_S
     assert report.statuses["closed"] == 0
--- a/tests/soak/test_memory_limit.py
+++ b/tests/soak/test_memory_limit.py
@@ -1,4 +1,4 @@
-"""Real proxy processes stay under the memory that the platform allows them."""
+"""Real proxy processes stay under the memory limit that the platform sets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def process_config(listed_endpoints: list[dict[str, Any]], memory_mb: int, **changes: Any) -> dict[str, Any]:
-    """A configuration of one proxy before these endpoints; discovery is down."""
+    """Returns a proxy's configuration with these endpoints and a coordinator that cannot be reached."""
     known = {
         "index": 1,
         "updates": [{"index": 1, "endpoints": {"version": 1, "full": True, "servers": listed_endpoints}}],
@@ -46,7 +46,10 @@
 
 
 def test_idle_process_uses_little_more_memory_than_the_interpreter(tmp_path: Path) -> None:
-    """Hundreds of proxies share a machine: memory that load may need must not be taken while idle."""
+    """Guards against an idle proxy that already takes the memory that a later load may need.
+
+    Hundreds of proxies share a machine.
+    """
     resident_kb = []
     for memory_mb in (32, 192):
         with ProxyProcess(process_config([], memory_mb), tmp_path) as proxy:
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -1,4 +1,4 @@
-"""The soak's oracle: what it accepts, and what it reports."""
+"""Violations that the soak's oracle reports, and observations that it accepts."""
 
 from __future__ import annotations
 
@@ -72,7 +72,8 @@
     oracle = Oracle("order", load_id_prefix="load")
     oracle.add_request(completed_request(is_after_announced_close=True, outcome=Outcome.CLOSED))
     assert oracle.violations() == []
-    oracle.add_arrival(Arrival("load1", "c0", "c0", "n", 10.1))  # of the crowd, whose process keeps it
+    # The load process keeps the records of its requests itself.
+    oracle.add_arrival(Arrival("load1", "c0", "c0", "n", 10.1))
     assert oracle.violations() == []
     oracle.add_arrival(Arrival("a", "c0", "c0", "n", 10.1))
     (found,) = oracle.violations()
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A few short soaks; `python -m tests.soak.run SEED...` plays more by hand."""
+"""A few short soaks; `python -m tests.soak.run SEED...` runs other seeds by hand."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from tests.soak.options import FIRST_PRESSURE_SEED, PressureOptions, SoakOptions
 
 SEEDS = (3, 21, 38, 43)
-PRESSURE_SEEDS = (1003, 1039, 1262)  # a crowd; a slow reader and a stalled log; a lasting shortage
+# The first seed has a crowd, the second a slow reader and a stalled log, the third a lasting shortage.
+PRESSURE_SEEDS = (1003, 1039, 1262)
 RUN_TIMEOUT_S = 90.0
 
 
 class SoakRunProcess(ChildProcess):
-    """One seed's run in a process of its own."""
+    """One seed's run in a separate process."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(["-m", "tests.soak.run", str(seed)], has_pipes=True)
         self.seed = seed
-        self._output: str | None = None  # None: not waited for yet
+        self._output: str | None = None  # None until `wait` has returned
 
     def wait(self) -> str:
-        """Waits for the end of the run; returns what it printed."""
+        """Waits for the end of the run; returns its standard output."""
         if self._output is None:
             output, _ = self.process.communicate(timeout=RUN_TIMEOUT_S)
             self._output = str(output, "utf-8")
@@ -33,20 +34,20 @@
 
     @property
     def exit_code(self) -> int | None:
-        """The exit code; None while the process runs."""
+        """Exit code of the run; None until `wait` has returned."""
         return self.process.returncode
 
 
 @pytest.fixture(scope="module")
 def soak_runs() -> Iterator[dict[int, SoakRunProcess]]:
-    """All seeds, played side by side."""
+    """Runs of the seeds without pressure, all at the same time."""
     with ExitStack() as stack:
         yield {seed: stack.enter_context(SoakRunProcess(seed)) for seed in SEEDS}
 
 
 @pytest.fixture(scope="module")
 def pressure_runs(soak_runs: dict[int, SoakRunProcess]) -> Iterator[dict[int, SoakRunProcess]]:
-    """Seeds with pressure, side by side once the others have ended: a crowd needs the machine."""
+    """Runs of the seeds with pressure, which start after the others because a crowd needs the machine."""
     for run in soak_runs.values():
         run.wait()
     with ExitStack() as stack:
@@ -55,7 +56,7 @@
 
 def assert_kept(run: SoakRunProcess) -> None:
     output = run.wait()
-    assert run.exit_code == 0, f"play it alone: python -m tests.soak.run {run.seed}\n{output}"
+    assert run.exit_code == 0, f"to run this seed alone: python -m tests.soak.run {run.seed}\n{output}"
     assert f"seed {run.seed}: kept" in output
 
 
--- a/tests/soak/unresponsive_store.py
+++ b/tests/soak/unresponsive_store.py
@@ -1,4 +1,4 @@
-"""Shared stores that accept connections and never respond."""
+"""Stand-ins for shared stores that accept connections and never respond."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class UnresponsiveStores(ClosedAtExit):
-    """Listeners whose connections are not read, and the operator's file that names them."""
+    """Listeners whose connections are not read, and the operator file that names them as stores."""
 
     def __init__(self, count: int, folder: Path) -> None:
         self._listeners = [listen(0) for _ in range(count)]
-        self.variables: dict[str, str] = {}  # of a proxy that uses them
+        self.variables: dict[str, str] = {}  # environment variables of a proxy that uses the stores
         if count:
             path = folder / "operator.yaml"
             path.write_text(self._operator_file())
