--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -179,7 +179,7 @@
 class SoakEnvironment:
     """The caches, parents, origin and coordinator of one run.
 
-    `plans` and `rows` contain the fault plan and the entry in the endpoint list for each endpoint id.
+    `plans` and `entries` contain the fault plan and the entry in the endpoint list for each endpoint id.
     """
 
     def __init__(self, seed: int, oracle: Oracle) -> None:
@@ -191,30 +191,30 @@
             plan = FaultPlan(seed * 100 + number)
             self.plans[endpoint_id] = plan
             self.endpoints.append(SoakEndpoint(endpoint_id, oracle, plan))
-        self.rows = {endpoint.id: endpoint_row(endpoint) for endpoint in self.endpoints}
-        self.publish(list(self.rows.values()), is_full=True)
+        self.entries = {endpoint.id: endpoint_entry(endpoint) for endpoint in self.endpoints}
+        self.publish(list(self.entries.values()), is_full=True)
 
-    def publish(self, rows: list[dict[str, Any]], is_full: bool) -> None:
+    def publish(self, entries: list[dict[str, Any]], is_full: bool) -> None:
         """Publishes the entries of a complete endpoint list, or only those that have changed."""
         version = len(self.coordinator.events) + 1
-        self.coordinator.add(endpoints={"version": version, "full": is_full, "servers": rows})
+        self.coordinator.add(endpoints={"version": version, "full": is_full, "servers": entries})
 
     def publish_all(self) -> None:
         """Publishes the complete endpoint list."""
-        self.publish(list(self.rows.values()), is_full=True)
+        self.publish(list(self.entries.values()), is_full=True)
 
     def drainable_ids(self) -> list[str]:
         """Returns the ids of the caches and parents that are not draining."""
         return [
             endpoint_id
-            for endpoint_id, row in self.rows.items()
-            if row["state"] == "in_service" and endpoint_id != "o0"
+            for endpoint_id, entry in self.entries.items()
+            if entry["state"] == "in_service" and endpoint_id != "o0"
         ]
 
     def drain(self, endpoint_id: str) -> None:
         """Publishes that an endpoint is draining; it drains until the end of the run."""
-        self.rows[endpoint_id]["state"] = "terminating"
-        self.publish([self.rows[endpoint_id]], is_full=False)
+        self.entries[endpoint_id]["state"] = "terminating"
+        self.publish([self.entries[endpoint_id]], is_full=False)
         self.oracle.record_drain(endpoint_id)
 
     def invalidate(self, name: str) -> None:
@@ -235,7 +235,7 @@
                 close()
 
 
-def endpoint_row(endpoint: SoakEndpoint) -> dict[str, Any]:
+def endpoint_entry(endpoint: SoakEndpoint) -> dict[str, Any]:
     """Returns an endpoint's entry in the endpoint list; the id's first letter decides its kind and zone."""
     kinds = {"c": ("standard", "west"), "p": ("parent", "hub"), "o": ("origin", "hub")}
     kind, zone = kinds[endpoint.id[0]]
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -50,5 +50,5 @@
     def sample(self) -> EndpointFault | None:
         """Returns the fault that affects the next command; None if the endpoint responds normally."""
         with self._lock:
-            is_hit = self._random_source.random() < self.share
-        return self.fault if is_hit else None
+            is_affected = self._random_source.random() < self.share
+        return self.fault if is_affected else None
--- a/tests/soak/faulty_calls.py
+++ b/tests/soak/faulty_calls.py
@@ -42,10 +42,10 @@
     errno.ETIMEDOUT,
 )
 
-_draw = random.Random(int(os.environ.get("SOAK_SEED", "0")))
-_share = float(os.environ.get("SOAK_CALLS", "0"))
-_clock_ns = int(float(os.environ.get("SOAK_CLOCK_S", "0")) * 1e9)
-_step_ns = int(float(os.environ.get("SOAK_STEP_S", "0")) * 1e9)
+_random_source = random.Random(int(os.environ.get("SOAK_SEED", "0")))
+_failing_share = float(os.environ.get("SOAK_CALLS", "0"))
+_clock_error_ns = int(float(os.environ.get("SOAK_CLOCK_S", "0")) * 1e9)
+_clock_step_ns = int(float(os.environ.get("SOAK_STEP_S", "0")) * 1e9)
 _started_at = time.monotonic()
 
 
@@ -53,37 +53,37 @@
     return time.monotonic() - _started_at
 
 
-def _fails() -> bool:
-    return FAULTS_FROM_S < _age_s() < FAULTS_UNTIL_S and _draw.random() < _share
+def _should_fail() -> bool:
+    return FAULTS_FROM_S < _age_s() < FAULTS_UNTIL_S and _random_source.random() < _failing_share
 
 
-def _failing(call: Callable[..., Any], errors: tuple[int, ...]) -> Callable[..., Any]:
+def _with_errors(call: Callable[..., Any], errors: tuple[int, ...]) -> Callable[..., Any]:
     def call_or_fail(*args: Any, **kwargs: Any) -> Any:
-        if _fails():
-            number = _draw.choice(errors)
+        if _should_fail():
+            number = _random_source.choice(errors)
             raise OSError(number, os.strerror(number))
         return call(*args, **kwargs)
 
     return call_or_fail
 
 
-def _failing_start(call: Callable[..., Any]) -> Callable[..., Any]:
+def _with_start_errors(call: Callable[..., Any]) -> Callable[..., Any]:
     def start_or_fail(*args: Any, **kwargs: Any) -> Any:
-        if _fails():
+        if _should_fail():
             raise RuntimeError("can't start new thread")
         return call(*args, **kwargs)
 
     return start_or_fail
 
 
-def _stepped(call: Callable[[], int]) -> Callable[[], int]:
+def _with_clock_errors(call: Callable[[], int]) -> Callable[[], int]:
     def time_ns() -> int:
-        return call() + _clock_ns + (_step_ns if _age_s() > STEP_AFTER_S else 0)
+        return call() + _clock_error_ns + (_clock_step_ns if _age_s() > STEP_AFTER_S else 0)
 
     return time_ns
 
 
-def _with_small_buffers(call: Callable[..., Any]) -> Callable[..., Any]:
+def _with_small_send_buffers(call: Callable[..., Any]) -> Callable[..., Any]:
     def set_option(sock: socket.socket, level: int, option: int, value: Any) -> Any:
         if (level, option) == (socket.SOL_SOCKET, socket.SO_SNDBUF):
             value = SMALL_SEND_BUFFER_BYTES
@@ -92,7 +92,7 @@
     return set_option
 
 
-def _short_when_peeking(call: Callable[..., Any]) -> Callable[..., Any]:
+def _with_peek_errors(call: Callable[..., Any]) -> Callable[..., Any]:
     peek = socket.MSG_PEEK | socket.MSG_DONTWAIT
 
     def receive(sock: socket.socket, size: int, flags: int = 0) -> Any:
@@ -106,18 +106,18 @@
 # Writes the stack of one thread: the main thread, to which the system delivers a process's signals. The
 # proxy's own SIGUSR1 writes the stacks of all threads, and its output ends after a hundred threads.
 faulthandler.register(signal.SIGUSR2, all_threads=False)
-patched: Any = socket.socket
+socket_class: Any = socket.socket
 if os.environ.get("SOAK_SMALL_SEND_BUFFERS"):
-    patched.setsockopt = _with_small_buffers(socket.socket.setsockopt)
+    socket_class.setsockopt = _with_small_send_buffers(socket.socket.setsockopt)
 if os.environ.get("SOAK_PEEK_SHORTAGE"):
-    patched.recv = _short_when_peeking(socket.socket.recv)
-if _share:
+    socket_class.recv = _with_peek_errors(socket.socket.recv)
+if _failing_share:
     for name in ("recv", "recv_into", "send", "sendmsg", "setsockopt"):
-        setattr(patched, name, _failing(getattr(socket.socket, name), TRANSIENT_ERRORS))
-    patched.accept = _failing(socket.socket.accept, ACCEPT_ERRORS)
-    patched.connect = _failing(socket.socket.connect, CONNECT_ERRORS)
+        setattr(socket_class, name, _with_errors(getattr(socket.socket, name), TRANSIENT_ERRORS))
+    socket_class.accept = _with_errors(socket.socket.accept, ACCEPT_ERRORS)
+    socket_class.connect = _with_errors(socket.socket.connect, CONNECT_ERRORS)
     thread_class: Any = threading.Thread
-    thread_class.start = _failing_start(threading.Thread.start)
+    thread_class.start = _with_start_errors(threading.Thread.start)
     thread_module: Any = _thread
-    thread_module.start_new_thread = _failing_start(_thread.start_new_thread)
-time.time_ns = _stepped(time.time_ns)
+    thread_module.start_new_thread = _with_start_errors(_thread.start_new_thread)
+time.time_ns = _with_clock_errors(time.time_ns)
--- a/tests/soak/load_process.py
+++ b/tests/soak/load_process.py
@@ -171,8 +171,8 @@
         self._request_ids = itertools.count(options.first_request_id)
         # Heap of clients that wait: the time at which one sends or connects, a sequence number that orders
         # equal times, and its connection. The connection is None if the client has to connect.
-        self._order = itertools.count()
-        self._due: list[tuple[float, int, LoadConnection | None]] = []
+        self._sequence_numbers = itertools.count()
+        self._waiting: list[tuple[float, int, LoadConnection | None]] = []
         self._selector = selectors.DefaultSelector()
         self._may_connect = True
         self._is_over = False
@@ -185,7 +185,7 @@
         for _ in range(self._options.connections):
             self._schedule(0.0, None)
         while time.monotonic() < end_at and not self._is_over:
-            self._act_on_due()
+            self._resume_waiting()
             for key, _ in self._selector.select(SELECT_TIMEOUT_S):
                 if key.data is None:
                     self._read_command()
@@ -195,12 +195,12 @@
         return self._report
 
     def _schedule(self, delay_s: float, connection: LoadConnection | None) -> None:
-        heapq.heappush(self._due, (time.monotonic() + delay_s, next(self._order), connection))
+        heapq.heappush(self._waiting, (time.monotonic() + delay_s, next(self._sequence_numbers), connection))
 
-    def _act_on_due(self) -> None:
+    def _resume_waiting(self) -> None:
         """Connects the clients that wait to connect, and sends the requests whose think time is over."""
-        while self._due and self._due[0][0] <= time.monotonic():
-            _, _, connection = heapq.heappop(self._due)
+        while self._waiting and self._waiting[0][0] <= time.monotonic():
+            _, _, connection = heapq.heappop(self._waiting)
             if connection is None:
                 self._connect()
             else:
@@ -245,8 +245,8 @@
         """Closes a connection; its client connects again after the think time."""
         if connection.sent_at is not None:
             self._record(connection, time.monotonic(), is_closed=True)
-        self._due = [entry for entry in self._due if entry[2] is not connection]
-        heapq.heapify(self._due)
+        self._waiting = [entry for entry in self._waiting if entry[2] is not connection]
+        heapq.heapify(self._waiting)
         self._selector.unregister(connection.sock)
         connection.sock.close()
         self._schedule(self._options.think_time_s, None)
--- a/tests/soak/options.py
+++ b/tests/soak/options.py
@@ -37,9 +37,9 @@
     """The options of one run, which every seed has."""
 
     memory_mb: int
-    failing_calls: float  # share of system calls and thread starts that fail
-    clock_s: int  # error of the proxy's wall clock at its start
-    step_s: int  # later step of that clock
+    failing_call_share: float  # share of system calls and thread starts that fail
+    clock_error_s: int  # error of the proxy's wall clock at its start
+    clock_step_s: int  # later step of that clock
     has_idle_clients: bool
     is_killed: bool  # whether the proxy is killed with SIGKILL once during the run, and restarted
 
@@ -51,9 +51,9 @@
         """
         return cls(
             memory_mb=random_source.choice(MEMORY_LIMITS_MB),
-            failing_calls=random_source.choice(FAILING_CALL_SHARES),
-            clock_s=random_source.choice(CLOCK_ERRORS_S),
-            step_s=random_source.choice(CLOCK_ERRORS_S),
+            failing_call_share=random_source.choice(FAILING_CALL_SHARES),
+            clock_error_s=random_source.choice(CLOCK_ERRORS_S),
+            clock_step_s=random_source.choice(CLOCK_ERRORS_S),
             has_idle_clients=random_source.random() < IDLE_CLIENTS_SHARE,
             is_killed=random_source.random() < KILLED_SHARE,
         )
@@ -62,9 +62,9 @@
         """Returns the environment variables that `tests.soak.faulty_calls` reads."""
         return {
             "SOAK_SEED": str(seed),
-            "SOAK_CALLS": str(self.failing_calls),
-            "SOAK_CLOCK_S": str(self.clock_s),
-            "SOAK_STEP_S": str(self.step_s),
+            "SOAK_CALLS": str(self.failing_call_share),
+            "SOAK_CLOCK_S": str(self.clock_error_s),
+            "SOAK_STEP_S": str(self.clock_step_s),
         }
 
 
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -141,7 +141,7 @@
         for request in self.requests.values():
             found += self._violations_of(request)
         found += self._endpoint_violations()
-        found += self._repeated_effects()
+        found += self._repeated_execution_violations()
         return found
 
     def _paused_for(self, begin: float, end: float) -> float:
@@ -240,7 +240,7 @@
                 found.append(f"{arrival.label}: {endpoint_id} was drained {after_s:.3f} s before")
         return found
 
-    def _repeated_effects(self) -> list[str]:
+    def _repeated_execution_violations(self) -> list[str]:
         """Returns violations by non-idempotent requests that were sent again after a possible execution."""
         found = []
         possible: set[str] = set()
--- a/tests/soak/proxy_process.py
+++ b/tests/soak/proxy_process.py
@@ -41,8 +41,8 @@
         preload: str | None = None,
         has_small_log_pipe: bool = False,
     ) -> None:
-        self._is_log_read = threading.Event()
-        self._is_log_read.set()
+        self._may_read_log = threading.Event()
+        self._may_read_log.set()
         self.events: list[dict[str, Any]] = []
         self.address = Address("", 0)
         self.ended_at = 0.0  # monotonic seconds; set when `wait` sees the end of the process
@@ -98,7 +98,7 @@
         except subprocess.TimeoutExpired:
             return None
         self.ended_at = time.monotonic()
-        self._is_log_read.set()
+        self._may_read_log.set()
         for reader in self._readers:
             reader.join(EXIT_TIMEOUT_S)
         return code
@@ -110,7 +110,7 @@
 
     def stall_log(self) -> None:
         """Stops reading the log until the process has ended."""
-        self._is_log_read.clear()
+        self._may_read_log.clear()
 
     def main_thread_stack(self) -> str:
         """Returns the main thread's stack, which the process writes on SIGUSR2; empty after the timeout."""
@@ -148,7 +148,7 @@
     def _read_log(self) -> None:
         assert self.process.stdout is not None
         for line in self.process.stdout:
-            self._is_log_read.wait()
+            self._may_read_log.wait()
             event = json.loads(line)
             self.events.append(event)
             if event["event"] == "started":
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -34,13 +34,13 @@
 from tests.soak.unresponsive_store import UnresponsiveStores
 
 ANY_PORT = "127.0.0.1:0"  # the system chooses the port
-PLAY_S = 8.0  # time in which faults are injected, until SIGTERM
+FAULT_PHASE_S = 8.0  # time in which faults are injected, until SIGTERM
 # The platform kills a process no earlier than this time after SIGTERM: the longest deadline and a margin.
 KILL_AFTER_S = 3.0 + 0.7
 KILL_MARGIN_S = 0.04  # the proxy must end this long before the kill, so that the test sees the end in time
 SIGNAL_INTERVAL_S = 0.01
-LATE_IDLE_CLIENTS = 100  # idle connections that are opened just before SIGTERM
-TRACE_BEFORE_KILL_S = 0.5  # a proxy that still runs this long before the kill writes its main thread's stack
+IDLE_CLIENTS_BEFORE_SIGTERM = 100  # idle connections that are opened just before SIGTERM
+STACK_BEFORE_KILL_S = 0.5  # a proxy that still runs this long before the kill writes its main thread's stack
 LOG_STALL_BEFORE_SIGTERM_S = 1.0
 CROWD_THINK_TIME_S = 0.05
 CROWD_TIMEOUT_MS = 2_500
@@ -49,8 +49,8 @@
 SAMPLE_INTERVAL_S = 0.05  # interval at which memory and descriptors are sampled
 MAX_SAMPLE_GAP_S = 0.15  # a longer time between two samples is recorded as a pause of the test
 MAX_START_S = 6.0  # longest allowed start of the proxy
-PRINTED_FINDINGS = 8  # most printed findings of a seed
-PRINTED_CHARACTERS = 3_000  # most printed characters of a finding
+MAX_PRINTED_FINDINGS = 8  # most printed findings of a seed
+MAX_FINDING_CHARACTERS = 3_000  # most printed characters of a finding
 
 
 class SoakRun:
@@ -70,7 +70,7 @@
         self._proxy = self._start_proxy(ANY_PORT)
         self._is_over = threading.Event()
 
-    def play(self) -> list[str]:
+    def run(self) -> list[str]:
         """Runs the soak; returns a line for each violation, and the log events that belong to it."""
         sampler = threading.Thread(target=self._sample_resources, daemon=True)
         sampler.start()
@@ -89,7 +89,7 @@
             self._inject_faults()
             if self.options.has_idle_clients and self.pressure.has_signal_series:
                 # The first idle connections have reached their deadline by now.
-                clients.open_idle_connections(LATE_IDLE_CLIENTS)
+                clients.open_idle_connections(IDLE_CLIENTS_BEFORE_SIGTERM)
             self._terminate(crowd)
         finally:
             clients.stop()
@@ -132,7 +132,7 @@
         clients = self.pressure.crowd_factor * limits.max_client_connections
         options = LoadOptions(
             seed=self._seed + CROWD_SEED_SHIFT,
-            duration_s=3 * PLAY_S,
+            duration_s=3 * FAULT_PHASE_S,
             connections=clients,
             names=NAMES,
             timeout_ms=CROWD_TIMEOUT_MS,
@@ -152,8 +152,8 @@
         injector = FaultInjector(
             self._random_source, self._environment, self._oracle, proxy=lambda: self._proxy
         )
-        end_at = time.monotonic() + PLAY_S
-        kill_at = end_at - PLAY_S / 2 if self.options.is_killed else float("inf")
+        end_at = time.monotonic() + FAULT_PHASE_S
+        kill_at = end_at - FAULT_PHASE_S / 2 if self.options.is_killed else float("inf")
         while time.monotonic() < end_at:
             if self.pressure.has_stalled_log and time.monotonic() > end_at - LOG_STALL_BEFORE_SIGTERM_S:
                 self._proxy.stall_log()
@@ -177,8 +177,8 @@
         self._oracle.terminated_at = began_at
         if crowd is not None:
             crowd.stop_connecting()
-        self._send_signals(began_at + KILL_AFTER_S - TRACE_BEFORE_KILL_S)
-        code = self._proxy.wait(max(0.0, began_at + KILL_AFTER_S - TRACE_BEFORE_KILL_S - time.monotonic()))
+        self._send_signals(began_at + KILL_AFTER_S - STACK_BEFORE_KILL_S)
+        code = self._proxy.wait(max(0.0, began_at + KILL_AFTER_S - STACK_BEFORE_KILL_S - time.monotonic()))
         stack = self._proxy.main_thread_stack() if code is None else ""
         if code is None:
             code = self._proxy.wait(max(0.0, began_at + KILL_AFTER_S - KILL_MARGIN_S - time.monotonic()))
@@ -263,14 +263,14 @@
     summary: str  # measured times
 
 
-def play(seed: int) -> SoakResult:
+def run_seed(seed: int) -> SoakResult:
     """Runs one seed."""
     with tempfile.TemporaryDirectory() as folder:
-        run = SoakRun(seed, Path(folder))
-        found = run.play()
-    exit_text = "killed" if run.exit_s is None else f"exit {run.exit_s:.2f} s after SIGTERM"
-    summary = f"{exit_text}, longest first wait {run.longest_first_wait_s:.2f} s"
-    options = f"{run.options} {run.pressure}"
+        soak = SoakRun(seed, Path(folder))
+        found = soak.run()
+    exit_text = "killed" if soak.exit_s is None else f"exit {soak.exit_s:.2f} s after SIGTERM"
+    summary = f"{exit_text}, longest first wait {soak.longest_first_wait_s:.2f} s"
+    options = f"{soak.options} {soak.pressure}"
     return SoakResult([options, *found] if found else [], summary)
 
 
@@ -278,13 +278,13 @@
     """Runs seeds one after another; returns 1 if any of them violated an invariant, 0 otherwise."""
     failed = 0
     for seed in seeds:
-        result = play(seed)
+        result = run_seed(seed)
         found = result.findings
         if found:
             failed += 1
         print(f"seed {seed}: {len(found) or 'kept'}, {result.summary}", flush=True)
-        for line in found[:PRINTED_FINDINGS]:
-            print(f"    {line[:PRINTED_CHARACTERS]}", flush=True)
+        for line in found[:MAX_PRINTED_FINDINGS]:
+            print(f"    {line[:MAX_FINDING_CHARACTERS]}", flush=True)
     print(f"{len(seeds)} seeds, {failed} violated an invariant")
     return 1 if failed else 0
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -54,7 +54,7 @@
         yield {seed: stack.enter_context(SoakRunProcess(seed)) for seed in PRESSURE_SEEDS}
 
 
-def assert_kept(run: SoakRunProcess) -> None:
+def assert_invariants_kept(run: SoakRunProcess) -> None:
     output = run.wait()
     assert run.exit_code == 0, f"to run this seed alone: python -m tests.soak.run {run.seed}\n{output}"
     assert f"seed {run.seed}: kept" in output
@@ -62,14 +62,14 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_proxy_keeps_all_invariants_among_faults(soak_runs: dict[int, SoakRunProcess], seed: int) -> None:
-    assert_kept(soak_runs[seed])
+    assert_invariants_kept(soak_runs[seed])
 
 
 @pytest.mark.parametrize("seed", PRESSURE_SEEDS)
 def test_proxy_keeps_all_invariants_under_pressure(
     pressure_runs: dict[int, SoakRunProcess], seed: int
 ) -> None:
-    assert_kept(pressure_runs[seed])
+    assert_invariants_kept(pressure_runs[seed])
 
 
 def test_suite_seeds_cover_crowds_slow_readers_stalled_logs_and_lasting_shortages() -> None:
@@ -85,8 +85,8 @@
 def test_suite_seeds_cover_memory_limits_failing_calls_and_clock_errors() -> None:
     options = [SoakOptions.sample(random.Random(seed)) for seed in SEEDS]
     assert {option.memory_mb for option in options} >= {32, 48, 96}
-    assert any(option.failing_calls > 0.05 for option in options)
-    assert any(option.clock_s or option.step_s for option in options)
+    assert any(option.failing_call_share > 0.05 for option in options)
+    assert any(option.clock_error_s or option.clock_step_s for option in options)
     assert any(option.has_idle_clients for option in options)
 
 
