--- a/tests/soak/fault_injector.py
+++ b/tests/soak/fault_injector.py
@@ -26,7 +26,7 @@
 
 
 class FaultInjector:
-    """Injects the faults of one run.
+    """The injector of one run's faults.
 
     All random choices come from one random source, so that a seed always injects the same faults. `proxy`
     returns the current proxy process, since the run may restart the proxy.
--- a/tests/soak/options.py
+++ b/tests/soak/options.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """The options of one run, which every seed has."""
+    """Options of one run, which every seed chooses."""
 
     memory_mb: int
     failing_call_share: float  # share of system calls and thread starts that fail
@@ -86,7 +86,7 @@
 
     @classmethod
     def sample(cls, seed: int, options: SoakOptions) -> PressureOptions:
-        """Returns the options of a seed; the defaults, without pressure, below `FIRST_PRESSURE_SEED`."""
+        """Returns the options of a seed; the defaults if the seed is below `FIRST_PRESSURE_SEED`."""
         if seed < FIRST_PRESSURE_SEED:
             return cls()
         random_source = random.Random(f"pressure {seed}")
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -78,7 +78,7 @@
 
 @dataclass
 class Oracle:
-    """Records the observations of a run, and finds the violated invariants.
+    """The records of a run's observations, and the checks that find violated invariants.
 
     `lock` guards the records. `pauses` are the spans of time in which the proxy or the test could not run.
     """
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -2,7 +2,7 @@
 
     python -m tests.soak.run SEED [SEED...]
 
-runs the seeds one after another and prints each violation.
+runs the seeds one after another and prints the first violations of each.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 
 ANY_PORT = "127.0.0.1:0"  # the system chooses the port
 FAULT_PHASE_S = 8.0  # time in which faults are injected, until SIGTERM
-# The platform kills a process no earlier than this time after SIGTERM: the longest deadline and a margin.
+# Earliest time after SIGTERM at which the platform kills a process: the longest deadline plus its margin.
 KILL_AFTER_S = 3.0 + 0.7
 KILL_MARGIN_S = 0.04  # the proxy must end this long before the kill, so that the test sees the end in time
 SIGNAL_INTERVAL_S = 0.01
--- a/tests/soak/test_connection_cap.py
+++ b/tests/soak/test_connection_cap.py
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("clients", CLIENTS)
 def test_every_client_of_a_crowd_has_a_response_soon(reports: dict[int, LoadReport], clients: int) -> None:
-    """Guards against clients that wait for a connection until other clients disconnect."""
+    """Guards against clients that wait for a connection slot until other clients disconnect."""
     report = reports[clients]
     assert report.longest_first_wait_s < MAX_FIRST_WAIT_S
     assert report.statuses["closed"] == 0
--- a/tests/soak/test_memory_limit.py
+++ b/tests/soak/test_memory_limit.py
@@ -1,4 +1,4 @@
-"""Real proxy processes stay under the memory limit that the platform sets."""
+"""Memory use of real proxy processes, which must stay under the limit that the platform sets."""
 
 from __future__ import annotations
 
