--- a/tests/soak/faulty_calls.py
+++ b/tests/soak/faulty_calls.py
@@ -1,11 +1,15 @@
-"""Imported first in a proxy under soak: makes its system calls, threads and wall clock fail by a seed.
+"""Faults of system calls, thread starts and the wall clock in a proxy, which imports this module first.
 
-The variables: SOAK_SEED, SOAK_CALLS (the share of calls that fail while they do), SOAK_CLOCK_S (by how much
-the wall clock is stepped at the start), SOAK_STEP_S (by how much it is stepped after some seconds),
-SOAK_SMALL_SEND_BUFFERS (if set, the system grants no larger ones) and SOAK_PEEK_SHORTAGE (if set, looking at
-a socket's bytes without waiting fails from some seconds after the start on).
+Environment variables choose the faults:
 
-SIGUSR2 writes to standard error where the main thread is.
+- SOAK_SEED: seed of the random choices
+- SOAK_CALLS: share of socket calls and thread starts that fail between `FAULTS_FROM_S` and `FAULTS_UNTIL_S`
+- SOAK_CLOCK_S: error of the wall clock from the start, in seconds
+- SOAK_STEP_S: additional error of the wall clock after `STEP_AFTER_S`, in seconds
+- SOAK_SMALL_SEND_BUFFERS: if set, sockets get small send buffers, as if the system granted no larger ones
+- SOAK_PEEK_SHORTAGE: if set, every non-blocking peek at received bytes fails after `SHORTAGE_FROM_S`
+
+On SIGUSR2, the process writes the main thread's stack to standard error.
 """
 
 from __future__ import annotations
@@ -22,7 +26,8 @@
 from collections.abc import Callable
 from typing import Any
 
-FAULTS_FROM_S = 1.5  # after the start, so that it is the running proxy whose calls fail
+# Times after the start. Calls fail only from `FAULTS_FROM_S` on, when the proxy has started and is running.
+FAULTS_FROM_S = 1.5
 FAULTS_UNTIL_S = 6.0
 STEP_AFTER_S = 2.0
 SHORTAGE_FROM_S = 4.0
@@ -37,10 +42,10 @@
     errno.ETIMEDOUT,
 )
 
-_draw = random.Random(int(os.environ.get("SOAK_SEED", "0")))
-_share = float(os.environ.get("SOAK_CALLS", "0"))
-_clock_ns = int(float(os.environ.get("SOAK_CLOCK_S", "0")) * 1e9)
-_step_ns = int(float(os.environ.get("SOAK_STEP_S", "0")) * 1e9)
+_random_source = random.Random(int(os.environ.get("SOAK_SEED", "0")))
+_failing_share = float(os.environ.get("SOAK_CALLS", "0"))
+_clock_error_ns = int(float(os.environ.get("SOAK_CLOCK_S", "0")) * 1e9)
+_clock_step_ns = int(float(os.environ.get("SOAK_STEP_S", "0")) * 1e9)
 _started_at = time.monotonic()
 
 
@@ -48,37 +53,37 @@
     return time.monotonic() - _started_at
 
 
-def _fails() -> bool:
-    return FAULTS_FROM_S < _age_s() < FAULTS_UNTIL_S and _draw.random() < _share
+def _should_fail() -> bool:
+    return FAULTS_FROM_S < _age_s() < FAULTS_UNTIL_S and _random_source.random() < _failing_share
 
 
-def _failing(call: Callable[..., Any], errors: tuple[int, ...]) -> Callable[..., Any]:
+def _with_errors(call: Callable[..., Any], errors: tuple[int, ...]) -> Callable[..., Any]:
     def call_or_fail(*args: Any, **kwargs: Any) -> Any:
-        if _fails():
-            number = _draw.choice(errors)
+        if _should_fail():
+            number = _random_source.choice(errors)
             raise OSError(number, os.strerror(number))
         return call(*args, **kwargs)
 
     return call_or_fail
 
 
-def _failing_start(call: Callable[..., Any]) -> Callable[..., Any]:
+def _with_start_errors(call: Callable[..., Any]) -> Callable[..., Any]:
     def start_or_fail(*args: Any, **kwargs: Any) -> Any:
-        if _fails():
+        if _should_fail():
             raise RuntimeError("can't start new thread")
         return call(*args, **kwargs)
 
     return start_or_fail
 
 
-def _stepped(call: Callable[[], int]) -> Callable[[], int]:
+def _with_clock_errors(call: Callable[[], int]) -> Callable[[], int]:
     def time_ns() -> int:
-        return call() + _clock_ns + (_step_ns if _age_s() > STEP_AFTER_S else 0)
+        return call() + _clock_error_ns + (_clock_step_ns if _age_s() > STEP_AFTER_S else 0)
 
     return time_ns
 
 
-def _with_small_buffers(call: Callable[..., Any]) -> Callable[..., Any]:
+def _with_small_send_buffers(call: Callable[..., Any]) -> Callable[..., Any]:
     def set_option(sock: socket.socket, level: int, option: int, value: Any) -> Any:
         if (level, option) == (socket.SOL_SOCKET, socket.SO_SNDBUF):
             value = SMALL_SEND_BUFFER_BYTES
@@ -87,7 +92,7 @@
     return set_option
 
 
-def _short_when_peeking(call: Callable[..., Any]) -> Callable[..., Any]:
+def _with_peek_errors(call: Callable[..., Any]) -> Callable[..., Any]:
     peek = socket.MSG_PEEK | socket.MSG_DONTWAIT
 
     def receive(sock: socket.socket, size: int, flags: int = 0) -> Any:
@@ -98,21 +103,21 @@
     return receive
 
 
-# Of one thread, unlike the proxy's own SIGUSR1, whose dump ends after a hundred threads: the system gives a
-# process's signals to the main thread.
+# Writes the stack of one thread: the main thread, to which the system delivers a process's signals. The
+# proxy's own SIGUSR1 writes the stacks of all threads, and its output ends after a hundred threads.
 faulthandler.register(signal.SIGUSR2, all_threads=False)
-patched: Any = socket.socket
+socket_class: Any = socket.socket
 if os.environ.get("SOAK_SMALL_SEND_BUFFERS"):
-    patched.setsockopt = _with_small_buffers(socket.socket.setsockopt)
+    socket_class.setsockopt = _with_small_send_buffers(socket.socket.setsockopt)
 if os.environ.get("SOAK_PEEK_SHORTAGE"):
-    patched.recv = _short_when_peeking(socket.socket.recv)
-if _share:
+    socket_class.recv = _with_peek_errors(socket.socket.recv)
+if _failing_share:
     for name in ("recv", "recv_into", "send", "sendmsg", "setsockopt"):
-        setattr(patched, name, _failing(getattr(socket.socket, name), TRANSIENT_ERRORS))
-    patched.accept = _failing(socket.socket.accept, ACCEPT_ERRORS)
-    patched.connect = _failing(socket.socket.connect, CONNECT_ERRORS)
+        setattr(socket_class, name, _with_errors(getattr(socket.socket, name), TRANSIENT_ERRORS))
+    socket_class.accept = _with_errors(socket.socket.accept, ACCEPT_ERRORS)
+    socket_class.connect = _with_errors(socket.socket.connect, CONNECT_ERRORS)
     thread_class: Any = threading.Thread
-    thread_class.start = _failing_start(threading.Thread.start)
+    thread_class.start = _with_start_errors(threading.Thread.start)
     thread_module: Any = _thread
-    thread_module.start_new_thread = _failing_start(_thread.start_new_thread)
-time.time_ns = _stepped(time.time_ns)
+    thread_module.start_new_thread = _with_start_errors(_thread.start_new_thread)
+time.time_ns = _with_clock_errors(time.time_ns)
