--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -51,7 +51,7 @@
 class PendingFill(NamedTuple):
     """A fill in flight."""
 
-    ends_at_s: float  # on the monotonic clock
+    ends_at_s: float  # end of the fill, on the monotonic clock
     started_unix_ms: int
 
 
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -53,7 +53,7 @@
 class Job(NamedTuple):
     """A request that a worker must send."""
 
-    due: float  # on the monotonic clock
+    due: float  # time at which to send the request, on the monotonic clock
     proxy: int
     name: str
 
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -34,7 +34,7 @@
 """
 
 # The docstring above is also the grammar that docopt parses. Subsystems of the operator's file are imported
-# only if such a file is named, since a proxy without one needs neither their memory nor their start-up time.
+# only if such a file is named, so that a proxy without one saves their memory and their start-up time.
 
 from __future__ import annotations
 
--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -65,9 +65,9 @@
 class FieldReader:
     """Typed access to the fields of one JSON object.
 
-    A null counts as missing. Methods raise a ConfigError that names the object and the field if a required
-    field is missing or a field has an unexpected type. A field is required if the caller gives no default.
-    Immutable, so any thread may use it.
+    A null is treated as a missing field. Methods raise a ConfigError that names the object and the field if a
+    required field is missing or a field has an unexpected type. A field is required if the caller gives no
+    default. Immutable, so any thread may use it.
     """
 
     def __init__(self, where: str, data: object) -> None:
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -100,13 +100,15 @@
     max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # requests in flight
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
     upstream_idle_timeout: Duration = DEFAULT_UPSTREAM_IDLE_TIMEOUT
-    response_pause_timeout: Duration = 200 * MILLISECOND  # a longer pause within a response counts as a stall
+    # A longer pause within a response is treated as a stall.
+    response_pause_timeout: Duration = 200 * MILLISECOND
     response_timeout: Duration = 2 * SECOND  # time between a response's first and last byte
     # A liveness check is sent if no byte arrives for this long while requests are pending.
     liveness_check_delay: Duration = 200 * MILLISECOND
     # The connection is closed if the endpoint does not reply to a liveness check within this time.
     liveness_check_timeout: Duration = 200 * MILLISECOND
-    receive_poll_interval: Duration = 50 * MILLISECOND  # between checks of a connection that receives nothing
+    # Interval between checks of a connection that receives nothing.
+    receive_poll_interval: Duration = 50 * MILLISECOND
 
     # Threads and listener
     stack_bytes: int = 262_144  # stack size of each thread
--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -36,10 +36,10 @@
 # Minimum that all owners share, even if the total then exceeds the limit.
 MIN_SPARE_BYTES = 4 * BYTES_PER_MB
 
-# One entry or message.
+# Memory of one entry or message.
 NAME_BYTES = 360
 INVALIDATION_BYTES = 320
-# For each body buffer: its memoryview, and the body and the cache entry that hold it.
+# Overhead of each body buffer, for its memoryview and for the body and the cache entry that hold it.
 BUFFER_OVERHEAD_BYTES = 1_024
 DISCOVERY_RESPONSE_SHARE = Share(1, 32)  # share of the limit for one response body before decoding
 MIN_DISCOVERY_RESPONSE_BYTES = 2 * BYTES_PER_MB
--- a/olivepost/interface/actions.py
+++ b/olivepost/interface/actions.py
@@ -14,7 +14,7 @@
 
     UNSPECIFIED = "unspecified"
     DEADLINE = "deadline"  # The request's deadline is about to pass.
-    NO_ENDPOINT = "no_endpoint"  # No endpoint may take the request.
+    NO_ENDPOINT = "no_endpoint"  # No endpoint may be used for the request.
     OVERLOAD = "overload"  # The request is too expensive at the present load.
     # The attempt limit, the deadline, the retry budget or idempotency forbids another attempt.
     RETRY_NOT_ALLOWED = "retry_not_allowed"
@@ -28,18 +28,18 @@
 
     request_id: str
     cache: str
-    # The endpoint from which the cache fills a miss. None: a miss is not filled.
+    # The endpoint from which the cache fills a miss, or None if a miss is not filled.
     source: str | None
-    # The rank of the cached response. Responses of lower ranks are evicted earlier. 0: it is not cached.
+    # The rank of the cached response. Lower ranks are evicted earlier, and 0 means that it is not cached.
     rank: int
     timeout: Duration
-    # The age limit of the response. None: the class's freshness lifetime.
+    # The age limit of the response, or None if only the class's freshness lifetime applies.
     max_age: Duration | None
     # Whether the attempt joins a fill of the same object that is already in flight.
     collapse_fills: bool = False
     # Whether the cache refreshes its cached response in the background of this attempt.
     refresh: bool = False
-    # The latest time at which the attempt may begin. None: no limit.
+    # The latest time at which the attempt may begin, or None if there is no limit.
     start_before: Instant | None = None
 
 
@@ -56,7 +56,7 @@
     """Final response that rejects a request. The client may send the request again."""
 
     request_id: str
-    # The delay after which the client is advised to send the request again. None: no advice.
+    # The delay after which the client is advised to send the request again, or None if none is advised.
     retry_after: Duration | None = None
     reason: GiveUpReason = field(default=GiveUpReason.UNSPECIFIED, compare=False)
 
@@ -106,7 +106,7 @@
     request_id: str
     name: str
     cache: str
-    # The endpoint from which `cache` would fill the name. None: only the name's location is looked up.
+    # The endpoint from which `cache` would fill the name, or None if only the name's location is looked up.
     source: str | None
     timeout: Duration
     lease_duration: Duration  # the longest allowed duration of the fill lease
@@ -117,7 +117,7 @@
     """End of a request that requested a fill lease."""
 
     request_id: str
-    # The cache that has the object now. None: the object was not filled.
+    # The cache that has the object now, or None if the object was not filled.
     cache: str | None = None
     rank: int = 0
 
@@ -141,7 +141,7 @@
 
 @dataclass(slots=True)
 class DonateQuota:
-    """Quota that this proxy gives up for a `QuotaRequested`, from now until it expires.
+    """Quota that this proxy gives up immediately, in answer to a `QuotaRequested`, until `expires_at`.
 
     The amount is 0 if none can be spared. A `QuotaReceived` with the same amount and expiry time returns it.
     """
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -81,13 +81,13 @@
     zone: str = ""
     cell: int = 0
     weight: float = 1.0
-    # The start of the endpoint's process. None: the endpoint is long-running and has no slow start.
+    # The start of the endpoint's process, or None if the endpoint is long-running and has no slow start.
     started_at: Instant | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Update of the endpoint list: the full list or its changes."""
+    """Update of the endpoint list, which has either the full list or its changes."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[EndpointMetadata, ...]
@@ -109,8 +109,8 @@
     class_name: str
     object: str
     timeout: Duration
-    size_kb: float | None = None  # None: unknown
-    # The group of objects with which the object is invalidated. None: unknown.
+    size_kb: float | None = None  # None if the size is unknown
+    # The group of objects with which the object is invalidated, or None if the group is unknown.
     group: int | None = None
     part: int = 0
     is_write: bool = False
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """Start of a streamed response. From now on the request is neither retried nor given up."""
+    """Start of a streamed response. After it, the request is neither retried nor given up."""
 
     request_id: str
     attempt: int
@@ -137,7 +137,7 @@
     cache_status: CacheStatus = CacheStatus.UNKNOWN
     # Whether another outcome has already reported the loss of the attempt's connection.
     is_repeated_loss: bool = False
-    # Whether the response is "not modified": it has no body and no transfer time.
+    # Whether the response is "not modified", which has no body and no transfer time.
     is_not_modified: bool = False
 
 
@@ -150,7 +150,7 @@
 
 @dataclass(slots=True)
 class Shutdown:
-    """Arrival of the shutdown deadline: every pending request gets its final response."""
+    """Arrival of the shutdown deadline, at which every pending request gets its final response."""
 
 
 @dataclass(slots=True)
@@ -184,7 +184,7 @@
     """Reply of the shared store about a name that was looked up."""
 
     request_id: str
-    # The cache that has the object or is filling it. None: there is none, or this proxy has the fill lease.
+    # The cache that has or is filling the object, or None if there is none or this proxy has the fill lease.
     cache: str | None = None
     is_filling: bool = False
     ready_in: Duration = 0  # the time until the fill ends, according to its lease
@@ -229,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressure:
-    """Memory pressure level of the process, when it has changed and at each check under pressure."""
+    """Memory pressure level of the process, sent when it has changed and at each check under pressure."""
 
     level: MemoryPressureLevel
 
--- a/olivepost/interface/quota.py
+++ b/olivepost/interface/quota.py
@@ -24,7 +24,7 @@
 
     kind: QuotaKind
     endpoint_id: str | None = None
-    # The start of the endpoint's process. None: the endpoint is long-running and has no slow start.
+    # The start of the endpoint's process, or None if the endpoint is long-running and has no slow start.
     started_at: Instant | None = None
 
 
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -9,7 +9,7 @@
 
 
 class Idempotency(Enum):
-    """Idempotency of a class: whether a repeated request has a second effect."""
+    """Idempotency of a class, which says whether a repeated request has a second effect."""
 
     IDEMPOTENT = "safe"
     # Idempotent within the caches of the deduplication scope, for the duration of the idempotency window.
@@ -40,7 +40,7 @@
     is_streaming: bool
     priority_weight: float
     late_priority_weight: float
-    freshness_lifetime: Duration | None  # None: responses of the class stay fresh
+    freshness_lifetime: Duration | None  # None if responses of the class stay fresh
     stale_grace: Duration  # the time during which a stale response may still be used
     stale_priority_weight: float
     is_uncacheable: bool
@@ -54,7 +54,7 @@
     slow_start_initial_share: float  # the share of its capacity that an endpoint has when it starts
     slow_start_duration: Duration
     # The work limit of an endpoint in slow start, as a multiple of its capacity in one overload window.
-    # 0: no limit.
+    # 0 means that there is no limit.
     overload_multiple: float
 
 
@@ -66,11 +66,11 @@
     zone: str
     caches: TierSettings
     parents: TierSettings
-    # The kinds that mark an endpoint as a parent or as an origin. None: there is no such tier.
+    # The kinds that mark an endpoint as a parent or as an origin, or None if there is no such tier.
     parent_kind: str | None
     origin_kind: str | None
     has_endpoint_weights: bool
-    transfer_rate_kb_per_s: float | None  # the rate of one transfer; None: unknown
+    transfer_rate_kb_per_s: float | None  # the rate of one transfer; None if it is unknown
     can_collapse_fills: bool
     # Whether an attempt may go directly to a parent if no cache may be used.
     allows_direct_forwarding: bool
@@ -89,11 +89,11 @@
     max_retry_after: Duration
     # The final response is sent at least this long before a request's deadline.
     deadline_margin: Duration
-    # The number of cached responses that the proxy can transfer at once. 0: the proxy caches nothing.
+    # The number of cached responses that the proxy can transfer at once. 0 means that it caches nothing.
     local_transfer_capacity: float = 0.0
-    # The longest time that a request waits for the shared store. None: there is no shared store.
+    # The longest time that a request waits for the shared store, or None if there is no shared store.
     shared_store_timeout: Duration | None = None
-    # Limits set by the memory of the hosting process. None: only the router's own limits apply.
+    # Limits set by the memory of the hosting process, or None if only the router's own limits apply.
     max_names: int | None = None
     max_invalidations: int | None = None
     max_order_bytes: int | None = None
--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -13,7 +13,7 @@
 class BufferPool:
     """A pool of equally sized buffers in one memory mapping. A buffer occupies memory from its first use on.
 
-    The buffer that was released last is acquired first, so that the number of buffers that occupy memory
+    The buffer that was released last is acquired first. The number of buffers that occupy memory therefore
     never exceeds the peak of buffers in use. `trim` returns the memory of free buffers to the system.
     Thread-safe: the lock of `_released` guards all other private fields and `peak`. Counts may be read
     without the lock.
--- a/olivepost/proxy/delay_histogram.py
+++ b/olivepost/proxy/delay_histogram.py
@@ -14,7 +14,7 @@
 
 
 class DelayHistogram:
-    """Counts of durations by bucket. One thread at a time may record while another one reads."""
+    """Counts of durations by bucket. Only one thread at a time may record; another one may read meanwhile."""
 
     __slots__ = ("_counts", "count", "longest")
 
@@ -24,7 +24,7 @@
         self._counts = [0] * (LAST_BUCKET + 1)
 
     def record(self, duration: Duration) -> None:
-        """Adds one duration. A negative one, which comes from clocks that differ, counts as 0."""
+        """Adds one duration. A negative duration, which clocks that differ can cause, is recorded as 0."""
         duration = max(0, duration)
         self.count += 1
         self.longest = max(self.longest, duration)
--- a/olivepost/proxy/downstream/connection_admission.py
+++ b/olivepost/proxy/downstream/connection_admission.py
@@ -124,7 +124,8 @@
             context.is_slot_wanted = False
             waited_s = time.monotonic() - began_at
             self._mean_slot_wait_s += SLOT_WAIT_STEP * (waited_s - self._mean_slot_wait_s)
-            # Before it was accepted, the client waited behind about as many clients as now wait behind it.
+            # The number of clients that were ahead of this one before it was accepted is estimated by the
+            # number of those that now wait behind it.
             self._queue_delay_s = waited_s + min(MAX_SLOT_WAIT_S, waiting_count * self._mean_slot_wait_s)
         return False
 
--- a/olivepost/proxy/downstream/eviction.py
+++ b/olivepost/proxy/downstream/eviction.py
@@ -11,8 +11,9 @@
 # its way, and a reset could overtake its last response.
 MIN_IDLE_BEFORE_EVICTION: Duration = 50 * MILLISECOND
 MAX_EVICTIONS_AT_ONCE = 8  # largest number of connections that one call of `evict_idle` closes
-# Connections without any request count as a flood if they take a quarter of the cap or more. They are closed
-# at their own deadlines at the latest, and no connection that has had a request is evicted for them.
+# Connections that have had no request are a flood if they are at least a quarter of the connection cap. They
+# are closed at their own deadlines at the latest, and no connection that has had a request is evicted for
+# them.
 UNUSED_FLOOD_DIVISOR = 4
 
 
--- a/olivepost/proxy/downstream/request_reader.py
+++ b/olivepost/proxy/downstream/request_reader.py
@@ -21,8 +21,8 @@
 
     It also reads while a request is in flight, so that a close by the client is noticed immediately. The lock
     of the connection's lifecycle also guards `_dropped_bytes`. Each exchange gets `deliver`, which the event
-    loop's thread calls with the final response. The first bytes count as received `queue_delay` before they
-    are read, because the client's timeout has been running since then.
+    loop's thread calls with the final response. The first bytes are treated as received `queue_delay`
+    before they are read, because the client's timeout has been running since then.
     """
 
     def __init__(
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -1,6 +1,6 @@
 """The event loop: one thread that owns the router, the timers and all pending requests.
 
-Other threads post events to its queue. The loop makes no socket calls and no routing decisions of its own.
+Other threads post events to its queue. The loop itself makes neither socket calls nor routing decisions.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from olivepost.router import Router
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Delay of a timer, measured from its due time, above which it counts as late.
+# Delay of a timer, measured from its due time, above which it is counted as late.
 LATE_TIMER_AFTER: Duration = 5 * MILLISECOND
 
 
--- a/olivepost/proxy/event_queue.py
+++ b/olivepost/proxy/event_queue.py
@@ -1,4 +1,4 @@
-"""The event loop's queue: any thread posts events, and the event loop's thread takes them."""
+"""The event loop's queue, to which any thread posts events. Only the event loop's thread removes them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EventQueue:
-    """A first-in, first-out queue of events. It is thread-safe and has no length limit of its own."""
+    """A first-in, first-out queue of events. It is thread-safe and does not limit its length."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -26,9 +26,9 @@
     """The final response to a request. Its last owner releases its body."""
 
     kind: ResponseKind
-    etag: str | None = None  # without quotes; None if the endpoint sent none
+    etag: str | None = None  # entity tag without quotes; None if the endpoint sent none
     body: PooledBody | None = None
-    generated_at: Instant | None = None  # when the origin generated it; None if unknown
+    generated_at: Instant | None = None  # time at which the origin generated it; None if unknown
     retry_after: Duration | None = None  # advised delay before the client's retry; None if there is none
 
     def release(self) -> None:
@@ -56,7 +56,7 @@
     etag: str | None
     body: bytes
     timeout: Duration  # counted from `received_at`
-    received_at: Instant  # when the request's last byte was read
+    received_at: Instant  # time at which the request's last byte was read
     deliver: Callable[[Exchange, Response], None]  # passes the response to the client's connection
     is_client_disconnected: Callable[[], bool]  # asks the client's connection; if true, no attempt is written
     is_write: bool = False  # whether the request changes the object at the origin
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -133,7 +133,7 @@
 
     @property
     def buffered_bytes(self) -> int:
-        """Number of received bytes that belong neither to a message taken so far nor to a parsed head."""
+        """Number of received bytes that belong neither to a parsed head nor to a returned message."""
         return len(self._data)
 
     @property
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -9,7 +9,8 @@
 import threading
 from collections import Counter
 
-_violations: Counter[str] = Counter()  # in this process, by name of the invariant; guarded by `_lock`
+# Number of violations in this process, by name of the invariant. Guarded by `_lock`.
+_violations: Counter[str] = Counter()
 _lock = threading.Lock()
 
 
--- a/olivepost/proxy/parts.py
+++ b/olivepost/proxy/parts.py
@@ -27,7 +27,8 @@
     Any thread may read the fields. Each part's class documents which threads may call its methods.
     """
 
-    config: ProxyConfig  # without `known_events`, which `ProxyServer` holds until it has started
+    # The configuration without `known_events`, which `ProxyServer` holds until it has started.
+    config: ProxyConfig
     clock: Clock
     log: EventLog
     body_buffers: BufferPool
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -27,7 +27,7 @@
     aborts_in_flight: int = 0
     deferred_attempt: UpstreamRequest | None = None  # the next attempt, which waits for these aborts
     attempt_count: int = 0  # number of attempts so far, and thereby the number of the next one
-    generated_at: Instant | None = None  # when the origin generated the response; None if unknown
+    generated_at: Instant | None = None  # time at which the origin generated the response; None if unknown
 
 
 class PendingExchanges:
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -28,7 +28,7 @@
 
     group: int
     etag: str | None
-    generated_at: Instant  # when the origin generated it
+    generated_at: Instant  # time at which the origin generated the response
     body: PooledBody
 
 
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -18,7 +18,8 @@
     due_at: Instant
     sequence: int  # position in the order in which timers were set
     timer_id: int
-    is_attempt_timeout: bool  # False: the router set it, and `timer_id` is the router's own id
+    # False if the router set the timer, in which case `timer_id` is the router's own id.
+    is_attempt_timeout: bool
 
 
 class TimerQueue:
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -58,7 +58,7 @@
     """Yields the outcomes of the requests that were pending on a connection when it ended.
 
     If the connection was established, a request whose first byte was not written is forwarded again, but only
-    once. Each other request ends, and only the first of them counts as the loss of the connection.
+    once. All other requests end, and only the first outcome reports the loss of the connection.
     """
     is_repeated_loss = False
     for request in requests:
--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -36,7 +36,7 @@
 
     @property
     def is_closing(self) -> bool:
-        """Whether the connection accepts no more requests."""
+        """Whether the connection no longer accepts requests."""
         return self._state.is_closing
 
     @property
--- a/olivepost/proxy/upstream/endpoint_address.py
+++ b/olivepost/proxy/upstream/endpoint_address.py
@@ -15,7 +15,8 @@
 
     id: str
     socket_address: Address | None  # None if not given, which is allowed only for a removed endpoint
-    started_at: Instant | None  # Unix nanoseconds; None if not given: the process counts as warm
+    # Start of the process in Unix nanoseconds, or None if not given. The process is then treated as warm.
+    started_at: Instant | None
     state: api.EndpointState
 
     def is_same_process(self, other: EndpointAddress) -> bool:
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -13,7 +13,7 @@
 from olivepost.proxy.upstream.errors import LineProtocolError
 
 MAX_LINE_BYTES = 1_024  # including CR LF; the protocol sets this limit
-MAX_LENGTH_DIGITS = 9  # for a body's length in bytes: no endpoint sends a body of 1 GB
+MAX_LENGTH_DIGITS = 9  # digits of a body's length in bytes, since no endpoint sends a body of 1 GB
 MAX_REPORTED_BYTES = 80  # an error quotes this many bytes of a rejected line
 LINE_END = b"\r\n"
 LINE_FEED = 0x0A
@@ -39,7 +39,7 @@
     request_id: str
     status: str  # HIT, VALID, NONE, SHED, FAULT, LATE or PONG; the caller handles all others
     fields: dict[str, str]
-    body_length: int | None  # in bytes; None if neither a body nor its CR LF follows
+    body_length: int | None  # length in bytes; None if neither a body nor its CR LF follows
 
 
 class ResponseEnd:
@@ -54,7 +54,7 @@
 ) -> bytes:
     """Encodes one command.
 
-    If the body is None, which differs from an empty body, the command has neither fields nor a length.
+    If the body is None, the command has neither fields nor a length. An empty body is sent with both.
     """
     if body is None:
         return f"{verb} {request_id}\r\n".encode("ascii")
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -21,8 +21,8 @@
 
     limits: ResourceLimits
     last_received_at: Instant = 0
-    response_started_at: Instant | None = None  # when the response in progress began; None if there is none
-    check_sent_at: Instant | None = None  # when a check was sent; None once a byte has followed
+    response_started_at: Instant | None = None  # start of the response in progress; None if there is none
+    check_sent_at: Instant | None = None  # time of the last check; None once a byte has followed
 
     @property
     def is_waiting(self) -> bool:
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -144,7 +144,7 @@
             return
         now = self._resources.clock.now()
         # The endpoint may have closed an idle connection, and the reader may not have noticed that yet. A
-        # request that is written now would count as possibly executed. A request that is not started is
+        # request that is written now would be treated as possibly executed. A request that is not started is
         # forwarded again.
         if self._state.pending_count <= 1 and self._context.liveness.is_idle(now):
             if sockets.is_closed_by_peer(sock):
@@ -169,7 +169,7 @@
         view = memoryview(data)
         if request is not None:
             # This is set before the first byte is sent: if the connection ends in the meantime, the request
-            # must count as started.
+            # must be treated as started.
             request.is_started = True
         while view:
             try:
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -92,7 +92,7 @@
     ) -> None:
         """Forwards the next attempt, or gives up at once if none can be made or the request is too expensive.
 
-        The request's cost is checked against the level in `overload`, or not at all if that is None.
+        If `overload` is given, the request's cost is checked against its level.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -103,7 +103,7 @@
     def _update_endpoints(self, now: Instant, event: api.EndpointUpdate) -> None:
         """Applies an endpoint update; subscribes after a restored list or a failed subscription.
 
-        This upholds the draining invariant: from now on, no attempt goes to a draining or removed endpoint.
+        This upholds the draining invariant: no later attempt goes to a draining or removed endpoint.
         """
         self.state.endpoints.update(now, event, self.settings)
         if not self.settings.subscribes_to_endpoints:
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -1,6 +1,7 @@
 """Endpoint capacity: slow start budgets and concurrency limits.
 
-The configuration gives each proxy its part of them. Proxies transfer quota to each other by a shared store.
+The configuration gives each proxy its part of them. Proxies transfer quota to each other through a shared
+store.
 """
 
 import math
@@ -22,7 +23,8 @@
 MIN_LIMIT_FACTOR = 0.5  # factor of the concurrency limit at a high late share
 MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit at a late share of 0
 LIMIT_FACTOR_SLOPE = 2.5  # decrease of that factor for each unit of the late share
-# An endpoint that is first listed later than this after its start counts as started when it is listed.
+# Longest plausible time from an endpoint's start to its first listing. An endpoint that is listed later is
+# treated as if it had started when it was listed.
 MAX_LISTING_DELAY: Duration = 20 * SECOND
 DONATED_SHARE = 0.75  # largest share that a proxy donates of its part of a quota
 MAX_TRANSFER_DURATION: Duration = 2 * SECOND  # longest quota transfer that a proxy agrees to
@@ -92,9 +94,9 @@
 
 
 def transferred(state: RoutingState, now: Instant, key: api.QuotaKey, part: float) -> float:
-    """Returns what transfers add to this proxy's part of a quota; below 0 if they reduce it.
+    """Returns the amount that transfers add to this proxy's part of a quota; below 0 if they reduce it.
 
-    What an earlier process of this proxy may have donated is subtracted.
+    The amount that an earlier process of this proxy may have donated is subtracted.
     """
     balance = state.quotas.balance(now, key)
     return balance - DONATED_SHARE * part if _may_have_forgotten_donations(state, now) else balance
@@ -113,7 +115,7 @@
 
     It depends on the configuration alone, since observed rates may fall.
 
-    The origin has neither a concurrency limit nor a slow start, so this proxy has no quota of it to donate.
+    The origin has neither a concurrency limit nor a slow start, so this proxy has no such quota to donate.
     """
     endpoint = None if key.endpoint_id is None else state.endpoints.by_id.get(key.endpoint_id)
     if endpoint is None or endpoint.role is Role.ORIGIN:
@@ -126,7 +128,7 @@
     share = slow_start_share(now - window, endpoint)
     budget_per_link = endpoint.tier.overload_multiple * share * window
     part = budget_per_link * configured_link_transfers(state, endpoint)
-    # What the recipient sends as the transfer ends counts in the endpoint's window for one window longer.
+    # Work that the recipient sends as the transfer ends stays in the endpoint's window for one window longer.
     return QuotaPart(part, endpoint.work.total(now), return_delay=window)
 
 
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -61,7 +61,10 @@
 
 
 def silence_score(slow_share: float) -> float:
-    """Returns what one silence adds to a failure score: less if more successful responses take as long."""
+    """Returns the amount that one silence adds to a failure score.
+
+    It is smaller if more successful responses take as long.
+    """
     return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(SILENCE_EJECTION_ODDS)
 
 
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -12,7 +12,7 @@
 
 
 def should_look_up(state: RoutingState, pending: PendingRequest, source: str | None) -> bool:
-    """Whether the shared store is asked before the attempt: for a new name's location, and before a fill."""
+    """Whether the shared store is asked before the attempt, for a new name's location or before a fill."""
     if not state.is_store_available or not pending.rank or pending.hint is not None:
         return False
     is_new = pending.name_remaining is None and not pending.attempt_count
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -25,8 +25,8 @@
 def max_age(state: RoutingState, now: Instant, pending: PendingRequest, source: str) -> Duration | None:
     """Returns the age bound of an attempt, or None if it has none.
 
-    In a fault the class's grace for stale responses is added to its freshness lifetime. A fault is assumed
-    from the second attempt on, and while the source is ejected.
+    During a fault, the class's grace for stale responses is added to its freshness lifetime. A fault is
+    assumed from the second attempt on, and while the source is ejected.
     """
     limit = pending.request_class.freshness_lifetime
     bound = age_bound(state, now, pending.request)
@@ -65,7 +65,7 @@
 def should_store(state: RoutingState, pending: PendingRequest, sent_at: Instant) -> bool:
     """Whether a response is stored in the proxy's own cache: only if its name is ranked and was seen before.
 
-    It is not stored if an invalidation came after the attempt was sent, since it may be older than that.
+    It is not stored if an invalidation came after the attempt was sent, since the response may be older.
     """
     if not pending.rank or state.settings.local_transfer_capacity <= 0:
         return False
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -1,14 +1,14 @@
-"""Memory pressure: what the process sheds, and in which order, as it comes close to its memory limit.
+"""Memory pressure, and the order in which the process sheds memory as it comes close to its limit.
 
-The platform kills a process that exceeds its limit, and all its pending requests are lost. Therefore what
-costs least is shed first: the proxy's own cached responses, idle connections, new names, new client
-connections. Requests are rejected last.
+The platform kills a process that exceeds its limit, and all its pending requests are lost. Therefore
+the resources that cost least are shed first: the proxy's own cached responses, idle connections, new names,
+and new client connections. Requests are rejected last.
 """
 
 from olivepost import interface as api
 from olivepost.routing_state import RoutingState
 
-# Share of the memory limit at which each level begins. The rest is for what arrives until the next check.
+# Share of the memory limit at which each level begins. The rest is for data arriving until the next check.
 LEVEL_SHARES = {
     api.MemoryPressureLevel.EVICT_CACHE: 0.80,
     api.MemoryPressureLevel.CLOSE_IDLE: 0.84,
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -18,7 +18,7 @@
 MIN_SILENCE_TIMEOUT: Duration = SECOND // 100
 SHARE_STEP = 0.05  # weight of a new sample in the slow share and the request fault share
 INITIAL_SLOW_SHARE = 0.1
-# What each kind of failure adds to the failure score of the endpoint at fault.
+# Amounts that the kinds of failure add to the failure score of the endpoint at fault.
 CACHE_REJECTED_SCORE = 0.2
 SOURCE_REJECTED_SCORE = 0.35
 FILL_FAILED_SCORE = 0.25
@@ -64,9 +64,9 @@
 
 
 def _record_success(state: RoutingState, now: Instant, endpoint_id: str, role: Role, work: float) -> None:
-    """Records a success; if the endpoint started long ago, also its work in the rate of its role.
+    """Records a success. If the endpoint is long-running, its work is also added to the rate of its role.
 
-    That rate is the mean over the role's ready endpoints that started long ago.
+    That rate is the mean over the role's ready endpoints that are long-running.
     """
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
@@ -77,7 +77,7 @@
 
 
 def record_lateness(state: RoutingState, endpoint_id: str, is_late: bool) -> None:
-    """Records whether a response was late: a hit at its cache, a fill at its source."""
+    """Records whether a response was late. A hit is recorded at its cache, and a fill at its source."""
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
         return
@@ -119,7 +119,7 @@
         case api.AttemptStatus.ERROR:
             fault = PossibleFault(attempt.cache, ATTEMPT_FAILED_SCORE)
             _record_possible_fault(state, pending, attempt, fault)
-        # The loss of a connection counts as one failure, however many attempts were in flight on it.
+        # The loss of a connection is recorded as one failure, even if several attempts were in flight on it.
         case api.AttemptStatus.TIMED_OUT if has_responded:
             score = 0.0 if outcome.is_repeated_loss else FILL_FAILED_SCORE
             return record_failure(state, now, pending, source, score)
@@ -160,7 +160,7 @@
         is_source_fault = is_source_fault or _has_cache_responded(state, pending, attempt)
     if is_source_fault:
         ejection = record_failure(state, now, pending, attempt.source_or_cache, SOURCE_REJECTED_SCORE)
-        record_lateness(state, attempt.source_or_cache, True)  # a rejected fill counts as late
+        record_lateness(state, attempt.source_or_cache, True)  # a rejected fill is recorded as late
         return ejection
     if outcome.cache_status is api.CacheStatus.ORIGIN_FAILED:
         return None
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -30,12 +30,12 @@
 
 
 def quota_part(state: RoutingState) -> QuotaPart:
-    """Returns the retry budget as a quota; the floor that is never donated counts as used."""
+    """Returns the retry budget as a quota; the floor, which is never donated, is part of the used amount."""
     return QuotaPart(MAX_RETRIES, (1 + DONATION_FLOOR) * MAX_RETRIES - state.retry_balance)
 
 
 def cost_of(pending: PendingRequest, outcome: api.AttemptOutcome) -> int:
-    """Returns what a retry costs: 1 or 0.
+    """Returns the cost of a retry to the retry budget, which is 1 or 0.
 
     It costs 0 if another retry has paid for the loss of the same connection, or if it is to confirm an error.
     """
@@ -113,7 +113,7 @@
 
 
 def is_client_retry_harmless(pending: PendingRequest) -> bool:
-    """Whether the client may send the request again: no endpoint has it, or a repeat has no effect."""
+    """Whether the client may send the request again, since no endpoint has it or a repeat has no effect."""
     request_class = pending.request_class
     if request_class.idempotency is api.Idempotency.IDEMPOTENT or not (pending.executed or pending.in_flight):
         return True
--- a/olivepost/routing_state/__init__.py
+++ b/olivepost/routing_state/__init__.py
@@ -1,4 +1,7 @@
-"""State that routing keeps between events. Only the router's owner changes it. It makes no decisions."""
+"""State that routing keeps between events. Only the router's owner changes it.
+
+The package makes no decisions.
+"""
 
 from olivepost.routing_state.averages import DecayingRate, MovingAverage, MovingAverages
 from olivepost.routing_state.endpoint import Ejection, Endpoint, Role
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -12,7 +12,7 @@
 
 
 class Role(IntEnum):
-    """Role of an endpoint for this proxy. It is an integer because decisions look up tables by it."""
+    """Role of an endpoint for this proxy. It is an integer because decisions use it as a key in tables."""
 
     CACHE = auto()
     PARENT = auto()
@@ -21,7 +21,7 @@
 
 
 class Ejection(NamedTuple):
-    """Ejection of an endpoint, as found after one of its failures was recorded."""
+    """Ejection of an endpoint, which is detected after one of its failures was recorded."""
 
     endpoint_id: str
 
@@ -36,14 +36,14 @@
     tier: api.TierSettings
     # The work of the attempts that were sent to the endpoint within the overload window.
     work: SlidingWindowSum
-    # The moving average of the share of late responses: hits of a cache, fills of a source.
+    # The moving average of the share of late responses, which are hits of a cache or fills of a source.
     late_share: float
-    # The start of the slow start, by this proxy's clock. None: the endpoint has no slow start.
+    # The start of the slow start, by this proxy's clock, or None if the endpoint has no slow start.
     started_at: Instant | None = None
     last_success_at: Instant | None = None
     failure_score: float = 0.0
     ejection_duration: Duration = 0
-    # The time from which a half-open trial of the ejected endpoint is due. None: not ejected.
+    # The time from which a half-open trial of the endpoint is due, or None if it is not ejected.
     ejected_until: Instant | None = None
     has_trial_in_flight: bool = False
     in_flight: int = 0
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -29,12 +29,12 @@
     work_window: Duration  # the window over which an endpoint's work is summed
     initial_late_share: float
     # The longest plausible time from an endpoint's start to its listing. An endpoint that is listed later
-    # counts as started when it is listed, because this proxy's clock may be ahead.
+    # is treated as if it had started when it was listed, because this proxy's clock may be ahead.
     max_listing_delay: Duration
     by_id: dict[str, Endpoint] = field(default_factory=dict)
     caches: tuple[str, ...] = ()
     parents: tuple[str, ...] = ()
-    origin: str | None = None  # None: no origin is ready
+    origin: str | None = None  # None if no origin is ready
     # The number of ready endpoints of each role that are listed without a start, since they are long-running.
     long_running: dict[Role, int] = field(default_factory=dict)
     first_listed_at: Instant | None = None  # the time at which this proxy first had an endpoint list
@@ -73,7 +73,7 @@
     ) -> Endpoint:
         """Returns the state of a listed endpoint.
 
-        If another process runs under its id now, its health and slow start are reset; its work is kept.
+        If another process now has the id, the health and the slow start are reset, but the work is kept.
         """
         if known is not None and known.metadata.started_at == metadata.started_at:
             known.metadata = metadata
@@ -84,7 +84,7 @@
     def _plausible_start(self, now: Instant, listed_start: Instant | None, is_live: bool) -> Instant | None:
         """Returns the start of an endpoint that is listed now.
 
-        It is not later than now. In a live update, a start that is implausibly early is replaced by now.
+        The result is not later than now. In a live update, an implausibly early start is replaced by now.
         """
         if listed_start is None:
             return None
@@ -102,7 +102,10 @@
         )
 
     def open_attempt(self, now: Instant, attempt: Attempt, work: float) -> None:
-        """Counts an attempt and its work at its endpoints. At an ejected one it is the half-open trial."""
+        """Counts an attempt and its work at its endpoints.
+
+        At an ejected endpoint, the attempt is the half-open trial.
+        """
         for endpoint_id in attempt.endpoint_ids:
             endpoint = self.by_id[endpoint_id]
             endpoint.in_flight += 1
--- a/olivepost/routing_state/invalidation_table.py
+++ b/olivepost/routing_state/invalidation_table.py
@@ -7,15 +7,15 @@
 from olivepost import interface as api
 from olivepost.units import Instant
 
-# A plain tuple, because three keys are created for each request. Requests and invalidations that name no
-# group have the group None.
+# This is a plain tuple, because three keys are created for each request. Requests and invalidations that name
+# no group have the group None.
 InvalidationKey = tuple[Literal["object", "group"], str | int | None]
 
 
 class InvalidationTable:
     """Latest invalidation of each object and group.
 
-    An invalidation that is evicted at capacity applies to every object from then on, so none is ever lost.
+    An invalidation that is evicted from a full table applies to every object from then on, so none is lost.
     """
 
     def __init__(self, capacity: int) -> None:
--- a/olivepost/routing_state/levels.py
+++ b/olivepost/routing_state/levels.py
@@ -9,9 +9,9 @@
 class ClassLevels:
     """Levels of f-TTL for one class, and the mean size of its responses."""
 
-    level: float  # ϑ of the paper
-    first_seen_level: float  # ϑs of the paper
-    mean_size: float = 0.0  # in KB; a mean of 0 is replaced by the next sample
+    level: float  # the level ϑ in the paper on f-TTL that `adaptive_ttl` names
+    first_seen_level: float  # the level ϑs in the same paper
+    mean_size: float = 0.0  # mean size of a response in KB; a mean of 0 is replaced by the next sample
 
 
 @dataclass(slots=True)
--- a/olivepost/routing_state/name_table.py
+++ b/olivepost/routing_state/name_table.py
@@ -22,7 +22,9 @@
 
 
 class ExpiringNameTable:
-    """Names in the order of expiry. Over capacity, the name that expires first is evicted. Not thread-safe.
+    """Names in the order of expiry. Not thread-safe.
+
+    If there are more names than the capacity, the name that expires first is evicted.
 
     A renewed name keeps its queue entry until that entry is the next to be evicted; then the entry moves to
     the later expiry time. A name whose lifetime became shorter gets another entry, and its old one becomes
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -43,7 +43,7 @@
 
     @property
     def source_or_cache(self) -> str:
-        """Endpoint that the response to a miss comes from: the source, or the cache if nothing is filled."""
+        """Endpoint that provides the response to a miss: the source, or the cache if nothing is filled."""
         return self.cache if self.source is None else self.source
 
 
@@ -79,8 +79,8 @@
     request_class: api.ClassSettings
     name: str  # the name under which caches store the object's part
     deadline: Instant
-    rank: int  # the rank with which caches store the response; 0: they do not store it
-    # The lifetime that the name had left when the request arrived. None: the name was unknown.
+    rank: int  # the rank with which caches store the response; 0 means that they do not
+    # The lifetime that the name had left when the request arrived, or None if the name was unknown.
     name_remaining: Duration | None
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     attempt_count: int = 0
@@ -97,4 +97,4 @@
     hint_wait: HintWait | None = None
     hint: api.CacheHint | None = None
     hinted_cache: str | None = None  # the cache of the hint that the last attempt followed
-    storing_cache: str | None = None  # the cache that has the object, by its response
+    storing_cache: str | None = None  # the cache that has the object, according to its response
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -37,7 +37,7 @@
 
 
 class QuotaLedger:
-    """Quota transfers in the order in which they were made. Each `record` drops the expired ones."""
+    """Quota transfers in the order in which they were made. Each call of `record` drops the expired ones."""
 
     def __init__(self) -> None:
         self._transfers: list[QuotaTransfer] = []
@@ -46,7 +46,7 @@
         return len(self._transfers)
 
     def balance(self, now: Instant, key: QuotaKey, max_amount: float = math.inf) -> float:
-        """Returns the sum of a quota's unexpired transfers, each counted with at most `max_amount`."""
+        """Returns the sum of a quota's unexpired transfers, each limited to `max_amount`."""
         current = (item for item in self._transfers if item.key == key and item.expires_at > now)
         return sum(min(item.amount, max_amount) for item in current)
 
--- a/olivepost/routing_state/route.py
+++ b/olivepost/routing_state/route.py
@@ -19,10 +19,10 @@
 class Route(NamedTuple):
     """Cache of an attempt, and the source from which the cache fills a miss.
 
-    The cache is None if no endpoint may be used. Without a source nothing is filled: the attempt only looks
-    up the name in the cache.
+    The cache is None if no endpoint may be used. If there is no source, nothing is filled, and the
+    attempt only looks up the name in the cache.
     """
 
     cache: str | None
     source: str | None
-    shortages: tuple[QuotaShortage, ...] = ()  # those of the cache's tier first
+    shortages: tuple[QuotaShortage, ...] = ()  # the shortages of the cache's tier come first
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -73,8 +73,8 @@
             tuning.max_order_bytes, tuning.order_entry_bytes, tuning.order_reference_bytes
         )
         self.memory_pressure = api.MemoryPressureLevel.NONE
-        self.arrivals = OverloadLevel()  # rises with requests that find all caches full
-        self.fills = OverloadLevel()  # rises with fills that are late or rejected
+        self.arrivals = OverloadLevel()  # rises when requests find all caches full
+        self.fills = OverloadLevel()  # rises when fills are late or rejected
         self.quotas = QuotaLedger()
         self.is_store_available = False
         self.retry_balance = tuning.initial_retries  # the retries that are left in the budget
--- a/olivepost/shared_store/__init__.py
+++ b/olivepost/shared_store/__init__.py
@@ -9,7 +9,7 @@
 whether it is trusted. `commands` tracks the commands whose replies are pending. `messages` and `operations`
 define the types, and `records` defines the form in which a store keeps them.
 
-The I/O part consists of `host`, which owns the threads, `store_worker`, which owns a connection, `client`,
-which wraps the client library, and `scripts` and `lua`, which contain the scripts. `settings` defines the
-operator's keys, and `inspect` implements the commands of `olivepost sharing`.
+The other modules do the I/O. `host` owns the threads, `store_worker` owns a connection, `client` wraps the
+client library, and `scripts` and `lua` contain the scripts. `settings` defines the operator's keys, and
+`inspect` implements the commands of `olivepost sharing`.
 """
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -51,7 +51,7 @@
 def create_client(
     settings: SharedStoreSettings, store: StoreSettings, connections: int = DEFAULT_CONNECTIONS
 ) -> redis.Redis:
-    """Returns a client with a connection pool of its own; it connects when it sends the first command.
+    """Returns a client that has its own connection pool and connects when it sends its first command.
 
     The client never repeats a command. A command whose reply was lost may have run, and repeating it would
     grant quota twice.
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -1,8 +1,8 @@
 """Coordinator of this proxy's use of the shared stores.
 
-The coordinator decides what is sent to the stores, which replies are used, and what the router is told.
+The coordinator decides what is sent to the stores, which replies are used, and which events the router gets.
 `StoreCoordinator(terms, seed).handle(now, event)` returns actions. It has no clock, does no I/O and starts no
-threads. This module only dispatches events, and each kind of decision has a module of its own. No decision
+threads. This module only dispatches events; each kind of decision has its own module. No decision
 extends a deadline, an age limit or a quota, even if a store misbehaves.
 """
 
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -39,7 +39,7 @@
         self._context = context
         self._commands = commands
         self._table = table
-        self._pending: dict[str, PendingLease] = {}  # the latest one of each request, by request id
+        self._pending: dict[str, PendingLease] = {}  # latest lease of each request, by request id
 
     def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
         """Returns the lease on a name if this proxy still owns it, else `None`."""
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -1,7 +1,7 @@
 """The host of the store coordinator; it owns the thread, the queue of events and each store's workers.
 
 The host makes no decision. One thread runs the coordinator. Each store has two workers, each with a thread
-and a connection. One worker runs the commands that requests wait for, the other one runs all others.
+and a connection. One worker runs the commands that requests wait for, and the other runs all other commands.
 """
 
 from __future__ import annotations
@@ -23,9 +23,10 @@
 from olivepost.shared_store.store_worker import Lane, StoreWorker, WorkerContext
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# The shortest `sync` that can be set, and the resolution of reply timeouts.
+# Interval between ticks. It is the shortest `sync` that can be set, and the resolution of reply timeouts.
 TICK_INTERVAL: Duration = 10 * MILLISECOND
-# When this many events are queued, new lookups, reports and all others but `UNDROPPABLE_EVENTS` are dropped.
+# Limit of the event queue. At the limit, new lookups, reports and all other events except
+# `UNDROPPABLE_EVENTS` are dropped.
 MAX_QUEUED_EVENTS = 20_000
 INCARNATION_BITS = 64  # random bits, enough that no two processes of a branch get the same incarnation
 SEED_BITS = 64
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -55,7 +55,7 @@
 
 
 class StoreContentError(Exception):
-    """An error about a value of `key` in a store that no proxy writes."""
+    """An error that the value of `key` in a store is one that no proxy writes."""
 
     def __init__(self, key: str, value: bytes) -> None:
         super().__init__(f"{key} must be a whole number, not {value[:40]!r}")
--- a/olivepost/shared_store/lease_table.py
+++ b/olivepost/shared_store/lease_table.py
@@ -10,7 +10,7 @@
 
 from olivepost.units import Instant
 
-MAX_LEASES = 8_192  # leases owned at once
+MAX_LEASES = 8_192  # largest number of leases owned at once
 
 
 @dataclass(slots=True)
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -1,4 +1,4 @@
-"""Lookups of names, which ask a store which cache has or fills a name and turn the reply into a hint.
+"""Lookups of names. A lookup asks a store which cache has or fills a name, and its reply becomes a hint.
 
 Each lookup gets at most one hint, and gets it at once if no store may be asked. The router waits no longer
 than the lookup's timeout, whether a hint comes or not.
@@ -40,7 +40,7 @@
     generation: int
     sent_at: Instant
     lease: PendingLease | None = None  # requested together with the lookup
-    is_answered: bool = False  # the router has its hint, or no longer waits for it
+    is_answered: bool = False  # whether the router has its hint or no longer waits for it
 
 
 class Lookups:
@@ -64,7 +64,7 @@
     # Requests
 
     def look_up(self, now: Instant, event: LookupRequested) -> None:
-        """Sends a lookup to the store, unless no reply can come in time or tell anything new.
+        """Sends a lookup to the store, unless its reply would come too late or contain nothing useful.
 
         If this proxy already owns the fill lease on the name, the hint names the cache of that lease.
         """
--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -34,7 +34,7 @@
 MAX_SYNC_ROWS = 256  # rows of each kind in one reply; bounds the reply's size and the server's time
 QUOTA_REQUEST_TTL_MS = 2_500  # time to live of a quota request since a sync last renewed it
 OUTLIER_REPORT_TTL_MS = 3_000  # time to live of an outlier report since a sync last renewed it
-QUOTA_GRANT_TTL_MS = 5_000  # time to live of the grants for a process that no longer takes them
+QUOTA_GRANT_TTL_MS = 5_000  # time to live of the grants for a process that no longer reads them
 SERIAL_TTL_MS = 600_000  # time to live of the serial of a process that no longer syncs
 # Time to live of a key. Every sync renews it, so only an abandoned generation's keys expire.
 KEY_TTL_MS = 86_400_000
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """The end of a request that asked for a fill lease.
+    """The end of a request that requested a fill lease.
 
     `generated_at_ms` is when its response was generated; `None` if that is unknown.
     """
--- a/olivepost/shared_store/operations.py
+++ b/olivepost/shared_store/operations.py
@@ -77,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishLocation:
-    """The release of the fill lease `lease`, without effect unless it is the name's current one.
+    """The release of the fill lease `lease`. It has no effect unless that is the name's current lease.
 
     If there is a `location`, it is published as the name's cache location and kept for `lifetime_ms`.
     """
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantQuota:
-    """A grant of quota to the proxy process `recipient`, which is made completely or not at all.
+    """A grant of quota to the proxy process `recipient`. The grant is made completely or not at all.
 
     `request_field` is the field of the request in the store, and `nonce` is the nonce that the request must
     still have.
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -10,10 +10,10 @@
 from olivepost.shared_store.records import RecordError
 from olivepost.units import SECOND, Duration, Instant
 
-# Lifetime of a report that is not renewed. The store keeps a report for as long.
+# Lifetime of a report that is not renewed. The store keeps a report for the same time.
 REPORT_LIFETIME: Duration = 3 * SECOND
 NOTIFY_INTERVAL: Duration = 1 * SECOND  # time between two events for the router about one endpoint
-MIN_REPORTERS = 2  # other proxies that must report an endpoint
+MIN_REPORTERS = 2  # number of other proxies that must report an endpoint
 MAX_REPORTS = 1_024  # limit for this proxy's reports, and for the reporters of one endpoint
 
 
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self._own: dict[str, Instant] = {}  # endpoint -> when the report expires
         self._others: dict[str, dict[str, Instant]] = {}  # endpoint -> incarnation -> when the report expires
-        self._next_notification: dict[str, Instant] = {}  # earliest time, by endpoint
+        self._next_notification: dict[str, Instant] = {}  # earliest time of the next event, by endpoint
 
     def add_own(self, now: Instant, endpoint_id: str) -> None:
         """Records that this proxy has ejected an endpoint."""
@@ -52,7 +52,7 @@
         return tuple(sorted(self._own))
 
     def add(self, now: Instant, report: OutlierReport) -> None:
-        """Records another process's report. Repeated reports of one process count once."""
+        """Records another process's report. Repeated reports of one process are counted once."""
         reporters = self._others.setdefault(report.endpoint_id, {})
         if len(reporters) < MAX_REPORTS:
             reporters[report.incarnation] = now + REPORT_LIFETIME
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -10,7 +10,7 @@
 from olivepost.units import Duration, Instant
 
 MAX_CLOCK_DRIFT = 0.01  # largest relative difference between the rates of two proxies' clocks
-MAX_DONATIONS = 64  # donations offered to the router at once
+MAX_DONATIONS = 64  # largest number of donations that are offered to the router at once
 
 
 @dataclass(slots=True)
@@ -19,7 +19,7 @@
 
     request: QuotaRequest
     field: str  # the request's field in the store
-    expires_at: Instant  # when this proxy may use the amount again
+    expires_at: Instant  # the time from which this proxy may use the amount again
     amount: float = 0.0
 
 
@@ -37,7 +37,7 @@
         self._own_requests = own_requests
         self._ids = ids
         self._duration = duration
-        self._donations: dict[int, Donation] = {}  # offered to the router, by transfer id
+        self._donations: dict[int, Donation] = {}  # donations offered to the router, by transfer id
         # The time until which a request is not answered again, by the request's nonce.
         self._answered_until: dict[str, Instant] = {}
 
@@ -51,7 +51,7 @@
         if not self._may_answer(now, request):
             return None
         self._answered_until[request.nonce] = now + self._duration
-        # The recipient counts from its request, which is earlier, but its clock may be slower than this one.
+        # The recipient's duration starts at its request, which is earlier, but its clock may be slower.
         expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
         donation = Donation(request, field, expires_at)
         self._donations[transfer_id] = donation
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -8,9 +8,9 @@
 once. The time during which it may do so starts at the instant of its request.
 
 Parts and transfers together never exceed the whole quota, even if a store loses, repeats, delays or restores
-messages. Such faults only leave quota unused. Each proxy counts by its own clock, and the recipient
-counts from an earlier instant than the donor. Clocks may be hours apart, but their rates must agree within
-`MAX_CLOCK_DRIFT`. No clock, no I/O.
+messages. Such faults only leave quota unused. Each proxy measures the time by its own clock, and the
+recipient measures it from an earlier instant than the donor. Clocks may be hours apart, but their rates must
+agree within `MAX_CLOCK_DRIFT`. No clock, no I/O.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     request: QuotaRequest
 
     def precedes(self, other: RequestedQuota) -> bool:
-        """Whether this request is older than the other one and is therefore answered instead of it."""
+        """Whether this request is the older one, which is answered instead of the other one."""
         return (self.since_ms, self.field) <= (other.since_ms, other.field)
 
 
@@ -114,7 +114,7 @@
             self._malformed.skip_errors(_keep_oldest, oldest, row)
         for requested in oldest.values():
             key = parse_quota_key(requested.request.key)
-            # An unknown key comes from a version that shares more quotas, so there is nothing to donate.
+            # A proxy of a version that shares more quotas sent an unknown key, so there is nothing to donate.
             if key is not None:
                 self._offer(now, store, key, requested)
 
@@ -137,7 +137,7 @@
     def donate(self, now: Instant, event: api.DonateQuota) -> None:
         """Grants an amount that the router has given up.
 
-        From now on the amount belongs to the other proxy, even if the command is lost or never sent. The
+        The amount then belongs to the other proxy, even if the command is lost or never sent. The
         router gets it back only if the store certainly has not granted it.
         """
         store = self._offered.pop(event.transfer_id, None)
--- a/olivepost/shared_store/quota_requests.py
+++ b/olivepost/shared_store/quota_requests.py
@@ -8,8 +8,8 @@
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, encode_record
 from olivepost.units import MILLISECOND, Duration, Instant
 
-MAX_SHORTAGES = 64  # quotas requested at once
-MAX_GRANTS = 1_024  # grants remembered until they expire, so that none counts twice
+MAX_SHORTAGES = 64  # largest number of quotas requested at once
+MAX_GRANTS = 1_024  # grants remembered until they expire, so that none is accepted twice
 MIN_AMOUNT = 1e-6  # amount of a quota; only larger amounts are transferred
 # Number of times that a request is renewed within its duration. The validity of a grant starts at the
 # instant of its request, so an older request leaves a grant less time.
@@ -80,9 +80,9 @@
     def __init__(self, ids: IdSequence, duration: Duration) -> None:
         self._ids = ids
         self._duration = duration
-        self._shortages: dict[str, Shortage] = {}  # by key
-        self._requests: dict[str, OpenRequest] = {}  # by nonce
-        self._latest: dict[str, OpenRequest] = {}  # by key
+        self._shortages: dict[str, Shortage] = {}  # shortage of each quota, by key
+        self._requests: dict[str, OpenRequest] = {}  # unexpired requests, by nonce
+        self._latest: dict[str, OpenRequest] = {}  # latest request for each quota, by key
         self._grants: dict[str, Instant] = {}  # expiry of each received grant, by grant id
 
     def record_shortage(self, now: Instant, key: str, amount: float) -> None:
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -29,7 +29,7 @@
 class Lane(Enum):
     """The kind of commands that a worker runs.
 
-    Upkeep has a lane of its own, so that it never delays a command that a request waits for.
+    Upkeep commands have their own lane, so that they never delay a command that a request waits for.
     """
 
     URGENT = "urgent"
@@ -59,8 +59,8 @@
     """A worker that runs the commands of one lane in one store.
 
     Each command gets exactly one `StoreReply` or `ReplyLost`, unless it is still queued when the worker is
-    closed. The queue is bounded. A command that doesn't fit, or whose reply would come too late to be used,
-    is never sent. Any thread may call the public methods; `_changed` guards `_queue` and `_is_closed`.
+    closed. The queue is bounded. A command that doesn't fit into it, or whose reply would be too late to be
+    used, is never sent. Any thread may call the public methods; `_changed` guards `_queue` and `_is_closed`.
     """
 
     def __init__(self, context: WorkerContext, store: StoreSettings, lane: Lane) -> None:
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -69,7 +69,8 @@
         self._quotas = exchanges.quotas
         self._outliers = exchanges.outliers
         self._in_flight: set[str] = set()  # names of stores whose sync waits for a reply
-        self._next_sync: dict[str, Instant] = {}  # by store name; has no entry before the first sync
+        # The time of the next sync, by store name. A store has no entry before its first sync.
+        self._next_sync: dict[str, Instant] = {}
 
     def sync_if_due(self, now: Instant) -> None:
         """Sends a sync to each store whose interval has passed, unless its circuit breaker stays open."""
