--- a/benchmarks/branch/cache.py
+++ b/benchmarks/branch/cache.py
@@ -47,7 +47,7 @@
     # Storage time by name, least recently used first.
     stored: dict[str, Instant] = field(default_factory=dict)
     filling: dict[str, Instant] = field(default_factory=dict)  # end of the fill in flight by name
-    work: list[ReceivedWork] = field(default_factory=list)  # received since its start
+    work: list[ReceivedWork] = field(default_factory=list)  # work received since the cache's start
 
     def restart(self, now: Instant) -> None:
         """Restarts the cache as an empty process that warms up."""
--- a/benchmarks/branch/store_link.py
+++ b/benchmarks/branch/store_link.py
@@ -42,7 +42,7 @@
     duplicated: float = 0.0  # the reply arrives twice
     slow: float = 0.0  # the latency of the command or of the reply is a hundred times as long
     latency_range: tuple[Duration, Duration] = (MILLISECOND // 10, 6 * MILLISECOND // 10)  # one way
-    unresponsive_until: Instant | None = None  # the store runs no command before; `None` if it runs all
+    unresponsive_until: Instant | None = None  # earlier commands do not run; `None` if all run
 
 
 class StoreLinks:
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -1,4 +1,4 @@
-"""Toy coordinator and toy endpoints to try a proxy with: loopback only, one thread for each connection.
+"""Toy coordinator and toy endpoints for trials of a proxy, on loopback, with one thread per connection.
 
     python examples/toy_server.py
 
@@ -24,12 +24,12 @@
 CONFIG = Path(__file__).with_name("config.json")
 LOOPBACK = "127.0.0.1"
 LINE_END = b"\r\n"
-BACKLOG = 64  # connections
+BACKLOG = 64  # connections that wait to be accepted
 MAX_POLL_WAIT_S = 5.0
 NO_FIELDS = "-"
 NANOSECONDS_PER_MS = 1_000_000
-NOT_CACHED_PREFIX = "0"  # begins the names of objects that caches don't keep
-REJECTED_PREFIX = "f"  # begins the names of objects that every endpoint rejects
+NOT_CACHED_PREFIX = "0"  # first character of the names of objects that caches don't keep
+REJECTED_PREFIX = "f"  # first character of the names of objects that every endpoint rejects
 
 
 def body_of(name: str, part: str) -> bytes:
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -40,7 +40,7 @@
 # Connections.
 CLIENT_CONNECTION_BYTES = 36 * BYTES_PER_KB  # a thread, the parser and a request, without the read buffer
 UPSTREAM_CONNECTION_BYTES = 64 * BYTES_PER_KB  # two threads and pending requests, without the read buffer
-# Client connections for each upstream connection, when the memory for connections is divided.
+# Number of client connections for each upstream connection in the division of the memory for connections.
 CLIENTS_PER_UPSTREAM = Share(3, 2)
 # Shares of the file descriptors. The listener, discovery and files use those that client and upstream
 # connections leave.
@@ -49,7 +49,7 @@
 ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # share for the upstream connections to one endpoint
 MAX_CLIENT_CONNECTIONS = 4_096
 MIN_CONNECTIONS_PER_ENDPOINT = 3
-SPARE_CONNECTIONS_PER_ENDPOINT = 2  # added to those that carry one request of each client connection
+SPARE_CONNECTIONS_PER_ENDPOINT = 2  # in addition to those that carry one request of each client connection
 
 # Bodies.
 LARGE_BODY_MEMORY_SHARE = Share(1, 5)  # share of the memory for bodies, if a class writes
@@ -74,7 +74,8 @@
     # Open connections. At the cap, the connection that has been idle longest is closed to admit a new one.
     max_client_connections: int
     max_connections_per_endpoint: int  # enough to carry one request of each client connection
-    max_upstream_connections: int  # including closing ones, so that descriptors are left for clients
+    # This limit includes closing connections, so that descriptors are left for clients.
+    max_upstream_connections: int
 
     # Buffers
     read_buffers: int  # receive buffers, one for each client and upstream connection
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -9,7 +9,7 @@
 
 
 class Idempotency(Enum):
-    """Idempotency of a class, which says whether a repeated request has a second effect."""
+    """Idempotency of a class, which determines whether a repeated request has a second effect."""
 
     IDEMPOTENT = "safe"
     # Idempotent within the caches of the deduplication scope, for the duration of the idempotency window.
--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -33,7 +33,8 @@
 class FileFault:
     """One fault of a file.
 
-    `line` counts from 1. It is None if the fault is not in one line; `key` is None if it is not in one key.
+    Lines are numbered from 1. `line` is None if the fault is not in one line, and `key` is None if it is not
+    in one key.
     """
 
     path: str
--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -1,4 +1,4 @@
-"""Executor of the router's actions: it carries them out in order, with one branch per kind of action."""
+"""Executor of the router's actions, which carries them out in order, with one branch per kind of action."""
 
 from __future__ import annotations
 
--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -94,7 +94,7 @@
         with self._released:
             trimmed = [buffer for buffer in self._free if id(buffer) in self._touched]
             for buffer in trimmed:
-                # If the system call fails, the pages stay and still count in `touched_bytes`.
+                # If the system call fails, the pages stay and are still included in `touched_bytes`.
                 with contextlib.suppress(OSError):
                     self._mapping.madvise(mmap.MADV_DONTNEED, self._offsets[id(buffer)], self.buffer_bytes)
                     self._touched.discard(id(buffer))
--- a/olivepost/proxy/discovery_changes.py
+++ b/olivepost/proxy/discovery_changes.py
@@ -19,8 +19,8 @@
 class DiscoveryChanges:
     """Distribution of each change to every part of the proxy that depends on it.
 
-    Only the event loop's thread uses it. The order is: the upstream pool or the response cache, the router,
-    the attempts that no connection has begun to write, and last the shared store.
+    Only the event loop's thread uses it. The order is the upstream pool or the response cache, the router,
+    the attempts that no connection has begun to write, and finally the shared store.
     """
 
     def __init__(
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -64,7 +64,7 @@
         self.is_closing = False  # the last response was sent, or no further response will be
         self.is_write_blocked = False  # a writer holds the lock and waits for the client to read
         self.is_closed = False  # whether the client or the reader thread has closed it
-        self.close_reason = CloseReason.CLIENT_CLOSED  # kept unless the proxy closes the connection
+        self.close_reason = CloseReason.CLIENT_CLOSED  # unchanged unless the proxy closes the connection
         self.has_received_request = False  # whether a complete request was received
         self.idle_since: Instant = context.clock.now()  # time at which it last became idle or was half-closed
         # Time by which the connection must leave its current state, even if bytes arrive until then. None
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -34,7 +34,7 @@
 
 
 class EventLog:
-    """Log of named events, with counters for what is too frequent to log each time. Thread-safe.
+    """Log of named events, with counters for events that are too frequent to log each time. Thread-safe.
 
     No caller waits for a slow or absent reader of the log: a line is dropped and counted if more than
     `max_bytes` would wait to be written. No method raises: an event that cannot be logged is counted. `_lock`
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -29,7 +29,7 @@
 
 
 class EventLoop:
-    """The event loop of one router: it takes events and due timers one by one and dispatches each of them.
+    """The event loop of one router, which dispatches events and due timers one after another.
 
     `run` is the thread's main function, and only that thread calls the private methods, so there are no
     locks. Any thread may call `post` and read the counts. The thread that logs metrics calls
@@ -177,7 +177,7 @@
     def _finish_all(self, now: Instant) -> None:
         try:
             self._lifecycle.finish_all(now)
-        except Exception:  # the loop must go on for the remaining requests
+        except Exception:  # the loop must continue for the remaining requests
             self._logger.exception("event_loop_error", kind="shutdown")
 
     def _fire_next(self, now: Instant) -> None:
--- a/olivepost/proxy/event_queue.py
+++ b/olivepost/proxy/event_queue.py
@@ -29,5 +29,5 @@
         self._queue.put(PostedEvent(self._clock.now(), event))
 
     def get(self, timeout_s: float | None) -> PostedEvent:
-        """Takes the next event; raises `queue.Empty` at the timeout. A timeout of None waits forever."""
+        """Removes and returns the next event; raises `queue.Empty` at the timeout. None means no timeout."""
         return self._queue.get(timeout=timeout_s)
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -55,10 +55,11 @@
     # Entity tag of the client's copy, without quotes; None if there is none that can be sent upstream.
     etag: str | None
     body: bytes
-    timeout: Duration  # counted from `received_at`
+    timeout: Duration  # duration that starts at `received_at`
     received_at: Instant  # time at which the request's last byte was read
     deliver: Callable[[Exchange, Response], None]  # passes the response to the client's connection
-    is_client_disconnected: Callable[[], bool]  # asks the client's connection; if true, no attempt is written
+    # Asks the client's connection. If it returns true, no attempt is written.
+    is_client_disconnected: Callable[[], bool]
     is_write: bool = False  # whether the request changes the object at the origin
     idempotency_key: str | None = None  # the client's key, by which caches recognize a retry
     is_closed: bool = False
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -1,7 +1,7 @@
 """Checks of invariants.
 
 Violations are counted in all builds. In debug builds they also raise AssertionError; release builds
-(`python -O`) go on.
+(`python -O`) continue.
 """
 
 from __future__ import annotations
--- a/olivepost/proxy/messages.py
+++ b/olivepost/proxy/messages.py
@@ -16,7 +16,7 @@
 
 
 class StopEventLoop:
-    """The last event: it ends the event loop's thread."""
+    """The last event, which ends the event loop's thread."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -32,7 +32,7 @@
     """Decision whether a request that reached the writer is to be written."""
 
     STARTED = "started"
-    WITHDRAWN = "withdrawn"  # withdrawn or aborted while it was queued
+    WITHDRAWN = "withdrawn"  # the request was withdrawn or aborted while it was queued
     TOO_LATE = "too late"  # its `start_before` has passed
 
 
--- a/olivepost/proxy/upstream/errors.py
+++ b/olivepost/proxy/upstream/errors.py
@@ -22,7 +22,7 @@
 
 
 class EndpointUnresponsiveError(UpstreamError):
-    """Failure of an endpoint to go on with a response, end it or reply to a liveness check within `limit`."""
+    """Failure of an endpoint to continue or end a response, or reply to a liveness check, within `limit`."""
 
     def __init__(self, problem: str, limit: Duration) -> None:
         super().__init__(f"{problem} within {limit // MILLISECOND} ms")
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -12,9 +12,9 @@
 
 from olivepost.proxy.upstream.errors import LineProtocolError
 
-MAX_LINE_BYTES = 1_024  # including CR LF; the protocol sets this limit
+MAX_LINE_BYTES = 1_024  # longest line including CR LF; the protocol sets this limit
 MAX_LENGTH_DIGITS = 9  # digits of a body's length in bytes, since no endpoint sends a body of 1 GB
-MAX_REPORTED_BYTES = 80  # an error quotes this many bytes of a rejected line
+MAX_REPORTED_BYTES = 80  # largest number of bytes of a rejected line that an error quotes
 LINE_END = b"\r\n"
 LINE_FEED = 0x0A
 NO_FIELDS = "-"
@@ -126,7 +126,7 @@
     def feed(self, data: memoryview) -> Iterator[ResponseLine | memoryview | ResponseEnd]:
         """Yields, for each response, its `ResponseLine`, chunks of its body and `RESPONSE_END`.
 
-        The chunks are views of `data`. A response may begin in one call and go on in later calls.
+        The chunks are views of `data`. A response may begin in one call and continue in later calls.
         """
         while data:
             if self._remaining is None:
--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -19,7 +19,7 @@
 
 
 class ConnectionReader:
-    """Receiver of one connection's responses. `run` and all that it calls run on the reader thread.
+    """Receiver of one connection's responses. `run` and the methods that it calls run on the reader thread.
 
     The writer thread starts the reader thread and joins it before it closes the socket.
     """
--- a/olivepost/routing/admission.py
+++ b/olivepost/routing/admission.py
@@ -23,7 +23,7 @@
 
 
 def record_fill(state: RoutingState, is_late: bool) -> None:
-    """Records whether a fill was late; a rejected fill is recorded as late."""
+    """Records whether a fill was late; a rejected fill is treated as late."""
     record_sample(state.fills, FILL_STEP, FILL_TARGET, is_late)
 
 
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -32,7 +32,7 @@
 
 
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
-    """Returns how long an attempt waits for a fill that it can't join; 0 if there is nothing to wait for.
+    """Returns the time that an attempt waits for a fill that it can't join; 0 if there is no such fill.
 
     It waits until the fill ends, but at most half of the time that remains until the deadline.
     """
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -63,9 +63,10 @@
 
 
 def should_store(state: RoutingState, pending: PendingRequest, sent_at: Instant) -> bool:
-    """Whether a response is stored in the proxy's own cache: only if its name is ranked and was seen before.
+    """Whether a response is stored in the proxy's own cache.
 
-    It is not stored if an invalidation came after the attempt was sent, since the response may be older.
+    Its name must be ranked and must have been seen before. The response is not stored if an invalidation came
+    after the attempt was sent, since the response may be older.
     """
     if not pending.rank or state.settings.local_transfer_capacity <= 0:
         return False
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -1,7 +1,7 @@
 """Memory pressure, and the order in which the process sheds memory as it comes close to its limit.
 
-The platform kills a process that exceeds its limit, and all its pending requests are lost. Therefore
-the resources that cost least are shed first: the proxy's own cached responses, idle connections, new names,
+The platform kills a process that exceeds its limit, and all its pending requests are lost. Therefore the
+resources whose loss costs least are shed first: the proxy's own cached responses, idle connections, new names
 and new client connections. Requests are rejected last.
 """
 
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -2,8 +2,8 @@
 
 The coordinator decides what is sent to the stores, which replies are used, and which events the router gets.
 `StoreCoordinator(terms, seed).handle(now, event)` returns actions. It has no clock, does no I/O and starts no
-threads. This module only dispatches events; each kind of decision has its own module. No decision
-extends a deadline, an age limit or a quota, even if a store misbehaves.
+threads. This module only dispatches events; each kind of decision has its own module. No decision extends a
+deadline, an age limit or a quota, even if a store misbehaves.
 """
 
 from __future__ import annotations
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -1,7 +1,7 @@
 """Codec of the simulator's protocol: parses JSON lines into messages and events, encodes actions as JSON.
 
 The simulator defines the names of fields and values. All times and durations are nanoseconds of its clock. In
-the protocol, 0 stands for a value that is not set. An attempt without a fill has its cache as the source.
+the protocol, 0 means that a value is not set. An attempt without a fill has its cache as the source.
 """
 
 from __future__ import annotations
--- a/standins/redis/database.py
+++ b/standins/redis/database.py
@@ -34,7 +34,7 @@
     now_ms: Callable[[], int]
     data: dict[bytes, Any] = field(default_factory=dict)  # values are bytes, dict, list or SortedSet
     expiries: dict[bytes, int] = field(default_factory=dict)  # expiry times in Unix ms
-    versions: dict[bytes, int] = field(default_factory=dict)  # compared by WATCH and EXEC
+    versions: dict[bytes, int] = field(default_factory=dict)  # recorded by WATCH, compared by EXEC
     incarnation: int = 1  # number of starts, empty or from a snapshot
     _last_version: int = 0
     _snapshots: list[Snapshot] = field(default_factory=list)
