--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -13,7 +13,7 @@
 class BufferPool:
     """A pool of equally sized buffers in one memory mapping. A buffer occupies memory from its first use on.
 
-    The buffer that was released last is acquired first, so that the number of buffers that occupy memory
+    The buffer that was released last is acquired first. The number of buffers that occupy memory therefore
     never exceeds the peak of buffers in use. `trim` returns the memory of free buffers to the system.
     Thread-safe: the lock of `_released` guards all other private fields and `peak`. Counts may be read
     without the lock.
@@ -94,7 +94,7 @@
         with self._released:
             trimmed = [buffer for buffer in self._free if id(buffer) in self._touched]
             for buffer in trimmed:
-                # If the system call fails, the pages stay and still count in `touched_bytes`.
+                # If the system call fails, the pages stay and are still included in `touched_bytes`.
                 with contextlib.suppress(OSError):
                     self._mapping.madvise(mmap.MADV_DONTNEED, self._offsets[id(buffer)], self.buffer_bytes)
                     self._touched.discard(id(buffer))
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -1,6 +1,6 @@
 """The event loop: one thread that owns the router, the timers and all pending requests.
 
-Other threads post events to its queue. The loop makes no socket calls and no routing decisions of its own.
+Other threads post events to its queue. The loop itself makes neither socket calls nor routing decisions.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from olivepost.router import Router
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Delay of a timer, measured from its due time, above which it counts as late.
+# Delay of a timer, measured from its due time, above which it is counted as late.
 LATE_TIMER_AFTER: Duration = 5 * MILLISECOND
 
 
 class EventLoop:
-    """The event loop of one router: it takes events and due timers one by one and dispatches each of them.
+    """The event loop of one router, which dispatches events and due timers one after another.
 
     `run` is the thread's main function, and only that thread calls the private methods, so there are no
     locks. Any thread may call `post` and read the counts. The thread that logs metrics calls
@@ -177,7 +177,7 @@
     def _finish_all(self, now: Instant) -> None:
         try:
             self._lifecycle.finish_all(now)
-        except Exception:  # the loop must go on for the remaining requests
+        except Exception:  # the loop must continue for the remaining requests
             self._logger.exception("event_loop_error", kind="shutdown")
 
     def _fire_next(self, now: Instant) -> None:
--- a/olivepost/proxy/event_queue.py
+++ b/olivepost/proxy/event_queue.py
@@ -1,4 +1,4 @@
-"""The event loop's queue: any thread posts events, and the event loop's thread takes them."""
+"""The event loop's queue, to which any thread posts events. Only the event loop's thread removes them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class EventQueue:
-    """A first-in, first-out queue of events. It is thread-safe and has no length limit of its own."""
+    """A first-in, first-out queue of events. It is thread-safe and does not limit its length."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -29,5 +29,5 @@
         self._queue.put(PostedEvent(self._clock.now(), event))
 
     def get(self, timeout_s: float | None) -> PostedEvent:
-        """Takes the next event; raises `queue.Empty` at the timeout. A timeout of None waits forever."""
+        """Removes and returns the next event; raises `queue.Empty` at the timeout. None means no timeout."""
         return self._queue.get(timeout=timeout_s)
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -1,7 +1,7 @@
 """Checks of invariants.
 
 Violations are counted in all builds. In debug builds they also raise AssertionError; release builds
-(`python -O`) go on.
+(`python -O`) continue.
 """
 
 from __future__ import annotations
@@ -9,7 +9,8 @@
 import threading
 from collections import Counter
 
-_violations: Counter[str] = Counter()  # in this process, by name of the invariant; guarded by `_lock`
+# Number of violations in this process, by name of the invariant. Guarded by `_lock`.
+_violations: Counter[str] = Counter()
 _lock = threading.Lock()
 
 
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -12,7 +12,7 @@
 
 
 def should_look_up(state: RoutingState, pending: PendingRequest, source: str | None) -> bool:
-    """Whether the shared store is asked before the attempt: for a new name's location, and before a fill."""
+    """Whether the shared store is asked before the attempt, for a new name's location or before a fill."""
     if not state.is_store_available or not pending.rank or pending.hint is not None:
         return False
     is_new = pending.name_remaining is None and not pending.attempt_count
@@ -32,7 +32,7 @@
 
 
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
-    """Returns how long an attempt waits for a fill that it can't join; 0 if there is nothing to wait for.
+    """Returns the time that an attempt waits for a fill that it can't join; 0 if there is no such fill.
 
     It waits until the fill ends, but at most half of the time that remains until the deadline.
     """
