--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -1,4 +1,4 @@
-"""Modelled proxies before a store: fill leases and cache locations."""
+"""Fill leases and cache locations of emulated proxies that share a store."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from olivepost.routing.selection import rendezvous_order
 from olivepost.shared_store import messages, operations, scripts
 from tests.router_harness import MS, SECOND
-from tests.shared_store.model import NAME, counted, make_branch
+from tests.shared_store.model import UNCACHED_NAME, make_branch, sum_counter
 
 
 def first_choice(branch: Branch) -> str:
-    """The cache that the first attempt of `NAME` goes to."""
-    return rendezvous_order(f"{NAME}.0", tuple(sorted(branch.caches)))[0]
+    """Returns the cache that receives the first attempt for `UNCACHED_NAME`."""
+    return rendezvous_order(f"{UNCACHED_NAME}.0", tuple(sorted(branch.caches)))[0]
 
 
 def eject_for(branch: Branch, number: int, cache: str) -> None:
-    """Has one proxy alone keep a cache ejected, so that it selects another one."""
+    """Ejects a cache at one proxy only, and permanently, so that this proxy selects another cache."""
     endpoint = branch.proxies[number].router.state.endpoints.by_id[cache]
     endpoint.ejected_until = 2**62
     endpoint.has_trial_in_flight = True
@@ -29,14 +29,14 @@
     branch = make_branch()
     cache_of_name = first_choice(branch)
     eject_for(branch, 1, cache_of_name)
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(20 * MS)
     for proxy in branch.proxies[1:]:
         endpoint = proxy.router.state.endpoints.by_id[cache_of_name]
-        # The cache is in use again, while another proxy's lease shows that it fills the name.
+        # The cache is available again. The lease of proxy 0 shows that the cache is filling the name.
         endpoint.ejected_until = None
         endpoint.has_trial_in_flight = False
-    branch.request(branch.proxies[2], NAME)
+    branch.request(branch.proxies[2], UNCACHED_NAME)
     branch.run(2 * SECOND)
 
     assert branch.counts.fills == 1
@@ -46,8 +46,8 @@
 def test_without_a_store_two_proxies_fill_the_same_name_twice() -> None:
     branch = make_branch(has_store=False)
     eject_for(branch, 1, first_choice(branch))
-    branch.request(branch.proxies[0], NAME)
-    branch.request(branch.proxies[1], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
+    branch.request(branch.proxies[1], UNCACHED_NAME)
     branch.run(2 * SECOND)
 
     assert branch.counts.fills == 2
@@ -64,49 +64,51 @@
 
     assert branch.counts.leases
     assert not branch.counts.lease_conflicts
-    assert counted(branch, "leases_followed") + counted(branch, "hints_given")
+    assert sum_counter(branch, "leases_followed") + sum_counter(branch, "hints_given")
 
 
 def test_name_that_is_new_to_a_proxy_is_requested_from_its_cache_location() -> None:
     branch = make_branch()
     cache_of_name = first_choice(branch)
     eject_for(branch, 0, cache_of_name)
-    branch.request(branch.proxies[0], NAME)  # filled elsewhere
+    # Proxy 0 fills the name into a cache other than the one that proxy 1 selects without a hint.
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(2 * SECOND)
-    branch.request(branch.proxies[1], NAME)
+    branch.request(branch.proxies[1], UNCACHED_NAME)
     branch.run(2 * SECOND)
 
-    assert counted(branch, "hints_given") >= 1
+    assert sum_counter(branch, "hints_given") >= 1
     assert branch.counts.fills == 1
     assert branch.counts.served == 2
 
 
 def test_evicted_location_is_reported_stale_and_requests_are_served() -> None:
     branch = make_branch()
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(2 * SECOND)
-    cache_with_name = next(cache for cache in branch.caches.values() if f"{NAME}.0" in cache.stored)
-    cache_with_name.stored.clear()  # evicted, of which no proxy is notified
+    cache_with_name = next(cache for cache in branch.caches.values() if f"{UNCACHED_NAME}.0" in cache.stored)
+    # The cache evicts the name, and no proxy is notified of it.
+    cache_with_name.stored.clear()
     for proxy in branch.proxies[1:]:
-        branch.request(proxy, NAME)
+        branch.request(proxy, UNCACHED_NAME)
         branch.run(30 * MS)
     branch.run(2 * SECOND)
 
-    assert counted(branch, "hints_stale") >= 1
+    assert sum_counter(branch, "hints_stale") >= 1
     assert branch.counts.served == 3
 
 
 def test_lease_of_a_stopped_owner_can_be_acquired_after_expiry() -> None:
     branch = make_branch(fill_durations=(500 * MS, 501 * MS))
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(20 * MS)
     branch.proxies[0].paused_until = branch.now + 3600 * SECOND
-    branch.run(4 * SECOND)  # longer than the class's deadline, which bounds the lease
+    branch.run(4 * SECOND)  # longer than the class's deadline, which limits the lease's duration
     store = branch.stores["s0"]
     assert not [key for key in [*store.data] if b":c:" in key and store.live_value(key)]
     for cache in branch.caches.values():
         cache.stored.clear()
-    branch.request(branch.proxies[1], NAME)
+    branch.request(branch.proxies[1], UNCACHED_NAME)
     branch.run(2 * SECOND)
 
     assert branch.counts.leases == 2
@@ -116,17 +118,17 @@
 
 def test_owner_paused_until_its_lease_expired_publishes_nothing() -> None:
     branch = make_branch(fill_durations=(100 * MS, 101 * MS))
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(50 * MS)
     branch.proxies[0].paused_until = branch.now + 6 * SECOND
     branch.run(8 * SECOND)
 
-    assert counted(branch, "leases_expired") == 1
-    assert not counted(branch, "lease_releases_confirmed")
+    assert sum_counter(branch, "leases_expired") == 1
+    assert not sum_counter(branch, "lease_releases_confirmed")
 
 
 def test_fencing_numbers_grow_across_an_unnoticed_snapshot() -> None:
-    """A counter alone would go back with its store."""
+    """Guards against repeated fencing numbers: a snapshot restores a plain counter to an earlier value."""
     branch = make_branch()
     store = branch.stores["s0"]
     (generation,) = {
@@ -151,36 +153,37 @@
 
 def test_former_owner_of_a_lease_that_the_store_lost_publishes_nothing() -> None:
     branch = make_branch(fill_durations=(600 * MS, 601 * MS))
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(30 * MS)
     branch.stores["s0"].restart_empty()
     branch.run(100 * MS)
     eject_for(branch, 1, first_choice(branch))
-    branch.request(branch.proxies[1], NAME)  # its lease is free again at once
+    # The store has lost the lease of proxy 0, so that proxy 1 acquires one at once.
+    branch.request(branch.proxies[1], UNCACHED_NAME)
     branch.run(3 * SECOND)
 
     assert branch.counts.leases == 2
     assert not branch.counts.stale_publications
     assert branch.counts.served == 2
-    assert counted(branch, "lease_releases_confirmed") <= 1
+    assert sum_counter(branch, "lease_releases_confirmed") <= 1
 
 
 def location_keys(branch: Branch) -> list[bytes]:
-    """The store's keys of cache locations."""
+    """Returns the store's unexpired keys of cache locations."""
     store = branch.stores["s0"]
     return [key for key in [*store.data] if b":h:" in key and store.live_value(key)]
 
 
 def test_two_stale_reports_delete_a_location_from_the_store() -> None:
     branch = make_branch(4)
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(SECOND)
     (key,) = location_keys(branch)
     cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     for count, proxy in enumerate(branch.proxies[1:3]):
         assert key in location_keys(branch)
-        lookup = api.LookUpHint(f"q{count}", f"{NAME}.0", cache_with_name, None, 10 * MS, SECOND)
-        proxy.handle_store_event(messages.LookupRequested(lookup, NAME, 7))
+        lookup = api.LookUpHint(f"q{count}", f"{UNCACHED_NAME}.0", cache_with_name, None, 10 * MS, SECOND)
+        proxy.handle_store_event(messages.LookupRequested(lookup, UNCACHED_NAME, 7))
         branch.run(20 * MS)
         proxy.handle_store_event(api.ReportStaleHint(lookup.request_id, lookup.name, cache_with_name))
         branch.run(20 * MS)
@@ -189,16 +192,19 @@
 
 def test_location_in_a_restarted_cache_is_deleted_from_the_store() -> None:
     branch = make_branch()
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(SECOND)
     (key,) = location_keys(branch)
     cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     branch.restart_cache(cache_with_name)
-    branch.caches[cache_with_name].started_at = branch.now - 3600 * SECOND  # warm: a lookup comes first
+    # The cache is warm, so that a router sends a lookup-only attempt before a fill.
+    branch.caches[cache_with_name].started_at = branch.now - 3600 * SECOND
     branch.publish_endpoints()
     proxy = branch.proxies[1]
     proxy.handle_store_event(
-        messages.LookupRequested(api.LookUpHint("q", f"{NAME}.0", "", None, 10 * MS, SECOND), NAME, 7)
+        messages.LookupRequested(
+            api.LookUpHint("q", f"{UNCACHED_NAME}.0", "", None, 10 * MS, SECOND), UNCACHED_NAME, 7
+        )
     )
     branch.run(20 * MS)
 
@@ -206,7 +212,7 @@
 
 
 def test_owner_whose_lease_was_acquired_by_another_proxy_publishes_nothing() -> None:
-    """The store compares the whole lease: fencing number and incarnation."""
+    """Checks that the store compares the complete lease: its fencing number and its owner's incarnation."""
     branch = make_branch()
     (generation,) = {
         proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
@@ -222,7 +228,7 @@
 
 
 def acquire_lease(branch: Branch, proxy: EmulatedProxy, generation: int) -> bytes:
-    """Acquires the lease of the name `n` for 500 ms; returns it as the store has it."""
+    """Acquires the lease of the name `n` for 500 ms; returns its bytes in the store."""
     request = operations.LeaseRequest(b"record", 500)
     lookup = operations.LookUp(generation, "n", ("o:x", "g:1"), request)
     reply = branch.run_script(proxy, messages.StoreCommand(1, "s0", lookup))
@@ -243,9 +249,9 @@
 
 
 def test_release_after_the_lease_expired_sends_nothing() -> None:
-    """By the owner's own clock, before any tick has dropped the lease."""
+    """Checks the expiry by the owner's own clock, before a tick has dropped the lease."""
     branch = make_branch(fill_durations=(900 * MS, 901 * MS))
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(30 * MS)
     proxy = branch.proxies[0]
     coordinator = proxy.coordinator
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -1,4 +1,4 @@
-"""Quotas under random faults: parts and pending transfers together never exceed the whole."""
+"""Quotas under random faults: parts and pending transfers together never exceed the whole quota."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class QuotaHistories(RuleBasedStateMachine):
-    """Four proxies whose clocks differ, a cache that is warming up, and a store with faults of all kinds."""
+    """Four proxies with different clocks, a warming cache, and a store with faults of all kinds."""
 
     @initialize(seed=st.integers(0, 2**16))
     def restart(self, seed: int) -> None:
@@ -56,15 +56,15 @@
         self.branch.stores["s0"].snapshot()
 
     @rule(age=st.integers(0, 3000))
-    def go_back(self, age: int) -> None:
+    def go_back_to_snapshot(self, age: int) -> None:
         self.branch.stores["s0"].restart_from_snapshot(age)
 
     @rule()
-    def lose(self) -> None:
+    def lose_all_data(self) -> None:
         self.branch.stores["s0"].restart_empty()
 
     @rule(span=st.integers(50, 2000))
-    def silence(self, span: int) -> None:
+    def set_unresponsive(self, span: int) -> None:
         self.branch.links["s0"].unresponsive_until = self.branch.now + span * MS
 
     @rule(name=st.sampled_from(["c0", "c1"]))
--- a/tests/shared_store/test_client.py
+++ b/tests/shared_store/test_client.py
@@ -1,4 +1,4 @@
-"""The store's client: no command that may have run is sent again."""
+"""Redis client of a store: a command that may have run is not sent again."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def test_command_whose_reply_was_cut_off_is_not_repeated() -> None:
-    """A client library that retries by itself would grant quota twice."""
+    """Guards against retries by the client library, which would grant quota twice."""
     with closing(Server()) as server:
         section = {"name": "s", "address": "{}:{}".format(*server.address)}
         settings = SharedStoreSettings.model_validate({"branch": "b", "stores": [section]})
@@ -24,10 +24,10 @@
         (reply,) = client.run_operations(store, [AdvanceGeneration(0, 0)], "b", "me", is_transaction=True)
         assert isinstance(reply, list)
         send_complete = server.faults.spoil
-        cuts = [True]
+        pending_cuts = [True]
 
         def cut_first_reply(data: bytes, draw: random.Random) -> SpoiltReply:
-            return SpoiltReply(data[:1], cuts.pop()) if cuts else send_complete(data, draw)
+            return SpoiltReply(data[:1], pending_cuts.pop()) if pending_cuts else send_complete(data, draw)
 
         server.faults.spoil = cut_first_reply  # type: ignore[method-assign]
         before = int(server.keyspace.data[b"b:generation"])
@@ -36,6 +36,6 @@
         with pytest.raises(redis.ConnectionError):
             client.run_operations(store, [advance], "b", "me", is_transaction=False)
 
-        assert int(server.keyspace.data[b"b:generation"]) > before  # it has run
+        assert int(server.keyspace.data[b"b:generation"]) > before  # the command has run
         assert server.commands < 40
         store.close()
--- a/tests/shared_store/test_host.py
+++ b/tests/shared_store/test_host.py
@@ -1,4 +1,4 @@
-"""The threads of the shared store's host."""
+"""Threads of the shared store's host: their start and their end."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 def test_start_waits_for_threads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression: a process that does not start where the system has no thread for a moment."""
+    """Guards against a regression: a process failed to start if the system briefly could create no thread."""
     failures = iter(range(5))
     start = threading.Thread.start
 
-    def start_late(thread: threading.Thread) -> None:
+    def fail_first_starts(thread: threading.Thread) -> None:
         if next(failures, None) is not None:
             raise RuntimeError("can't start new thread")
         start(thread)
@@ -45,10 +45,10 @@
     with ExitStack() as stack:
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         host = make_host(stack, [listener])
-        monkeypatch.setattr(threading.Thread, "start", start_late)
+        monkeypatch.setattr(threading.Thread, "start", fail_first_starts)
         host.start()
         listener.settimeout(WAIT_TIMEOUT_S)
-        stack.enter_context(listener.accept()[0])  # a worker runs
+        stack.enter_context(listener.accept()[0])  # a worker thread has connected
         host.close()
 
 
@@ -57,10 +57,11 @@
         listeners = [stack.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(MAX_STORES)]
         host = make_host(stack, listeners)
         host.start()
-        for listener in listeners:  # every store has a connection, on which nothing comes back
+        # Every store accepts a connection and sends no reply on it.
+        for listener in listeners:
             listener.settimeout(WAIT_TIMEOUT_S)
             stack.enter_context(listener.accept()[0])
-        threading.Event().wait(0.1)  # for the workers to send their first commands
+        threading.Event().wait(0.1)  # lets the workers send their first commands
         began_at = time.monotonic()
         host.close()
         assert time.monotonic() < began_at + CLOSE_TIMEOUT_S + SCHEDULING_SLACK_S
--- a/tests/shared_store/test_invalidations.py
+++ b/tests/shared_store/test_invalidations.py
@@ -1,4 +1,7 @@
-"""Invalidations by way of the stores: bounded, published again, and received by all proxies."""
+"""Invalidations by way of the stores: their number is bounded, and all proxies receive them.
+
+They are published again to a store that lost them.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 from olivepost.shared_store.records import InvalidationKey
 from olivepost.shared_store.store_health import TrustLevel
 from tests.router_harness import MS, SECOND
-from tests.shared_store.model import NAME, counted, make_branch
+from tests.shared_store.model import UNCACHED_NAME, make_branch, sum_counter
 
 
 def test_dropped_invalidations_raise_the_floor() -> None:
@@ -25,9 +28,9 @@
 
 def test_invalidations_are_published_again_to_a_store_that_lost_them() -> None:
     branch = make_branch()
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(SECOND)
-    branch.purge([int(NAME, 16) % branch.groups])
+    branch.purge([int(UNCACHED_NAME, 16) % branch.groups])
     branch.run(SECOND)
     generations_before = {
         proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
@@ -41,7 +44,7 @@
     assert min(generations) > max(generations_before)
     (generation,) = generations
     kept = branch.stores["s0"].data[b"t:%d:purges" % generation]
-    assert b"g:%d" % (int(NAME, 16) % branch.groups) in kept
+    assert b"g:%d" % (int(UNCACHED_NAME, 16) % branch.groups) in kept
 
 
 def test_store_is_trusted_only_once_all_invalidations_are_confirmed() -> None:
@@ -76,7 +79,7 @@
     proxy.handle_store_event(received)
     branch.run(200 * MS)
 
-    assert counted(branch, "invalidations_received") == 2
+    assert sum_counter(branch, "invalidations_received") == 2
     request = api.Request("x", "image", "o", SECOND, group=3)
     state = branch.proxies[2].router.state
     now = branch.proxies[2].clock(branch.now)
--- a/tests/shared_store/test_lease_table.py
+++ b/tests/shared_store/test_lease_table.py
@@ -1,4 +1,4 @@
-"""Owned fill leases: fencing numbers that grow, and expiry by the owner's clock."""
+"""Fill leases that a proxy owns: increasing fencing numbers, and expiry by the owner's clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from olivepost.shared_store import lease_table
 from olivepost.shared_store.lease_table import LeaseTable, OwnedLease
 from tests.router_harness import MS, SECOND
-from tests.shared_store.model import counted, make_branch
+from tests.shared_store.model import make_branch, sum_counter
 
 
 def lease(request_id: str, fencing_number: int, expires_at: int = SECOND) -> OwnedLease:
@@ -55,6 +55,6 @@
     branch.load(50, SECOND)
     branch.run(2 * SECOND)
 
-    assert counted(branch, "leases_dropped")
-    assert not counted(branch, "leases_fenced")
-    assert not counted(branch, "leases_granted")
+    assert sum_counter(branch, "leases_dropped")
+    assert not sum_counter(branch, "leases_fenced")
+    assert not sum_counter(branch, "leases_granted")
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -1,4 +1,4 @@
-"""Two proxies that share one stand-in store, on loopback: host, event loop and commands together."""
+"""Two proxies that share one stand-in store on loopback: tests of host, event loop and `sharing` commands."""
 
 from __future__ import annotations
 
@@ -24,12 +24,15 @@
 from standins.redis.server import Server
 from tests.proxy_harness import HttpClient, toy_config
 
-UNCACHED_OBJECT = "0a3a9c21e0b4d655"  # no toy cache has it
+UNCACHED_OBJECT = "0a3a9c21e0b4d655"  # an object that no toy cache has
 STORE = "s"
 
 
 class ProxyPair:
-    """Two proxies of one branch with the same endpoints and the same store; `sharing` are its settings."""
+    """Two proxies of one branch with the same endpoints and the same store.
+
+    `sharing` contains fields of the `sharing` section; `store` among them contains fields of the store.
+    """
 
     def __init__(self, server: Server, **sharing: Any) -> None:
         self.server = server
@@ -63,11 +66,11 @@
 
     @property
     def stores(self) -> list[StoreHealth]:
-        """The store as each of the proxies knows it."""
+        """Returns the state of the store in each proxy."""
         return [host.coordinator.stores[STORE] for host in self.hosts]
 
     def wait_for_availability(self, is_available: bool = True, timeout_s: float = 10.0) -> bool:
-        """Waits until the store is available to both proxies, or to neither."""
+        """Waits until the store is available to both proxies, or to neither; returns False on a timeout."""
         return self.wait_until(
             lambda: all(self.has_available_store(proxy) == is_available for proxy in self.proxies), timeout_s
         )
@@ -77,10 +80,11 @@
         return proxy.parts.event_loop._router.state.is_store_available
 
     def have_synced(self) -> bool:
-        """Whether each proxy has had its first sync under the store's present generation confirmed.
+        """Whether the store has confirmed each proxy's first sync under its current generation.
 
-        That sync leaves the process's key in the store. The store is available to a proxy before it: as soon
-        as the proxy's invalidations are confirmed."""
+        That sync writes the key of the process to the store. A proxy may use the store even earlier: as soon
+        as the store has confirmed the proxy's invalidations.
+        """
         generations = {store.generation for store in self.stores}
         return len(generations) == 1 and all(store.confirmed_serial > 0 for store in self.stores)
 
@@ -92,11 +96,11 @@
         return holds
 
     def count(self, name: str) -> int:
-        """The sum of both proxies' metric."""
+        """Returns the sum of a counter over both proxies."""
         return sum(host.coordinator.counts.get(name, 0) for host in self.hosts)
 
     def request(self, proxy: int, name: str, **fields: Any) -> int:
-        """Sends a request to one of the proxies; returns the status."""
+        """Sends a request to one of the proxies; returns the status of the response."""
         with HttpClient(self.addresses[proxy]) as client:
             return client.request(name, **fields).status
 
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -1,4 +1,7 @@
-"""Quota transfers: what counts, what is donated, and that parts and transfers never exceed the whole."""
+"""Quota transfers: which grants are accepted, and what is donated.
+
+The proxies' parts and the transfers together never exceed the whole quota.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,7 @@
 
 
 def request_quota(requests: QuotaRequests) -> QuotaRequest:
-    """Has a proxy be short of a quota; returns its request."""
+    """Records a shortage of a quota; returns the request that results from it."""
     requests.record_shortage(0, "cold:c@1", 0.5)
     (record,) = requests.renew(0).values()
     return decode_record(QuotaRequest, record)
@@ -52,7 +55,7 @@
 def test_grant_that_is_old_foreign_late_or_malformed_counts_for_nothing(
     change: dict[str, object], at: int
 ) -> None:
-    """Each would exceed the whole quota, since its donor may have the amount back already."""
+    """Guards against exceeding the whole quota: a donor may already have the amount of such a grant back."""
     requests = make_requests("me")
     request = request_quota(requests)
     fields = {"id": "x.1", "key": request.key, "nonce": request.nonce, "amount": 0.5, **change}
@@ -90,7 +93,7 @@
 
 
 def test_restarted_proxy_does_not_use_what_its_earlier_process_donated() -> None:
-    """The part is complete again only after the longest transfer and an overload window."""
+    """Checks that the part is complete again only after the longest transfer and an overload window."""
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
@@ -138,7 +141,10 @@
 
 
 def test_grant_without_a_reply_stays_donated() -> None:
-    """It may have been granted: returning it to the donor would count it twice."""
+    """Guards against an amount that counts twice.
+
+    Without a reply the store may have made the grant, so that the donor must not get the amount back.
+    """
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
@@ -164,13 +170,14 @@
 
 
 def test_offers_that_the_router_never_answers_are_dropped_when_they_expire() -> None:
-    """Regression: a proxy that donates nothing any more after some events that failed in its router."""
+    """Guards against a regression: a proxy stopped donating after its router failed to handle some events."""
     donations = make_donations(make_requests("you"))
     for number in range(MAX_DONATIONS):
         request = request_quota(make_requests(f"other{number}"))
         assert donations.offer(0, number, "f", request) is not None
     late_request = request_quota(make_requests("late"))
-    assert donations.offer(SECOND, MAX_DONATIONS, "f", late_request) is None  # the others are still open
+    # The other offers are still open.
+    assert donations.offer(SECOND, MAX_DONATIONS, "f", late_request) is None
 
     assert donations.offer(2 * SECOND, MAX_DONATIONS, "f", late_request) is not None
     assert 0 not in donations
--- a/tests/shared_store/test_records.py
+++ b/tests/shared_store/test_records.py
@@ -1,4 +1,4 @@
-"""Stored records: their bytes, and what is rejected."""
+"""Stored records: their bytes in the store, and the data that is rejected."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
     ],
 )
 def test_records_have_the_bytes_of_all_releases_of_version_1(record: StoredRecord, stored: bytes) -> None:
-    """The literals were written before the attributes got names apart from the stored ones."""
+    """Checks literals that were written before the attributes' names differed from the stored names."""
     assert encode_record(record) == stored
     assert decode_record(type(record), stored) == record
 
--- a/tests/shared_store/test_reply_shapes.py
+++ b/tests/shared_store/test_reply_shapes.py
@@ -1,4 +1,4 @@
-"""Replies of any shape and type: the coordinator handles each, and every lookup gets one hint."""
+"""Replies of any shape and type: the coordinator handles each one, and no lookup gets two hints."""
 
 from __future__ import annotations
 
@@ -16,24 +16,26 @@
 SEEDS = range(20)
 STEPS = 2_000
 NAMES = ("x", "y")
-MAX_LENGTH = 5  # of a reply, and of a list in it
+# Exclusive upper bound of the number of values in a reply or in a list within it; also the depth to which
+# lists are nested.
+MAX_LENGTH = 5
 
 
 class FaultyStore:
-    """A coordinator before one store whose replies have the right generation and anything behind it."""
+    """A coordinator with one store whose replies have the right generation and arbitrary values after it."""
 
     def __init__(self, seed: int) -> None:
         stores = [{"name": "s", "address": "127.0.0.1:1"}]
         settings = SharedStoreSettings.model_validate({"branch": "b", "stores": stores})
         self.coordinator = StoreCoordinator(settings.terms("n1", "p1"), seed)
         self.now = 1_000 * SECOND
-        self.hinted: list[str] = []
+        self.hinted_request_ids: list[str] = []
         self._random_source = random.Random(seed)
         self._commands: list[messages.StoreCommand] = []
         self._generation = 1
 
     def step(self, number: int) -> None:
-        """One event: most are replies to what was sent."""
+        """Handles one event, in most cases the reply to a command that was sent."""
         self.now += self._random_source.randrange(8) * MILLISECOND
         if self._commands and self._random_source.random() < 0.6:
             self._reply(self._commands.pop(self._random_source.randrange(len(self._commands))))
@@ -78,14 +80,14 @@
             if isinstance(action, messages.StoreCommand):
                 self._commands.append(action)
             elif isinstance(action, messages.NotifyRouter) and isinstance(action.event, api.CacheHint):
-                self.hinted.append(action.event.request_id)
+                self.hinted_request_ids.append(action.event.request_id)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_reply_of_any_shape_is_handled(seed: int) -> None:
-    """Regression: a store that replies with too few values, or others than it should."""
+    """Guards against a regression: the coordinator failed on replies with too few or unexpected values."""
     store = FaultyStore(seed)
     for number in range(STEPS):
         store.step(number)
-    assert store.hinted
-    assert len(store.hinted) == len(set(store.hinted))
+    assert store.hinted_request_ids
+    assert len(store.hinted_request_ids) == len(set(store.hinted_request_ids))
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -1,4 +1,4 @@
-"""How a router uses the shared store: lookups and hints, outlier reports."""
+"""Use of the shared store by a router: lookups, hints and outlier reports."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
     assert forwarded_attempts(proxy.advance(1 * MS))
     (lookup,) = lookups(proxy.complete_attempt("2", 0, api.AttemptStatus.NOT_CACHED))
     assert lookup.source is not None
-    assert lookup.timeout == 0  # all of it is spent
+    assert lookup.timeout == 0  # the first lookup has used up the time for lookups
     assert forwarded_attempts(proxy.advance(0))
 
 
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
 def test_location_in_a_draining_or_removed_cache_is_not_tried(state: api.EndpointState) -> None:
-    """The draining invariant holds whatever a store's hint names."""
+    """Checks that the draining invariant also holds for the cache that a store's hint names."""
     proxy = proxy_with_store()
     proxy.request("1")
     proxy.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache("b:1", state),)))
@@ -119,7 +119,7 @@
 
 
 def test_fill_that_never_ends_delays_nobody_past_half_of_the_timeout() -> None:
-    """Half of the remaining time at most, then the attempt goes on as without a store."""
+    """Checks that an attempt waits at most half of the remaining time, then proceeds as without a store."""
     proxy = proxy_with_store(can_collapse_fills=False)
     proxy.request("1", timeout=SECOND)
     proxy.handle(api.CacheHint("1", "b:1", True, 3600 * SECOND))
@@ -142,7 +142,7 @@
 
 
 def test_invalidation_bounds_the_age_at_a_cache_location_too() -> None:
-    """No hint allows a response that is older than this proxy's own age bound."""
+    """Checks that a hint never permits a response that is older than this proxy's own age bound."""
     proxy = proxy_with_store()
     proxy.handle(api.Invalidation(None, 1, 100 * MS))
     proxy.request("1")
--- a/tests/shared_store/test_router_quota.py
+++ b/tests/shared_store/test_router_quota.py
@@ -1,4 +1,4 @@
-"""Which quota a router donates to other proxies, which it requests, and what transfers are worth."""
+"""Quota that a router donates to other proxies or requests from them, and the effect of transfers."""
 
 from __future__ import annotations
 
@@ -19,6 +19,7 @@
 
 
 def proxy_with_starting_cache(**changes: object) -> RouterDriver:
+    """Returns a proxy one of whose caches, `a:1`, starts at the proxy's current time."""
     proxy = proxy_with_store(
         has_endpoint_weights=True, caches=api.TierSettings(4, 0.2, 20 * SECOND, 3.0), **changes
     )
@@ -31,14 +32,14 @@
 
 
 def slow_start_key(proxy: RouterDriver) -> api.QuotaKey:
-    """The key of the cache that has started just now."""
+    """Returns the slow start key of the cache `a:1`, which has started at the proxy's current time."""
     return api.QuotaKey(api.QuotaKind.SLOW_START, "a:1", proxy.now)
 
 
 def donated_amount(
     proxy: RouterDriver, key: api.QuotaKey, max_amount: float = 1e12, duration: Duration = SECOND
 ) -> float:
-    """How much the proxy donates to another one that requests quota."""
+    """Returns the amount that the proxy donates when another proxy requests quota."""
     (action,) = proxy.handle(api.QuotaRequested(1, key, max_amount, proxy.now + duration))
     assert isinstance(action, api.DonateQuota)
     return action.amount
@@ -57,7 +58,7 @@
 
 
 def test_quota_that_was_used_is_not_donated() -> None:
-    """The slow start invariant holds over windows that begin before the transfer."""
+    """Checks that the slow start invariant also holds in windows that begin before the transfer."""
     proxy = proxy_with_starting_cache()
     other = proxy_with_starting_cache()
     key = slow_start_key(proxy)
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -1,4 +1,7 @@
-"""Stores that are slow, unresponsive, empty, restored or full of malformed records: requests are served."""
+"""Stores that are slow, unresponsive, empty, restored from a snapshot or full of malformed records.
+
+Requests are served during each of these faults.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 from olivepost.shared_store.circuit_breaker import BreakerState
 from tests.router_harness import MS, SECOND
-from tests.shared_store.model import NAME, counted, make_branch
+from tests.shared_store.model import UNCACHED_NAME, make_branch, sum_counter
 
 
 @pytest.mark.parametrize("faults", [{"lost": 0.3}, {"cut": 0.3}, {"duplicated": 0.5}, {"slow": 0.3}])
@@ -23,7 +26,7 @@
 
 
 def test_unresponsive_store_gets_no_lookup_until_syncs_are_replied_to_again() -> None:
-    """Without the circuit breaker each request for a new name would wait until its timeout."""
+    """Checks the circuit breaker: without it each request for a new name would wait until its timeout."""
     branch = make_branch(2)
     branch.load(100, 10 * SECOND)
     branch.run(2 * SECOND)
@@ -46,25 +49,28 @@
 
 
 def test_store_restored_from_before_an_invalidation_gives_no_hint_from_that_time() -> None:
-    """The snapshot's locations stand under a generation that all proxies have left."""
+    """Guards against hints from before an invalidation.
+
+    The keys of the snapshot's cache locations contain a generation that all proxies have left.
+    """
     branch = make_branch()
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(SECOND)
     branch.stores["s0"].snapshot()
     assert [key for key in branch.stores["s0"].data if b":h:" in key]
     branch.run(SECOND)
-    branch.purge([int(NAME, 16) % branch.groups])
+    branch.purge([int(UNCACHED_NAME, 16) % branch.groups])
     branch.run(SECOND)
     branch.stores["s0"].restart_from_snapshot(SECOND // MS)
     assert [key for key in branch.stores["s0"].data if b":h:" in key]
-    before = counted(branch, "hints_given")
+    before = sum_counter(branch, "hints_given")
 
-    branch.request(branch.proxies[1], NAME)
+    branch.request(branch.proxies[1], UNCACHED_NAME)
     branch.run(SECOND)
 
-    assert counted(branch, "hints_given") == before
+    assert sum_counter(branch, "hints_given") == before
     assert not branch.counts.served_invalidated
-    assert counted(branch, "replies_rolled_back") + counted(branch, "replies_moved") >= 3
+    assert sum_counter(branch, "replies_rolled_back") + sum_counter(branch, "replies_moved") >= 3
 
 
 def test_malformed_records_are_skipped_and_counted() -> None:
@@ -75,7 +81,7 @@
     }
     prefix = b"t:%d:" % generation
     store.call([b"HSET", prefix + b"needs", b"x|cold:c0@0", b"1 9999999999999 - garbage"])
-    store.call([b"SET", prefix + f"h:{NAME}.0".encode(), b"a string where a hash should be"])
+    store.call([b"SET", prefix + f"h:{UNCACHED_NAME}.0".encode(), b"a string where a hash should be"])
     store.call(
         [
             b"RPUSH",
@@ -85,11 +91,11 @@
     )
     store.call([b"HSET", prefix + b"suspects", b"nobody", b"9999999999999"])
 
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(SECOND)
 
     assert branch.counts.served == 1
-    assert counted(branch, "records_malformed") >= 3
+    assert sum_counter(branch, "records_malformed") >= 3
     assert all(proxy.coordinator and proxy.coordinator.stores["s0"].is_available for proxy in branch.proxies)
 
 
@@ -104,7 +110,7 @@
         branch.run(SECOND)
 
     assert 1 <= branch.log_events["store_records_malformed"] <= 2
-    assert counted(branch, "records_malformed") >= 100
+    assert sum_counter(branch, "records_malformed") >= 100
 
 
 def test_unresponsive_store_concerns_only_its_own_names() -> None:
@@ -123,14 +129,17 @@
 
 
 def test_reply_three_seconds_late_publishes_nothing() -> None:
-    """Whether the lease was granted is unknown: the fill goes on as without a store, unpublished."""
+    """Checks a fill whose proxy does not know whether the store granted the lease.
+
+    The fill continues as without a store, and its cache location is not published.
+    """
     branch = make_branch()
     branch.links["s0"].latency_range = (1500 * MS, 1500 * MS + 1)
 
-    branch.request(branch.proxies[0], NAME)
+    branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(900 * MS)
-    assert branch.counts.served == 1  # after 10 ms of waiting for the store
+    assert branch.counts.served == 1  # the request waited 10 ms for the store
 
     branch.run(4 * SECOND)
     assert branch.counts.leases <= 1
-    assert not counted(branch, "lease_releases_confirmed")
+    assert not sum_counter(branch, "lease_releases_confirmed")
--- a/tests/shared_store/test_store_health.py
+++ b/tests/shared_store/test_store_health.py
@@ -1,4 +1,4 @@
-"""Circuit breaker and trust of one store: when it is used, and when its replies count."""
+"""Circuit breaker of one store and the trust in it: when it is used, and which replies are accepted."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     store = trusted_store()
     breaker = store.breaker
     now = 0
-    pauses = []
+    backoffs = []
     for _ in range(MAX_CONSECUTIVE_FAILURES):
         breaker.record_failure(now)
 
@@ -43,14 +43,14 @@
         assert breaker.retry_at is not None
         breaker.begin_trial_if_due(breaker.retry_at - 1)
         assert not store.accepts_publications
-        pauses.append(breaker.retry_at - now)
+        backoffs.append(breaker.retry_at - now)
         now = breaker.retry_at
         breaker.begin_trial_if_due(now)
         assert store.accepts_publications
         assert not store.is_available
         breaker.record_failure(now)
-    assert pauses[0] <= 100 * MS < pauses[3]
-    assert max(pauses) <= SECOND
+    assert backoffs[0] <= 100 * MS < backoffs[3]
+    assert max(backoffs) <= SECOND
 
     assert breaker.retry_at is not None
     now = breaker.retry_at
@@ -126,7 +126,7 @@
 
 
 def test_store_that_lost_state_is_not_trusted_for_later_serials() -> None:
-    """After a snapshot, the sync that notices it leaves a new serial there."""
+    """Guards against trust in a restored store: the sync that detects the loss writes a new serial to it."""
     store = trusted_store()
     store.trust = TrustLevel.NONE
 
--- a/tests/shared_store/test_store_worker.py
+++ b/tests/shared_store/test_store_worker.py
@@ -1,4 +1,4 @@
-"""The worker of a store, and the rate limit of its fault lines."""
+"""Worker of a store, and the rate limit of the log lines about the store's faults."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class FakeClock(Clock):
-    """A clock that a test sets."""
+    """A clock whose time a test sets."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,7 +35,7 @@
 
 
 class WorkerHarness:
-    """A worker of one lane before a stand-in store; `replies` are the events that it posts."""
+    """A worker of one lane that uses a stand-in store; `replies` contains the events that it posts."""
 
     def __init__(self, server: Server, **sharing: Any) -> None:
         store = {"name": "s", "address": "{}:{}".format(*server.address)}
@@ -62,7 +62,7 @@
         os.close(self._read_end)
 
     def logged(self) -> list[dict[str, Any]]:
-        """Closes the log; returns its lines."""
+        """Closes the log; returns its lines, decoded from JSON."""
         self.log.close(TIMEOUT_S)
         return [json.loads(line) for line in os.read(self._read_end, 65_536).splitlines()]
 
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -1,4 +1,4 @@
-"""The stand-in server as the client library sees it, in both protocols, and its faults on demand."""
+"""Stand-in server as the client library sees it, in RESP2 and RESP3, and the faults that a test can set."""
 
 from __future__ import annotations
 
@@ -146,7 +146,7 @@
 
 
 def test_script_texts_are_those_of_the_released_version() -> None:
-    """Proxies of two versions load the same scripts into one store."""
+    """Checks the digests, by which proxies of two versions share the scripts that one store has loaded."""
     assert {name.name: digest for name, digest in DIGESTS.items()} == {
         "SYNC": "b9e6d594fecf6d8f4bfd0dd4327254c0ddd853e0",
         "LOOK_UP": "212e283ec3b23ca3da5099ed4adf343472bcd0fc",
@@ -194,7 +194,7 @@
 
 def test_paused_server_runs_the_received_commands(server: Server) -> None:
     client = client_of(server)
-    assert client.ping()  # connected before the fault
+    assert client.ping()  # connects before the fault begins
 
     server.faults.pause = True
     with pytest.raises(redis.TimeoutError):
@@ -212,7 +212,7 @@
     server: Server, fault: str, error: type[redis.ResponseError]
 ) -> None:
     client = client_of(server)
-    assert client.ping()  # connected before the fault
+    assert client.ping()  # connects before the fault begins
 
     setattr(server.faults, fault, True)
 
@@ -222,7 +222,7 @@
 
 def test_command_whose_reply_was_cut_has_run(server: Server) -> None:
     client = client_of(server)
-    assert client.ping()  # connected before the fault
+    assert client.ping()  # connects before the fault begins
 
     server.faults.cut = 1.0
     with pytest.raises(redis.ConnectionError):
