--- a/olivepost/action_emitter.py
+++ b/olivepost/action_emitter.py
@@ -1,4 +1,4 @@
-"""The actions that the router and the life cycles emit for the event that is being handled, in order."""
+"""Collector of the actions that the router and its life cycle classes emit while they handle one event."""
 
 from __future__ import annotations
 
@@ -17,9 +17,10 @@
 
 
 class ActionEmitter:
-    """Collector of an event's actions, which also registers the timers among them.
+    """Collector of the actions for one event, in the order in which they are emitted.
 
-    Not thread-safe: only the router's owner calls it.
+    It also registers the callbacks of the timers that it emits. Not thread-safe: only the router's owner
+    calls it.
     """
 
     __slots__ = ("_actions", "_state", "_timers", "emit")
@@ -28,7 +29,7 @@
         self._state = state
         self._timers = timers
         self._actions: list[api.Action] = []
-        # The method is bound once, because it is called several times for each request.
+        # The bound method is kept here, so that the several calls for each request don't bind it anew.
         self.emit: Callable[[api.Action], None] = self._actions.append
 
     def start_event(self) -> None:
@@ -46,15 +47,15 @@
         return timer_id
 
     def set_request_timer(self, delay: Duration, callback: TimerCallback, pending: PendingRequest) -> None:
-        """Emits a timer that is discarded when its request is over."""
+        """Emits a timer that belongs to a pending request and is discarded when the request is over."""
         pending.timer_ids.append(self.set_timer(delay, callback))
 
     def request_quotas(self, shortages: tuple[QuotaShortage, ...]) -> None:
-        """Requests from other proxies the quotas that were short."""
+        """Asks other proxies for quota, once for each shortage."""
         for shortage in shortages:
             self.emit(api.RequestQuota(shortage.key, shortage.amount))
 
     def report_outlier(self, ejection: Ejection | None) -> None:
-        """Reports the ejected endpoint, if any, to other proxies if the shared store is available."""
+        """Reports an ejection to other proxies, if there is one and the shared store is available."""
         if ejection is not None and self._state.is_store_available:
             self.emit(api.ReportOutlier(ejection.endpoint_id))
--- a/olivepost/attempt_lifecycle.py
+++ b/olivepost/attempt_lifecycle.py
@@ -35,7 +35,10 @@
         self._retry = retry
 
     def send(self, now: Instant, pending: PendingRequest, cache: str, source: str | None) -> None:
-        """Sends a request's next attempt, which only looks the name up in the cache if it has no source."""
+        """Sends a request's next attempt.
+
+        If `source` is None, the attempt only looks the name up in the cache.
+        """
         state = self._state
         request_class = pending.request_class
         hint = pending.hint
@@ -48,7 +51,7 @@
             pending.rank,
             timeout=pending.deadline - now,
             max_age=invalidation.max_age(state, now, pending, source or cache),
-            # Requests can't share the fill of a response that is not cached, nor a write.
+            # A response of rank 0 is not cached, so requests can't share its fill. Every write has rank 0.
             collapse_fills=self._settings.can_collapse_fills and pending.rank > 0,
             refresh=request_class.freshness_lifetime is not None and source is not None,
             start_before=retries.latest_start(state, pending),
@@ -78,10 +81,10 @@
         self._actions.set_request_timer(attempt.silence_timeout, check, pending)
 
     def _check_silence(self, now: Instant, pending: PendingRequest, attempt: Attempt) -> None:
-        """Checks an attempt whose silence timeout is over.
+        """Checks an attempt that has been in flight for its silence timeout, and may abandon the attempt.
 
         The attempt is abandoned for a retry if its cache is ejected and the request may be retried. Otherwise
-        it is checked again after another silence timeout.
+        the attempt is checked again after another silence timeout.
         """
         if pending.is_response_started or attempt.number not in pending.in_flight:
             return
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -72,7 +72,7 @@
 
 
 class MissingPackageError(CommandError):
-    """A package that isn't installed and that only the operator's file needs."""
+    """A missing package, which a proxy needs only if it has an operator's file."""
 
     def __init__(self, package: str | None) -> None:
         super().__init__(f"an operator's file needs the package '{package}': pip install .[all]")
@@ -111,7 +111,10 @@
 
     @classmethod
     def parse(cls, arguments: list[str] | None) -> CommandLine:
-        """Parses `arguments`, or those of the process if they are None; raises DocoptExit with the usage."""
+        """Parses `arguments`, or the process's arguments if `arguments` is None.
+
+        Raises DocoptExit, whose message shows the usage, if they don't fit the grammar.
+        """
         assert __doc__
         parsed = docopt(__doc__, arguments)
         return cls(
@@ -125,13 +128,14 @@
         )
 
     def load_config(self) -> ProxyConfig:
-        """Reads the configuration again at each call; raises ConfigError."""
+        """Reads the configuration's file anew at each call; raises ConfigError if it can't be used."""
         return load(os.environ, self.config_path)
 
     def load_operator(self) -> OperatorSettings | None:
-        """Reads the operator's file again at each call; returns None if no file is named.
+        """Reads the operator's file anew at each call; returns None if no file is named.
 
-        Raises ConfigError or MissingPackageError.
+        Raises ConfigError if the file can't be used, and MissingPackageError if a package for reading it is
+        missing.
         """
         path = self.operator_path or os.environ.get(OPERATOR_VARIABLE)
         if not path:
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -59,7 +59,8 @@
         if request.size_kb is not None:
             state.class_work.add(request_class.name, state.own_work(request))
         retries.earn_retries(state)
-        # A request may state a longer timeout than clients of its class ever wait.
+        # A request may state a longer timeout than clients of its class ever wait. The class's deadline
+        # therefore bounds the timeout.
         timeout = min(request.timeout, request_class.deadline)
         pending = PendingRequest(
             request, request_class, name, now + timeout, ranked.rank, ranked.name_remaining
@@ -92,7 +93,8 @@
     ) -> None:
         """Forwards the next attempt, or gives up at once if none can be made or the request is too expensive.
 
-        If `overload` is given, the request's cost is checked against its level.
+        Whether the request is too expensive is only checked if `overload` is given. Its level then limits the
+        cost.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
@@ -122,7 +124,7 @@
     def _look_up(
         self, now: Instant, pending: PendingRequest, cache: str, source: str | None, retry_cost: int
     ) -> None:
-        """Looks the name up in the shared store; the attempt waits for its hint up to the timeout."""
+        """Looks the name up in the shared store; the attempt waits for the store's hint until a timeout."""
         timeout = hints.lookup_timeout(self._state, now, pending)
         if source is None:
             pending.has_looked_up_location = True
@@ -169,7 +171,10 @@
     # Outcomes
 
     def complete_attempt(self, now: Instant, outcome: api.AttemptOutcome) -> None:
-        """Records an attempt's outcome; a request without a response is forwarded again or given up."""
+        """Records an attempt's outcome.
+
+        A request that still has no response is forwarded again or given up.
+        """
         pending = self.pending.get(outcome.request_id)
         attempt = pending.in_flight.get(outcome.attempt) if pending is not None else None
         if pending is None or attempt is None:
@@ -191,7 +196,11 @@
     def _retry(
         self, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
     ) -> None:
-        """Forwards a request again; after a lookup-only attempt that missed, the cache is asked to fill."""
+        """Forwards a request again, unless another of its attempts is still in flight.
+
+        After a lookup-only attempt that missed, the request is forwarded in any case. That cache is then
+        asked to fill the object, and no longer to look it up only.
+        """
         is_lookup_miss = outcome.status is api.AttemptStatus.NOT_CACHED and attempt.source is None
         if is_lookup_miss and attempt.cache != pending.missed_cache:
             pending.missed_cache = attempt.cache
@@ -226,7 +235,7 @@
         self.forget(now, request_id)
 
     def forget(self, now: Instant, request_id: str) -> None:
-        """Removes a request that is over, with its lease, its timers and its attempts in flight."""
+        """Removes a request that is over; releases its lease, discards its timers and closes its attempts."""
         pending = self.pending.pop(request_id, None)
         if pending is None:
             return
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -85,7 +85,7 @@
                 health.record_outlier_report(self.state.endpoints.by_id[event.endpoint_id])
 
     def _donate_quota(self, now: Instant, event: api.QuotaRequested) -> None:
-        """Donates part of a quota to the proxy that requested it; the amount is 0 if none can be spared."""
+        """Donates quota to the proxy that requested it; the donated amount is 0 if none can be spared."""
         if event.key == api.RETRY_QUOTA:
             donation = capacity.donate_quota(self.state, now, event, retries.quota_part(self.state))
             self.state.retry_balance -= donation.amount
@@ -95,7 +95,7 @@
         self._actions.emit(donation)
 
     def _receive_quota(self, now: Instant, event: api.QuotaReceived) -> None:
-        """Records quota that another proxy has donated, or a returned donation of this proxy."""
+        """Records quota that another proxy has donated to this proxy, or has returned to it as the donor."""
         if event.key == api.RETRY_QUOTA:
             self.state.retry_balance += event.amount
         self.state.quotas.record(now, QuotaTransfer(event.expires_at, event.key, event.amount))
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -1,17 +1,21 @@
-"""TTLs and ranks of names by f-TTL ("Adaptive TTL-Based Caching for Content Delivery"; docs/design.md)."""
+"""TTLs and ranks of names, computed by the algorithm f-TTL.
+
+The paper on it is "Adaptive TTL-Based Caching for Content Delivery"; docs/design.md says how it is applied.
+"""
 
 from olivepost import interface as api
 from olivepost.routing import memory_pressure
 from olivepost.routing_state import ClassLevels, NameEntry, PendingRequest, RankedName, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
-MAX_LIFETIME: Duration = 60 * SECOND  # longest lifetime of a name, L in the paper
-LEVEL_STEP = 0.01  # step size of the level ϑ, η in the paper
-SIZE_STEP = 0.0001  # step size of the first-seen level ϑs, ηs in the paper
-SMOOTHING_WIDTH = 0.1  # width of the range in which Γ rises from ϑs to 1, ε in the paper
-# Target hit ratio, h* in the paper. Caches reach a lower ratio, so that θ stays long enough to see repeats.
+MAX_LIFETIME: Duration = 60 * SECOND  # longest lifetime of a name (L in the paper)
+LEVEL_STEP = 0.01  # step size for changes of the level ϑ (η in the paper)
+SIZE_STEP = 0.0001  # step size for changes of the first-seen level ϑs (ηs in the paper)
+SMOOTHING_WIDTH = 0.1  # width of the range of ϑ in which the factor Γ rises from ϑs to 1 (ε in the paper)
+# Target hit ratio (h* in the paper). It is higher than the ratio that caches reach. The lifetime θ therefore
+# stays long enough for repeated requests to be seen.
 HIT_TARGET = 0.8
-# Target of the time for which names are cached, weighted by their size, s* in the paper.
+# Target of the mean time for which names are cached, weighted by the names' sizes (s* in the paper).
 SIZE_TARGET: Duration = 5 * SECOND
 INITIAL_LEVEL = 0.5  # level ϑ of a class before its first response
 INITIAL_FIRST_SEEN_LEVEL = 0.0  # first-seen level ϑs of a class before its first response
@@ -19,12 +23,12 @@
 RANK_LOW = 1  # rank of the responses that caches evict first
 RANK_MIDDLE = 2
 RANK_TOP = 3  # rank of the responses that caches evict last
-TOP_RANK_SHARE = 0.1  # largest share of all known names' bytes that the top rank is given
+TOP_RANK_SHARE = 0.1  # share of all known names' bytes up to which names are given the top rank
 MAX_NAMES = 40_000
 
 
 def lifetime(levels: ClassLevels) -> float:
-    """Returns θ = L·ϑ, the lifetime of a name."""
+    """Returns θ = L·ϑ, the lifetime of a name in nanoseconds."""
     return MAX_LIFETIME * levels.level
 
 
@@ -37,7 +41,7 @@
 
 
 def move_levels(levels: ClassLevels, is_hit: bool, sample: float, size: float) -> None:
-    """Adapts both levels to one response (algorithm 2 of the paper)."""
+    """Adapts a class's levels ϑ and ϑs to one response (algorithm 2 of the paper)."""
     levels.mean_size += (size - levels.mean_size) * (LEVEL_STEP if levels.mean_size else 1.0)
     first_seen_step = SIZE_STEP * (size / levels.mean_size) * (SIZE_TARGET - sample) / SIZE_TARGET
     levels.level = min(1.0, max(0.0, levels.level + LEVEL_STEP * (HIT_TARGET - is_hit)))
@@ -45,7 +49,10 @@
 
 
 def rank_and_renew_name(state: RoutingState, now: Instant, name: str, request: api.Request) -> RankedName:
-    """Renews the lifetime of a request's name; returns the request's rank and the lifetime that was left."""
+    """Renews the lifetime of a request's name.
+
+    Returns the request's rank and the lifetime that the name had left before.
+    """
     if state.settings.classes[request.class_name].is_uncacheable or request.is_write:
         return RankedName(UNRANKED, None)
     levels = state.levels[request.class_name]
@@ -63,13 +70,17 @@
 
 
 def top_rank_has_capacity(state: RoutingState, name: str) -> bool:
-    """Whether the top rank holds less than its share of all bytes, without counting this name."""
+    """Whether the other names of the top rank have less than `TOP_RANK_SHARE` of all known names' bytes."""
     total = state.names.total_size()
     return total <= 0 or state.names.size_of_rank(RANK_TOP, name) < TOP_RANK_SHARE * total
 
 
 def learn_from_response(state: RoutingState, pending: PendingRequest, is_hit: bool) -> None:
-    """Adapts the class's levels to a hit or a fill; the sample is how long the name has been cached."""
+    """Adapts the levels of a request's class to a hit or a fill.
+
+    The sample is the time for which the name is cached owing to the request: after a hit, the time by which
+    the request extended the name's lifetime; after a fill, the lifetime that the name got.
+    """
     levels = state.levels[pending.request_class.name]
     if is_hit:
         sample = lifetime(levels) - (pending.name_remaining or 0)
--- a/olivepost/routing/admission.py
+++ b/olivepost/routing/admission.py
@@ -2,17 +2,20 @@
 
 from olivepost.routing_state import OverloadLevel, PendingRequest, RoutingState
 
-ARRIVAL_STEP = 0.04  # step size of the level of arrivals, for each arriving request
-ARRIVAL_TARGET = 0.1  # share of arrivals at full caches at which the level stays the same
-FILL_STEP = 0.2  # step size of the level of fills, for each fill
-FILL_TARGET = 0.1  # share of late and rejected fills at which the level stays the same
-LEVEL_CEILING = 0.9  # highest value of either level
-COST_CUTOFF = 4.0  # highest cost of an admitted request at a level of 0.5, in mean costs
+ARRIVAL_STEP = 0.04  # step size for changes of the level of arrivals, which each arriving request changes
+ARRIVAL_TARGET = 0.1  # the level stays the same if this share of arriving requests finds all caches full
+FILL_STEP = 0.2  # step size for changes of the level of fills, which each fill changes
+FILL_TARGET = 0.1  # the level stays the same if this share of fills is late or rejected
+LEVEL_CEILING = 0.9  # highest value of the level of arrivals and of that of fills
+COST_CUTOFF = 4.0  # highest cost of an admitted request at a level of 0.5, as a multiple of the mean cost
 COST_STEP = 0.05  # weight of a new sample in the mean cost
 
 
 def record_sample(overload: OverloadLevel, step: float, target: float, is_overloaded: bool) -> None:
-    """Changes a level by step·(sample - target), in the same way as adaptive_ttl adapts its level ϑ."""
+    """Changes a level by step·(sample - target), in the same way as adaptive_ttl adapts its level ϑ.
+
+    The sample is 1 if `is_overloaded` is true, and 0 otherwise.
+    """
     level = overload.level + step * (is_overloaded - target)
     overload.level = min(LEVEL_CEILING, max(0.0, level))
 
@@ -28,7 +31,10 @@
 
 
 def record_cost(state: RoutingState, pending: PendingRequest, overload: OverloadLevel) -> float:
-    """Returns a request's cost, its work divided by its priority weight, and adds it to the mean cost."""
+    """Returns a request's cost and adds it as a sample to the mean cost.
+
+    The cost is the request's work divided by the priority weight of its class.
+    """
     work = state.work_of(pending.request, pending.request_class)
     cost = work / (pending.request_class.priority_weight or 1.0)
     overload.mean_cost += (cost - overload.mean_cost) * (COST_STEP if overload.mean_cost else 1.0)
@@ -38,9 +44,9 @@
 def is_too_expensive(
     state: RoutingState, pending: PendingRequest, overload: OverloadLevel, cost: float
 ) -> bool:
-    """Whether a request of this cost is rejected.
+    """Whether a request of this cost is rejected at the present overload level.
 
-    If the request's size is unknown, its cost is multiplied by a random factor with a mean of 1.
+    If the request's size is unknown, its cost is first multiplied by a random factor with a mean of 1.
     """
     if pending.request.size_kb is None:
         cost *= state.random.expovariate(1.0)
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -1,7 +1,7 @@
 """Endpoint capacity: slow start budgets and concurrency limits.
 
-The configuration gives each proxy its part of them. Proxies transfer quota to each other through a shared
-store.
+The configuration gives each proxy its part of every such budget and limit. A proxy can transfer some of its
+part to another proxy, as quota, through a shared store.
 """
 
 import math
@@ -12,22 +12,25 @@
 from olivepost.units import SECOND, Duration, Instant
 
 WORK_STEP = 0.05  # weight of a new sample in a class's mean work
-RATE_MEMORY: Duration = 10 * SECOND  # time over which past work fades from the rates of warm endpoints
-MIN_LINK_TRANSFERS = 2.0  # concurrent transfers of all proxies together that every endpoint can carry
+# Time over which past work fades from the rates of endpoints without a slow start.
+RATE_MEMORY: Duration = 10 * SECOND
+MIN_LINK_TRANSFERS = 2.0  # concurrent transfers that every endpoint can carry for all proxies together
 # Concurrent transfers that an endpoint's link carries, if endpoints have no weights.
 DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}
 # Attempts that may be in flight for each concurrent transfer of an endpoint's link.
 IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}
-# Standard deviations by which the concurrency limit exceeds the mean, since one of many proxies sees bursts.
+# Number of standard deviations by which the concurrency limit exceeds a proxy's mean number of attempts in
+# flight. If many proxies share an endpoint, the attempts of one proxy come in bursts above its mean, and the
+# limit must not cut them off.
 LIMIT_DEVIATIONS = 3.0
-MIN_LIMIT_FACTOR = 0.5  # factor of the concurrency limit at a high late share
-MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit at a late share of 0
+MIN_LIMIT_FACTOR = 0.5  # factor of the concurrency limit if the endpoint's late share is high
+MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit if the endpoint's late share is 0
 LIMIT_FACTOR_SLOPE = 2.5  # decrease of that factor for each unit of the late share
 # Longest plausible time from an endpoint's start to its first listing. An endpoint that is listed later is
 # treated as if it had started when it was listed.
 MAX_LISTING_DELAY: Duration = 20 * SECOND
-DONATED_SHARE = 0.75  # largest share that a proxy donates of its part of a quota
-MAX_TRANSFER_DURATION: Duration = 2 * SECOND  # longest quota transfer that a proxy agrees to
+DONATED_SHARE = 0.75  # largest share of its own part of a quota that a proxy donates
+MAX_TRANSFER_DURATION: Duration = 2 * SECOND  # longest duration of a quota transfer that a proxy agrees to
 
 
 def slow_start_share(now: Instant, endpoint: Endpoint) -> float:
@@ -43,7 +46,8 @@
 def has_slow_start_budget(state: RoutingState, now: Instant, endpoint: Endpoint, work: float) -> bool:
     """Whether an endpoint's slow start budget allows this proxy one more attempt.
 
-    This upholds the slow start invariant.
+    This upholds the slow start invariant: the work that the proxy sends to an endpoint in slow start within
+    an overload window stays within that budget.
     """
     if endpoint.started_at is None:
         return True
@@ -87,16 +91,17 @@
 def configured_link_transfers(state: RoutingState, endpoint: Endpoint) -> float:
     """Returns this proxy's part of an endpoint's link, in concurrent transfers.
 
-    It depends on the configuration alone and does not fall with load.
+    The part depends on the configuration alone and does not fall with load.
     """
     weight = endpoint.metadata.weight if state.settings.has_endpoint_weights else 0.0
     return max(MIN_LINK_TRANSFERS, weight) / endpoint.tier.proxies
 
 
 def transferred(state: RoutingState, now: Instant, key: api.QuotaKey, part: float) -> float:
-    """Returns the amount that transfers add to this proxy's part of a quota; below 0 if they reduce it.
+    """Returns the amount that quota transfers add to this proxy's part of a quota.
 
-    The amount that an earlier process of this proxy may have donated is subtracted.
+    The amount is below 0 if the transfers reduce the part. An amount that an earlier process of this proxy
+    may have donated is subtracted, too.
     """
     balance = state.quotas.balance(now, key)
     return balance - DONATED_SHARE * part if _may_have_forgotten_donations(state, now) else balance
@@ -113,9 +118,11 @@
 def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey) -> QuotaPart:
     """Returns this proxy's part of an endpoint's quota.
 
-    It depends on the configuration alone, since observed rates may fall.
+    The part depends on the configuration alone, and not on observed rates, since those may fall.
 
-    The origin has neither a concurrency limit nor a slow start, so this proxy has no such quota to donate.
+    The origin has neither a concurrency limit nor a slow start. This proxy has no quota of the origin to
+    donate, so its part is 0. The part is also 0 if the key's endpoint, or that process of it, is no longer
+    listed.
     """
     endpoint = None if key.endpoint_id is None else state.endpoints.by_id.get(key.endpoint_id)
     if endpoint is None or endpoint.role is Role.ORIGIN:
@@ -128,16 +135,17 @@
     share = slow_start_share(now - window, endpoint)
     budget_per_link = endpoint.tier.overload_multiple * share * window
     part = budget_per_link * configured_link_transfers(state, endpoint)
-    # Work that the recipient sends as the transfer ends stays in the endpoint's window for one window longer.
+    # Work that the recipient sends just before the transfer ends stays in the endpoint's overload window for
+    # the length of that window. The donor may use the donated amount again only afterwards.
     return QuotaPart(part, endpoint.work.total(now), return_delay=window)
 
 
 def donate_quota(
     state: RoutingState, now: Instant, request: api.QuotaRequested, part: QuotaPart
 ) -> api.DonateQuota:
-    """Donates what this proxy can spare of its part of a quota, until the transfer has expired.
+    """Donates what this proxy can spare of its part of a quota, until the transfer expires.
 
-    The donated amount returns to this proxy after the part's return delay.
+    The donated amount returns to this proxy when the part's return delay after that expiry is over.
     """
     amount = 0.0
     is_timely = now < request.expires_at <= now + MAX_TRANSFER_DURATION
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -5,13 +5,14 @@
 from olivepost.routing_state import Endpoint
 from olivepost.units import SECOND, Duration, Instant
 
-SUCCESS_FACTOR = 0.6  # share of the failure score that a success leaves
+SUCCESS_FACTOR = 0.6  # share of the failure score that is left after a success
 EJECTION_SCORE = 1.0  # failure score at which an endpoint is ejected
 FIRST_EJECTION: Duration = 1 * SECOND
 MAX_EJECTION: Duration = 4 * SECOND
-SILENCE_EJECTION_ODDS = 200.0  # odds against chance at which silences alone eject an endpoint
-MIN_SLOW_SHARE = 0.02  # lowest share of slow successful responses that a silence is compared with
-REPORTED_SCORE = 0.4  # failure score after outlier reports of other proxies, too low to eject
+# Silences alone eject an endpoint if the odds against all of them being chance are this high.
+SILENCE_EJECTION_ODDS = 200.0
+MIN_SLOW_SHARE = 0.02  # lowest share of slow successful responses with which a silence is scored
+REPORTED_SCORE = 0.4  # lowest failure score after outlier reports of other proxies; too low for an ejection
 LATE_STEP = 0.1  # weight of a new sample in an endpoint's late share
 INITIAL_LATE_SHARE = 0.2
 
@@ -32,14 +33,17 @@
     if endpoint.has_trial_in_flight:
         eject_endpoint(endpoint, now)
         return
-    # Failures of attempts that were in flight before an ejection don't lengthen it.
+    # An ejection is not lengthened by failures of attempts that were already in flight when it began.
     is_ejected = endpoint.ejected_until is not None and now < endpoint.ejected_until
     if endpoint.failure_score >= EJECTION_SCORE and not is_ejected:
         eject_endpoint(endpoint, now)
 
 
 def eject_endpoint(endpoint: Endpoint, now: Instant) -> None:
-    """Ejects an endpoint until its next half-open trial; each ejection in a row lasts twice as long."""
+    """Ejects an endpoint until its next half-open trial.
+
+    Each ejection that follows another without a success in between lasts twice as long, up to `MAX_EJECTION`.
+    """
     if endpoint.ejected_until is None:
         endpoint.ejection_duration = FIRST_EJECTION
     else:
@@ -49,7 +53,10 @@
 
 
 def record_outlier_report(endpoint: Endpoint) -> None:
-    """Raises the failure score, though not to ejection, since several other proxies ejected the endpoint."""
+    """Raises the failure score of an endpoint that several other proxies have ejected.
+
+    The raised score alone is too low to eject the endpoint here.
+    """
     endpoint.failure_score = max(endpoint.failure_score, REPORTED_SCORE)
 
 
@@ -63,11 +70,11 @@
 def silence_score(slow_share: float) -> float:
     """Returns the amount that one silence adds to a failure score.
 
-    It is smaller if more successful responses take as long.
+    The amount is smaller if a larger share of the successful responses is as slow, too.
     """
     return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(SILENCE_EJECTION_ODDS)
 
 
 def record_lateness(endpoint: Endpoint, is_late: bool) -> None:
-    """Adds one response to the endpoint's late share."""
+    """Updates the endpoint's late share, a moving average, with one response."""
     endpoint.late_share += LATE_STEP * (is_late - endpoint.late_share)
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -7,7 +7,7 @@
 from olivepost.routing_state import PendingRequest, RoutingState
 from olivepost.units import Duration, Instant
 
-# Largest share of the time to a request's deadline that it waits for lookups in the shared store.
+# Largest share of the time until its deadline that a request waits for lookups in the shared store.
 MAX_TIME_SHARE = 0.02
 
 
@@ -23,7 +23,10 @@
 
 
 def lookup_timeout(state: RoutingState, now: Instant, pending: PendingRequest) -> Duration:
-    """Returns how long the attempt waits for the shared store's hint."""
+    """Returns how long the attempt waits for the shared store's hint.
+
+    Returns 0 if there is no shared store or the request has used up its time for lookups.
+    """
     timeout = state.settings.shared_store_timeout
     if timeout is None:
         return 0
@@ -34,7 +37,7 @@
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
     """Returns the time that an attempt waits for a fill that it can't join; 0 if there is no such fill.
 
-    It waits until the fill ends, but at most half of the time that remains until the deadline.
+    The attempt waits until the fill ends, but at most half of the time that remains until the deadline.
     """
     if not hint.is_filling or state.settings.can_collapse_fills:
         return 0
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -1,4 +1,4 @@
-"""Age bounds of responses by invalidations and freshness, and the use of the proxy's own cache."""
+"""Age bounds of responses, which follow from invalidations and freshness; use of the proxy's own cache."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
@@ -10,9 +10,10 @@
 
 
 def age_bound(state: RoutingState, now: Instant, request: api.Request) -> Duration | None:
-    """Returns the highest allowed age of a response while caches may have stale ones; None if any is allowed.
+    """Returns the highest age that a response may have, or None if every age is allowed.
 
-    This upholds the invalidation invariant.
+    The age is bounded as long as caches may still have responses from before an invalidation. This upholds
+    the invalidation invariant: no such response is served.
     """
     invalidated_at = state.invalidations.latest(request)
     if invalidated_at is None:
@@ -23,10 +24,10 @@
 
 
 def max_age(state: RoutingState, now: Instant, pending: PendingRequest, source: str) -> Duration | None:
-    """Returns the age bound of an attempt, or None if it has none.
+    """Returns the age bound of an attempt's response, or None if every age is allowed.
 
-    During a fault, the class's grace for stale responses is added to its freshness lifetime. A fault is
-    assumed from the second attempt on, and while the source is ejected.
+    During a fault, the class's grace for stale responses is added to the class's freshness lifetime. A fault
+    is assumed from a request's second attempt on, and while the source is ejected.
     """
     limit = pending.request_class.freshness_lifetime
     bound = age_bound(state, now, pending.request)
@@ -38,10 +39,10 @@
 
 
 def reserve_cached_transfer(state: RoutingState, now: Instant, request: api.Request) -> bool:
-    """Begins the transfer of the proxy's own cached response; returns False if it may not be served.
+    """Whether the proxy's own cached response may be served; if so, reserves capacity for its transfer.
 
     This is an extension of f-TTL. The response must be fresh and younger than any invalidation, and the
-    proxy's own link must have capacity.
+    proxy's own link must have capacity for one more transfer.
     """
     state.transfer_ends = [end for end in state.transfer_ends if end > now]
     cached = request.cached_response
@@ -65,8 +66,8 @@
 def should_store(state: RoutingState, pending: PendingRequest, sent_at: Instant) -> bool:
     """Whether a response is stored in the proxy's own cache.
 
-    Its name must be ranked and must have been seen before. The response is not stored if an invalidation came
-    after the attempt was sent, since the response may be older.
+    The response's name must be ranked and must have been seen before. The response is not stored if an
+    invalidation came after the attempt was sent, since the response may be older than the invalidation.
     """
     if not pending.rank or state.settings.local_transfer_capacity <= 0:
         return False
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -8,7 +8,8 @@
 from olivepost import interface as api
 from olivepost.routing_state import RoutingState
 
-# Share of the memory limit at which each level begins. The rest is for data arriving until the next check.
+# Share of the memory limit at which each level begins. The rest of the limit is for data that arrives until
+# the next check.
 LEVEL_SHARES = {
     api.MemoryPressureLevel.EVICT_CACHE: 0.80,
     api.MemoryPressureLevel.CLOSE_IDLE: 0.84,
@@ -16,13 +17,13 @@
     api.MemoryPressureLevel.LIMIT_CONNECTIONS: 0.90,
     api.MemoryPressureLevel.REJECT: 0.93,
 }
-RELEASE_MARGIN = 0.02  # distance below a level's share at which the level ends
-KEPT_NAMES_SHARE = 0.5  # share of the name table's capacity that is kept at FREEZE_NAMES
-CONNECTION_SHARE = 0.5  # share of the client connections that LIMIT_CONNECTIONS allows
+RELEASE_MARGIN = 0.02  # a level ends when the use has fallen this far below its share of the limit
+KEPT_NAMES_SHARE = 0.5  # share of the name table's capacity to which the table is cut at FREEZE_NAMES
+CONNECTION_SHARE = 0.5  # share of the largest number of client connections that LIMIT_CONNECTIONS allows
 
 
 def level_for(used: int, limit: int, previous: api.MemoryPressureLevel) -> api.MemoryPressureLevel:
-    """Returns the level of a process that uses `used` bytes of its limit and was at the previous level."""
+    """Returns the level of a process that uses `used` of its `limit` bytes and whose level was `previous`."""
     level = api.MemoryPressureLevel.NONE
     for candidate, share in LEVEL_SHARES.items():
         margin = RELEASE_MARGIN if candidate <= previous else 0.0
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -64,9 +64,10 @@
 
 
 def _record_success(state: RoutingState, now: Instant, endpoint_id: str, role: Role, work: float) -> None:
-    """Records a success. If the endpoint is long-running, its work is also added to the rate of its role.
+    """Records an endpoint's success, and adds the work to its role's rate if the endpoint is long-running.
 
-    That rate is the mean over the role's ready endpoints that are long-running.
+    That rate is the mean rate of work of one ready long-running endpoint of the role. Endpoints are
+    long-running if they are listed without a start.
     """
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
@@ -91,7 +92,8 @@
 ) -> SilenceCheck:
     """Records that an attempt is past its silence timeout.
 
-    This is a failure of its cache if the cache has responded to no attempt since this one was sent.
+    The silence is a failure of the attempt's cache if that cache has responded to no attempt since this
+    attempt was sent.
     """
     if 2 * attempt.silence_timeout <= now - attempt.sent_at < 3 * attempt.silence_timeout:
         record_lateness(state, attempt.source_or_cache, True)
@@ -152,8 +154,8 @@
 ) -> Ejection | None:
     """Attributes a rejection to the source, the cache or, if the origin failed, no endpoint.
 
-    The source is at fault if the cache reports so. If caches don't report causes, it is also at fault if the
-    cache has responded.
+    The source is at fault if the cache reports so. If caches don't report causes of failures, the source is
+    also at fault if the cache has responded since the attempt was sent.
     """
     is_source_fault = outcome.cache_status in api.SOURCE_FAILURES
     if not state.settings.reports_failure_causes:
@@ -170,7 +172,10 @@
 def record_failure(
     state: RoutingState, now: Instant, pending: PendingRequest, endpoint_id: str, score: float
 ) -> Ejection | None:
-    """Adds to an endpoint's failure score; the request avoids the endpoint from now on."""
+    """Adds to an endpoint's failure score; the request avoids the endpoint from now on.
+
+    Returns the endpoint's ejection, or None if the endpoint is not ejected.
+    """
     pending.avoided.add(endpoint_id)
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None or not score:
@@ -183,9 +188,10 @@
 def _record_possible_fault(
     state: RoutingState, pending: PendingRequest, attempt: Attempt, fault: PossibleFault
 ) -> None:
-    """Records an error that may be the endpoint's fault or the request's own.
+    """Records an error that may be the fault of an endpoint or of the request itself.
 
-    The request is retried once on another endpoint; a second error is attributed to the request.
+    The request is retried once on another endpoint. If that retry ends with an error, too, the fault is
+    attributed to the request.
     """
     pending.avoided.add(fault.endpoint_id)
     if attempt.cache != pending.missed_cache:
@@ -203,8 +209,8 @@
 def _is_presumed_request_fault(state: RoutingState, pending: PendingRequest) -> bool:
     """Whether a first error is attributed to the request without a retry.
 
-    This concerns new names only. Its probability is the share of errors that second errors have shown to be
-    the request's own.
+    Only a request for a new name can be treated so, and then at random. The probability is the share of
+    earlier errors that a second endpoint's error has shown to be the request's own fault.
     """
     return pending.name_remaining is None and state.random.random() < state.request_fault_share.value
 
@@ -212,7 +218,8 @@
 def record_unconfirmed_fault(state: RoutingState, now: Instant, pending: PendingRequest) -> Ejection | None:
     """Raises an endpoint's failure score for an error that no other endpoint confirmed.
 
-    Called when a request is over; it does nothing unless the request had one such error.
+    The request's life cycle calls this function when the request is over. Nothing is recorded unless the
+    request had one such error. Returns the ejection of the endpoint, or None if it is not ejected.
     """
     fault = pending.possible_fault
     if fault is None:
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -8,7 +8,7 @@
 MAX_RETRIES = 10.0  # highest number of retries that the retry budget holds
 DONATION_FLOOR = 0.5  # share of MAX_RETRIES that is never donated
 MEAN_RETRY_AFTER: Duration = SECOND // 2
-SUBSCRIPTIONS_PER_TIMEOUT = 4  # subscriptions that are tried within `subscription_timeout`
+SUBSCRIPTIONS_PER_TIMEOUT = 4  # number of subscriptions that are tried within `subscription_timeout`
 
 
 def subscription_delay(settings: api.Settings) -> Duration:
@@ -30,14 +30,18 @@
 
 
 def quota_part(state: RoutingState) -> QuotaPart:
-    """Returns the retry budget as a quota; the floor, which is never donated, is part of the used amount."""
+    """Returns the retry budget as this proxy's part of a quota.
+
+    The used amount includes the floor, which is the part of the budget that is never donated.
+    """
     return QuotaPart(MAX_RETRIES, (1 + DONATION_FLOOR) * MAX_RETRIES - state.retry_balance)
 
 
 def cost_of(pending: PendingRequest, outcome: api.AttemptOutcome) -> int:
-    """Returns the cost of a retry to the retry budget, which is 1 or 0.
+    """Returns the amount, 1 or 0, that a retry takes from the retry budget.
 
-    It costs 0 if another retry has paid for the loss of the same connection, or if it is to confirm an error.
+    A retry costs 0 if another retry has paid for the loss of the same connection. A retry that is to show
+    whether a first error is the request's own fault costs 0, too.
     """
     return 0 if outcome.is_repeated_loss or pending.possible_fault is not None else 1
 
@@ -53,14 +57,15 @@
 
 
 def has_attempts_left(state: RoutingState, pending: PendingRequest) -> bool:
-    """Whether attempts are left, and no error is attributed to the request itself."""
+    """Whether the request is below its attempt limit and no error is attributed to the request itself."""
     return pending.is_retryable and pending.attempt_count < state.settings.max_attempts
 
 
 def is_idempotent_at(state: RoutingState, now: Instant, pending: PendingRequest, target: str) -> bool:
-    """Whether one more attempt at this target has no second effect.
+    """Whether one more attempt at the endpoint `target` has no second effect.
 
-    This upholds the idempotency invariant.
+    This upholds the idempotency invariant: a request that may have been executed is sent again only if the
+    repeat has no second effect.
     """
     request_class = pending.request_class
     if not pending.executed or request_class.idempotency is api.Idempotency.IDEMPOTENT:
@@ -84,7 +89,8 @@
 def latest_start(state: RoutingState, pending: PendingRequest) -> Instant | None:
     """Returns the latest time at which a retry may begin, or None if there is no bound.
 
-    The bound is passed on with the attempt, since the attempt may wait for its connection.
+    The bound is sent along with the attempt, since the attempt may have to wait for a connection and then
+    begin too late.
     """
     request_class = pending.request_class
     if not pending.executed or request_class.idempotency is not api.Idempotency.WITH_KEY:
@@ -105,7 +111,10 @@
 def final_response(
     state: RoutingState, pending: PendingRequest, reason: api.GiveUpReason
 ) -> api.Reject | api.Fail:
-    """Returns the final response of a request that is given up; a rejection if the client may retry it."""
+    """Returns the final response of a request that is given up.
+
+    The response is a rejection if the client may send the request again, and a failure otherwise.
+    """
     retry_after = random_retry_after(state)
     if is_client_retry_harmless(pending):
         return api.Reject(pending.request.id, retry_after, reason)
@@ -122,7 +131,7 @@
 
 
 def random_retry_after(state: RoutingState) -> Duration | None:
-    """Returns the Retry-After of a rejection, or None if it carries none.
+    """Returns the value of Retry-After for a rejection, or None if the rejection has no Retry-After.
 
     The value is random, so that clients don't all return at the same time.
     """
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -19,9 +19,10 @@
 MAX_ORDER_BYTES = 8_388_608  # bytes of cached rendezvous orders, if the host sets no bound
 ORDER_ENTRY_BYTES = 320  # bytes of one order without its references
 ORDER_REFERENCE_BYTES = 8  # bytes of one reference, of which an order has one for each endpoint
-# Excess over the candidates' lowest late share up to which an endpoint sheds no names.
+# An endpoint sheds no names if its late share exceeds the lowest one among the candidates by at most this.
 LATE_SHARE_TOLERANCE = 0.2
-# Excess over the tolerated late share at which an endpoint would shed every name.
+# If an endpoint's late share exceeds the tolerated one by this much, the endpoint would shed every name, but
+# for MAX_SHED_SHARE.
 LATE_SHARE_SHEDDING_RANGE = 0.4
 MAX_SHED_SHARE = 0.9  # largest share of its names that an endpoint sheds
 
@@ -55,7 +56,7 @@
 
 
 def _is_below_limit(state: RoutingState, now: Instant, endpoint: Endpoint) -> bool:
-    if endpoint.in_flight == 0:  # every limit allows one attempt
+    if endpoint.in_flight == 0:  # every concurrency limit allows at least one attempt
         return True
     return endpoint.in_flight + 1 <= capacity.concurrency_limit(state, now, endpoint)
 
@@ -76,9 +77,10 @@
 
 
 def _select_cache(state: RoutingState, now: Instant, pending: PendingRequest) -> Selection:
-    """Returns the hinted cache if it may be used, and otherwise the selected one.
+    """Returns the hinted cache if it may be used, and otherwise the cache that the limits select.
 
-    The hinted cache is used even above its concurrency limit, since it need not fill.
+    The hinted cache is used even above its concurrency limit. It already has the object or is filling it, so
+    the attempt causes no further fill.
     """
     hint = pending.hint
     if hint is not None and hint.cache is not None and hint.cache in state.endpoints.caches:
@@ -94,8 +96,8 @@
 def _is_lookup_only(state: RoutingState, now: Instant, pending: PendingRequest, cache: str) -> bool:
     """Whether the attempt only looks the name up in the cache, before a source is named for a fill.
 
-    This is an extension of f-TTL. Requests of other proxies may have had a name cached that is new to this
-    proxy. If an attempt has no source, its silence can only be that of the cache.
+    This is an extension of f-TTL. A name that is new to this proxy may be cached already, because of requests
+    of other proxies. If an attempt that names no source stays silent, only the cache can be the cause.
     """
     hint = pending.hint
     if hint is not None and hint.is_filling and hint.cache == cache:
@@ -109,10 +111,11 @@
 
 
 def _select_endpoint(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> Selection:
-    """Returns the first endpoint in a tier's order for a name that is within all limits.
+    """Returns the first endpoint, in a tier's order for a name, that is within all limits.
 
-    If there is none, limits are dropped one by one: the late share, the concurrency limit, ejection, earlier
-    failures of this request. The slow start budget is never dropped.
+    If there is no such endpoint, limits are dropped one after another: first the late share, then the
+    concurrency limit, then ejection, then the earlier failures of this request. The slow start budget is
+    never dropped.
     """
     order = _cached_order(state, pending.name, role)
     if not order:
@@ -121,7 +124,7 @@
     by_id = state.endpoints.by_id
     home = by_id[order[0]]
     if _is_unrestricted(state, now, pending, home) and capacity.has_slow_start_budget(state, now, home, work):
-        return Selection(order[0])  # same result as the code below, in a fraction of its time
+        return Selection(order[0])  # same result as from the code below, in a fraction of the time
     endpoints = [by_id[endpoint_id] for endpoint_id in order]
     within_budget = [
         endpoint for endpoint in endpoints if capacity.has_slow_start_budget(state, now, endpoint, work)
@@ -155,8 +158,9 @@
 def _without_shedding_endpoints(endpoints: list[Endpoint], name: str) -> list[Endpoint]:
     """Returns the endpoints without those that shed this name.
 
-    An endpoint sheds names if it is late more often than the best of the endpoints. The share of names that
-    it sheds grows with its late share, and a name's hash decides whether it is among them.
+    An endpoint sheds names if its late share exceeds the lowest late share of the endpoints by more than the
+    tolerance. The higher the late share, the more names the endpoint sheds. The hash of a name decides
+    whether the name is among them.
     """
     late_shares = [endpoint.late_share for endpoint in endpoints]
     tolerated = min(late_shares, default=0.0) + LATE_SHARE_TOLERANCE
