--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -113,7 +113,7 @@
     def parse(cls, arguments: list[str] | None) -> CommandLine:
         """Parses `arguments`, or the process's arguments if `arguments` is None.
 
-        Raises DocoptExit, whose message shows the usage, if they don't fit the grammar.
+        Raises DocoptExit, whose message shows the usage, if the arguments don't fit the grammar.
         """
         assert __doc__
         parsed = docopt(__doc__, arguments)
--- a/olivepost/config/__init__.py
+++ b/olivepost/config/__init__.py
@@ -1,7 +1,7 @@
-"""Configuration: typed settings and resource limits, read from the platform's JSON; errors name the key.
+"""Configuration: typed settings and resource limits, read from the platform's JSON.
 
-`load` reads the configuration of a proxy process. `read_settings` reads the router settings alone, for the
-simulator's adapter, too.
+`load` reads the configuration of a proxy process. `read_settings` reads the router settings alone; the
+simulator's adapter uses it, too. Errors name the faulty key.
 """
 
 from olivepost.config.fields import Address, ConfigError, FieldReader, read_address
--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -10,9 +10,10 @@
 
 from olivepost.units import Duration
 
-# The sum of an instant and a longer duration would overflow 64 bits.
+# Longest allowed duration. The sum of an instant and a longer duration would overflow 64 bits.
 MAX_DURATION: Duration = 1 << 62
-# JSON can hold larger numbers, and Python's decoder also accepts Infinity and NaN.
+# Largest allowed number. The bound is checked because JSON can hold larger numbers, and Python's decoder also
+# accepts Infinity and NaN.
 MAX_NUMBER = sys.float_info.max
 MAX_OCTET = 255
 MAX_PORT = 65_535
@@ -67,7 +68,7 @@
 
     A null is treated as a missing field. Methods raise a ConfigError that names the object and the field if a
     required field is missing or a field has an unexpected type. A field is required if the caller gives no
-    default. Immutable, so any thread may use it.
+    default. A reader is immutable, so any thread may use it.
     """
 
     def __init__(self, where: str, data: object) -> None:
@@ -103,7 +104,7 @@
         return list(self._get(key, (list,), "a list", []))
 
     def element(self, key: str, index: int | None) -> FieldReader:
-        """Returns one element of a list, as an object whose only field has the list's name.
+        """Returns one element of a list, as a reader of an object whose only field has the list's name.
 
         The object is empty if `index` is None or outside the list, so that the field's default applies.
         """
@@ -114,7 +115,7 @@
         return FieldReader(where, {key: values[index]})
 
     def section(self, key: str) -> FieldReader:
-        """Returns a nested object; an empty one if the field is missing."""
+        """Returns a reader of a nested object; the object is empty if the field is missing."""
         return FieldReader(f"{self.where}.{key}", self._get(key, (dict,), "an object", {}))
 
     def one_of(self, key: str, choices: Mapping[str, ChoiceT], default: str | None = None) -> ChoiceT:
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -31,30 +31,37 @@
 SMALL_BODY_BYTES = 16_384  # size of the largest request body that needs no memory reservation
 
 # Buffers.
-# Full size. Buffers are smaller if the memory limit is low, since each connection holds one.
+# Full size of one buffer. Buffers are smaller if the memory limit is low, since each connection holds one.
 BUFFER_BYTES = 16_384
-FULL_BUFFER_MEMORY_MB = 128  # smallest memory limit with buffers of full size
-# Smallest memory limit with buffers of half the full size; below it they have a quarter.
+FULL_BUFFER_MEMORY_MB = 128  # smallest memory limit at which buffers have their full size
+# Smallest memory limit at which buffers have half their full size. Below this limit, they have a quarter.
 HALF_BUFFER_MEMORY_MB = 48
 
 # Connections.
-CLIENT_CONNECTION_BYTES = 36 * BYTES_PER_KB  # a thread, the parser and a request, without the read buffer
-UPSTREAM_CONNECTION_BYTES = 64 * BYTES_PER_KB  # two threads and pending requests, without the read buffer
-# Number of client connections for each upstream connection in the division of the memory for connections.
+# Memory of a thread, the parser and a request, without the read buffer.
+CLIENT_CONNECTION_BYTES = 36 * BYTES_PER_KB
+# Memory of two threads and of pending requests, without the read buffer.
+UPSTREAM_CONNECTION_BYTES = 64 * BYTES_PER_KB
+# The memory for connections is divided so that there are this many client connections for each upstream
+# connection.
 CLIENTS_PER_UPSTREAM = Share(3, 2)
-# Shares of the file descriptors. The listener, discovery and files use those that client and upstream
-# connections leave.
-CLIENT_SOCKETS_SHARE = Share(15, 32)  # share for all client connections
-UPSTREAM_SOCKETS_SHARE = Share(3, 8)  # share for all upstream connections
-ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # share for the upstream connections to one endpoint
+# Shares of the process's file descriptors. The listener, discovery and files use the descriptors that client
+# and upstream connections leave.
+CLIENT_SOCKETS_SHARE = Share(15, 32)  # share of the descriptors that all client connections may use
+UPSTREAM_SOCKETS_SHARE = Share(3, 8)  # share of the descriptors that all upstream connections may use
+ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # share of the descriptors that the connections to one endpoint may use
 MAX_CLIENT_CONNECTIONS = 4_096
 MIN_CONNECTIONS_PER_ENDPOINT = 3
-SPARE_CONNECTIONS_PER_ENDPOINT = 2  # in addition to those that carry one request of each client connection
+# Connections to an endpoint beyond those that carry one request of each client connection.
+SPARE_CONNECTIONS_PER_ENDPOINT = 2
 
 # Bodies.
-LARGE_BODY_MEMORY_SHARE = Share(1, 5)  # share of the memory for bodies, if a class writes
+# Share of the memory for bodies that large request bodies may use, without their second copies, if a class
+# writes.
+LARGE_BODY_MEMORY_SHARE = Share(1, 5)
 MIN_LARGE_BODY_BYTES = 2 * MAX_OBJECT_BYTES
-# A large body is in memory twice while it is taken out of the received bytes or encoded into a command.
+# Number of copies of a large body that may be in memory. There are two while the body is taken out of the
+# received bytes or encoded into a command.
 LARGE_BODY_COPIES = 2
 CACHE_BUFFERS_SHARE = Share(2, 3)  # share of the body buffers that the response cache may hold
 MIN_BODY_BUFFERS = 64
@@ -71,22 +78,25 @@
     max_sockets: int
 
     # Connections
-    # Open connections. At the cap, the connection that has been idle longest is closed to admit a new one.
+    # Maximum number of open client connections. At this number, the connection that has been idle longest is
+    # closed to admit a new one.
     max_client_connections: int
-    max_connections_per_endpoint: int  # enough to carry one request of each client connection
-    # This limit includes closing connections, so that descriptors are left for clients.
+    # Enough to carry one request of each client connection, if descriptors suffice.
+    max_connections_per_endpoint: int
+    # This limit also covers connections that are still closing, so that descriptors are left for clients.
     max_upstream_connections: int
 
     # Buffers
     read_buffers: int  # receive buffers, one for each client and upstream connection
-    body_buffers: int  # a separate pool, so that the proxy can read even if clients hold all bodies
+    # Separate from the read buffers, so that the proxy can read even if clients hold all body buffers.
+    body_buffers: int
     cache_buffers: int  # the part of the body buffers that the response cache may hold
     buffer_bytes: int
 
     # Messages
-    large_body_bytes: int  # total of all request bodies that are not small; 0 if no class writes
+    large_body_bytes: int  # total bytes of all request bodies that are not small; 0 if no class writes
     max_request_body_bytes: int  # `MAX_OBJECT_BYTES` if a class writes, else `SMALL_BODY_BYTES`
-    max_head_bytes: int = 8_192  # size of the request line and the headers together
+    max_head_bytes: int = 8_192  # size in bytes of the request line and the headers together
     small_body_bytes: int = SMALL_BODY_BYTES  # body size that any connection may hold without a reservation
     max_response_body_bytes: int = MAX_OBJECT_BYTES
 
@@ -94,11 +104,13 @@
     # Time from connecting, or from the first byte of a later request, to the complete request.
     first_request_timeout: Duration = 2 * SECOND
     keepalive_timeout: Duration = 5 * SECOND  # time between a response and the next request's first byte
-    write_stall_timeout: Duration = 2 * SECOND  # time in which a client or an endpoint accepts no byte
+    # Longest time during which a client or an endpoint may accept no byte.
+    write_stall_timeout: Duration = 2 * SECOND
     slow_client_timeout: Duration = 10 * SECOND  # upper bound on the time to write a complete response
 
     # Upstream connections
-    max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION  # requests in flight
+    # Requests in flight on one upstream connection.
+    max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
     upstream_idle_timeout: Duration = DEFAULT_UPSTREAM_IDLE_TIMEOUT
     # A longer pause within a response is treated as a stall.
@@ -108,12 +120,12 @@
     liveness_check_delay: Duration = 200 * MILLISECOND
     # The connection is closed if the endpoint does not reply to a liveness check within this time.
     liveness_check_timeout: Duration = 200 * MILLISECOND
-    # Interval between checks of a connection that receives nothing.
+    # Interval at which a connection is checked while it receives nothing.
     receive_poll_interval: Duration = 50 * MILLISECOND
 
     # Threads and listener
     stack_bytes: int = 262_144  # stack size of each thread
-    writer_threads: int = 1  # none of them waits for a client
+    writer_threads: int = 1  # threads that write responses to clients; none of them waits for a client
     backlog: int = 512  # connections that the kernel queues until the proxy accepts them
 
 
@@ -126,7 +138,7 @@
     upstream_idle_timeout: Duration
     requests_per_connection: int
     connect_timeout: Duration
-    has_writes: bool  # whether some class writes
+    has_writes: bool  # whether requests of some class may write
 
 
 class ConnectionPlan(NamedTuple):
@@ -149,7 +161,7 @@
 
 
 def read_limits(configuration: FieldReader, settings: FieldReader) -> ResourceLimits:
-    """Derives the limits from the section `limits` of the configuration and that of its settings."""
+    """Derives the limits from the sections `limits` of the configuration and of its section `settings`."""
     return derive_limits(_read_platform_limits(configuration, settings))
 
 
@@ -181,7 +193,7 @@
 
 
 def choose_buffer_bytes(memory_mb: int) -> int:
-    """Returns the size of one buffer, which is smaller if the memory limit is low."""
+    """Returns the size of one buffer in bytes; buffers are smaller if the memory limit is low."""
     if memory_mb >= FULL_BUFFER_MEMORY_MB:
         return BUFFER_BYTES
     if memory_mb >= HALF_BUFFER_MEMORY_MB:
@@ -212,7 +224,8 @@
 def plan_connections_per_endpoint(max_sockets: int, clients: int, requests_per_connection: int) -> int:
     """Returns the maximum number of connections to one endpoint.
 
-    They carry one request of each client connection if the endpoint's share of the descriptors allows it.
+    These connections can carry one request of each client connection, if the endpoint's share of the
+    descriptors allows so many connections.
     """
     for_all_clients = -(-clients // requests_per_connection)  # rounded up
     wanted = for_all_clients + SPARE_CONNECTIONS_PER_ENDPOINT
@@ -249,5 +262,8 @@
 
 
 def _read_bound(fields: FieldReader, key: str, maximum: int, default: int) -> int:
-    """Returns a whole bound; the default if the key is missing or 0, since 0 means that no bound is set."""
+    """Returns a bound as a whole number.
+
+    Returns the default if the key is missing or 0, since 0 means that no bound is set.
+    """
     return int(fields.number_within(key, 0, maximum, default)) or default
--- a/olivepost/config/loader.py
+++ b/olivepost/config/loader.py
@@ -1,4 +1,7 @@
-"""Configuration of a proxy process, read from its file and the environment, validated, with defaults."""
+"""Configuration of a proxy process, read from a file and the environment and validated.
+
+Missing keys get defaults.
+"""
 
 from __future__ import annotations
 
@@ -20,13 +23,14 @@
 NAME_VARIABLE = "BALANCER_NAME"
 DEFAULT_NAME = "front"
 
-# If the router gives its final response this long before the deadline, a proxy whose CPU core is fully loaded
-# can still deliver it in time.
+# Largest margin that is computed for the time between the router's final response and a request's deadline.
+# With this margin, a proxy whose CPU core is fully loaded can still deliver the response in time.
 MAX_DEADLINE_MARGIN: Duration = 100 * MILLISECOND
 DEADLINES_PER_MARGIN = 8  # the computed margin is at most the shortest deadline divided by this
 
 MAX_BYTES_PER_S = 1e15
-# Names that can be written in a request's target and in a field of the endpoints' line protocol.
+# Pattern of class names. Such names can be written in a request's target and in a field of the line protocol
+# that endpoints speak.
 CLASS_NAME = re.compile(r"[!#-*\-.0-9:-<>-~]{0,200}", re.ASCII)
 
 # Fields of ProxyConfig that a running proxy can't change, and the keys that they are read from.
@@ -51,7 +55,8 @@
     known_events: object | None  # the coordinator's events before the start, decoded but not validated
     settings: api.Settings
     limits: ResourceLimits
-    transfer_bytes_per_s: float | None  # rate of one transfer on the proxy's own link; None if unknown
+    # Bytes per second of one transfer on the proxy's own link; None if unknown.
+    transfer_bytes_per_s: float | None
 
 
 def load(environment: Mapping[str, str], path: str | None = None) -> ProxyConfig:
@@ -80,7 +85,8 @@
 def read_config(data: object, environment: Mapping[str, str]) -> ProxyConfig:
     """Validates a decoded configuration.
 
-    The variables `BALANCER_NAME` and `BALANCER_LISTEN` take precedence over its `name` and `listen`.
+    The environment's variables `BALANCER_NAME` and `BALANCER_LISTEN` take precedence over the configuration's
+    `name` and `listen`.
     """
     configuration = FieldReader("configuration", data)
     listen = _read_listen(configuration, environment)
@@ -106,7 +112,7 @@
 
 
 def keys_needing_restart(old: ProxyConfig, new: ProxyConfig) -> list[str]:
-    """Returns the changed keys that a running proxy can't apply."""
+    """Returns those changed keys that only take effect when the proxy is restarted."""
     return [key for field, key in RESTART_KEYS.items() if getattr(old, field) != getattr(new, field)]
 
 
@@ -121,7 +127,7 @@
 
 
 def _check_class_names(settings: api.Settings) -> None:
-    """Raises ConfigError if there is no class or if a class name doesn't fit into a request."""
+    """Raises ConfigError if there is no class or if a class name can't be written in a request."""
     if not settings.classes:
         raise ConfigError(
             "is missing or empty; it must list at least one class", where="settings", key="classes"
--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -29,11 +29,12 @@
 BYTES_PER_MB = 1_048_576
 
 # The whole process.
-# Share of the limit. The rest is for the allocator's fragmentation and for short-lived objects.
+# Share of the memory limit that the program and all owners may use. The rest of the limit is for the
+# allocator's fragmentation and for short-lived objects.
 USABLE_SHARE = Share(9, 10)
-# Memory in use before the first connection, including the interpreter's mapped files.
+# Memory that the program itself uses before the first connection, including the interpreter's mapped files.
 PROGRAM_BYTES = 22 * BYTES_PER_MB
-# Minimum that all owners share, even if the total then exceeds the limit.
+# Minimum of the memory that all owners share, even if the total then exceeds the limit.
 MIN_SPARE_BYTES = 4 * BYTES_PER_MB
 
 # Memory of one entry or message.
@@ -41,7 +42,8 @@
 INVALIDATION_BYTES = 320
 # Overhead of each body buffer, for its memoryview and for the body and the cache entry that hold it.
 BUFFER_OVERHEAD_BYTES = 1_024
-DISCOVERY_RESPONSE_SHARE = Share(1, 32)  # share of the limit for one response body before decoding
+# Share of the memory limit that the body of one discovery response may use before it is decoded.
+DISCOVERY_RESPONSE_SHARE = Share(1, 32)
 MIN_DISCOVERY_RESPONSE_BYTES = 2 * BYTES_PER_MB
 
 # Each owner's share of the usable memory that the program leaves. The shares add up to one.
@@ -57,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryBudget:
-    """Bytes that each owner may use."""
+    """Bytes that each owner of memory in the process may use."""
 
     limit: int  # set by the platform for the whole process
     program: int
@@ -66,7 +68,7 @@
     names: int  # the router's table of names
     requests: int  # pending requests, attempts and timers
     endpoints: int  # entries of the endpoint list in the router and in the connection pool
-    routes: int  # endpoint orders that the router has computed
+    routes: int  # rendezvous orders of endpoints that the router has computed
     invalidations: int
     log: int  # log lines that wait to be written
 
@@ -82,7 +84,7 @@
 
     @property
     def max_discovery_response(self) -> int:
-        """Returns the largest allowed body of a poll's response, in bytes."""
+        """Returns the largest allowed size of the body of a discovery response, in bytes."""
         return max(MIN_DISCOVERY_RESPONSE_BYTES, DISCOVERY_RESPONSE_SHARE.of(self.limit))
 
     @property
--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -14,7 +14,7 @@
 MAX_MULTIPLE = 1e6  # largest overload multiple or stretch of a latency objective
 MAX_WEIGHT = 1e12  # largest priority weight of a class
 MAX_TRANSFER_RATE_KB_PER_S = 1e12
-NO_KIND_INDEX = -1  # the platform's index of a tier that does not exist
+NO_KIND_INDEX = -1  # the index that the platform writes for the kind of a tier that does not exist
 
 IDEMPOTENCIES = {
     "read_like": api.Idempotency.IDEMPOTENT,
@@ -89,7 +89,7 @@
 
 
 def _read_classes(info: FieldReader, family: FieldReader) -> dict[str, api.ClassSettings]:
-    """Returns the classes by name; lists in `family` hold some of their values at the class's index."""
+    """Returns the classes by name. Some values of a class are in lists of `family`, at the class's index."""
     classes: dict[str, api.ClassSettings] = {}
     for index, item in enumerate(info.items("classes")):
         fields = FieldReader(f"{info.where}.classes[{index}]", item)
--- a/olivepost/interface/actions.py
+++ b/olivepost/interface/actions.py
@@ -37,7 +37,7 @@
     max_age: Duration | None
     # Whether the attempt joins a fill of the same object that is already in flight.
     collapse_fills: bool = False
-    # Whether the cache refreshes its cached response in the background of this attempt.
+    # Whether the cache refreshes its cached response in the background, in addition to serving this attempt.
     refresh: bool = False
     # The latest time at which the attempt may begin, or None if there is no limit.
     start_before: Instant | None = None
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class StoreResponse:
-    """Instruction to store the event's response in the proxy's own cache, if there is capacity."""
+    """Instruction to store the response that the event reports in the proxy's own cache, if it has room."""
 
     request_id: str
 
@@ -100,7 +100,8 @@
 class LookUpHint:
     """Lookup of a name in the shared store. A `CacheHint` that arrives after the timeout is ignored.
 
-    With a source, the lookup also requests the lease under which `cache` fills the name from that source.
+    If a source is given, the lookup also requests the lease under which `cache` fills the name from that
+    source.
     """
 
     request_id: str
@@ -114,7 +115,7 @@
 
 @dataclass(slots=True)
 class ReleaseLease:
-    """End of a request that requested a fill lease."""
+    """Instruction to release the fill lease that a request asked for, since the request is over."""
 
     request_id: str
     # The cache that has the object now, or None if the object was not filled.
@@ -133,7 +134,7 @@
 
 @dataclass(slots=True)
 class RequestQuota:
-    """Request to other proxies for the amount of a quota that this proxy lacked for an attempt."""
+    """Request that asks other proxies for the amount of a quota that this proxy lacked for an attempt."""
 
     key: QuotaKey
     amount: float
@@ -143,7 +144,8 @@
 class DonateQuota:
     """Quota that this proxy gives up immediately, in answer to a `QuotaRequested`, until `expires_at`.
 
-    The amount is 0 if none can be spared. A `QuotaReceived` with the same amount and expiry time returns it.
+    The amount is 0 if this proxy can spare none. A `QuotaReceived` with the same amount and expiry time gives
+    the quota back to this proxy.
     """
 
     transfer_id: int
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -23,7 +23,7 @@
     INCREMENTAL = "changes"
     FULL = "full"
     RESTORED = "stored"  # the list that was stored before the proxy started
-    FAILED = "failed"  # no endpoints, because the subscription failed
+    FAILED = "failed"  # the update has no endpoints, because the subscription failed
 
 
 class AttemptStatus(Enum):
@@ -51,7 +51,7 @@
 
 
 class CacheStatus(Enum):
-    """Way in which a cache got its response, or the cause of a failed fill (compare RFC 9211)."""
+    """Way in which a cache got the response that it sent, or the cause of a failed fill (see RFC 9211)."""
 
     UNKNOWN = 0
     HIT = 1
@@ -135,7 +135,7 @@
     elapsed: Duration
     is_final: bool = False  # whether the request is over
     cache_status: CacheStatus = CacheStatus.UNKNOWN
-    # Whether another outcome has already reported the loss of the attempt's connection.
+    # Whether the attempt's connection was lost and another attempt's outcome has already reported that loss.
     is_repeated_loss: bool = False
     # Whether the response is "not modified", which has no body and no transfer time.
     is_not_modified: bool = False
@@ -157,7 +157,7 @@
 class Invalidation:
     """Notice that responses older than `age` are stale.
 
-    It applies to one object, or to a whole group if no object is named.
+    The notice applies to the responses of one object, or of a whole group of objects if no object is named.
     """
 
     object: str | None
@@ -184,7 +184,8 @@
     """Reply of the shared store about a name that was looked up."""
 
     request_id: str
-    # The cache that has or is filling the object, or None if there is none or this proxy has the fill lease.
+    # The cache that has the object or is filling it. It is None if there is no such cache or if this proxy
+    # has the fill lease.
     cache: str | None = None
     is_filling: bool = False
     ready_in: Duration = 0  # the time until the fill ends, according to its lease
@@ -202,7 +203,10 @@
 
 @dataclass(slots=True)
 class QuotaReceived:
-    """Quota that another proxy has donated, or that it returns to this proxy, until the transfer expires."""
+    """Quota that another proxy donates to this proxy, or gives back to it as the donor.
+
+    The transfer lasts until `expires_at`.
+    """
 
     key: QuotaKey
     amount: float
@@ -217,7 +221,10 @@
 
 
 class MemoryPressureLevel(IntEnum):
-    """Level of memory pressure, by what is shed to free memory. Each level includes all lower levels."""
+    """Level of memory pressure, named after the measure that frees memory.
+
+    The measures of all lower levels apply at each level, too.
+    """
 
     NONE = 0
     EVICT_CACHE = 1  # Responses in the proxy's own cache are evicted.
@@ -229,7 +236,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressure:
-    """Memory pressure level of the process, sent when it has changed and at each check under pressure."""
+    """Memory pressure level of the process.
+
+    The event is sent when the level has changed, and at each check while the level is above `NONE`.
+    """
 
     level: MemoryPressureLevel
 
--- a/olivepost/interface/quota.py
+++ b/olivepost/interface/quota.py
@@ -17,7 +17,7 @@
 
 
 class QuotaKey(NamedTuple):
-    """Key of a quota, which belongs to one process of an endpoint.
+    """Key of a quota. Except for the retry budget, each quota belongs to one process of an endpoint.
 
     The key of the retry budget names no endpoint, because that budget belongs to the proxy as a whole.
     """
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -18,7 +18,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Scope of the caches that drop repeats of a request with an idempotency key."""
+    """Set of the caches that together drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -36,11 +36,11 @@
     deadline: Duration  # the longest time that clients of the class wait
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
-    idempotency_window: Duration  # the time during which repeats with the same key are dropped
+    idempotency_window: Duration  # the time during which repeats with the same idempotency key are dropped
     is_streaming: bool
     priority_weight: float
     late_priority_weight: float
-    freshness_lifetime: Duration | None  # None if responses of the class stay fresh
+    freshness_lifetime: Duration | None  # None if responses of the class stay fresh for ever
     stale_grace: Duration  # the time during which a stale response may still be used
     stale_priority_weight: float
     is_uncacheable: bool
@@ -72,12 +72,12 @@
     has_endpoint_weights: bool
     transfer_rate_kb_per_s: float | None  # the rate of one transfer; None if it is unknown
     can_collapse_fills: bool
-    # Whether an attempt may go directly to a parent if no cache may be used.
+    # Whether an attempt may go directly to a parent or to the origin if no cache may be used.
     allows_direct_forwarding: bool
     sibling_sources: str
     reports_hits: bool
     reports_failure_causes: bool
-    # The time after which all caches have carried out an invalidation.
+    # The time after an invalidation by which all caches have carried it out.
     invalidation_lifetime: Duration
     overload_window: Duration
     subscribes_to_endpoints: bool
--- a/olivepost/operator_config/__init__.py
+++ b/olivepost/operator_config/__init__.py
@@ -1,1 +1,4 @@
-"""The operator's YAML file: one section for each optional subsystem; none is imported without the file."""
+"""The operator's YAML file, with one section for each optional subsystem.
+
+If no such file is named, no optional subsystem is imported.
+"""
--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -19,11 +19,13 @@
 
 MAX_FILE_BYTES = 1 << 20
 FIRST_LINE = 1
-WHOLE_FILE = "the file"  # shown in place of a key if a fault is in no key
+WHOLE_FILE = "the file"  # shown in place of a key if a fault concerns no single key
 STRING_TAG = "tag:yaml.org,2002:str"
-MERGE_TAG = "tag:yaml.org,2002:merge"  # the key `<<`
-MESSAGE_PREFIXES = ("Value error, ", "Assertion failed, ")  # added by pydantic to a validator's own text
-MAX_INPUT_LENGTH = 60  # characters of a faulty value that a message shows
+# YAML's tag of the key `<<`, which merges another mapping into this one.
+MERGE_TAG = "tag:yaml.org,2002:merge"
+# Pydantic puts these before a validator's own text.
+MESSAGE_PREFIXES = ("Value error, ", "Assertion failed, ")
+MAX_INPUT_LENGTH = 60  # number of characters of a faulty value that a message shows at most
 MESSAGE_BY_ERROR_TYPE = {"extra_forbidden": "no such key", "missing": "is missing"}
 
 KeyPath = tuple[str, ...]
@@ -56,14 +58,17 @@
 
 
 class ParsedFile(NamedTuple):
-    """A YAML document as a node tree, for line numbers, and as plain values; both are None if it is empty."""
+    """A YAML document as a node tree, for line numbers, and as plain values.
+
+    Both are None if the document is empty.
+    """
 
     root: yaml.Node | None
     document: Any
 
 
 class ChildNode(NamedTuple):
-    """The value of a mapping's key or a sequence's index, and its line."""
+    """The value of a mapping's key or of a sequence's index, and the line of that key or value."""
 
     line: int
     node: yaml.Node
@@ -139,8 +144,8 @@
 def _key_faults(path: str, node: yaml.Node | None, parents: KeyPath) -> Iterator[FileFault]:
     """Yields a fault for each key that is not a string and for each duplicate key.
 
-    PyYAML's loader would use the last of two equal keys. It would read `on`, `yes` or `1` as a boolean or a
-    number.
+    Without this check, PyYAML's loader would use the last of two equal keys. It would also read the keys
+    `on`, `yes` or `1` as a boolean or a number.
     """
     if isinstance(node, yaml.MappingNode):
         names: set[str] = set()
@@ -159,7 +164,7 @@
 
 
 def _key_text(key: yaml.Node) -> str:
-    """Returns a key as the file has it; the kind of a key that is not a scalar."""
+    """Returns a key as the file has it; `a sequence` or `a mapping` if the key is not a scalar."""
     if isinstance(key, yaml.ScalarNode):
         return str(key.value)
     return "a sequence" if isinstance(key, yaml.SequenceNode) else "a mapping"
@@ -188,7 +193,7 @@
 
 
 def _line_of(root: yaml.Node | None, key_path: KeyPath) -> int:
-    """Returns the line of the innermost key of a path that is in the file."""
+    """Returns the line of the innermost key of `key_path` that the file has, or else the first line."""
     line = FIRST_LINE
     node = root
     for key in key_path:
@@ -201,7 +206,7 @@
 
 
 def _child(node: yaml.Node | None, key: str) -> ChildNode | None:
-    """Returns the value of a mapping's key or a sequence's index; None if there is none."""
+    """Returns the value of a mapping's key or of a sequence's index; None if the node has no such value."""
     if isinstance(node, yaml.MappingNode):
         for name, value in node.value:
             if str(name.value) == key:
--- a/olivepost/operator_config/units.py
+++ b/olivepost/operator_config/units.py
@@ -26,7 +26,7 @@
 HOST_NAME_PATTERN = re.compile(r"[A-Za-z0-9](?:[A-Za-z0-9.-]{0,252}[A-Za-z0-9])?", re.ASCII)
 IPV6_PATTERN = re.compile(r"[0-9A-Fa-f:.]{2,45}", re.ASCII)
 MAX_PORT = 65_535
-PORT_DIGITS_READ = 6  # one more than a port can have, which is enough to detect a number that is too large
+PORT_DIGITS_READ = 6  # one digit more than the largest port has, to detect numbers that are too large
 MAX_SECRET_BYTES = 4_096
 
 
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DurationRange:
-    """Annotation of a `Duration` field, which the file has in the written form, like `250ms`.
+    """Annotation of a `Duration` field, whose value the file has in a written form, like `250ms`.
 
     Both bounds are allowed values. The field has the written form in JSON and in the JSON Schema, too.
     """
@@ -81,7 +81,7 @@
 
 
 def parse_address(value: object) -> object:
-    """Parses `store.example:6379` or `[::1]:6379` to host and port; returns a pair unchanged."""
+    """Parses `store.example:6379` or `[::1]:6379` to host and port; returns a list or tuple unchanged."""
     if isinstance(value, (list, tuple)):
         return value
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -59,8 +59,7 @@
         if request.size_kb is not None:
             state.class_work.add(request_class.name, state.own_work(request))
         retries.earn_retries(state)
-        # A request may state a longer timeout than clients of its class ever wait. The class's deadline
-        # therefore bounds the timeout.
+        # The timeout is capped, since a request may state a longer one than clients of its class ever wait.
         timeout = min(request.timeout, request_class.deadline)
         pending = PendingRequest(
             request, request_class, name, now + timeout, ranked.rank, ranked.name_remaining
@@ -93,8 +92,7 @@
     ) -> None:
         """Forwards the next attempt, or gives up at once if none can be made or the request is too expensive.
 
-        Whether the request is too expensive is only checked if `overload` is given. Its level then limits the
-        cost.
+        The request's cost is checked only if `overload` is given, against the level of that overload.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
@@ -143,7 +141,7 @@
         retry_cost: int,
         default: api.CacheHint,
     ) -> None:
-        """Makes the attempt wait for a hint; after the timeout it continues with the default hint."""
+        """Makes the attempt wait for a hint; after the timeout, it continues with the hint `default`."""
         wait = HintWait(now, retry_cost)
         pending.hint_wait = wait
         resume = partial(self.resume, pending=pending, hint=default, wait=wait)
@@ -171,10 +169,7 @@
     # Outcomes
 
     def complete_attempt(self, now: Instant, outcome: api.AttemptOutcome) -> None:
-        """Records an attempt's outcome.
-
-        A request that still has no response is forwarded again or given up.
-        """
+        """Records an attempt's outcome; forwards a request without a response again, or gives it up."""
         pending = self.pending.get(outcome.request_id)
         attempt = pending.in_flight.get(outcome.attempt) if pending is not None else None
         if pending is None or attempt is None:
@@ -196,11 +191,7 @@
     def _retry(
         self, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
     ) -> None:
-        """Forwards a request again, unless another of its attempts is still in flight.
-
-        After a lookup-only attempt that missed, the request is forwarded in any case. That cache is then
-        asked to fill the object, and no longer to look it up only.
-        """
+        """Forwards a request again; a cache that missed at a lookup-only attempt is now asked to fill."""
         is_lookup_miss = outcome.status is api.AttemptStatus.NOT_CACHED and attempt.source is None
         if is_lookup_miss and attempt.cache != pending.missed_cache:
             pending.missed_cache = attempt.cache
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -33,7 +33,7 @@
 
 
 def first_seen_lifetime(levels: ClassLevels) -> float:
-    """Returns θs = L·ϑ·Γ, the lifetime of a name that was seen once (equation 5 of the paper)."""
+    """Returns θs = L·ϑ·Γ, the lifetime of a name that was seen once, in nanoseconds (paper, equation 5)."""
     above = max(0.0, levels.level - 1 + 1.5 * SMOOTHING_WIDTH) ** 4
     below = max(0.0, 1 - SMOOTHING_WIDTH / 2 - levels.level) ** 4
     gamma = levels.first_seen_level + (1 - levels.first_seen_level) * above / (above + below)
--- a/olivepost/routing/admission.py
+++ b/olivepost/routing/admission.py
@@ -2,9 +2,9 @@
 
 from olivepost.routing_state import OverloadLevel, PendingRequest, RoutingState
 
-ARRIVAL_STEP = 0.04  # step size for changes of the level of arrivals, which each arriving request changes
+ARRIVAL_STEP = 0.04  # step size with which each arriving request changes the level of arrivals
 ARRIVAL_TARGET = 0.1  # the level stays the same if this share of arriving requests finds all caches full
-FILL_STEP = 0.2  # step size for changes of the level of fills, which each fill changes
+FILL_STEP = 0.2  # step size with which each fill changes the level of fills
 FILL_TARGET = 0.1  # the level stays the same if this share of fills is late or rejected
 LEVEL_CEILING = 0.9  # highest value of the level of arrivals and of that of fills
 COST_CUTOFF = 4.0  # highest cost of an admitted request at a level of 0.5, as a multiple of the mean cost
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -20,8 +20,8 @@
 # Attempts that may be in flight for each concurrent transfer of an endpoint's link.
 IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}
 # Number of standard deviations by which the concurrency limit exceeds a proxy's mean number of attempts in
-# flight. If many proxies share an endpoint, the attempts of one proxy come in bursts above its mean, and the
-# limit must not cut them off.
+# flight. If many proxies share an endpoint, the attempts of one of them come in bursts, so its limit must be
+# above its mean.
 LIMIT_DEVIATIONS = 3.0
 MIN_LIMIT_FACTOR = 0.5  # factor of the concurrency limit if the endpoint's late share is high
 MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit if the endpoint's late share is 0
@@ -81,7 +81,10 @@
 
 
 def concurrency_part(state: RoutingState, now: Instant, endpoint: Endpoint) -> float:
-    """Returns this proxy's part of the attempts in flight that an endpoint's present capacity allows."""
+    """Returns how many of the attempts in flight at an endpoint may be this proxy's.
+
+    The number is this proxy's part of what the endpoint's present capacity allows.
+    """
     has_weights = state.settings.has_endpoint_weights
     transfers = endpoint.metadata.weight if has_weights else DEFAULT_LINK_TRANSFERS[endpoint.role]
     link = slow_start_share(now, endpoint) * transfers
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -10,7 +10,7 @@
 
 
 def age_bound(state: RoutingState, now: Instant, request: api.Request) -> Duration | None:
-    """Returns the highest age that a response may have, or None if every age is allowed.
+    """Returns the highest age that invalidations allow a response, or None if they allow every age.
 
     The age is bounded as long as caches may still have responses from before an invalidation. This upholds
     the invalidation invariant: no such response is served.
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -155,7 +155,7 @@
     """Attributes a rejection to the source, the cache or, if the origin failed, no endpoint.
 
     The source is at fault if the cache reports so. If caches don't report causes of failures, the source is
-    also at fault if the cache has responded since the attempt was sent.
+    also at fault if the cache has responded, either since the attempt was sent or to an earlier attempt.
     """
     is_source_fault = outcome.cache_status in api.SOURCE_FAILURES
     if not state.settings.reports_failure_causes:
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -49,7 +49,7 @@
 def allows_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, target: str, cost: int
 ) -> bool:
-    """Whether one more attempt at this target is in time, within the retry budget and idempotent there."""
+    """Whether one more attempt at endpoint `target` is in time, within the retry budget and idempotent."""
     is_late = pending.deadline - now <= state.settings.deadline_margin
     if is_late or not has_attempts_left(state, pending) or state.retry_balance < cost:
         return False
@@ -122,7 +122,7 @@
 
 
 def is_client_retry_harmless(pending: PendingRequest) -> bool:
-    """Whether the client may send the request again, since no endpoint has it or a repeat has no effect."""
+    """Whether the client may repeat the request, since no endpoint has it or the repeat has no effect."""
     request_class = pending.request_class
     if request_class.idempotency is api.Idempotency.IDEMPOTENT or not (pending.executed or pending.in_flight):
         return True
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -19,10 +19,11 @@
 MAX_ORDER_BYTES = 8_388_608  # bytes of cached rendezvous orders, if the host sets no bound
 ORDER_ENTRY_BYTES = 320  # bytes of one order without its references
 ORDER_REFERENCE_BYTES = 8  # bytes of one reference, of which an order has one for each endpoint
-# An endpoint sheds no names if its late share exceeds the lowest one among the candidates by at most this.
+# An endpoint sheds no names if its late share exceeds the candidates' lowest late share by at most this
+# amount.
 LATE_SHARE_TOLERANCE = 0.2
-# If an endpoint's late share exceeds the tolerated one by this much, the endpoint would shed every name, but
-# for MAX_SHED_SHARE.
+# An endpoint whose late share exceeds the tolerated one by this amount would shed every name, if
+# MAX_SHED_SHARE did not limit it.
 LATE_SHARE_SHEDDING_RANGE = 0.4
 MAX_SHED_SHARE = 0.9  # largest share of its names that an endpoint sheds
 
@@ -62,7 +63,7 @@
 
 
 def select_route(state: RoutingState, now: Instant, pending: PendingRequest) -> Route:
-    """Returns the cache of the next attempt, the source of its fill, and the quotas to request for both."""
+    """Returns the next attempt's cache, the source from which it fills a miss, and the quota shortages."""
     cache, shortages = _select_cache(state, now, pending)
     if cache is not None and _is_lookup_only(state, now, pending, cache):
         return Route(cache, None, shortages)
--- a/olivepost/routing_state/averages.py
+++ b/olivepost/routing_state/averages.py
@@ -48,7 +48,8 @@
 class DecayingRate:
     """Rate of the amounts that were added over the time span `memory`.
 
-    Each call first reduces the sum linearly with the time since the previous call, to 0 after a whole span.
+    Each call first reduces the sum of the amounts linearly with the time since the previous call. The sum is
+    0 if that time is `memory` or longer.
     """
 
     __slots__ = ("_memory", "_total", "_updated_at")
@@ -64,7 +65,7 @@
         self._total += amount
 
     def per_nanosecond(self, now: Instant) -> float:
-        """Returns the present rate."""
+        """Returns the present rate, as an amount per nanosecond."""
         self._fade(now)
         return self._total / self._memory
 
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -21,7 +21,7 @@
 
 
 class Ejection(NamedTuple):
-    """Ejection of an endpoint, which is detected after one of its failures was recorded."""
+    """Ejection of an endpoint, as it was found after a failure of that endpoint was recorded."""
 
     endpoint_id: str
 
@@ -36,7 +36,8 @@
     tier: api.TierSettings
     # The work of the attempts that were sent to the endpoint within the overload window.
     work: SlidingWindowSum
-    # The moving average of the share of late responses, which are hits of a cache or fills of a source.
+    # The share of late responses, as a moving average. A cache's responses are its hits, and a source's are
+    # its fills.
     late_share: float
     # The start of the slow start, by this proxy's clock, or None if the endpoint has no slow start.
     started_at: Instant | None = None
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -35,12 +35,15 @@
     caches: tuple[str, ...] = ()
     parents: tuple[str, ...] = ()
     origin: str | None = None  # None if no origin is ready
-    # The number of ready endpoints of each role that are listed without a start, since they are long-running.
+    # The number of ready long-running endpoints of each role. They are listed without a start.
     long_running: dict[Role, int] = field(default_factory=dict)
     first_listed_at: Instant | None = None  # the time at which this proxy first had an endpoint list
 
     def update(self, now: Instant, update: api.EndpointUpdate, settings: api.Settings) -> None:
-        """Applies a full list or changes. Draining endpoints stop being ready; removed ones are dropped."""
+        """Applies a full list or changes.
+
+        Draining endpoints are no longer ready; removed ones are dropped.
+        """
         if self.first_listed_at is None:
             self.first_listed_at = now
         before = self.by_id
@@ -73,7 +76,8 @@
     ) -> Endpoint:
         """Returns the state of a listed endpoint.
 
-        If another process now has the id, the health and the slow start are reset, but the work is kept.
+        If the endpoint's id now belongs to another process, the health and the slow start are reset, but the
+        work is kept.
         """
         if known is not None and known.metadata.started_at == metadata.started_at:
             known.metadata = metadata
--- a/olivepost/routing_state/levels.py
+++ b/olivepost/routing_state/levels.py
@@ -16,7 +16,8 @@
 
 @dataclass(slots=True)
 class OverloadLevel:
-    """Overload of the caches by arriving requests, or of their sources by fills."""
+    """Level of the overload of caches by arriving requests or of sources by fills, and the mean cost."""
 
     level: float = 0.0  # 0 or more; a higher level admits fewer expensive requests
-    mean_cost: float = 0.0  # the mean over the measured requests; a mean of 0 is replaced by the next sample
+    # Mean cost of the requests that were checked; a mean of 0 is replaced by the next sample.
+    mean_cost: float = 0.0
--- a/olivepost/routing_state/name_table.py
+++ b/olivepost/routing_state/name_table.py
@@ -12,7 +12,8 @@
 class NameEntry:
     """Expiry time of a name, with the rank and the size in KB of its last request.
 
-    The table maintains `queued_at`, which is the time of the name's current entry in the queue.
+    The table maintains `queued_at`. It is the time of the name's current entry in the queue by which the
+    table expires names.
     """
 
     expires_at: Instant
@@ -26,9 +27,10 @@
 
     If there are more names than the capacity, the name that expires first is evicted.
 
-    A renewed name keeps its queue entry until that entry is the next to be evicted; then the entry moves to
-    the later expiry time. A name whose lifetime became shorter gets another entry, and its old one becomes
-    obsolete. The queue is rebuilt without obsolete entries when it has more entries than twice the capacity.
+    The order is kept in a queue of expiry times. A renewed name keeps its queue entry until that entry is the
+    next to be evicted; then the entry moves to the later expiry time. A name whose lifetime became shorter
+    gets a second entry, and its first entry becomes obsolete. The queue is rebuilt without obsolete entries
+    when it has more entries than twice the capacity.
     """
 
     def __init__(self, capacity: int, ranks: int) -> None:
@@ -94,7 +96,10 @@
             self._evict_first()
 
     def _evict_first(self) -> None:
-        """Moves the first queue entry to its name's later expiry time, or removes the entry and its name."""
+        """Moves the first queue entry to its name's later expiry time, or removes the entry.
+
+        The name is removed, too, unless the entry is obsolete.
+        """
         queued_at, name = self._queue[0]
         entry = self._entries.get(name)
         if entry is None or entry.queued_at != queued_at:
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -11,7 +11,7 @@
 
 
 class RankedName(NamedTuple):
-    """Rank of a request, and the remaining lifetime of its name; None if the name was unknown."""
+    """Rank of a request, and the lifetime that its name had left, which is None if the name was unknown."""
 
     rank: int
     name_remaining: Duration | None
@@ -21,7 +21,8 @@
     """Result of checking the cache of an attempt that is past its silence timeout."""
 
     is_cache_ejected: bool  # also true while the cache's half-open trial is due
-    # The ejection that is to be reported, even if an earlier check ejected the cache.
+    # The ejection to report to other proxies, or None if there is none. It is reported even if an earlier
+    # check ejected the cache.
     ejection: Ejection | None = None
 
 
@@ -43,7 +44,7 @@
 
     @property
     def source_or_cache(self) -> str:
-        """Endpoint that provides the response to a miss: the source, or the cache if nothing is filled."""
+        """Endpoint that provides the response to a miss: the source, or the cache if there is no source."""
         return self.cache if self.source is None else self.source
 
 
@@ -65,7 +66,7 @@
 
 @dataclass(slots=True, eq=False)
 class HintWait:
-    """Wait of an attempt for a cache hint, with the attempt's cost to the retry budget."""
+    """Wait of an attempt for a cache hint, with the amount that the attempt takes from the retry budget."""
 
     since: Instant
     retry_cost: int
@@ -77,7 +78,7 @@
 
     request: api.Request
     request_class: api.ClassSettings
-    name: str  # the name under which caches store the object's part
+    name: str  # the name under which caches store the requested part of the object
     deadline: Instant
     rank: int  # the rank with which caches store the response; 0 means that they do not
     # The lifetime that the name had left when the request arrived, or None if the name was unknown.
@@ -86,7 +87,7 @@
     attempt_count: int = 0
     is_retryable: bool = True  # False if an error is attributed to the request itself
     is_response_started: bool = False
-    missed_cache: str | None = None  # the cache that was found not to have the object
+    missed_cache: str | None = None  # the last cache that was found not to have the object, if any
     possible_fault: PossibleFault | None = None
     timer_ids: list[int] = field(default_factory=list)
     avoided: set[str] = field(default_factory=set)  # the endpoints at which this request failed
@@ -96,5 +97,5 @@
     has_looked_up_fill: bool = False
     hint_wait: HintWait | None = None
     hint: api.CacheHint | None = None
-    hinted_cache: str | None = None  # the cache of the hint that the last attempt followed
-    storing_cache: str | None = None  # the cache that has the object, according to its response
+    hinted_cache: str | None = None  # the last attempt's cache if a hint named it
+    storing_cache: str | None = None  # the cache whose response shows that it has the object, if any
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -12,7 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTransfer:
-    """Transfer of quota until it expires. The amount is above 0 if received and below 0 if donated."""
+    """Transfer of quota until it expires.
+
+    The amount is above 0 if this proxy received the quota, and below 0 if this proxy donated it.
+    """
 
     expires_at: Instant
     key: QuotaKey
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaPart:
-    """Part of a quota that belongs to this proxy, and the amount of it that is used."""
+    """Part of a quota that belongs to this proxy, and the amount of that part that is in use."""
 
     amount: float
     used: float
@@ -30,7 +33,7 @@
 
 
 class QuotaShortage(NamedTuple):
-    """Amount of a quota that was lacking when an attempt was to be made."""
+    """Amount of a quota that this proxy lacked when it was to make an attempt."""
 
     key: QuotaKey
     amount: float
@@ -46,12 +49,15 @@
         return len(self._transfers)
 
     def balance(self, now: Instant, key: QuotaKey, max_amount: float = math.inf) -> float:
-        """Returns the sum of a quota's unexpired transfers, each limited to `max_amount`."""
+        """Returns the sum of a quota's unexpired transfers, each of which adds at most `max_amount`."""
         current = (item for item in self._transfers if item.key == key and item.expires_at > now)
         return sum(min(item.amount, max_amount) for item in current)
 
     def record(self, now: Instant, transfer: QuotaTransfer) -> None:
-        """Adds a transfer. If it reverses an earlier transfer, that transfer is removed instead."""
+        """Adds a transfer. If it returns an earlier transfer, the earlier transfer is removed instead.
+
+        A transfer returns another one if it has the same key and expiry time and the opposite amount.
+        """
         reversed_transfer = QuotaTransfer(transfer.expires_at, transfer.key, -transfer.amount)
         is_return = reversed_transfer in self._transfers
         self._transfers = [
--- a/olivepost/routing_state/route.py
+++ b/olivepost/routing_state/route.py
@@ -8,7 +8,7 @@
 
 
 class Selection(NamedTuple):
-    """Endpoint of one tier that was selected for an attempt; None if no endpoint may be used."""
+    """Endpoint of one tier that was selected for an attempt. Its id is None if no endpoint may be used."""
 
     endpoint_id: str | None
     # The quotas that were short at the name's home, its first endpoint by rendezvous hash. The tuple is empty
@@ -25,4 +25,5 @@
 
     cache: str | None
     source: str | None
-    shortages: tuple[QuotaShortage, ...] = ()  # the shortages of the cache's tier come first
+    # Shortages in the tier of caches come before those in the tier of parents.
+    shortages: tuple[QuotaShortage, ...] = ()
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tuning:
-    """Sizes, steps and initial values of the state, which the routing package defines."""
+    """Sizes, step sizes and initial values of the state. The routing package defines them."""
 
     initial_levels: ClassLevels
     ranks: int
@@ -73,8 +73,8 @@
             tuning.max_order_bytes, tuning.order_entry_bytes, tuning.order_reference_bytes
         )
         self.memory_pressure = api.MemoryPressureLevel.NONE
-        self.arrivals = OverloadLevel()  # rises when requests find all caches full
-        self.fills = OverloadLevel()  # rises when fills are late or rejected
+        self.arrivals = OverloadLevel()  # overload level that rises when requests find all caches full
+        self.fills = OverloadLevel()  # overload level that rises when fills are late or rejected
         self.quotas = QuotaLedger()
         self.is_store_available = False
         self.retry_balance = tuning.initial_retries  # the retries that are left in the budget
@@ -83,22 +83,29 @@
         self.class_work = MovingAverages(tuning.work_step)  # the mean transfer time of a response, by class
         # The mean rate of work of one endpoint that has no slow start, by role.
         self.warm_rates = {role: DecayingRate(tuning.rate_memory) for role in LISTED_ROLES}
-        # The share of good responses that took longer than their silence timeout.
+        # The share of successful responses that took longer than their silence timeout.
         self.slow_share = MovingAverage(tuning.share_step, tuning.initial_slow_share)
-        # The share of errors that a second endpoint confirmed. Such errors are the request's own fault.
+        # The share of first errors that a second endpoint confirmed by an error of its own. Such errors are
+        # the request's own fault.
         self.request_fault_share = MovingAverage(tuning.share_step, 0.0)
 
     def own_work(self, request: api.Request) -> float:
-        """Returns the time to send a response at full rate; 0 if the size or the rate is unknown."""
+        """Returns the time in nanoseconds to send a response at full rate.
+
+        Returns 0 if the response's size or the rate is unknown.
+        """
         rate = self.settings.transfer_rate_kb_per_s
         if request.size_kb is None or rate is None:
             return 0.0
         return request.size_kb * SECOND / rate
 
     def mean_work(self, request_class: api.ClassSettings) -> float:
-        """Returns the mean work of a class; before the first sample, the class's latency objective."""
+        """Returns a class's mean work, in nanoseconds of transfer time.
+
+        Before the first sample, the result is the class's latency objective.
+        """
         return self.class_work.get(request_class.name, float(request_class.latency_objective))
 
     def work_of(self, request: api.Request, request_class: api.ClassSettings) -> float:
-        """Returns a request's own work, or its class's mean if its size or the rate is unknown."""
+        """Returns a request's own work, or its class's mean work if the size or the rate is unknown."""
         return self.own_work(request) or self.mean_work(request_class)
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -1,7 +1,8 @@
 """Codec of the simulator's protocol: parses JSON lines into messages and events, encodes actions as JSON.
 
-The simulator defines the names of fields and values. All times and durations are nanoseconds of its clock. In
-the protocol, 0 means that a value is not set. An attempt without a fill has its cache as the source.
+The simulator defines the names of fields and values. All times and durations are nanoseconds of the
+simulator's clock. In the protocol, 0 means that a value is not set. If an attempt fills nothing, the protocol
+names the attempt's cache as its source.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """Message of a batch, addressed to one proxy."""
+    """Message of a batch. It is addressed to one proxy."""
 
     kind: str
     proxy_id: int
@@ -138,7 +139,8 @@
             return {"kind": "Timer", "delay": action.delay, "ref": action.timer_id}
         case api.Subscribe():
             return {"kind": "Watch", "want": True}
-        case _:  # Actions of the response cache and the shared store, which a simulated proxy does not have.
+        # These are actions for the response cache and the shared store. A simulated proxy has neither.
+        case _:
             raise ValueError(f"the simulator's protocol has no message for {type(action).__name__}")
 
 
@@ -179,7 +181,7 @@
 
 
 def _read_cache_status(fields: FieldReader) -> api.CacheStatus:
-    """Returns the cache's status; UNKNOWN for a value that only a newer simulator has."""
+    """Returns the cache's status, or UNKNOWN if this version of the codec doesn't know the value."""
     try:
         return api.CacheStatus(fields.integer("remark", 0))
     except ValueError:
--- a/olivepost/simulator_adapter/host.py
+++ b/olivepost/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""Host of the simulator's proxies: reads batches, has the proxies' routers handle them, and replies."""
+"""Host of the simulator's proxies: reads batches, passes them to the proxies' routers, and replies."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         return codec.write_reply(batch.turn, actions)
 
     def _handle(self, now: Instant, message: codec.Message) -> list[dict[str, object]]:
-        """Starts or stops a router, or has it handle an event; returns the actions of the router."""
+        """Starts or stops a router, or passes an event to it; returns the router's encoded actions."""
         if message.kind == codec.START_KIND:
             start = codec.read_start(message)
             self._routers[message.proxy_id] = Router(start.settings, start.seed)
