--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -1,4 +1,4 @@
-"""Executor of the router's actions, which carries them out in order, with one branch per kind of action."""
+"""The executor, which carries out the router's actions in order and has one branch per kind of action."""
 
 from __future__ import annotations
 
@@ -20,9 +20,10 @@
 class ActionExecutor:
     """Executor of actions on timers, upstream connections, clients and the shared store.
 
-    Only the event loop's thread uses it. No method blocks or calls the router. An action on a request
-    that is no longer pending has no effect. If the request must still be pending for that action, the
-    violated invariant is counted.
+    Only the event loop's thread uses it. No method blocks or calls the router. An action that forwards an
+    attempt, responds to a client or looks up a hint needs a pending request. If the request is no longer
+    pending, such an action has no effect, and the violated invariant is counted. The cancellation of an
+    attempt has no effect if the request is neither pending nor closed by the current event.
     """
 
     def __init__(
@@ -40,12 +41,17 @@
         self._pending = pending
         self._timers = timers
         self._post = post
-        # Requests that the current event has closed. They are kept until its actions have been executed,
-        # because these actions still cancel the requests' attempts and release their leases.
+        # Requests that have been closed while the current event is handled, by id. They are kept until all
+        # actions of that event have been executed, because some of these actions still cancel attempts of the
+        # closed requests and release their leases.
         self._closed: dict[str, PendingExchange] = {}
 
     def execute(self, actions: list[api.Action], closed: PendingExchange | None = None) -> None:
-        """Executes an event's actions in order; `closed` is the request that the event has already closed."""
+        """Executes the router's actions on one event in order.
+
+        `closed` is the request that was closed before this call while the event was handled. It is None if no
+        request was closed.
+        """
         if closed is not None:
             self._closed[closed.exchange.id] = closed
         try:
@@ -69,7 +75,7 @@
             case api.ServeCachedResponse():
                 self._serve_cached(action)
             case api.StoreResponse():
-                pass  # executed by `ExchangeLifecycle`, which has the response
+                pass  # `ExchangeLifecycle` executes StoreResponse, because it has the response
             case api.Subscribe():
                 self._subscribe()
             case _ if self._shared_store is not None:
@@ -107,9 +113,11 @@
         return attempt
 
     def _cancel(self, action: api.CancelAttempt) -> None:
-        """Cancels an attempt.
+        """Cancels an attempt of a request.
 
-        If hedged requests are not allowed, the request's next attempt waits until the abort has been written.
+        If hedged requests are not allowed, a request has only one attempt at a time. If the cancelled attempt
+        needs an abort command, the request's next attempt therefore waits until that command has been
+        written.
         """
         request_id = action.request_id
         pending = self._pending.get(request_id) or self._closed.get(request_id)
@@ -152,7 +160,10 @@
     # Service discovery and the shared store
 
     def _subscribe(self) -> None:
-        """Confirms a subscription with an update without changes, since the long poll is always active."""
+        """Confirms the router's subscription to endpoint updates by an update without changes.
+
+        Nothing else has to be done, because the long poll of service discovery is always active.
+        """
         no_change = api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, ())
         self._post(DiscoveryEvent(no_change, []))
 
--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -1,4 +1,4 @@
-"""Pools of equally sized buffers, and bodies that are stored in them."""
+"""Pools of equally sized buffers, and bodies of HTTP messages that are stored in such buffers."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
     """A pool of equally sized buffers in one memory mapping. A buffer occupies memory from its first use on.
 
     The buffer that was released last is acquired first. The number of buffers that occupy memory therefore
-    never exceeds the peak of buffers in use. `trim` returns the memory of free buffers to the system.
-    Thread-safe: the lock of `_released` guards all other private fields and `peak`. Counts may be read
-    without the lock.
+    never exceeds `peak`, the largest number that were in use at once. `trim` gives the memory of free buffers
+    back to the system. The class is thread-safe: the lock of the condition `_released` guards all other
+    private fields and `peak`. Any thread may read the counts without the lock.
     """
 
     def __init__(self, capacity: int, buffer_bytes: int) -> None:
-        self.capacity = capacity  # number of buffers
-        self.buffer_bytes = buffer_bytes  # size of one buffer
+        self.capacity = capacity  # number of buffers in the pool
+        self.buffer_bytes = buffer_bytes  # size of one buffer in bytes
         self.peak = 0  # largest number of buffers in use at once so far
         self._mapping = _map_privately(capacity * buffer_bytes)
         self._free: list[memoryview] = []  # the buffer released last is at the end
-        self._offsets: dict[int, int] = {}  # offset in the mapping by id of each buffer made so far
+        # Offset in `_mapping` of each buffer created so far, by `id()` of the buffer.
+        self._offsets: dict[int, int] = {}
         self._in_use: set[int] = set()
-        self._touched: set[int] = set()  # ids of the buffers that occupy memory
+        self._touched: set[int] = set()  # `id()` of each buffer that occupies memory
         self._waiting_threads = 0
         self._released = threading.Condition()
 
@@ -38,14 +39,14 @@
 
     @property
     def touched_bytes(self) -> int:
-        """Size in bytes of the buffers that occupy memory."""
+        """Total size in bytes of the buffers that occupy memory."""
         return len(self._touched) * self.buffer_bytes
 
     def acquire(self, count: int, timeout_s: float = 0.0) -> list[memoryview] | None:
         """Acquires `count` buffers; returns None if they do not become available within the timeout.
 
-        All of them are acquired at once, because two bodies that each held a part of their buffers could wait
-        for each other.
+        All `count` buffers are acquired together. Otherwise, two bodies that have each acquired a part of
+        their buffers could wait for each other.
         """
         with self._released:
             if self.available < count and not self._wait_for(count, timeout_s):
@@ -73,14 +74,17 @@
         return buffer
 
     def _wait_for(self, count: int, timeout_s: float) -> bool:
-        """Waits until `count` buffers are available; returns False on timeout. The caller holds the lock."""
+        """Waits until `count` buffers are available. The caller holds the lock of `_released`.
+
+        Returns True if the buffers are available, and False if the timeout has ended the wait.
+        """
         self._waiting_threads += 1
         is_enough = self._released.wait_for(lambda: self.available >= count, timeout_s)
         self._waiting_threads -= 1
         return is_enough
 
     def release(self, buffers: list[memoryview]) -> None:
-        """Returns buffers to the pool. Each acquired buffer must be released exactly once."""
+        """Gives buffers back to the pool. Each acquired buffer must be released exactly once."""
         with self._released:
             for buffer in buffers:
                 if invariants.check(id(buffer) in self._in_use, "buffer_released_once"):
@@ -90,11 +94,15 @@
                 self._released.notify_all()
 
     def trim(self) -> int:
-        """Gives the memory of all free buffers back to the system; returns its size in bytes."""
+        """Gives the memory of all free buffers back to the system.
+
+        Returns the size in bytes of the free buffers that occupied memory before the call.
+        """
         with self._released:
             trimmed = [buffer for buffer in self._free if id(buffer) in self._touched]
             for buffer in trimmed:
-                # If the system call fails, the pages stay and are still included in `touched_bytes`.
+                # If `madvise` fails, the buffer keeps its memory pages, and `touched_bytes` still includes
+                # it.
                 with contextlib.suppress(OSError):
                     self._mapping.madvise(mmap.MADV_DONTNEED, self._offsets[id(buffer)], self.buffer_bytes)
                     self._touched.discard(id(buffer))
@@ -102,9 +110,9 @@
 
 
 def _map_privately(size_bytes: int) -> mmap.mmap:
-    """Maps private memory without huge pages.
+    """Returns a mapping of private memory without huge pages.
 
-    With huge pages, the whole mapping would occupy memory from the first access on.
+    With huge pages, the first access to the mapping would make all of it occupy memory.
     """
     mapping = mmap.mmap(-1, size_bytes, flags=mmap.MAP_PRIVATE | mmap.MAP_ANONYMOUS)
     with contextlib.suppress(OSError):  # the system may not support huge pages
@@ -113,10 +121,11 @@
 
 
 class PooledBody:
-    """A body in the buffers of a pool. Its last holder releases the buffers, exactly once.
+    """A message body in the buffers of a pool. Its last holder releases the buffers, exactly once.
 
-    Only one thread at a time may call `append` and `parts`; the thread of any holder may call `share` and
-    `release`. `_lock` guards `_holders` and, when the last holder releases the body, `_buffers`.
+    A holder is any code that still needs the body. Only one thread at a time may call `append` and `parts`;
+    the thread of any holder may call `share` and `release`. `_lock` guards `_holders` and, when the last
+    holder releases the body, `_buffers`.
     """
 
     def __init__(self, pool: BufferPool, buffers: list[memoryview], length: int) -> None:
@@ -143,7 +152,7 @@
         return None if buffers is None else cls(pool, buffers, length)
 
     def append(self, data: memoryview) -> None:
-        """Appends bytes; the total must not exceed the reserved length."""
+        """Appends bytes to the body. All appended bytes together must not exceed the reserved length."""
         while data:
             index, start = divmod(self._filled, self._pool.buffer_bytes)
             part = data[: self._pool.buffer_bytes - start]
@@ -159,14 +168,14 @@
             remaining -= len(buffer)
 
     def share(self) -> PooledBody:
-        """Adds a holder, which must release the body as well; returns the body."""
+        """Adds a holder and returns this body. The new holder must call `release` as well."""
         with self._lock:
             if invariants.check(self._holders > 0, "shared_body_is_held"):
                 self._holders += 1
         return self
 
     def release(self) -> None:
-        """Removes a holder; if it was the last one, returns the buffers to the pool."""
+        """Removes a holder. If it was the last one, gives the buffers back to the pool."""
         with self._lock:
             if not invariants.check(self._holders > 0, "body_released_once"):
                 return
--- a/olivepost/proxy/clock.py
+++ b/olivepost/proxy/clock.py
@@ -6,35 +6,38 @@
 
 from olivepost.units import Duration, Instant
 
-# Number of times that both clocks are read at the start; the offset is the largest difference.
+# Number of times that the system clock and the monotonic clock are both read at the start. The offset between
+# the two clocks is the largest of the differences.
 OFFSET_READINGS = 20
 
 
 class Clock:
     """Unix time that is read at the start and then advanced by the monotonic clock. Any thread may use it.
 
-    The endpoint list, the invalidations and the router share one clock. It ignores steps of the system clock
-    while the proxy runs. If the system clock was wrong at the start, durations are still correct. `observe`
-    and `from_unix` convert times of other machines.
+    The times of the endpoint list, of invalidations and of the router come from one common clock. While the
+    proxy runs, this clock ignores steps of the system clock. If the system clock was wrong at the start,
+    durations are still correct. `observe` and `from_unix` together convert Unix times that other machines
+    have sent.
     """
 
     def __init__(self) -> None:
-        # The largest lead of another machine's clock over this one that was observed so far.
+        # The longest duration by which another machine's clock was observed to be ahead of this clock so far.
         self._known_error: Duration = 0
-        # A pause between the two readings makes their difference too small. Invalidations and cached
-        # responses would then seem younger than they are. The largest difference has the shortest pause.
+        # The system clock is read before the monotonic clock. A pause between these two reads makes the
+        # difference too small, and invalidations and cached responses would then seem younger than they are.
+        # The largest of several differences is used, because its pause was the shortest.
         self._offset = max(time.time_ns() - time.monotonic_ns() for _ in range(OFFSET_READINGS))
 
     def observe(self, unix_ns: int) -> None:
-        """Records how far this clock is behind another machine's Unix time, which must be in the past."""
+        """Records how far this clock is behind `unix_ns`, a past Unix time that another machine has sent."""
         error = unix_ns - self.now()
         if error > self._known_error:
             self._known_error = error
 
     def from_unix(self, unix_ns: int) -> Instant:
-        """Converts another machine's Unix time to this clock."""
+        """Converts a Unix time that another machine has sent into a time on this clock."""
         return unix_ns - self._known_error
 
     def now(self) -> Instant:
-        """Returns the Unix time in nanoseconds."""
+        """Returns the Unix time on this clock in nanoseconds."""
         return self._offset + time.monotonic_ns()
--- a/olivepost/proxy/delay_histogram.py
+++ b/olivepost/proxy/delay_histogram.py
@@ -4,17 +4,22 @@
 
 from olivepost.units import MILLISECOND, Duration
 
-# Number of bits below a duration's highest set bit that select its bucket, as in a log-linear (HDR)
-# histogram. The bounds of a bucket differ by one part in 32.
+# A duration's highest set bit and this number of bits below it select the duration's bucket, as in a
+# log-linear (HDR) histogram. The bounds of a bucket differ by at most one part in 32.
 PRECISION_BITS = 5
 BUCKETS_PER_POWER = 1 << PRECISION_BITS
-MAX_BITS = 48  # longer durations (above three days, in nanoseconds) are counted in the last bucket
+# Largest number of bits of a duration that has a regular bucket. A longer duration (above three days, in
+# nanoseconds) is counted in the last bucket.
+MAX_BITS = 48
 LAST_BUCKET = MAX_BITS * BUCKETS_PER_POWER
 PERCENTILES = {"p50": 50, "p95": 95, "p99": 99}
 
 
 class DelayHistogram:
-    """Counts of durations by bucket. Only one thread at a time may record; another one may read meanwhile."""
+    """Counts of recorded durations by bucket.
+
+    Only one thread at a time may call `record`. Another thread may read the counts meanwhile.
+    """
 
     __slots__ = ("_counts", "count", "longest")
 
@@ -24,14 +29,21 @@
         self._counts = [0] * (LAST_BUCKET + 1)
 
     def record(self, duration: Duration) -> None:
-        """Adds one duration. A negative duration, which clocks that differ can cause, is recorded as 0."""
+        """Adds one duration.
+
+        A negative duration is recorded as 0. It can result from two times of clocks that differ.
+        """
         duration = max(0, duration)
         self.count += 1
         self.longest = max(self.longest, duration)
         self._counts[_bucket_of(duration)] += 1
 
     def percentile(self, percent: int) -> Duration:
-        """Returns the upper bound of a percentile's bucket, limited to the maximum; 0 without samples."""
+        """Returns the upper bound of the bucket in which a percentile of the durations lies.
+
+        If the longest recorded duration is less than this bound, returns that duration. Returns 0 if no
+        duration was recorded.
+        """
         rank = self.count * percent // 100
         seen = 0
         for bucket, count in enumerate(self._counts[:LAST_BUCKET]):
@@ -41,7 +53,10 @@
         return self.longest
 
     def percentiles_ms(self) -> dict[str, float]:
-        """Returns the percentiles and the maximum in milliseconds by name; empty without samples."""
+        """Returns the percentiles and the longest duration by name, in milliseconds.
+
+        The result is empty if no duration was recorded.
+        """
         if not self.count:
             return {}
         durations_by_name = {name: self.percentile(percent) for name, percent in PERCENTILES.items()}
--- a/olivepost/proxy/discovery_changes.py
+++ b/olivepost/proxy/discovery_changes.py
@@ -17,10 +17,11 @@
 
 
 class DiscoveryChanges:
-    """Distribution of each change to every part of the proxy that depends on it.
+    """Component that passes each change to every part of the proxy that depends on it.
 
-    Only the event loop's thread uses it. The order is the upstream pool or the response cache, the router,
-    the attempts that no connection has begun to write, and finally the shared store.
+    Only the event loop's thread uses it. An endpoint update is first passed to the upstream pool, and an
+    invalidation to the response cache. Then follow the router, the attempts that no connection has begun to
+    write, and finally the shared store.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         self._executor = executor
 
     def apply(self, now: Instant, event: DiscoveryEvent) -> None:
-        """Applies an endpoint update or an invalidation, and passes it on to the shared store."""
+        """Applies an endpoint update or an invalidation, and informs the shared store, if there is one."""
         change = event.change
         if isinstance(change, api.Invalidation):
             self.invalidate(now, change)
@@ -47,7 +48,10 @@
                 self._shared_store.notify(change)
 
     def invalidate(self, now: Instant, invalidation: api.Invalidation) -> None:
-        """Applies an invalidation to the response cache, the router and the attempts not yet written."""
+        """Applies an invalidation to the response cache, the router and the attempts not yet written.
+
+        The shared store is not informed, because the invalidation may have come from it.
+        """
         self._response_cache.invalidate(invalidation.object, invalidation.group, now - invalidation.age)
         self._executor.execute(self._router.handle(now, invalidation))
 
@@ -72,9 +76,10 @@
         self._lifecycle.withdraw(now, is_for_unready_endpoint)
 
     def _usable_addresses(self, event: DiscoveryEvent, update: api.EndpointUpdate) -> list[EndpointAddress]:
-        """Returns the addresses for the pool: endpoints that routing may use, and removed ones.
+        """Returns the addresses that the upstream pool needs for an endpoint update.
 
-        The pool drops the removed ones.
+        These are the addresses of the endpoints that routing may use, and of the removed endpoints. The pool
+        drops the removed endpoints.
         """
         settings = self._router.settings
         return [
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -1,4 +1,4 @@
-"""The event log, written by a separate thread as one JSON line for each event, and the counters."""
+"""The event log and its counters. A separate thread writes one JSON line for each event."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 from olivepost.units import MILLISECOND, SECOND
 
-MAX_TRACEBACK_FRAMES = 6  # innermost frames of a logged exception
-MAX_SAMPLES_PER_S = 10  # lines for each sampled event; further events are only counted
-DEFAULT_MAX_BYTES = 1_048_576  # limit for all lines that wait to be written
-LINE_OVERHEAD_BYTES = 64  # memory that the queue needs for a line in addition to its text
-# Attempts to write a line to a non-blocking pipe that is full, and the pause between two attempts.
+MAX_TRACEBACK_FRAMES = 6  # number of innermost frames that are logged for an exception
+MAX_SAMPLES_PER_S = 10  # lines per second for each name of a sampled event; further events are only counted
+DEFAULT_MAX_BYTES = 1_048_576  # limit of the total size of the lines that wait to be written
+LINE_OVERHEAD_BYTES = 64  # memory that the queue needs for each line in addition to the line's text
+# Number of times that the write of a line to a full non-blocking pipe is tried again, and the pause in
+# seconds before each of these attempts.
 FULL_PIPE_ATTEMPTS = 100
 FULL_PIPE_PAUSE_S = 0.01
 
 
 @dataclass(slots=True)
 class SampleWindow:
-    """Number of sampled events of one name within one second, logged or not."""
+    """Number of sampled events that had one name and occurred within one second, logged or not."""
 
     second: int  # Unix time on the proxy's clock, in whole seconds
     lines: int = 0
@@ -36,10 +37,10 @@
 class EventLog:
     """Log of named events, with counters for events that are too frequent to log each time. Thread-safe.
 
-    No caller waits for a slow or absent reader of the log: a line is dropped and counted if more than
-    `max_bytes` would wait to be written. No method raises: an event that cannot be logged is counted. `_lock`
-    guards `_counters`, `_samples` and `waiting_bytes`. The constructor starts the thread that writes the
-    lines, and `close` joins it.
+    No caller waits for a slow or absent reader of the log: a line is dropped and counted if the lines that
+    wait to be written would otherwise exceed `max_bytes`. No method raises an exception: an event that cannot
+    be logged is counted. `_lock` guards `_counters`, `_samples` and `waiting_bytes`. The constructor starts
+    the thread that writes the lines, and `close` joins it.
     """
 
     def __init__(
@@ -72,7 +73,8 @@
     def sampled_event(self, name: str, **fields: object) -> None:
         """Logs an event that may occur with every request.
 
-        Only the first `MAX_SAMPLES_PER_S` events of a name are logged in each second; the others are counted.
+        Only the first `MAX_SAMPLES_PER_S` events of a name are logged in each second; the others are only
+        counted.
         """
         second = self._clock.now() // SECOND
         with self._lock:
@@ -93,24 +95,24 @@
         self.event(name, trace=traceback.format_exc(limit=-MAX_TRACEBACK_FRAMES), **fields)
 
     def increment(self, name: str, by: int = 1) -> None:
-        """Adds to a counter. The counters are logged with the metrics."""
+        """Adds `by` to the counter with this name. The counters are logged with the metrics."""
         with self._lock:
             self._counters[name] += by
 
     def counters(self) -> dict[str, int]:
-        """Returns a copy of all counters, which count from the start of the log."""
+        """Returns a copy of all counters by name. They count from the creation of the log."""
         with self._lock:
             return dict(self._counters)
 
     def close(self, timeout_s: float = 1.0) -> None:
-        """Waits until all queued lines are written, or until the timeout."""
+        """Ends the writing thread after all queued lines; waits for its end until the timeout at most."""
         self._lines.put(None)
         self._thread.join(timeout_s)
 
     def _reserve(self, line_bytes: int) -> bool:
-        """Reserves queue space for a line.
+        """Reserves queue space for a line of `line_bytes` bytes; returns whether there was enough space.
 
-        If there is not enough space, counts the line as dropped and returns False.
+        If there was not enough space, the line is counted as dropped.
         """
         with self._lock:
             if self.waiting_bytes + line_bytes > self._max_bytes:
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -24,17 +24,17 @@
 from olivepost.router import Router
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Delay of a timer, measured from its due time, above which it is counted as late.
+# A timer is counted as late if it fires more than this time after it was due.
 LATE_TIMER_AFTER: Duration = 5 * MILLISECOND
 
 
 class EventLoop:
     """The event loop of one router, which dispatches events and due timers one after another.
 
-    `run` is the thread's main function, and only that thread calls the private methods, so there are no
-    locks. Any thread may call `post` and read the counts. The thread that logs metrics calls
-    `take_queue_delays` and `event_counts`. An exception in one event or timer is logged, and fails at most
-    the request concerned.
+    `run` is the main function of the event loop's thread. Only that thread calls the private methods, so they
+    need no locks. Any thread may call `post` and read the counts. The thread that logs metrics calls
+    `take_queue_delays` and `event_counts`. If the handling of one event or timer raises an exception, the
+    exception is logged, and at most the request that the event or timer concerns fails.
     """
 
     def __init__(self, events: EventQueue, resources: EventLoopResources) -> None:
@@ -53,7 +53,7 @@
         self.activity = ThreadActivity("event-loop")
 
     def post(self, event: LoopEvent) -> None:
-        """Queues an event without blocking."""
+        """Queues an event without blocking. Any thread may call it."""
         self._events.post(event)
 
     @property
@@ -63,7 +63,7 @@
 
     @property
     def timer_count(self) -> int:
-        """Number of timers that are set, including stale ones."""
+        """Number of timers that are set, including stale timers, which no longer have an effect."""
         return len(self._timers)
 
     @property
@@ -72,17 +72,20 @@
         return len(self._pending)
 
     def take_queue_delays(self) -> DelayHistogram:
-        """Returns the times that the events handled since the last call have waited in the queue."""
+        """Returns a histogram of the queue delays of the events that were handled since the last call.
+
+        The queue delay of an event is the time for which the event has waited in the queue.
+        """
         delays = self._queue_delays
         self._queue_delays = DelayHistogram()
         return delays
 
     def event_counts(self) -> dict[str, int]:
-        """Returns the number of events since the start, by kind."""
+        """Returns how many events of each kind the loop has taken from the queue since the start."""
         return dict(self._event_counts)
 
     def run(self) -> None:
-        """Handles events and timers until `StopEventLoop`."""
+        """Handles events and timers until `StopEventLoop` arrives, and then clears the response cache."""
         is_running = True
         while is_running:
             try:
@@ -92,7 +95,7 @@
         self._response_cache.clear()
 
     def _run_once(self) -> bool:
-        """Handles the next event and all due timers; returns False if the loop must end."""
+        """Handles the next event and all due timers; returns whether the loop must go on."""
         try:
             posted_at, event = self._next_event()
         except queue.Empty:
@@ -106,7 +109,7 @@
             return False
         try:
             self._handle(now, event)
-        except Exception:  # a failed event must not end the loop; its request still gets a response
+        except Exception:  # the loop must go on, and the request of the failed event still gets a response
             self._logger.exception("event_loop_error", kind=type(event).__name__)
             self._fail_request_of(event)
         self._fire_due()
@@ -140,7 +143,10 @@
                 self._process_events.handle(now, event)
 
     def _fail_request_of(self, event: LoopEvent) -> None:
-        """Fails the request of an event whose handling raised an exception, and cancels its attempts."""
+        """Fails the request of an event whose handling raised an exception.
+
+        The attempts of the request are cancelled. Has no effect if the event concerns no request.
+        """
         exchange: Exchange | None = None
         if isinstance(event, (RequestReceived, RequestAbandoned)):
             exchange = event.exchange
@@ -152,7 +158,10 @@
     # Timers
 
     def _time_to_next_due_s(self) -> float | None:
-        """Returns the seconds until the next timer or the shutdown deadline; None if neither is set."""
+        """Returns the seconds until the next timer or the shutdown deadline is due, whichever is earlier.
+
+        Returns None if there is neither a timer nor a shutdown deadline.
+        """
         due_at = self._timers.next_due_at
         shutdown_at = self._lifecycle.shutdown_at
         if shutdown_at is not None and (due_at is None or shutdown_at < due_at):
@@ -162,7 +171,7 @@
         return max(0.0, (due_at - self._clock.now()) / SECOND)
 
     def _fire_due(self) -> None:
-        """Fires the shutdown deadline, if it has passed, and then all due timers in order."""
+        """Fires the shutdown deadline, if it has passed, and then all due timers in order of time."""
         shutdown_at = self._lifecycle.shutdown_at
         if shutdown_at is not None:
             now = self._clock.now()
@@ -193,7 +202,11 @@
             self._logger.exception("event_loop_error", kind="timer")
 
     def _is_live(self, timer: Timer) -> bool:
-        """Whether the timer's attempt is still in flight, or the router still expects the timer."""
+        """Whether the timer still has an effect.
+
+        The timeout of an attempt has an effect if the attempt is still in flight. A timer that the router has
+        set has an effect if the router still expects it.
+        """
         if timer.is_attempt_timeout:
             return self._pending.attempt_of_timer(timer.timer_id) is not None
         return timer.timer_id in self._router.timers
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -18,12 +18,13 @@
     """The event loop's interface to the shared store. No call waits for the store."""
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
-        """Requests a hint; the answer is posted as a `StoreEvent`."""
+        """Requests a hint from the store. The answer is posted to the event loop as a `StoreEvent`."""
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None, /) -> None:
         """Releases a fill lease.
 
-        `generated_at` is the Unix time at which the response was generated; None if it is unknown.
+        `generated_at` is the Unix time at which the origin generated the response of the fill. It is None if
+        this time is unknown.
         """
 
     def notify(
@@ -35,10 +36,13 @@
         | api.ReportOutlier,
         /,
     ) -> None:
-        """Passes on an event that concerns other proxies or the store's own records."""
+        """Passes an event on to the store. The event concerns other proxies or the store's own records."""
 
     def invalidate(self, invalidation: api.Invalidation, now: Instant, /) -> None:
-        """Passes on an invalidation that service discovery has sent and that is handled at `now`."""
+        """Passes an invalidation from service discovery on to the store.
+
+        `now` is the Unix time at which the event loop handles the invalidation.
+        """
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,7 +53,8 @@
     clock: Clock
     log: EventLog
     response_cache: ResponseCache
-    # Rate of one transfer on the proxy's own link; None if the proxy has no response cache.
+    # Bytes per second of one transfer on the proxy's own link. None if the rate is unknown; the proxy then
+    # does not use its response cache.
     transfer_bytes_per_s: float | None
     upstream: UpstreamPool
-    shared_store: SharedStore | None  # None if the operator configures none
+    shared_store: SharedStore | None  # None if the operator has not configured one
--- a/olivepost/proxy/event_queue.py
+++ b/olivepost/proxy/event_queue.py
@@ -18,7 +18,7 @@
 
 
 class EventQueue:
-    """A first-in, first-out queue of events. It is thread-safe and does not limit its length."""
+    """A thread-safe first-in, first-out queue of events, whose length is not limited."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -29,5 +29,9 @@
         self._queue.put(PostedEvent(self._clock.now(), event))
 
     def get(self, timeout_s: float | None) -> PostedEvent:
-        """Removes and returns the next event; raises `queue.Empty` at the timeout. None means no timeout."""
+        """Removes and returns the next event.
+
+        Raises `queue.Empty` if no event arrives within the timeout. If the timeout is None, waits without a
+        limit.
+        """
         return self._queue.get(timeout=timeout_s)
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -13,22 +13,22 @@
 
 
 class ResponseKind(Enum):
-    """Outcome of a request, from which the status code for the client follows."""
+    """Outcome of a request. It determines the status code of the response to the client."""
 
     SERVED = "served"
-    NOT_MODIFIED = "not_modified"  # the client's own copy is current
+    NOT_MODIFIED = "not_modified"  # the copy that the client has is current
     REJECTED = "rejected"  # the client may safely send the request again
-    FAILED = "failed"  # the request may have been executed or not
+    FAILED = "failed"  # the request may or may not have been executed
 
 
 @dataclass(slots=True)
 class Response:
-    """The final response to a request. Its last owner releases its body."""
+    """The final response to a request. The last owner of the response releases the body."""
 
     kind: ResponseKind
     etag: str | None = None  # entity tag without quotes; None if the endpoint sent none
     body: PooledBody | None = None
-    generated_at: Instant | None = None  # time at which the origin generated it; None if unknown
+    generated_at: Instant | None = None  # time at which the origin generated the response; None if unknown
     retry_after: Duration | None = None  # advised delay before the client's retry; None if there is none
 
     def release(self) -> None:
@@ -41,10 +41,11 @@
 class Exchange:
     """One request as the client sent it, and the callback that delivers its response.
 
-    It holds the data that the protocols on both sides need. Routing uses an `api.Request` instead, which the
-    event loop creates when the exchange arrives, with the time that remains then. The downstream connection's
-    reader thread creates the exchange, and the event loop closes it exactly once. `_lock` guards `is_closed`;
-    no other field ever changes.
+    It holds the data that the protocols of the downstream and the upstream connections need. Routing uses an
+    `api.Request` instead. The event loop creates that object when the exchange arrives, and stores in it the
+    time that remains for the request at that moment. The downstream connection's reader thread creates the
+    exchange, and the event loop closes it exactly once. `_lock` guards `is_closed`; no other field ever
+    changes.
     """
 
     id: str
@@ -52,13 +53,14 @@
     object: str
     part: int
     group: int
-    # Entity tag of the client's copy, without quotes; None if there is none that can be sent upstream.
+    # Entity tag of the client's copy, without quotes. None if the client sent no tag that can be sent
+    # upstream.
     etag: str | None
     body: bytes
-    timeout: Duration  # duration that starts at `received_at`
+    timeout: Duration  # time that the client waits for a response, from `received_at` on
     received_at: Instant  # time at which the request's last byte was read
     deliver: Callable[[Exchange, Response], None]  # passes the response to the client's connection
-    # Asks the client's connection. If it returns true, no attempt is written.
+    # Asks the client's connection whether the client has disconnected. If so, no further attempt is written.
     is_client_disconnected: Callable[[], bool]
     is_write: bool = False  # whether the request changes the object at the origin
     idempotency_key: str | None = None  # the client's key, by which caches recognize a retry
@@ -66,10 +68,10 @@
     _lock: threading.Lock = field(default_factory=threading.Lock)
 
     def close(self, response: Response | None) -> bool:
-        """Ends the exchange; returns True for the first call only.
+        """Ends the exchange and delivers its response; returns True for the first call only.
 
-        The response is None if the client has disconnected. The response of a second call is released and not
-        delivered. `deliver` is called without holding the lock.
+        `response` is None if the client has disconnected. A response that is passed to a second call is
+        released and not delivered. `_lock` is not held during the call of `deliver`.
         """
         with self._lock:
             is_first = not self.is_closed
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -1,6 +1,7 @@
 """The lifecycle of a request on the event loop: its arrival, the outcomes of its attempts, its response.
 
-Each step passes one event to the router and executes the actions that it returns. No decision is made here.
+The methods pass events to the router and execute the actions that the router returns. The router makes all
+decisions.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 from olivepost.proxy.upstream.request import UpstreamCompleted, UpstreamRequest
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Time after the last response of service discovery during which cached responses may be used. It is shorter
-# than the time within which discovery events must take effect. After it, an invalidation may have been missed
-# and no cached response is used.
+# Time for which cached responses may still be used after the last response of service discovery. After this
+# time, the proxy may have missed an invalidation, so it uses no cached response. This time is shorter than
+# the time within which discovery events must take effect.
 DISCOVERY_VALID_FOR: Duration = 2 * SECOND
 
 
 class ExchangeLifecycle:
-    """Handler of the events of requests and their attempts, which `PendingExchanges` records.
+    """Handler of the events of requests and of their attempts. `PendingExchanges` records both.
 
-    Only the event loop's thread uses it. It also owns the two times that the handling of an arriving request
-    depends on: `discovery_received_at` and `shutdown_at`.
+    Only the event loop's thread uses it. The handler also owns two times that affect how an arriving request
+    is handled: `discovery_received_at` and `shutdown_at`.
     """
 
     def __init__(
@@ -40,12 +41,13 @@
         self._upstream = resources.upstream
         self._pending = pending
         self._executor = executor
-        # Time of the last response of service discovery; None if there was none since the start.
+        # Time of the last response of service discovery; None if no response has arrived since the start.
         self.discovery_received_at: Instant | None = None
         # Time at which all pending requests get their final response; None if no shutdown has begun or if
         # that time has passed.
         self.shutdown_at: Instant | None = None
-        self._is_shut_down = False  # if true, an arriving request gets its final response at once
+        # True if the shutdown deadline has passed. An arriving request then gets its final response at once.
+        self._is_shut_down = False
 
     # Arrival and shutdown
 
@@ -60,7 +62,7 @@
         self._executor.execute(self._router.handle(now, self._router_request(now, exchange, entry)))
 
     def _router_request(self, now: Instant, exchange: Exchange, entry: CacheEntry | None) -> api.Request:
-        """Builds the router's request, with the remaining time and without fields of the protocols."""
+        """Builds the router's request, with the remaining time but without fields of the protocols."""
         return api.Request(
             exchange.id,
             exchange.class_name,
@@ -73,7 +75,11 @@
         )
 
     def _cache_entry(self, now: Instant, exchange: Exchange) -> CacheEntry | None:
-        """Returns a request's cache entry; None without a cache or entry, or if discovery is out of date."""
+        """Returns the response cache's entry for a request.
+
+        Returns None if the proxy uses no response cache, if the cache has no entry for the request, or if the
+        last response of service discovery is too old.
+        """
         if self._transfer_bytes_per_s is None or not self._is_discovery_current(now):
             return None
         return self._response_cache.get(exchange)
@@ -84,7 +90,7 @@
 
     def _cached_response(self, now: Instant, entry: CacheEntry) -> api.CachedResponse:
         age = max(0, now - entry.generated_at)
-        assert self._transfer_bytes_per_s is not None  # without this rate there is no response cache
+        assert self._transfer_bytes_per_s is not None  # without this rate, the response cache is not used
         transfer_time = int(entry.body.length / self._transfer_bytes_per_s * SECOND)
         return api.CachedResponse(age, transfer_time)
 
@@ -98,7 +104,7 @@
         return max(0, deadline - now)
 
     def finish_all(self, now: Instant) -> None:
-        """Ends all pending requests with a final response; called when the shutdown deadline has passed."""
+        """Ends all pending requests with a final response, because the shutdown deadline has passed."""
         self.shutdown_at = None
         self._is_shut_down = True
         self._executor.execute(self._router.handle(now, api.Shutdown()))
@@ -106,7 +112,7 @@
     def abandon(self, now: Instant, exchange: Exchange, response: Response | None) -> None:
         """Ends a request, if it is still pending, and has the router cancel its attempts.
 
-        The response is None if the client has disconnected.
+        `response` is the final response, or None if the client has disconnected.
         """
         pending = self._pending.of_exchange(exchange)
         if pending is not None:
@@ -116,13 +122,19 @@
     # Attempts
 
     def reroute(self, attempt: UpstreamRequest) -> None:
-        """Forwards an attempt on another connection if its own was lost before its first byte was written."""
+        """Forwards an attempt again on another connection, if the attempt is still in flight.
+
+        The attempt's previous connection was lost before the first byte of the attempt was written.
+        """
         if self._pending.of_attempt(attempt) is not None:
             attempt.is_rerouted = True
             self._upstream.forward(attempt)
 
     def forward_deferred(self, exchange: Exchange) -> None:
-        """Records that an abort has been written, and forwards the deferred attempt after the last one."""
+        """Records that the abort of one of the exchange's attempts has been written.
+
+        If this was the last such abort, forwards the deferred attempt, which has waited for all of them.
+        """
         pending = self._pending.of_exchange(exchange)
         if pending is None:
             return
@@ -144,10 +156,11 @@
         self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.TIMED_OUT, now))
 
     def withdraw(self, now: Instant, matches: Callable[[UpstreamRequest], bool]) -> None:
-        """Withdraws the matching attempts that no connection has begun to write; the router decides again.
+        """Withdraws the matching attempts that no connection has begun to write.
 
-        An attempt may have to wait for its connection. Draining and invalidations apply to it until its first
-        byte is written.
+        The router then decides again how to serve their requests. An attempt may have to wait for its
+        connection. Until its first byte is written, it is withdrawn if its endpoint drains or its object is
+        invalidated.
         """
         withdrawn = self._pending.withdraw_deferred(matches)
         withdrawn += self._upstream.withdraw(matches)
@@ -192,8 +205,8 @@
     ) -> list[api.Action]:
         """Closes the request if there is a response, and returns the router's actions on the outcome.
 
-        This method holds the body as well until it returns, because the client's connection may release it
-        before the router has decided whether to store the response.
+        Until this method returns, it is one of the holders of the body. Otherwise the client's connection
+        could release the body before the router has decided whether to store the response.
         """
         response = event.response
         outcome = _outcome(event)
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -39,7 +39,8 @@
 class HttpError(Exception):
     """Error for a message that cannot be accepted.
 
-    `status` is the status code of the response if the message is a request. `reason` describes the error.
+    If the message is a request, `status` is the status code of the response to it. `reason` describes the
+    error.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -64,7 +65,7 @@
 
 
 class StartLine(Protocol):
-    """The common interface of request lines and status lines."""
+    """The interface that request lines and status lines have in common."""
 
     @property
     def version(self) -> str:
@@ -100,7 +101,11 @@
 
 
 def parse_headers(lines: list[bytes]) -> dict[str, tuple[str, ...]]:
-    """Parses field lines; returns each field's values, in order, by lower-case name. Raises HttpError."""
+    """Parses field lines; raises HttpError if a line is malformed.
+
+    Returns the values of each field by the field's name in lower case. The values of a repeated field are in
+    the order of its lines.
+    """
     headers: dict[str, tuple[str, ...]] = {}
     for line in lines:
         name, colon, value = line.partition(b":")
@@ -127,9 +132,10 @@
         self._max_head_bytes = max_head_bytes
         self._max_body_bytes = max_body_bytes
         self._data = bytearray()
-        self._searched_bytes = 0  # length of the prefix of `_data` that does not contain the end of a head
+        # Number of first bytes of `_data` that were searched for the end of the head.
+        self._searched_bytes = 0
         self._head: Message[StartLineT] | None = None
-        self._body_length = 0  # body length in bytes of the message whose head is parsed
+        self._body_length = 0  # body length in bytes of the message in `_head`
 
     @property
     def buffered_bytes(self) -> int:
@@ -172,7 +178,8 @@
     def _parse_head(self) -> None:
         if self._data.startswith(self._forbidden_prefixes):
             raise HttpError(400, "the request starts with CR or LF instead of a request line")
-        # The end of the head may begin in the bytes that have been searched.
+        # The blank line that ends the head may be split between two reads. The search therefore starts a few
+        # bytes before the new data.
         end = self._data.find(END_OF_HEAD, max(0, self._searched_bytes - len(END_OF_HEAD) + 1))
         head_bytes = end if end >= 0 else len(self._data)
         if head_bytes > self._max_head_bytes:
@@ -212,10 +219,10 @@
         raise NotImplementedError
 
     def _check_has_no_body(self, head: Message[StartLineT]) -> None:
-        """Raises HttpError if a message without a Content-Length may have a body."""
+        """Raises HttpError if a message may have a body although it has no Content-Length."""
 
     def _check_fields(self, head: Message[StartLineT]) -> None:
-        """Raises HttpError if fields that any message of this kind may have are invalid."""
+        """Raises HttpError if a field is invalid for this kind of message, a request or a response."""
 
 
 class RequestParser(Parser[RequestLine]):
@@ -244,7 +251,10 @@
 
 
 class ResponseParser(Parser[StatusLine]):
-    """Parser of responses. One without a Content-Length is accepted only if its status allows no body."""
+    """Parser of responses.
+
+    A response without a Content-Length is accepted only if its status allows no body.
+    """
 
     _needs_length = True
 
@@ -268,7 +278,8 @@
 def response_head(status: int, length: int | None, headers: Mapping[str, str], closes: bool) -> bytes:
     """Encodes the status line and the header section of a response.
 
-    Content-Length is omitted if `length` is None. `closes` announces that the connection will be closed.
+    Content-Length is omitted if `length` is None. If `closes` is true, the head announces that the connection
+    will be closed.
     """
     lines = [f"HTTP/1.1 {status} {REASON_PHRASES[status]}"]
     lines.extend(f"{name}: {value}" for name, value in headers.items())
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -1,7 +1,7 @@
-"""Checks of invariants.
+"""Checks of invariants, which are conditions that hold unless the program has a fault.
 
-Violations are counted in all builds. In debug builds they also raise AssertionError; release builds
-(`python -O`) continue.
+Violations are counted in all builds. In debug builds they also raise AssertionError, but a release build
+(`python -O`) continues.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def check(holds: bool, name: str) -> bool:
-    """Counts a violation if the invariant does not hold; returns whether it holds.
+    """Counts a violation of the invariant `name` if `holds` is false; returns `holds`.
 
     Any thread may call it. In debug builds, a violation raises AssertionError.
     """
@@ -27,6 +27,6 @@
 
 
 def violations() -> dict[str, int]:
-    """Returns the number of violations of each violated invariant since the process started."""
+    """Returns the number of violations since the process started, by name of each violated invariant."""
     with _lock:
         return dict(_violations)
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -1,4 +1,4 @@
-"""Memory that each owner in the process uses, and its share of the memory budget, for the metrics."""
+"""The memory that each owner in the process uses, and that the memory budget allows it, for the metrics."""
 
 from __future__ import annotations
 
@@ -8,16 +8,17 @@
 from olivepost.config.memory_budget import INVALIDATION_BYTES, NAME_BYTES
 from olivepost.proxy.parts import ProxyParts
 
-PENDING_REQUEST_BYTES = 3_072  # one pending request with its exchange, its attempts and their records
-TIMER_BYTES = 220  # one timer
-ENDPOINT_BYTES = 1_536  # one endpoint in the router and in the connection pool
+PENDING_REQUEST_BYTES = 3_072  # estimate for one request with its exchange, its attempts and their records
+TIMER_BYTES = 220  # estimate for one timer
+ENDPOINT_BYTES = 1_536  # estimate for one endpoint in the router and in the connection pool
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerAccount:
-    """Bytes that one owner uses and may use.
+    """Number of bytes that one owner of memory, such as the log, uses and may use.
 
-    The used bytes are estimated from the number of entries, unless the owner counts its bytes itself.
+    The used bytes are estimated from the number of the owner's entries, unless the owner counts its bytes
+    itself.
     """
 
     used_bytes: int
@@ -25,7 +26,10 @@
 
 
 def memory_account(parts: ProxyParts) -> dict[str, OwnerAccount]:
-    """Returns the accounts of all owners by name. Any thread may call it, because it only reads counts."""
+    """Returns the accounts of all owners by name.
+
+    Any thread may call this function, because it only reads counts.
+    """
     budget = parts.config.limits.memory
     loop = parts.event_loop
     state = loop.router.state
--- a/olivepost/proxy/memory_monitor.py
+++ b/olivepost/proxy/memory_monitor.py
@@ -1,6 +1,6 @@
-"""Monitor of the process's memory, as the platform counts it, and of the level of memory pressure.
+"""Monitor of the process's memory, measured as the platform measures it, and of the memory pressure.
 
-`routing.memory_pressure` decides the level.
+`routing.memory_pressure` decides which level of memory pressure results from the memory in use.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from olivepost.routing import memory_pressure
 from olivepost.units import MILLISECOND, Duration
 
-STATM = "/proc/self/statm"  # sizes of the process's memory, in pages
-STATM_READ_BYTES = 128  # more than the length of the file's only line
-RESIDENT_FIELD = 1  # index in that line of the resident set size, which includes mapped files
+STATM = "/proc/self/statm"  # file with the sizes of the process's memory, in pages
+STATM_READ_BYTES = 128  # bytes to read; the file's only line is shorter
+RESIDENT_FIELD = 1  # index of the resident set size, which includes mapped files, in that line
 CHECK_INTERVAL: Duration = 100 * MILLISECOND
-PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # interval at each level except `NONE`
+PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # time between checks at each level except `NONE`
 BYTES_PER_KB = 1_024
 
 
@@ -44,8 +44,8 @@
 class MemoryMonitor:
     """Monitor that derives the level of memory pressure from the memory in use.
 
-    The main thread calls `check`, which calls `on_level` on the same thread. Any thread may read `level` and
-    `used_bytes`, which only `check` writes.
+    The main thread calls `check`, which calls the callback `on_level` on the same thread. Any thread may read
+    `level` and `used_bytes`, which only `check` writes.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
 
     @property
     def interval(self) -> Duration:
-        """Time until the next check is due."""
+        """Time between one check and the next at the current level."""
         if self.level is api.MemoryPressureLevel.NONE:
             return CHECK_INTERVAL
         return PRESSURE_CHECK_INTERVAL
@@ -72,7 +72,8 @@
     def check(self) -> None:
         """Reads the memory in use and updates the level.
 
-        Logs each change of the level. Calls `on_level` at each change and at each check under pressure.
+        Logs each change of the level. Calls the callback `on_level` at each change, and at each check at
+        which the level is not `NONE`.
         """
         self.used_bytes = self.read_resident_bytes()
         previous = self.level
--- a/olivepost/proxy/memory_shedding.py
+++ b/olivepost/proxy/memory_shedding.py
@@ -1,4 +1,7 @@
-"""Shedding of memory under memory pressure, by calls and a message to the owners of the memory."""
+"""Shedding of memory under memory pressure.
+
+The owners of the memory are told to free it, either by a method call or by an event to the event loop.
+"""
 
 from __future__ import annotations
 
@@ -12,10 +15,11 @@
 
 
 class MemoryShedder:
-    """Component that frees memory according to the level that `routing.memory_pressure` decides.
+    """Component that frees as much memory as the level of memory pressure requires.
 
-    Only the main thread calls it, through the memory monitor. Memory that the event loop's thread owns
-    (response cache, upstream connections, names) is freed on that thread when it handles the posted report.
+    `routing.memory_pressure` decides the level. Only the main thread calls this component, through the memory
+    monitor. The event loop's thread owns the response cache, the upstream connections and the router's names.
+    It frees their memory itself when it handles the `MemoryPressureReport` that `shed` posts.
     """
 
     def __init__(
@@ -33,7 +37,8 @@
     def shed(self, level: api.MemoryPressureLevel) -> None:
         """Frees the memory that the level requires.
 
-        Called at each check under memory pressure, and once with `NONE` when the pressure ends.
+        The memory monitor calls it at each check under memory pressure, and once with the level `NONE` when
+        the pressure ends.
         """
         self._post(MemoryPressureReport(level))
         limit = memory_pressure.connection_limit(level, self._max_client_connections)
--- a/olivepost/proxy/messages.py
+++ b/olivepost/proxy/messages.py
@@ -1,7 +1,8 @@
 """Events that other threads post to the event loop.
 
-`LoopEvent` is the union of all kinds. The events of requests, attempts and service discovery are defined in
-the modules that post them; those of the shared store, memory pressure and shutdown are defined here.
+`LoopEvent` is the union of all kinds. The events of requests, of attempts and of service discovery are
+defined in the modules `exchange`, `upstream.request` and `discovery.messages`. The events of the shared
+store, of memory pressure and of the shutdown are defined here.
 """
 
 from __future__ import annotations
@@ -21,21 +22,27 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownDeadline:
-    """Start of the shutdown: pending and later requests get their final response by the deadline."""
+    """Event: the shutdown has started.
+
+    Requests that are pending or that arrive later get their final response by the deadline.
+    """
 
     deadline: Instant
 
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressureReport:
-    """The process's level of memory pressure, posted at each check under pressure and when it ends."""
+    """Event: a check found memory pressure at `level`, or found that the pressure has ended.
+
+    It is posted at each check under memory pressure, and once with the level `NONE` when the pressure ends.
+    """
 
     level: api.MemoryPressureLevel
 
 
 @dataclass(slots=True)
 class StoreEvent:
-    """An event that the shared store sends to the router."""
+    """Event that carries an event from the shared store to the router."""
 
     event: api.Event
 
--- a/olivepost/proxy/metrics.py
+++ b/olivepost/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""Collection of the fields of the log's `metrics` event."""
+"""Functions that collect the fields of the `metrics` event in the log."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 def collect_metrics(parts: ProxyParts) -> dict[str, object]:
     """Returns the metrics by name.
 
-    Queue delays cover the time since the last call; all others cover the time since the start, or are current
-    values. The main thread calls it, and other threads may change the values while it reads them.
+    `events` and `queue_delay_ms` cover the time since the last call. All other metrics cover the time since
+    the start, or are current values. The main thread calls this function. Other threads may change the values
+    while it reads them.
     """
     delays = parts.event_loop.take_queue_delays()
     user_cpu_s, system_cpu_s, *_ = os.times()
@@ -50,7 +51,10 @@
 
 
 def count_descriptors() -> int:
-    """Returns the number of open descriptors, or -1 (also in the metric) if the system does not report it."""
+    """Returns the number of open descriptors, or -1 if the system does not report it.
+
+    The metric is -1 as well in that case.
+    """
     try:
         return sum(1 for _ in DESCRIPTORS.iterdir())
     except OSError:
@@ -58,7 +62,10 @@
 
 
 def read_process_status() -> dict[str, int]:
-    """Returns the number of threads, and current and peak memory in KB; empty if the system reports none."""
+    """Returns the number of threads, and the current and the peak memory in KB, by name of the metric.
+
+    The result is empty if the system does not report these values.
+    """
     try:
         lines = PROCESS_STATUS.read_text().splitlines()
     except OSError:
--- a/olivepost/proxy/parts.py
+++ b/olivepost/proxy/parts.py
@@ -27,7 +27,8 @@
     Any thread may read the fields. Each part's class documents which threads may call its methods.
     """
 
-    # The configuration without `known_events`, which `ProxyServer` holds until it has started.
+    # The configuration. Its field `known_events` is None, because `ProxyServer` holds these events until it
+    # has started, and then drops them.
     config: ProxyConfig
     clock: Clock
     log: EventLog
@@ -37,6 +38,6 @@
     upstream: UpstreamPool
     downstream: DownstreamServer
     discovery: DiscoveryClient
-    shared_store: StoreHost | None  # None if the operator configures none
+    shared_store: StoreHost | None  # None if the operator has not configured one
     event_loop: EventLoop
     memory_monitor: MemoryMonitor
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -20,20 +20,24 @@
     """
 
     exchange: Exchange
-    cache_entry: CacheEntry | None = None  # the response cache's entry when the request arrived
+    # The request's entry in the response cache when the request arrived; None if there was none.
+    cache_entry: CacheEntry | None = None
     attempts: dict[int, UpstreamRequest] = field(default_factory=dict)  # attempts in flight, by number
-    # Number of aborts not written yet, counted only if a request may have just one attempt in flight. An
-    # endpoint may still be executing an attempt until the attempt's abort is written.
+    # Number of cancelled attempts whose aborts have not been written yet. An endpoint may still be executing
+    # an attempt until the attempt's abort is written. Aborts are counted only if hedged requests are not
+    # allowed, because a request may then have only one attempt in flight.
     aborts_in_flight: int = 0
-    deferred_attempt: UpstreamRequest | None = None  # the next attempt, which waits for these aborts
-    attempt_count: int = 0  # number of attempts so far, and thereby the number of the next one
+    # The next attempt, which waits until the aborts of cancelled attempts are written.
+    deferred_attempt: UpstreamRequest | None = None
+    # Number of attempts so far, which is also the number that identifies the next attempt.
+    attempt_count: int = 0
     generated_at: Instant | None = None  # time at which the origin generated the response; None if unknown
 
 
 class PendingExchanges:
     """Pending requests by id, and their attempts by the id of their timeout timer.
 
-    Only the event loop's thread uses it, but any thread may read its length.
+    Only the event loop's thread uses it, but any thread may read the number of pending requests with `len`.
     """
 
     def __init__(self) -> None:
@@ -47,11 +51,14 @@
         return request_id in self.by_id
 
     def get(self, request_id: str) -> PendingExchange | None:
-        """Returns the pending request with an id; None if there is none."""
+        """Returns the pending request with this id; None if there is none."""
         return self.by_id.get(request_id)
 
     def expect(self, request_id: str, invariant: str) -> PendingExchange | None:
-        """Returns the pending request with an id; if there is none, reports the invariant as violated."""
+        """Returns the pending request with this id.
+
+        If there is none, counts a violation of the invariant and returns None.
+        """
         pending = self.by_id.get(request_id)
         invariants.check(pending is not None, invariant)
         return pending
@@ -59,7 +66,8 @@
     def of_exchange(self, exchange: Exchange) -> PendingExchange | None:
         """Returns the pending request of an exchange; None if the exchange is no longer pending.
 
-        A later exchange may use the same id, so the exchange itself is compared.
+        A later exchange may have the same id. The exchange found by the id is therefore compared with the
+        given one.
         """
         pending = self.by_id.get(exchange.id)
         if pending is None or pending.exchange is not exchange:
@@ -78,7 +86,10 @@
         self.by_id[exchange.id] = PendingExchange(exchange, cache_entry)
 
     def close(self, pending: PendingExchange, response: Response | None) -> None:
-        """Ends a request; the router decides whether its attempts in flight are cancelled."""
+        """Ends a request and closes its exchange with the response.
+
+        Does not cancel attempts in flight, because the router decides whether they are cancelled.
+        """
         del self.by_id[pending.exchange.id]
         pending.exchange.close(response)
 
@@ -88,7 +99,7 @@
         self._attempts_by_timer[attempt.timer_id] = attempt
 
     def attempt_of_timer(self, timer_id: int) -> UpstreamRequest | None:
-        """Returns the attempt that a timeout timer belongs to; None if the attempt has already ended."""
+        """Returns the attempt with this timeout timer; None if the attempt has already ended."""
         return self._attempts_by_timer.get(timer_id)
 
     def discard_timeout(self, attempt: UpstreamRequest) -> None:
@@ -96,7 +107,7 @@
         self._attempts_by_timer.pop(attempt.timer_id, None)
 
     def withdraw_deferred(self, matches: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
-        """Withdraws the matching deferred attempts, which have no connection yet, and returns them."""
+        """Withdraws the deferred attempts that match, and returns them. They have no connection yet."""
         withdrawn = []
         for pending in self.by_id.values():
             attempt = pending.deferred_attempt
--- a/olivepost/proxy/process_events.py
+++ b/olivepost/proxy/process_events.py
@@ -26,7 +26,7 @@
         self._discovery_changes = DiscoveryChanges(resources, lifecycle, executor)
 
     def handle(self, now: Instant, event: LoopEvent) -> None:
-        """Handles one event; events of requests and attempts are ignored."""
+        """Handles one event of the process; ignores an event of a request or an attempt."""
         match event:
             case DiscoveryEvent():
                 self._discovery_changes.apply(now, event)
@@ -41,14 +41,17 @@
                 self._lifecycle.shutdown_at = event.deadline
 
     def _handle_store_event(self, now: Instant, event: api.Event) -> None:
-        """Handles an event of the shared store; applies invalidations like those of service discovery."""
+        """Handles an event from the shared store.
+
+        An invalidation from the shared store is applied like an invalidation from service discovery.
+        """
         if isinstance(event, api.Invalidation):
             self._discovery_changes.invalidate(now, event)
         else:
             self._executor.execute(self._router.handle(now, event))
 
     def _shed_memory(self, now: Instant, level: api.MemoryPressureLevel) -> None:
-        """Frees memory that the event loop's thread owns, as much as the level requires."""
+        """Frees as much of the memory that the event loop's thread owns as the level requires."""
         if level >= api.MemoryPressureLevel.EVICT_CACHE:
             self._response_cache.evict_half()
         if level >= api.MemoryPressureLevel.CLOSE_IDLE:
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -1,6 +1,6 @@
-"""The proxy's own response cache, whose bodies are in buffers of the body pool.
+"""The proxy's own response cache. The bodies of its entries are in buffers of the body pool.
 
-The router decides which responses are stored and served; this module decides which are evicted.
+The router decides which responses are stored and served; this module decides which entries are evicted.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class CacheEntry:
-    """One cached response, as a holder of its body."""
+    """One cached response. The entry is one of the holders of its body."""
 
     group: int
     etag: str | None
@@ -38,10 +38,11 @@
 
 
 class ResponseCache:
-    """A least-recently-used cache of responses by key, limited by the number of buffers.
+    """A least-recently-used cache of responses by key, limited by the number of buffers of their bodies.
 
-    Only the event loop's thread uses it, but any thread may read its length. An entry is one holder of its
-    body: a response that is being written keeps the buffers after its entry is evicted.
+    Only the event loop's thread uses it, but any thread may read the number of entries with `len`. An entry
+    is one holder of its body, and a response that is being written is another holder. If the entry is
+    evicted, the buffers therefore remain in use until the response has been written.
     """
 
     def __init__(self, max_buffers: int) -> None:
@@ -60,9 +61,10 @@
         return self._entries.get(key)
 
     def store(self, exchange: Exchange, response: Response) -> None:
-        """Stores a response, whose body it shares, and replaces an older entry with the same key.
+        """Stores a response, and replaces an older entry with the same key.
 
-        A response of unknown age, or larger than the whole cache, is not stored.
+        The new entry becomes another holder of the response's body. A response is not stored if it has no
+        body, if its age is unknown, or if it is larger than the whole cache.
         """
         body = response.body
         generated_at = response.generated_at
@@ -79,9 +81,9 @@
             self._evict(oldest)
 
     def invalidate(self, object_name: str | None, group: int | None, invalidated_at: Instant) -> None:
-        """Evicts the invalidated entries that were generated at `invalidated_at` or earlier.
+        """Evicts the entries of an object, or of a group if no object is given.
 
-        These are the entries of the object or, if none is given, those of the group.
+        Only entries whose responses were generated at `invalidated_at` or earlier are evicted.
         """
         for key, entry in list(self._entries.items()):
             is_covered = key.object == object_name if object_name else entry.group == group
@@ -106,7 +108,10 @@
 
 
 def response_from(exchange: Exchange, entry: CacheEntry) -> Response:
-    """Builds the response from a cache entry, without a body if the client has the same entity tag."""
+    """Builds the response to a request from a cache entry.
+
+    The response has no body if the client's copy has the same entity tag.
+    """
     if exchange.etag is not None and exchange.etag == entry.etag:
         return Response(ResponseKind.NOT_MODIFIED, entry.etag)
     return Response(ResponseKind.SERVED, entry.etag, entry.body.share(), entry.generated_at)
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -1,4 +1,4 @@
-"""The proxy server: start, run on the main thread until a signal ends it, and configuration reload."""
+"""The proxy server: its start, its run on the main thread until a signal, and configuration reloads."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 STDOUT = 1
 EXIT_OK = 0
 EXIT_CANNOT_START = 1
-# Number of objects allocated and not freed before the garbage collector searches for reference cycles.
-# Requests create hardly any cycles.
+# The garbage collector searches for reference cycles when this number of objects have been allocated and not
+# freed. The number is high, because requests create hardly any cycles.
 GC_THRESHOLD = 20_000
 # Number of collections of one generation before the next older generation is collected.
 GC_GENERATION_THRESHOLD = 20
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationSource:
-    """Functions that read the configuration again on SIGHUP. Both raise `ConfigError` if it is invalid."""
+    """Functions that read the configuration again on SIGHUP.
+
+    Both functions raise `ConfigError` if the configuration is invalid.
+    """
 
     read_config: Callable[[], ProxyConfig]
     read_operator_settings: Callable[[], OperatorSettings | None]
@@ -55,13 +58,13 @@
         wait_for_signal: WaitForSignal = wait_without_signals,
     ) -> None:
         self.parts = build_parts(config, operator, log_descriptor)
-        self._known_events = config.known_events  # `start` drops them
+        self._known_events = config.known_events  # `start` uses and then drops these events
         self._operator = operator
         self._source = source or ConfigurationSource(lambda: config, lambda: operator)
         self._wait_for_signal = wait_for_signal
-        self._is_reload_due = False  # True if the last reload had no thread for discovery
-        # Time from which reloads are ignored: nothing depends on a coordinator then, and reading a file could
-        # take until the platform kills the process. None if no shutdown has begun.
+        self._is_reload_due = False  # whether the last reload lacked a thread for discovery
+        # Reloads are ignored from this time on. The proxy then no longer depends on a coordinator, and
+        # reading a file could take until the platform kills the process. None if no shutdown has begun.
         self._reloads_until: Instant | None = None
         self._activity = ThreadActivity("main")
         stall_watch = StallWatch(
@@ -70,17 +73,19 @@
         self.parts.downstream.on_deadline_check = stall_watch.check
 
     def start(self) -> Address:
-        """Applies the known endpoint list and then listens, so that no response precedes the list.
+        """Starts the parts, applies the known endpoint list and then listens.
 
-        Returns the bound address. Raises `OSError` if the address cannot be bound, and `RuntimeError` if the
-        system has no thread for a part.
+        The list is applied first, so that no request is answered without it. Returns the address to which the
+        listener is bound. Raises `OSError` if the address cannot be bound, and `RuntimeError` if the system
+        cannot start a thread that a part needs.
         """
         parts = self.parts
         start_thread(parts.event_loop.run, "event-loop", START_TIMEOUT_S)
         if parts.shared_store is not None:
             parts.shared_store.start()
         parts.discovery.start(self._known_events)
-        # The decoded list takes several times as much memory as the endpoint tables that are built from it.
+        # The decoded list is dropped, because it takes several times as much memory as the endpoint tables
+        # that are built from it.
         self._known_events = None
         address = parts.downstream.listen(parts.config.listen)
         host, port = address
@@ -98,9 +103,10 @@
         self.shut_down()
 
     def shut_down(self) -> None:
-        """Responds to pending requests and to those that still arrive.
+        """Shuts the proxy down.
 
-        Then closes the connections and stops all parts.
+        Responds to pending requests and to requests that still arrive. Then closes the connections and stops
+        all parts.
         """
         shutdown = GracefulShutdown(self.parts, self._wait_until, self._log_metrics)
         self._reloads_until = shutdown.respond_by
@@ -109,7 +115,8 @@
     def reload(self) -> None:
         """Reads the configuration again; an invalid configuration changes nothing.
 
-        If the system has no thread for discovery, the reload is repeated at the next check of the memory.
+        If the system cannot start a thread for discovery, the reload is repeated at the next check of the
+        memory.
         """
         log = self.parts.log
         self._is_reload_due = False
@@ -135,9 +142,10 @@
             log.event("reload_needs_restart", keys=keys)
 
     def _wait_until(self, until: Instant) -> SignalRequest | None:
-        """Waits for one signal and returns its request; returns None at `until` if none is received.
+        """Waits for one signal and returns what it requests from the proxy.
 
-        Checks the memory and carries out reloads in the meantime.
+        Returns None at the time `until` if no signal is received. Checks the memory and carries out reloads
+        during the wait.
         """
         clock = self.parts.clock
         monitor = self.parts.memory_monitor
@@ -186,7 +194,7 @@
     except RuntimeError as error:
         print(f"olivepost: can't start: {error}", file=sys.stderr)
         return EXIT_CANNOT_START
-    del config  # frees the known events, which `ProxyServer.start` has dropped as well
+    del config  # frees the known events, because `ProxyServer.start` has dropped its reference to them
     _tune_garbage_collection()
     proxy.run()
     return EXIT_OK
@@ -204,7 +212,10 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Collects the garbage of the start, makes collections rarer and exempts surviving objects from them."""
+    """Collects the garbage of the start, and reduces the work of later garbage collections.
+
+    Collections become rarer, and they no longer examine the objects that exist now.
+    """
     gc.collect()
     gc.set_threshold(GC_THRESHOLD, GC_GENERATION_THRESHOLD, GC_GENERATION_THRESHOLD)
     gc.freeze()
--- a/olivepost/proxy/shutdown.py
+++ b/olivepost/proxy/shutdown.py
@@ -16,20 +16,23 @@
 from olivepost.proxy.parts import ProxyParts
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Time after SIGTERM in which clients still connect and send requests. A busy proxy has to read all of them.
+# Time after SIGTERM during which clients still connect and send requests. A busy proxy has to read all of
+# these requests.
 ACCEPT_FOR: Duration = 700 * MILLISECOND
-# The platform waits for the longest deadline of a request class, but for no longer than this.
+# After SIGTERM, the platform waits for the longest deadline of a request class, but no longer than this.
 MAX_DEADLINE: Duration = 3 * SECOND
-# Time before the kill at which every final response has been given to its connection, which then writes it.
+# Time before the platform kills the process at which every final response has been given to its client's
+# connection, which then writes the response.
 RESPONSE_MARGIN: Duration = 250 * MILLISECOND
-# Time before the kill at which the process begins to exit.
+# Time before the platform kills the process at which the process begins to exit.
 EXIT_MARGIN: Duration = 100 * MILLISECOND
-# Time before the kill at which the process ends, even if some of its parts still wait.
+# Time before the platform kills the process at which the process ends, even if some of its parts have not
+# stopped yet.
 END_MARGIN: Duration = 70 * MILLISECOND
-# Time for clients to close their connections after their last response.
+# Seconds that clients have to close their connections after their last response.
 CLIENT_CLOSE_S = 1.0
-# Timeouts for the threads of the shared store to end and for the last lines of the log to be written. Both
-# are shortened if less time remains until the end.
+# Timeouts in seconds, one for the threads of the shared store to end, the other for the last lines of the log
+# to be written. Both are shortened if less time remains until the process must end.
 STORE_CLOSE_TIMEOUT_S = 1.0
 LOG_CLOSE_TIMEOUT_S = 1.0
 # Time between two checks of whether all clients have closed their connections.
@@ -49,7 +52,7 @@
     def from_start(cls, started_at: Instant, longest_deadline: Duration) -> ShutdownSchedule:
         """Returns the schedule of a shutdown that starts at `started_at`.
 
-        `longest_deadline` is the deadline of the slowest request class.
+        `longest_deadline` is the longest of the deadlines of all request classes.
         """
         killed_at = started_at + min(longest_deadline, MAX_DEADLINE) + ACCEPT_FOR
         return cls(
@@ -63,8 +66,8 @@
 class GracefulShutdown:
     """The shutdown of one proxy. The main thread creates it after SIGTERM and runs it once.
 
-    `wait_until` waits for signals until an instant. It still carries out a reload, and a second SIGTERM has
-    no effect. `log_metrics` logs the last `metrics` event.
+    The callback `wait_until` waits for signals until the given time. A signal that requests a reload still
+    has its effect, and a second SIGTERM has none. The callback `log_metrics` logs the last `metrics` event.
     """
 
     def __init__(
@@ -83,13 +86,14 @@
 
     @property
     def respond_by(self) -> Instant:
-        """Time at which every pending request gets its final response. No attempt begins after it."""
+        """Time by which every pending request gets its final response. No attempt begins after this time."""
         return self._schedule.respond_by
 
     def run(self) -> None:
         """Runs all steps of the shutdown.
 
-        Returns when all clients are gone and the log is written, or when the time for these steps is over.
+        Returns when all clients have closed their connections and the log is written, or when the time for
+        these steps is over.
         """
         self._log_connections("draining")
         self._drain()
@@ -107,7 +111,7 @@
     def _drain(self) -> None:
         """Continues to accept connections until `accept_until`.
 
-        Meanwhile, health checks fail, and every response closes its connection.
+        During this time, health checks fail, and every response ends the connection on which it is sent.
         """
         self._downstream.drain()
         self._parts.event_loop.post(ShutdownDeadline(self._schedule.respond_by))
@@ -115,7 +119,10 @@
             self._wait_until(self._schedule.accept_until)
 
     def _stop_accepting(self) -> list[ConnectionLifecycle]:
-        """Closes idle connections and the listener; returns the connections that are in use."""
+        """Closes idle connections and the listener.
+
+        Returns the connections on which a request or a response is still in progress.
+        """
         open_connections = self._downstream.close_idle()
         self._downstream.stop_accepting(min(ACCEPT_STOP_TIMEOUT_S, self._remaining_s(self._schedule.exit_by)))
         return open_connections
@@ -124,7 +131,7 @@
         """Waits for pending responses, and then up to `CLIENT_CLOSE_S` for the clients to close.
 
         Each of `open_connections` is closed when it becomes idle, because its last response may not have
-        announced the close. The wait ends at `exit_by` at the latest.
+        announced to the client that the connection ends. The wait ends at `exit_by` at the latest.
         """
         closed_by = self._clock.now() + int(CLIENT_CLOSE_S * SECOND)
         while self._downstream.open_count and self._clock.now() < self._schedule.exit_by:
@@ -138,7 +145,7 @@
             ]
 
     def _stop_parts(self) -> None:
-        """Stops the other parts within the time that remains until the end.
+        """Stops the parts that are still running within the time that remains until `end_by`.
 
         The shared store gets at most half of that time, so that the other half remains for the log.
         """
--- a/olivepost/proxy/signals.py
+++ b/olivepost/proxy/signals.py
@@ -13,7 +13,7 @@
 
 from olivepost.units import SECOND, Duration
 
-WAKEUP_READ_BYTES = 4_096  # the pipe has one byte for each signal received since the last read
+WAKEUP_READ_BYTES = 4_096  # read size; the pipe has one byte for each signal since the last read
 
 
 class SignalRequest(Enum):
@@ -34,7 +34,7 @@
 
 
 class SignalListener:
-    """Receiver of the process's signals. The main thread creates it and also waits on it.
+    """Receiver of the process's signals. The main thread creates it and calls `wait`.
 
     The system may deliver a signal to any thread of the process, and this does not always wake the main
     thread. So the interpreter writes a byte to a pipe for each signal, and the main thread waits on this
@@ -54,7 +54,7 @@
         self._received.add(REQUESTS[signal.Signals(number)])
 
     def wait(self, timeout: Duration) -> SignalRequest | None:
-        """Returns the request of the next signal, or None if none is received within the timeout."""
+        """Waits for a signal and returns what it requests; None if none is received within the timeout."""
         until = time.monotonic_ns() + timeout
         while not self._received:
             remaining = until - time.monotonic_ns()
@@ -67,5 +67,8 @@
 
 
 def wait_without_signals(timeout: Duration) -> None:
-    """Waits without receiving signals, for a proxy in a process whose signals belong to other code."""
+    """Waits for the timeout without receiving signals.
+
+    A proxy uses this function if other code handles the signals of its process.
+    """
     threading.Event().wait(timeout / SECOND)
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -1,7 +1,7 @@
-"""Blocking sockets of the proxy: options, timeouts, and calls that several of its parts need.
+"""Blocking sockets of the proxy: options, timeouts, and calls that several parts of the proxy need.
 
-Several threads may use one socket, as the kernel allows. These functions keep no state. Each of them raises
-the system's `OSError` unless its docstring says otherwise.
+Several threads may use the same socket at once, because the kernel allows it. These functions keep no state.
+Each of them raises the system's `OSError` unless its docstring says otherwise.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 ResultT = TypeVar("ResultT")
 
-# Errors that report a shortage of memory in the system. The next call may succeed.
+# Errors that report a shortage of memory in the system. The same call may succeed if it is repeated.
 SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
-SHORTAGE_ATTEMPTS = 20  # attempts of a call that fail with such an error before the last attempt
-SHORTAGE_PAUSE_S = 0.005  # pause after each of these attempts
-PEEK_ATTEMPTS = 3  # attempts of `peek`, without a pause between them
-# Connect errors that this machine causes and that say nothing about the remote side.
+SHORTAGE_ATTEMPTS = 20  # number of attempts that fail for lack of memory before the last attempt
+SHORTAGE_PAUSE_S = 0.005  # pause after each attempt that fails for lack of memory
+PEEK_ATTEMPTS = 3  # number of attempts that `peek` makes, without a pause between them
+# Errors of connection attempts that this machine causes and that say nothing about the remote side.
 LOCAL_FAILURES = (*SHORTAGES, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EAGAIN)
 
 # For a listener, the field `tcpi_unacked` of the kernel's `struct tcp_info` is the accept queue's length.
@@ -39,15 +39,18 @@
 
 
 def set_send_buffer(sock: socket.socket, size_bytes: int) -> None:
-    """Requests a send buffer of a size. If it holds a whole body, most writes return without waiting."""
+    """Requests a send buffer of `size_bytes` from the system.
+
+    If the buffer holds a whole body, most writes return without waiting.
+    """
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, size_bytes)
 
 
 def configure(sock: socket.socket, receive_timeout: Duration, send_timeout: Duration) -> None:
     """Sets both timeouts of a blocking socket and makes it send small writes at once.
 
-    A timeout of 0 means no timeout. The kernel applies the timeouts (SO_RCVTIMEO and SO_SNDTIMEO), so the two
-    threads of one socket can wait for different times.
+    A timeout of 0 means no timeout. The kernel applies the timeouts (SO_RCVTIMEO and SO_SNDTIMEO). The thread
+    that receives from a socket and the thread that sends on it can therefore have different timeouts.
     """
     _retry_on_shortage(lambda: sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1))
     set_receive_timeout(sock, receive_timeout)
@@ -60,9 +63,9 @@
 
 
 def accept_queue_length(listener: socket.socket) -> int:
-    """Returns the number of connections that the kernel has accepted and the process has not.
+    """Returns how many connections the kernel has accepted for the process, which has not taken them yet.
 
-    Returns 0 if the system does not report it.
+    Returns 0 if the system does not report this number.
     """
     try:
         info = listener.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
@@ -73,7 +76,11 @@
 
 
 def _timeval(timeout: Duration) -> bytes:
-    """Returns a timeout as the kernel's `struct timeval`, rounded up because 0 means no timeout there."""
+    """Returns a timeout as the kernel's `struct timeval`.
+
+    The timeout is rounded up to whole microseconds. A short timeout must not become 0, because 0 means no
+    timeout in this structure.
+    """
     microseconds = -(-timeout // NANOSECONDS_PER_MICROSECOND)
     seconds, remainder = divmod(microseconds, MICROSECONDS_PER_SECOND)
     return struct.pack("ll", seconds, remainder)
@@ -91,7 +98,7 @@
 def peek(sock: socket.socket) -> PeekResult:
     """Checks whether the socket has received bytes, without reading them.
 
-    It never waits, because callers hold locks that other threads need.
+    It never waits, because its callers hold locks that other threads need.
     """
     for _ in range(PEEK_ATTEMPTS):
         try:
@@ -115,7 +122,10 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Whether the remote side has closed the connection and no bytes are known to be left to read."""
+    """Whether the remote side has closed the connection.
+
+    Returns False if received bytes are known to wait to be read.
+    """
     result = peek(sock)
     if result is PeekResult.UNKNOWN:
         return bool(_polled_events(sock, select.POLLRDHUP))
@@ -123,10 +133,11 @@
 
 
 def _polled_events(sock: socket.socket, events: int) -> int | None:
-    """Returns those of the events that hold now, or None if the system call fails.
+    """Returns the bit mask of events that `poll` reports for the socket now.
 
-    The call needs no memory for received bytes, so it may succeed when `peek` does not. It fails for a socket
-    that its own thread has closed in the meantime.
+    `events` is the bit mask of the events to check. Returns 0 if `poll` reports none, and None if the system
+    call fails. The call needs no memory for received bytes, so it may succeed when `peek` does not. It fails
+    for a socket that its own thread has closed in the meantime.
     """
     poller = select.poll()
     try:
@@ -138,11 +149,11 @@
 
 
 def wait_readable(sock: socket.socket) -> bool:
-    """Waits until bytes can be read, without reading them.
+    """Waits until bytes can be read, without reading them; returns True if there are any.
 
     Returns False if the remote side has closed its direction of the connection. A receive timeout does not
-    end the wait: an accepted socket inherits its listener's timeout, which `configure` may have failed to
-    remove.
+    end the wait. The reason is that an accepted socket inherits its listener's timeout, and that `configure`
+    may have failed to remove this timeout.
     """
     while True:
         try:
@@ -170,15 +181,15 @@
 def receive_at_once(sock: socket.socket, buffer: memoryview) -> int:
     """Receives available bytes without waiting; returns their number, which is 0 at the connection's end.
 
-    Raises BlockingIOError if there are none.
+    Raises BlockingIOError if no bytes are available.
     """
     return _retry_on_shortage(lambda: sock.recv_into(buffer, 0, socket.MSG_DONTWAIT))
 
 
 def _retry_on_shortage(call: Callable[[], ResultT]) -> ResultT:
-    """Repeats a call that fails with a shortage of memory, which leaves the connection unchanged.
+    """Calls a function, and repeats the call if it fails because the system is short of memory.
 
-    Raises the error of the last attempt.
+    Such a failure leaves the connection unchanged. Raises the error of the last attempt.
     """
     for _ in range(SHORTAGE_ATTEMPTS):
         try:
@@ -193,7 +204,7 @@
 def connect(
     address: Address, timeout: Duration, receive_timeout: Duration, send_timeout: Duration
 ) -> socket.socket:
-    """Connects within the timeout and configures the socket; raises `OSError`."""
+    """Connects to an address within the timeout and returns the configured socket; raises `OSError`."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.settimeout(timeout / SECOND)
@@ -211,8 +222,8 @@
 ) -> list[memoryview]:
     """Sends all parts in as few calls as the kernel allows.
 
-    With the flag MSG_DONTWAIT, returns the bytes that could not be sent at once. Without it, either sends all
-    bytes or raises an error.
+    With the flag MSG_DONTWAIT, returns the bytes that could not be sent at once. Without this flag, either
+    sends all bytes and returns an empty list, or raises an error.
     """
     remaining = [memoryview(part) for part in parts if part]
     while remaining:
--- a/olivepost/proxy/stall_watch.py
+++ b/olivepost/proxy/stall_watch.py
@@ -1,4 +1,8 @@
-"""Detection of threads that others depend on and that spend seconds on one step; logs their stacks."""
+"""Detection of stalled threads: the stack of a thread that spends seconds on one step is logged.
+
+A step is the work of a thread between two waits, for example the handling of one event. Other parts of the
+proxy depend on the watched threads.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +15,9 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-STALLED_AFTER: Duration = 3 * SECOND  # time in one step; a thread normally needs far less
-MAX_STACK_FRAMES = 12  # innermost frames of a logged stack
+# Time in one step after which a thread is stalled; a step normally takes far less.
+STALLED_AFTER: Duration = 3 * SECOND
+MAX_STACK_FRAMES = 12  # number of innermost frames that are logged for a stack
 
 
 class ThreadActivity:
@@ -24,7 +29,8 @@
     def __init__(self, name: str) -> None:
         self.name = name
         self.thread_id: int | None = None  # None until the thread begins its first step
-        self.busy_since: Instant | None = None  # None while it waits for its next step
+        # Start of the current step; None while the thread waits for its next step.
+        self.busy_since: Instant | None = None
 
     def begin_step(self, now: Instant) -> None:
         """Records that the thread begins a step."""
@@ -38,7 +44,10 @@
 
 
 class StallWatch:
-    """Watch that logs each step that takes too long, once and with the stack. One thread calls `check`."""
+    """Watch that logs a step that takes too long, once per step and with the stack of the thread.
+
+    Only one thread calls `check`.
+    """
 
     def __init__(self, clock: Clock, log: EventLog, activities: Sequence[ThreadActivity]) -> None:
         self._clock = clock
@@ -50,7 +59,7 @@
         """Logs `thread_stalled` for each thread whose current step takes too long."""
         now = self._clock.now()
         for activity in self._activities:
-            busy_since = activity.busy_since  # read once, because the thread may end its step
+            busy_since = activity.busy_since  # read once, because the thread may end its step meanwhile
             if busy_since is None or now - busy_since < STALLED_AFTER:
                 continue
             if self._reported_steps.get(activity.name) == busy_since:
@@ -66,7 +75,10 @@
 
 
 def _stack_of(thread_id: int | None) -> list[str]:
-    """Returns the innermost frames of a thread as `file:line function`; empty if the thread has ended."""
+    """Returns the innermost frames of a thread's stack, each as `file:line function`.
+
+    The list is empty if the thread has ended.
+    """
     frame = None if thread_id is None else sys._current_frames().get(thread_id)
     if frame is None:
         return []
--- a/olivepost/proxy/threads.py
+++ b/olivepost/proxy/threads.py
@@ -7,13 +7,14 @@
 from collections.abc import Callable
 
 RETRY_PAUSE_S = 0.01  # pause between two attempts to start a thread
-START_TIMEOUT_S = 10.0  # time limit for threads without which the process can't serve
+START_TIMEOUT_S = 10.0  # time limit to start a thread without which the process can't serve
 
 
 def start_thread(target: Callable[[], object], name: str, timeout_s: float = 0.0) -> threading.Thread:
-    """Starts a daemon thread and retries until the timeout; raises `RuntimeError` if no attempt succeeds.
+    """Starts a daemon thread; if the system can't create it, tries again until the timeout.
 
-    The caller owns the thread. Any thread may call this.
+    Raises `RuntimeError` if no attempt succeeds. The caller owns the thread. Any thread may call this
+    function.
     """
     until = time.monotonic() + timeout_s
     while True:
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -8,7 +8,8 @@
 
 from olivepost.units import Instant
 
-# All stale timers are removed once they outnumber the live ones by more than this number.
+# Stale timers no longer have an effect. All of them are removed when the number of timers exceeds this number
+# plus twice the number of timers that remained after the last removal.
 MAX_STALE_TIMERS = 1_024
 
 
@@ -18,23 +19,26 @@
     due_at: Instant
     sequence: int  # position in the order in which timers were set
     timer_id: int
-    # False if the router set the timer, in which case `timer_id` is the router's own id.
+    # True if the timer is the timeout of an attempt. False if the router set the timer; `timer_id` is then
+    # the id that the router has chosen.
     is_attempt_timeout: bool
 
 
 class TimerQueue:
     """A priority queue of timers by due time. Only the event loop's thread uses it.
 
-    Timers are not cancelled. Instead, the id of a stale timer is ignored when it fires. Stale timers leave
-    the queue when they are due, or all at once when they outnumber the timers for which `is_live` returns
-    true by more than `MAX_STALE_TIMERS`.
+    Timers are not cancelled. Instead, a timer becomes stale when it is no longer needed, and the id of a
+    stale timer is ignored when it fires. Stale timers, for which `is_live` returns false, leave the queue
+    when they are due. If there are too many timers (see `MAX_STALE_TIMERS`), all stale timers are removed at
+    once.
     """
 
     def __init__(self, is_live: Callable[[Timer], bool]) -> None:
         self._is_live = is_live
         self._heap: list[Timer] = []
         self._sequence = 0
-        self._cleaning_length = MAX_STALE_TIMERS  # stale timers are removed when the heap grows beyond it
+        # Stale timers are removed if there are more timers than this.
+        self._cleaning_length = MAX_STALE_TIMERS
 
     def __len__(self) -> int:
         return len(self._heap)
@@ -45,12 +49,12 @@
         return self._heap[0].due_at if self._heap else None
 
     def new_timer_id(self) -> int:
-        """Returns an id for an attempt's timeout that no other attempt of this process has."""
+        """Returns an id for the timeout of an attempt; no other attempt of this process gets the same id."""
         self._sequence += 1
         return self._sequence
 
     def schedule(self, due_at: Instant, timer_id: int, *, is_attempt_timeout: bool = False) -> None:
-        """Sets a timer. A router's timer and an attempt timeout may have the same id."""
+        """Sets a timer. A timer of the router and the timeout of an attempt may have the same id."""
         self._sequence += 1
         heappush(self._heap, Timer(due_at, self._sequence, timer_id, is_attempt_timeout))
         if len(self._heap) > self._cleaning_length:
--- a/olivepost/proxy/wiring.py
+++ b/olivepost/proxy/wiring.py
@@ -1,4 +1,7 @@
-"""Construction and wiring of a proxy's parts by its configuration; nothing listens or polls yet."""
+"""Construction and wiring of a proxy's parts from its configuration.
+
+No part listens for connections or polls service discovery yet.
+"""
 
 from __future__ import annotations
 
@@ -32,14 +35,15 @@
 
 @dataclass(frozen=True, slots=True)
 class _CommonParts:
-    """Configuration and resources that the parts of one proxy have in common."""
+    """Configuration and resources that several parts of one proxy use."""
 
     config: ProxyConfig
     operator: OperatorSettings | None
     clock: Clock
     log: EventLog
     events: EventQueue
-    # The pools are separate so that bodies held for slow clients can't keep the proxy from reading sockets.
+    # The two pools are separate so that bodies that are held for slow clients can't use up the buffers with
+    # which the proxy reads from sockets.
     body_buffers: BufferPool
     read_buffers: BufferPool
 
@@ -129,7 +133,10 @@
 
 
 def _build_shared_store(common: _CommonParts) -> StoreHost | None:
-    """Builds the shared store's host; None, without importing its package, if none is configured."""
+    """Builds the shared store's host if one is configured.
+
+    Otherwise, returns None and does not import the shared store's package.
+    """
     sharing = common.operator.sharing if common.operator is not None else None
     if sharing is None:
         return None
@@ -145,7 +152,11 @@
 
 
 def _router_settings(config: ProxyConfig, operator: OperatorSettings | None) -> Settings:
-    """Returns the platform's settings with the memory budget's limits and the operator's store timeout."""
+    """Returns the settings of the router.
+
+    These are the platform's settings, with the limits from the memory budget and the operator's timeout for
+    the shared store.
+    """
     budget = config.limits.memory
     settings = replace(
         config.settings,
