--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -1,4 +1,7 @@
-"""Entry point of service discovery: owns the watch state and the only long poll that may change it."""
+"""Entry point of service discovery.
+
+The client owns the watch state, which knows the applied events, and the only long poll that may change it.
+"""
 
 from __future__ import annotations
 
@@ -18,14 +21,14 @@
 
 
 class DiscoveryClient:
-    """Client of one coordinator that posts the coordinator's events to the event loop.
+    """Client that polls one coordinator at a time and posts the coordinator's events to the event loop.
 
     While the coordinator is unreachable or its responses are invalid, the last endpoint list stays in force.
 
     Any thread may call the methods. `_lock` guards `_address`, `_long_poll` and `_watch_state`. Events are
     posted while the lock is held, so that they reach the event loop in order. `stop` does not take the lock,
-    because the end of the process must not wait for a response that is being applied. It sets `_is_stopped`,
-    which is never reset.
+    because the end of the process must not wait for a response that is being applied. `stop` sets
+    `_is_stopped`, which is never reset.
     """
 
     def __init__(
@@ -36,7 +39,7 @@
         post: Callable[[DiscoveryEvent | DiscoveryHeartbeat], None],
         seed: int,
     ) -> None:
-        self.max_response_bytes = DEFAULT_MAX_RESPONSE_BYTES  # the owner may lower it before `start`
+        self.max_response_bytes = DEFAULT_MAX_RESPONSE_BYTES  # the owner may lower the limit before `start`
         self.clock = clock
         self.log = log
         self._post = post
@@ -48,7 +51,10 @@
         self._watch_state = WatchState(clock, log)
 
     def start(self, known_events: object) -> None:
-        """Applies the events in the configuration, if any, then polls the coordinator for later ones."""
+        """Applies `known_events`, the events in the configuration, and starts to poll for later ones.
+
+        `known_events` is None if the configuration contains none.
+        """
         with self._lock:
             if known_events is not None:
                 self._post_events(self._watch_state.apply_stored(known_events))
@@ -56,28 +62,30 @@
             self._long_poll.start(START_TIMEOUT_S)
 
     def stop(self) -> None:
-        """Aborts the open poll.
+        """Ends the polling and aborts the open poll.
 
-        A response that is being applied at this time is still applied completely; no later one is.
+        A response that is being applied at this time is still applied completely. No later response is
+        applied.
         """
         self._is_stopped = True
         if self._long_poll is not None:
             self._long_poll.stop()
 
     def switch_coordinator(self, coordinator: Address) -> bool:
-        """Starts to poll another coordinator immediately, from the last applied index.
+        """Starts to poll another coordinator immediately, from the last applied index; returns True.
 
         Returns False and changes nothing if the address is the same or the client is not running. A response
-        that still arrives at the old poll is dropped, since the new poll receives its events; each event is
-        therefore applied once. Raises RuntimeError if the system can't start a thread; the old poll then
-        continues.
+        that still arrives at the old poll is dropped, and the new poll receives the events of that response
+        again. Each event is therefore applied only once. Raises RuntimeError if the system can't start a
+        thread; the old poll then continues.
         """
         with self._lock:
             old_poll = self._long_poll
             if coordinator == self._address or old_poll is None or self._is_stopped:
                 return False
-            # Does not wait for a thread. During a wait, the old poll could not apply its events, because this
-            # thread holds the lock, and no signal would be handled.
+            # The timeout of 0 avoids a wait until the system can start a thread. During such a wait, the old
+            # poll could not apply its events, because this thread holds the lock, and no signal would be
+            # handled.
             long_poll = LongPoll(self, coordinator, self._random.random())
             long_poll.start(timeout_s=0.0)
             self._long_poll = long_poll
@@ -86,7 +94,10 @@
         return True
 
     def next_index(self, long_poll: LongPoll) -> int | None:
-        """Returns the index to poll after; None if another long poll has replaced this one."""
+        """Returns the index after which the next poll asks for events.
+
+        Returns None if another long poll has replaced `long_poll` or the client is stopped.
+        """
         with self._lock:
             if not self._is_current(long_poll):
                 return None
@@ -95,9 +106,9 @@
     def accept_response(self, long_poll: LongPoll, data: object) -> DiscoveryHeartbeat | None:
         """Applies the decoded body of a complete response; raises ConfigError if the body is invalid.
 
-        Returns the heartbeat that the event loop marks as handled after the response's events. Returns None
-        if the response does not show that the watch is up to date, or if another long poll has replaced this
-        one.
+        Returns the response's heartbeat, a message that the event loop marks as handled after it has handled
+        the response's events. Returns None if the response does not show that the watch is up to date, if
+        another long poll has replaced `long_poll`, or if the client is stopped.
         """
         with self._lock:
             if not self._is_current(long_poll):
--- a/olivepost/proxy/discovery/event_parser.py
+++ b/olivepost/proxy/discovery/event_parser.py
@@ -14,7 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NumberedEvent:
-    """An event with its index in the coordinator's sequence; `event` is None if it is invalid."""
+    """An event with its index in the coordinator's sequence.
+
+    If the event is invalid, `event` is None and `error` describes the fault.
+    """
 
     index: int
     event: DiscoveryEvent | None
--- a/olivepost/proxy/discovery/long_poll.py
+++ b/olivepost/proxy/discovery/long_poll.py
@@ -18,11 +18,11 @@
 from olivepost.proxy.threads import start_thread
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Longest time for which the coordinator may hold a poll open. It is short, so that a failed coordinator is
-# detected well before its events are expected to be known everywhere.
+# Longest time for which the coordinator may hold a poll open. This time is short, so that the proxy detects a
+# failed coordinator well before the coordinator's events are expected to be known everywhere.
 POLL_WAIT: Duration = 1 * SECOND
-# Longest wait for the event loop to handle a response's events before the next poll is sent. It is limited,
-# because a stalled event loop must not stop discovery.
+# Longest wait for the event loop to handle a response's events before the next poll is sent. The wait is
+# limited, because a stalled event loop must not stop discovery.
 HANDLING_TIMEOUT_S = 1.0
 # Shortest time between two polls. A coordinator that answers every poll immediately would otherwise keep a
 # CPU core busy.
@@ -31,28 +31,31 @@
 
 
 class PollOwner(Protocol):
-    """Interface that a long poll needs from its owner; the thread of any long poll may call it."""
+    """Interface that a long poll needs from its owner. The thread of any long poll may call the methods."""
 
     clock: Clock
     log: EventLog
     max_response_bytes: int
 
     def next_index(self, long_poll: LongPoll) -> int | None:
-        """Returns the index to poll after; None if another long poll has replaced this one."""
+        """Returns the index after which the next poll asks for events.
+
+        Returns None if another long poll has replaced `long_poll` or the owner is stopped.
+        """
 
     def accept_response(self, long_poll: LongPoll, data: object) -> DiscoveryHeartbeat | None:
         """Applies the decoded body of a complete response.
 
-        Returns the heartbeat that is marked after the response's events are handled; None if there is nothing
-        to wait for.
+        Returns a heartbeat that the event loop marks as handled after the response's events. The long poll
+        waits for that before it polls again. Returns None if there is nothing to wait for.
         """
 
 
 class LongPoll:
     """A thread that polls one coordinator from `start` until `stop`.
 
-    `stop` may be called from any thread. `_lock` guards `_connection`. Only the polling thread sets it, so
-    that this thread may read it and use the connection without the lock.
+    `stop` may be called from any thread. `_lock` guards `_connection`. Only the polling thread sets
+    `_connection`, so that this thread may read the field and use the connection without the lock.
     """
 
     def __init__(self, owner: PollOwner, address: Address, seed: float) -> None:
@@ -72,7 +75,10 @@
         start_thread(self._run, "discovery", timeout_s)
 
     def stop(self) -> None:
-        """Aborts the open poll; a connection that is being established is closed afterwards."""
+        """Ends the polling and aborts the open poll.
+
+        A connection that is still being established is closed afterwards.
+        """
         self._is_stopped.set()
         with self._lock:
             if self._connection is not None:
--- a/olivepost/proxy/discovery/messages.py
+++ b/olivepost/proxy/discovery/messages.py
@@ -18,10 +18,10 @@
 
 
 class DiscoveryHeartbeat:
-    """Message that the coordinator has answered a poll; the events of its response were posted before it.
+    """Message that the coordinator has answered a poll. It is posted after the events of that answer.
 
-    The event loop sets `is_handled`. The long poll waits for this before it polls again, so that endpoint
-    lists don't accumulate in the queue of a busy event loop.
+    The event loop sets `is_handled` when it handles the message. The long poll waits for this before it polls
+    again, so that endpoint lists don't accumulate in the queue of a busy event loop.
     """
 
     __slots__ = ("is_handled",)
--- a/olivepost/proxy/discovery/poll_backoff.py
+++ b/olivepost/proxy/discovery/poll_backoff.py
@@ -6,19 +6,23 @@
 
 from olivepost.units import MILLISECOND, SECOND, Duration
 
-# Time from the end of a poll's wait to the last byte of its response. It is short enough for another poll
-# before events are expected to be known everywhere, which is 2 s after the end of the wait.
+# Time allowed from the end of a poll's wait to the last byte of the poll's response. Events are expected to
+# be known everywhere 2 s after the end of the wait. The time is short enough for another poll before then, if
+# the first one fails.
 FIRST_RESPONSE_TIMEOUT: Duration = 600 * MILLISECOND
 MAX_RESPONSE_TIMEOUT: Duration = 4 * SECOND
-MAX_RESPONSE_TIMEOUT_DOUBLINGS = 8  # limits the shift; fewer doublings already reach the maximum
+MAX_RESPONSE_TIMEOUT_DOUBLINGS = 8  # limits the bit shift; fewer already reach MAX_RESPONSE_TIMEOUT
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 0.25
-MAX_BACKOFF_DOUBLINGS = 10  # limits the shift; fewer doublings already reach the maximum
-MIN_BACKOFF_SHARE = 0.5  # fixed share of a backoff; the rest is random
+MAX_BACKOFF_DOUBLINGS = 10  # limits the bit shift; fewer already reach MAX_BACKOFF_S
+MIN_BACKOFF_SHARE = 0.5  # fixed share of the longest backoff; the rest is random
 
 
 class PollBackoff:
-    """Count of one long poll's consecutive failures. Only the thread of the long poll may call it."""
+    """Count of one long poll's consecutive failures, and the times that depend on it.
+
+    Only the long poll's thread may call the methods.
+    """
 
     def __init__(self, seed: float) -> None:
         self._random = random.Random(seed)
@@ -31,9 +35,10 @@
 
     @property
     def response_timeout(self) -> Duration:
-        """Returns the time for the next response after the end of the poll's wait.
+        """Returns how long the next response may take after the end of the poll's wait.
 
-        Each failure doubles it, because a long endpoint list may need more time to arrive.
+        Each consecutive failure doubles this time, up to `MAX_RESPONSE_TIMEOUT`, because a long endpoint list
+        may need more time to arrive.
         """
         doublings = min(self._consecutive_failures, MAX_RESPONSE_TIMEOUT_DOUBLINGS)
         return min(MAX_RESPONSE_TIMEOUT, FIRST_RESPONSE_TIMEOUT << doublings)
--- a/olivepost/proxy/discovery/poll_connection.py
+++ b/olivepost/proxy/discovery/poll_connection.py
@@ -1,4 +1,4 @@
-"""The connection of a long poll: a socket to the coordinator, and the parser of the responses."""
+"""The connection of a long poll: a socket to the coordinator, and the parser of its responses."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 
 CONNECT_TIMEOUT: Duration = 500 * MILLISECOND
 MAX_HEAD_SIZE = 8_192  # limit of a response's status line and headers, in bytes
-RECEIVE_SIZE = 65_536  # most bytes that one read takes
+RECEIVE_SIZE = 65_536  # largest number of bytes that one read takes from the socket
 
 
 class PollConnection:
-    """An open connection. Any thread may call `abort`; only the polling thread calls the other methods."""
+    """Open connection to a coordinator.
+
+    Any thread may call `abort`; only the polling thread calls the other methods.
+    """
 
     def __init__(self, sock: socket.socket, address: Address, max_response_bytes: int) -> None:
         self.sock = sock
@@ -31,11 +34,11 @@
         return cls(sock, address, max_response_bytes)
 
     def send_request(self, target: str) -> None:
-        """Sends a GET request, which has no body."""
+        """Sends a GET request for `target`, without a body."""
         sockets.send_buffers(self.sock, [http1.request_head(target, self._host)])
 
     def receive_response(self, clock: Clock, deadline: Instant) -> http1.Message[http1.StatusLine]:
-        """Blocks until the response is complete.
+        """Blocks until a response is complete, and returns it.
 
         Raises OSError if the deadline passes first or the connection is lost. Raises HttpError if the
         response is malformed.
@@ -55,7 +58,7 @@
         return response
 
     def abort(self) -> None:
-        """Unblocks a call that waits on the socket; the descriptor stays open until `close`."""
+        """Shuts down the socket, so that a call that waits on it ends; `close` frees the descriptor."""
         sockets.shutdown(self.sock)
 
     def close(self) -> None:
--- a/olivepost/proxy/discovery/watch_state.py
+++ b/olivepost/proxy/discovery/watch_state.py
@@ -15,9 +15,9 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.units import Duration
 
-# Number of consecutive responses with an index below the last applied one. At this number, the coordinator is
-# assumed to have restarted its numbering. A coordinator that only lags behind also sends lower indices, and
-# applying its old events would undo drains and invalidations.
+# Number of consecutive responses with an index below that of the last applied event, after which the
+# coordinator is assumed to have restarted its numbering. One such response proves nothing: a coordinator that
+# only lags behind also sends lower indices, and applying its old events would undo drains and invalidations.
 MAX_LAGGING_RESPONSES = 3
 INDEX_BEFORE_ALL_EVENTS = 0  # the coordinator's first event has index 1
 
@@ -35,12 +35,12 @@
 
     @property
     def next_index(self) -> int:
-        """Returns the index to poll after; the coordinator responds with the events that follow it."""
+        """Returns the index that the next poll sends; the coordinator responds with the events after it."""
         return INDEX_BEFORE_ALL_EVENTS if self._is_resyncing else self.last_index
 
     @property
     def is_up_to_date(self) -> bool:
-        """Whether the last response left no gap and came from a coordinator that does not lag behind."""
+        """Whether the last response left no gap in the events, and its index was not below `last_index`."""
         return not self._is_resyncing and self.lagging_responses == 0
 
     def apply_stored(self, data: object) -> list[DiscoveryEvent]:
@@ -48,7 +48,7 @@
 
         The clocks of the coordinator and this process may differ, so that only the differences between the
         ages of the invalidations are reliable. The youngest invalidation gets age 0, since it may have been
-        sent immediately before the start.
+        sent immediately before the start, and the differences between the ages are kept.
         """
         events = self._apply(data)
         ages = [event.change.age for event in events if isinstance(event.change, api.Invalidation)]
@@ -58,16 +58,18 @@
     def apply_polled(self, data: object) -> list[DiscoveryEvent]:
         """Applies a poll's response and returns its new events, in order.
 
-        Each invalidation gets age 0, because its age by this process's clock may be wrong. An age that is too
-        high would allow responses that are stale. An age that is too low only costs fills of responses that
-        were generated after the invalidation.
+        Each invalidation gets age 0, because its age by this process's clock may be wrong, and an error
+        towards a low age is the harmless one. An age that is too high would allow responses that are stale.
+        An age that is too low only costs fills of responses that were generated after the invalidation.
         """
         return [_with_age(event, lambda _: 0) for event in self._apply(data)]
 
     def _apply(self, data: object) -> list[DiscoveryEvent]:
-        """Advances to the response's index, or begins a resync if earlier events are missing.
+        """Applies a response and returns its new events, in order; advances to the response's index.
 
-        Raises ConfigError if the response has no valid indices; none of its events is applied then.
+        If earlier events are missing, or the coordinator has restarted its numbering, begins a resync instead
+        and returns no events, unless the response already belongs to a resync. Raises ConfigError if the
+        response has no valid indices; none of its events is applied then.
         """
         response = FieldReader("discovery response", data)
         response_index = response.integer("index", INDEX_BEFORE_ALL_EVENTS)
@@ -85,7 +87,10 @@
         return applied
 
     def _parse_new_events(self, response: FieldReader) -> list[NumberedEvent]:
-        """Returns the events that have not been applied yet, sorted by index; logs invalid ones."""
+        """Returns the events that have not been applied yet, sorted by index.
+
+        Invalid events are logged and are returned with their errors.
+        """
         events: list[NumberedEvent] = []
         for item in response.items("updates"):
             event = parse_numbered_event(item, self._clock.now())
@@ -103,7 +108,10 @@
             self.lagging_responses = 0
 
     def _has_gap_before(self, new_events: list[NumberedEvent]) -> bool:
-        """Whether events are missing between the last applied event and the first new one."""
+        """Whether events are missing between the last applied event and the first new one.
+
+        If the first new event is a full endpoint list, no earlier event is needed.
+        """
         if not new_events:
             return False
         first = new_events[0]
@@ -118,7 +126,7 @@
             self.lagging_responses = 0
 
     def _restored_if_first(self, event: DiscoveryEvent) -> DiscoveryEvent:
-        """Returns the event; the first endpoint update after a start becomes one of kind RESTORED.
+        """Returns the event, with kind RESTORED if it is the first endpoint update after the start.
 
         The first update restores an endpoint list instead of changing one.
         """
--- a/olivepost/proxy/downstream/__init__.py
+++ b/olivepost/proxy/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The client side: listener, admission, connections, request mapping and response writing."""
+"""The client side: listener, admission, connections, mapping of requests, and writing of responses."""
--- a/olivepost/proxy/downstream/body_budget.py
+++ b/olivepost/proxy/downstream/body_budget.py
@@ -8,7 +8,7 @@
 class LargeBodyBudget:
     """Budget in bytes for all large request bodies together; small bodies are not counted.
 
-    Any thread may call it; `_lock` guards `reserved_bytes`.
+    Any thread may call the methods; `_lock` guards `reserved_bytes`.
     """
 
     def __init__(self, max_bytes: int, small_body_bytes: int) -> None:
@@ -18,7 +18,7 @@
         self._lock = threading.Lock()
 
     def reserve(self, size_bytes: int) -> bool:
-        """Reserves bytes until `release`; returns False if they would exceed the budget."""
+        """Reserves bytes until `release`; returns False if the reservations would exceed the budget."""
         with self._lock:
             if self.reserved_bytes + size_bytes > self._max_bytes:
                 return False
@@ -26,7 +26,7 @@
             return True
 
     def release(self, size_bytes: int) -> None:
-        """Returns reserved bytes to the budget."""
+        """Gives reserved bytes back to the budget."""
         with self._lock:
             self.reserved_bytes -= size_bytes
 
--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -24,9 +24,10 @@
 class DownstreamConnection:
     """A client's connection. Its reader thread calls `run` and owns the socket.
 
-    `lifecycle` is the part that other threads use: its state, its lock and the operations that close it.
-    `RequestReader` reads requests on the reader thread, and `ResponseDelivery` writes responses on writer
-    threads. `queue_delay` is an estimate of the time for which the connection has waited for its slot.
+    `lifecycle` is the part that other threads use: the connection's state, the lock of that state, and the
+    operations that close the connection. `RequestReader` reads requests on the reader thread, and
+    `ResponseDelivery` writes responses on writer threads. `queue_delay` is an estimate of the time for which
+    the connection has waited for its slot.
     """
 
     def __init__(
@@ -77,7 +78,9 @@
     def _close(self) -> None:
         """Closes the socket and abandons the request in flight, if there is one."""
         lifecycle = self.lifecycle
-        lifecycle.is_closed = True  # set before the event loop is notified, so that no further attempt begins
+        # The flag is set before the event loop is notified, so that no further attempt for the request
+        # begins.
+        lifecycle.is_closed = True
         sockets.shutdown(self._sock)  # wakes a writer that waits for this client
         with lifecycle.lock:
             exchange = lifecycle.exchange
--- a/olivepost/proxy/downstream/connection_admission.py
+++ b/olivepost/proxy/downstream/connection_admission.py
@@ -20,10 +20,11 @@
 from olivepost.units import SECOND
 
 SLOT_RETRY_INTERVAL_S = 0.02  # pause between two attempts to evict a connection at the cap
-# Longest time until a client and all clients that wait behind it have a slot or a rejection each.
+# Longest time until a client and all clients that wait behind it have each received a slot or a rejection.
 MAX_SLOT_WAIT_S = 0.7
-# Shortest timeout of one client while slots become free often enough for all waiting clients. With a shorter
-# one, the client could be rejected before the youngest connections may be evicted.
+# Shortest timeout of one client while slots become free often enough for all waiting clients. A connection
+# may be evicted only after `MIN_IDLE_BEFORE_EVICTION`. With a shorter timeout, the client could be rejected
+# before the youngest connections may be evicted.
 PATIENT_SLOT_WAIT_S = 0.1
 SLOT_WAIT_STEP = 0.25  # weight of a new sample in the moving average of waits for a slot
 # Attempts to start a connection's reader thread, and the pause between two attempts: one second in total.
@@ -34,9 +35,9 @@
 class ConnectionAdmission:
     """Admission control, which turns accepted sockets into connections.
 
-    The accept thread calls `admit`, the main thread sets `connection_limit`, and each connection's reader
-    thread releases its slot at the end. The semaphore `_slots` counts the free slots. When `stopped` is set,
-    a wait for a slot ends.
+    The accept thread calls `admit`, and the main thread sets `connection_limit`. Each connection's reader
+    thread releases the connection's slot when the connection ends. The semaphore `_slots` counts the free
+    slots. When `stopped` is set, a wait for a slot ends.
     """
 
     def __init__(
@@ -55,15 +56,16 @@
         self._writers = ResponseWriters(context.limits.writer_threads, context.log)
         self._slots = threading.Semaphore(context.limits.max_client_connections)
         # Moving average of the waits for a slot at the cap, and the queue delay of the client that is being
-        # admitted. Only the accept thread uses them.
+        # admitted, which is the estimated time that this client has waited so far. Only the accept thread
+        # uses the two.
         self._mean_slot_wait_s = 0.0
         self._queue_delay_s = 0.0
 
     def admit(self, sock: socket.socket, count_waiting: Callable[[], int]) -> None:
         """Starts a connection after it gets a slot; rejects it if no slot becomes free in time.
 
-        `count_waiting` returns the number of connections that wait to be accepted behind this one. It is
-        called only at the cap.
+        `count_waiting` returns the number of connections that wait to be accepted behind this one. `admit`
+        calls it only at the cap.
         """
         self._queue_delay_s = 0.0
         try:
@@ -92,7 +94,10 @@
         return is_limited and len(self._connections) >= self.connection_limit
 
     def _slot_timeout_s(self, client_count: int) -> float:
-        """Returns how long the first of the waiting clients may wait, so that all get a response in time."""
+        """Returns how long the first of `client_count` waiting clients may wait for a slot, in seconds.
+
+        The timeout is chosen so that all of these clients get a slot or a rejection in time.
+        """
         timeout_s = MAX_SLOT_WAIT_S / client_count
         if self._mean_slot_wait_s * client_count <= MAX_SLOT_WAIT_S:
             return max(timeout_s, PATIENT_SLOT_WAIT_S)
@@ -101,9 +106,9 @@
     def _wait_for_slot(self, waiting_count: int) -> bool:
         """Waits for a slot at the cap; returns False if none becomes free in time or `stopped` is set.
 
-        Evicts an idle connection. If all connections are in use, responses end their connections during the
-        wait, so that clients take turns. Responses don't do so during a flood of connections without
-        requests, because those connections are evicted soon.
+        Evicts an idle connection. If all connections are in use, each response ends its connection during the
+        wait, so that clients take turns. During a flood of connections without any request, responses don't
+        do so, because the connections of the flood are evicted soon.
         """
         context = self._context
         context.log.increment("connection_cap_reached")
@@ -124,16 +129,16 @@
             context.is_slot_wanted = False
             waited_s = time.monotonic() - began_at
             self._mean_slot_wait_s += SLOT_WAIT_STEP * (waited_s - self._mean_slot_wait_s)
-            # The number of clients that were ahead of this one before it was accepted is estimated by the
-            # number of those that now wait behind it.
+            # The queue delay includes the time that this client has waited to be accepted, behind other
+            # clients. Their number is estimated by the number of the clients that now wait behind this one.
             self._queue_delay_s = waited_s + min(MAX_SLOT_WAIT_S, waiting_count * self._mean_slot_wait_s)
         return False
 
     def _reject(self, sock: socket.socket) -> None:
-        """Sends status 503 to a client that gets no slot, without waiting for it, and closes the connection.
+        """Sends status 503 to a client that gets no slot, then closes its connection; never waits.
 
-        The bytes that it has sent are received first, because a close with unread bytes would reset the
-        connection.
+        The bytes that the client has sent already are received before the close, because a close with unread
+        bytes would reset the connection, and the reset could overtake the response.
         """
         self._context.log.increment("connections_rejected")
         with sock, contextlib.suppress(OSError):
@@ -152,13 +157,14 @@
     def _start_reader(self, connection: DownstreamConnection) -> bool:
         """Starts a connection's reader thread; returns whether the system could start one.
 
-        If it can't, idle connections are evicted to free their threads, and the start is retried. The
+        If the system can't, idle connections are evicted to free their threads, and the start is retried. The
         connection is not closed at the first failure, because the client may have sent a request already.
         """
         for _ in range(READER_START_ATTEMPTS):
             try:
-                # threading.Thread.start waits until the new thread has run. On a busy core that costs a
-                # thread switch for each connection, during which no other connection is accepted.
+                # `threading.Thread.start` is not used, because it waits until the new thread has run. On a
+                # busy core, that wait costs a thread switch for each connection, and no other connection is
+                # accepted during it.
                 _thread.start_new_thread(connection.run, ())
             except RuntimeError:
                 self._context.log.increment("threads_short")
@@ -171,7 +177,8 @@
     def _remove(self, connection: ConnectionLifecycle) -> None:
         """Removes a connection whose socket is closed, and releases its slot.
 
-        Its reader thread calls this, or the accept thread if no reader thread could be started.
+        The connection's reader thread calls this method. If no reader thread could be started, the accept
+        thread does.
         """
         self._connections.discard(connection)
         self._slots.release()
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -15,8 +15,8 @@
 from olivepost.proxy.http1 import RequestParser, response_head
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Time for the client to close its side after the proxy's half-close. Without it, a reset could overtake the
-# response (RFC 9112, section 9.6).
+# Time for the client to close its side after the proxy's half-close. Without this time, a reset could
+# overtake the response (RFC 9112, section 9.6).
 LINGER_TIMEOUT: Duration = 1 * SECOND
 # Additional time for the reader thread to receive a request that arrived before the deadline.
 READER_GRACE: Duration = 200 * MILLISECOND
@@ -42,10 +42,10 @@
 
     A connection is idle, receives a request, has a request in flight (`exchange`), or is closing.
 
-    `lock` guards all other fields and puts received bytes and closes in order. Bytes are received while the
-    lock is held, and a thread that closes the connection first sets `is_closing` while it holds the lock.
-    Therefore a request that was received before the close gets its response, and a request that arrives
-    after the close is not forwarded.
+    `lock` guards all other fields, and it decides whether bytes were received before or after a close. Bytes
+    are received while the lock is held, and a thread that closes the connection first sets `is_closing` while
+    it holds the lock. Therefore a request that was received before the close gets its response, and a request
+    that arrives after the close is not forwarded.
 
     Three accesses do not take the lock. The accept thread and the deadline thread read fields and properties
     to select connections, and check them again with the lock before they act. The reader thread sets
@@ -61,14 +61,16 @@
         # Whether the connection stays open after the response. The last request decides this, unless the
         # proxy has to end the connection.
         self.keeps_alive = True
-        self.is_closing = False  # the last response was sent, or no further response will be
-        self.is_write_blocked = False  # a writer holds the lock and waits for the client to read
-        self.is_closed = False  # whether the client or the reader thread has closed it
+        self.is_closing = False  # whether the last response was sent, or no further response will be sent
+        self.is_write_blocked = False  # whether a writer holds the lock and waits for the client to read
+        self.is_closed = False  # whether the reader thread has begun to close the socket
         self.close_reason = CloseReason.CLIENT_CLOSED  # unchanged unless the proxy closes the connection
         self.has_received_request = False  # whether a complete request was received
-        self.idle_since: Instant = context.clock.now()  # time at which it last became idle or was half-closed
+        # Time at which the connection was accepted, last became idle or was half-closed.
+        self.idle_since: Instant = context.clock.now()
         # Time by which the connection must leave its current state, even if bytes arrive until then. None
-        # while a request is in flight, since the event loop enforces the deadline of that request.
+        # while a request in flight waits for its response, since the event loop enforces the deadline of that
+        # request.
         self.deadline: Instant | None = self.idle_since + context.limits.first_request_timeout
         self._context = context
 
@@ -90,7 +92,10 @@
         return sockets.has_nothing_unread(self.sock)
 
     def is_closed_by_client(self) -> bool:
-        """Whether the client has closed, reset or half-closed, even if the reader thread has not noticed."""
+        """Whether the client has closed, reset or half-closed the connection.
+
+        This is detected even if the reader thread has not noticed it.
+        """
         return self.is_closed or sockets.is_closed_by_peer(self.sock)
 
     def is_overdue(self, now: Instant) -> bool:
@@ -98,12 +103,15 @@
         deadline = self.deadline  # read once, since another thread may set it to None
         return deadline is not None and deadline < now
 
-    # Closes that other threads request: the accept thread, the deadline thread and the graceful shutdown.
+    # The methods below close the connection on behalf of other threads: the accept thread, the deadline
+    # thread, the writer threads, and the main thread (under memory pressure and during the graceful
+    # shutdown).
 
     def evict(self) -> bool:
-        """Closes the connection immediately, unless a request is in flight or unread; returns whether it did.
+        """Closes the connection immediately, unless a request is in flight or unread.
 
-        An incomplete request gets status 503.
+        A connection that another thread is using is not closed either. An incomplete request gets status 503.
+        Returns whether the connection was closed.
         """
         with self._try_lock() as is_locked:
             if not is_locked:
@@ -121,15 +129,15 @@
         with self._try_lock() as is_locked:
             if is_locked:
                 self._expire_locked()
-            elif self.is_write_blocked:  # otherwise the reader holds the lock, since bytes have arrived
+            elif self.is_write_blocked:  # if False, the reader holds the lock, since bytes have arrived
                 self.deadline = None
                 self.abort(CloseReason.WRITE_TIMEOUT)
 
     def close_if_idle(self) -> bool:
         """Half-closes an idle connection, without waiting for a thread that is using it.
 
-        A connection with unread bytes ends after the response to them. Returns whether the connection is
-        ending; if it is not, the caller tries again later.
+        A connection with unread bytes is left open, and it ends after the response to them. Returns whether
+        the connection is ending; if it is not, the caller tries again later.
         """
         with self._try_lock() as is_locked:
             if is_locked and not self.is_closing and not self.is_closed:
@@ -158,7 +166,7 @@
     def _expire_locked(self) -> None:
         now = self._context.clock.now()
         if not self.is_overdue(now):
-            return  # a request was received since the caller read the deadline
+            return  # a request was received after the caller had read the deadline
         if self.is_closing or self.exchange is not None:
             self._shut_down(CloseReason.WRITE_TIMEOUT)
         elif not self.parser.is_idle:
@@ -170,7 +178,7 @@
         else:
             self.deadline = now + READER_GRACE  # the reader thread is late, not the client
 
-    # State transitions; the caller holds the lock.
+    # State transitions. The callers of the methods below hold the lock.
 
     @property
     def stays_open(self) -> bool:
@@ -207,7 +215,7 @@
         sockets.shutdown(self.sock)
 
     def send_head(self, status: int, headers: Mapping[str, str]) -> None:
-        """Sends a response of the proxy itself, without a body.
+        """Sends a response that the proxy itself generates, without a body.
 
         Aborts the connection if the socket can't take the whole response immediately.
         """
--- a/olivepost/proxy/downstream/context.py
+++ b/olivepost/proxy/downstream/context.py
@@ -28,8 +28,8 @@
     clock: Clock
     log: EventLog
     post: Callable[[RequestReceived | RequestAbandoned], None]  # posts a message to the event loop
-    is_draining: bool = False  # the shutdown has begun, and every response ends its connection
-    is_slot_wanted: bool = False  # every response ends its connection, since a client waits for a slot
+    is_draining: bool = False  # whether the shutdown has begun; if so, every response ends its connection
+    is_slot_wanted: bool = False  # whether responses end their connections, since a client waits for a slot
     large_bodies: LargeBodyBudget = field(init=False)
 
     def __post_init__(self) -> None:
--- a/olivepost/proxy/downstream/deadline_watch.py
+++ b/olivepost/proxy/downstream/deadline_watch.py
@@ -9,13 +9,14 @@
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 
-DEADLINE_CHECK_INTERVAL_S = 0.1  # longest time by which a connection may outlive its deadline
+DEADLINE_CHECK_INTERVAL_S = 0.1  # time between two checks, by which a connection may outlive its deadline
 
 
 class DeadlineWatch:
     """The deadline thread, which runs from `start` until `stopped` is set.
 
-    It does not set the deadlines; each connection sets its own. It also calls `on_check` at each check.
+    The thread does not set the deadlines; each connection sets its own. The thread also calls `on_check` at
+    each check.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
             try:
                 self._expire_connections()
                 self._on_check()
-            except Exception:  # top level of the thread: the deadlines of all connections depend on it
+            except Exception:  # top level of the thread: all deadlines depend on it, so no error ends it
                 self._context.log.exception("deadline_error")
 
     def _expire_connections(self) -> None:
--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -18,8 +18,8 @@
 class DownstreamServer:
     """Owner of the parts of the client side; the main thread starts and stops them.
 
-    Any thread may read the counts and flags. The parts share `connections`, which has its own lock, and
-    `_stopped`, which ends the deadline thread and any wait for a slot.
+    Any thread may read the counts and flags. The parts share two objects. `connections` has its own lock, and
+    the event `_stopped` ends the deadline thread and any wait for a slot.
     """
 
     def __init__(self, context: DownstreamContext) -> None:
@@ -51,37 +51,40 @@
 
     @property
     def has_pending_responses(self) -> bool:
-        """Whether a client waits for the rest of a response, or has sent a part of a request."""
+        """Whether any client waits for a response or its rest, or has sent a part of a request."""
         return any(connection.has_pending_response for connection in self.connections.snapshot())
 
     def listen(self, address: Address) -> Address:
-        """Binds the address and starts to accept; returns the bound address. Raises OSError if it can't."""
+        """Binds the address and starts to accept connections; returns the bound address.
+
+        Raises OSError if the address can't be bound.
+        """
         bound = self._listener.listen(address)
         self._deadline_watch.start()
         return bound
 
-    # Memory pressure: `MemoryShedder` calls these on the main thread, as the level requires.
+    # `MemoryShedder` calls the next two methods on the main thread, as the memory pressure level requires.
 
     def limit_connections(self, limit: int) -> None:
         """Sets the number of open connections at which no further connection is admitted."""
         self.admission.connection_limit = limit
 
     def evict_idle(self) -> None:
-        """Closes a few connections without a pending response; those without any request come first."""
+        """Closes a few connections without a pending response; closes those without any request first."""
         self._evictor.evict_idle()
 
-    # Steps of the graceful shutdown, in this order.
+    # The graceful shutdown calls the methods below, in this order.
 
     def drain(self) -> None:
         """Begins the graceful shutdown: every response from now on ends its connection."""
         self.context.is_draining = True
 
     def close_idle(self) -> list[ConnectionLifecycle]:
-        """Half-closes connections without a request in flight; returns all that are not ending yet."""
+        """Half-closes connections without a request in flight; returns those that are not ending yet."""
         return [connection for connection in self.connections.snapshot() if not connection.close_if_idle()]
 
     def stop_accepting(self, timeout_s: float = ACCEPT_STOP_TIMEOUT_S) -> None:
-        """Closes the listener when its accept queue is empty; waits for this up to the timeout."""
+        """Closes the listener once its accept queue is empty; waits for the close, up to the timeout."""
         self._listener.stop(timeout_s)
 
     def stop_watching(self) -> None:
--- a/olivepost/proxy/downstream/eviction.py
+++ b/olivepost/proxy/downstream/eviction.py
@@ -1,4 +1,4 @@
-"""Eviction of client connections whose slots, threads or memory are needed for others."""
+"""Eviction of client connections whose slots, threads or memory are needed for other connections."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 # its way, and a reset could overtake its last response.
 MIN_IDLE_BEFORE_EVICTION: Duration = 50 * MILLISECOND
 MAX_EVICTIONS_AT_ONCE = 8  # largest number of connections that one call of `evict_idle` closes
-# Connections that have had no request are a flood if they are at least a quarter of the connection cap. They
-# are closed at their own deadlines at the latest, and no connection that has had a request is evicted for
-# them.
+# Unused connections, which have had no request, are a flood if they are at least a quarter of the connection
+# cap. The connections of a flood are closed at their own deadlines at the latest, and no connection that has
+# had a request is evicted to make room for them.
 UNUSED_FLOOD_DIVISOR = 4
 
 
@@ -25,7 +25,7 @@
         self._connections = connections
 
     def evict_one(self) -> bool:
-        """Closes the first candidate that can be closed; returns whether there was one."""
+        """Closes the first evictable connection that can be closed; returns whether one was closed."""
         if not any(connection.evict() for connection in self._candidates()):
             return False
         self._context.log.increment("connections_evicted")
@@ -33,7 +33,7 @@
 
     @property
     def has_unused_flood(self) -> bool:
-        """Whether connections without any request take a quarter of the cap or more, which is a flood."""
+        """Whether there is a flood: connections without any request take at least a quarter of the cap."""
         return self._is_flood(self._unused(self._connections.snapshot()))
 
     def evict_idle(self, excluded: ConnectionLifecycle | None = None) -> None:
@@ -46,9 +46,10 @@
     def _candidates(self) -> list[ConnectionLifecycle]:
         """Returns the connections that may be evicted, in the order in which to evict them.
 
-        These are the connections without any request yet or, if there are none, the idle connections; the
-        longest idle comes first. A connection that has sent a part of its first request is not evicted, so
-        that it can finish the request. In a flood it may be evicted, after those that have sent nothing.
+        These are the connections without any request yet or, if there are none, the idle connections. The
+        connection that has been idle longest comes first. A connection that has sent a part of its first
+        request is not evicted, so that it can finish the request. In a flood it may be evicted, after the
+        connections that have sent nothing. No idle connection that has had a request is evicted in a flood.
         """
         idle_before = self._context.clock.now() - MIN_IDLE_BEFORE_EVICTION
         connections = self._connections.snapshot()
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -17,13 +17,13 @@
 
 ACCEPT_STOP_TIMEOUT_S = 1.0  # time for the accept thread to empty the accept queue
 ACCEPT_TIMEOUT: Duration = 50 * MILLISECOND  # interval between two checks whether the listener has to stop
-# Pause after a failed accept. It doubles with each further failure, up to the maximum: a process without free
-# descriptors must close some before it can accept again.
+# Shortest and longest pause after a failed accept. The pause doubles with each consecutive failure, because a
+# process without free descriptors must close some before it can accept again.
 MIN_ACCEPT_PAUSE_S = 0.001
 MAX_ACCEPT_PAUSE_S = 0.05
 # Errors that indicate no shortage: a connection ended before it was accepted, or a signal arrived.
 TRANSIENT_ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EINTR)
-# Longest wait for the address to become free, when the proxy starts immediately after another was killed.
+# Longest wait for the address to become free, if the proxy starts immediately after another proxy was killed.
 BIND_TIMEOUT_S = 8.0
 BIND_RETRY_PAUSE_S = 0.05  # pause between two attempts to bind
 
@@ -33,9 +33,9 @@
 class Listener:
     """Listening socket, and the thread that accepts connections and passes each socket to `admit`.
 
-    `admit` may wait. Its second argument returns the number of connections that wait to be accepted. The main
-    thread calls `listen` once and then `stop`. `admit` runs on the accept thread, which closes the listening
-    socket.
+    The second argument of `admit` is a function that returns the number of connections that wait to be
+    accepted. The accept thread runs `admit`, which may wait, and closes the listening socket at the end. The
+    main thread calls `listen` once and then `stop`.
     """
 
     def __init__(self, log: EventLog, backlog: int, admit: Admit) -> None:
@@ -44,13 +44,14 @@
         self._admit = admit
         self._thread: threading.Thread | None = None
         self._is_stopping = False
-        # Pause after the next failure; only the accept thread uses it.
+        # Pause after the next failed accept. Only the accept thread uses this field.
         self._accept_pause_s = MIN_ACCEPT_PAUSE_S
 
     def listen(self, address: Address) -> Address:
-        """Binds the address and starts to accept; returns the bound address. Raises OSError if it can't.
+        """Binds the address and starts to accept connections; returns the bound address.
 
-        Waits up to `BIND_TIMEOUT_S` for an address that a killed proxy still holds.
+        Waits up to `BIND_TIMEOUT_S` for an address that a killed proxy still holds. Raises OSError if the
+        address can't be bound.
         """
         listener = self._bind_in_time(address)
         bound: Address = listener.getsockname()
@@ -58,7 +59,7 @@
         return bound
 
     def stop(self, timeout_s: float) -> None:
-        """Closes the listener when its accept queue is empty; waits for this up to the timeout."""
+        """Closes the listener once its accept queue is empty; waits for the close, up to the timeout."""
         self._is_stopping = True
         if self._thread is not None:
             self._thread.join(timeout_s)
@@ -93,7 +94,7 @@
             try:
                 sock, _ = listener.accept()
             except BlockingIOError:
-                if self._is_stopping:  # the accept queue is empty
+                if self._is_stopping:  # the accept timed out, so the accept queue is empty
                     break
                 continue
             except OSError as error:
--- a/olivepost/proxy/downstream/request_reader.py
+++ b/olivepost/proxy/downstream/request_reader.py
@@ -19,10 +19,11 @@
 class RequestReader:
     """Reader of the requests of one connection; only the connection's reader thread calls its methods.
 
-    It also reads while a request is in flight, so that a close by the client is noticed immediately. The lock
-    of the connection's lifecycle also guards `_dropped_bytes`. Each exchange gets `deliver`, which the event
-    loop's thread calls with the final response. The first bytes are treated as received `queue_delay`
-    before they are read, because the client's timeout has been running since then.
+    The reader also receives bytes while a request is in flight, so that a close by the client is noticed
+    immediately. The lock of the connection's lifecycle also guards `_dropped_bytes`. Each exchange gets
+    `deliver`, a function that the event loop's thread calls with the final response. The first bytes are
+    treated as received `queue_delay` before they are read, because the client's timeout has been running
+    since then.
     """
 
     def __init__(
@@ -64,12 +65,13 @@
                 else:
                     self._receive(buffer[:count], received_at)
 
-    # The caller holds the lock.
+    # The callers of the methods below hold the lock of the connection's lifecycle.
 
     def _receive(self, data: memoryview, received_at: Instant) -> None:
         lifecycle = self._lifecycle
         if lifecycle.has_received_request and lifecycle.parser.is_idle:
-            # The first byte may arrive late in the keep-alive time, so the request has its own deadline.
+            # The first byte may arrive late in the keep-alive time, so the request gets a deadline of its
+            # own.
             lifecycle.deadline = received_at + self._context.limits.first_request_timeout
         lifecycle.parser.feed(data)
         self._take_requests(received_at)
@@ -95,12 +97,15 @@
                 lifecycle.send_head(error.status, ALLOW_HEADER if error.status == 405 else {})
 
     def _reject_pipelining(self) -> None:
-        """Ends the connection after the response; bytes behind a request in flight are not parsed."""
+        """Ends the connection after the response, since bytes behind a request in flight are not parsed."""
         self._context.log.increment("pipelining_rejected")
         self._lifecycle.keeps_alive = False
 
     def _route(self, message: Message[RequestLine], received_at: Instant) -> None:
-        """Answers a health check or posts any other request to the event loop; raises HttpError."""
+        """Answers a health check or posts any other request to the event loop.
+
+        Raises HttpError if the request is invalid.
+        """
         context = self._context
         lifecycle = self._lifecycle
         if is_health_check(message.start_line):
--- a/olivepost/proxy/downstream/response_delivery.py
+++ b/olivepost/proxy/downstream/response_delivery.py
@@ -15,8 +15,9 @@
 class ResponseDelivery:
     """Delivery of one connection's responses; `ResponseWriters` calls it on a writer or slow-writer thread.
 
-    A response is released after it is written, after the write fails, or if its exchange was abandoned
-    before. The lock of the connection's lifecycle also guards `_closes_after_response`.
+    A slow-writer thread writes the rest of a response that a socket did not take at once. A response is
+    released after it is written, after the write fails, or if its exchange was abandoned before. The lock of
+    the connection's lifecycle also guards `_closes_after_response`.
     """
 
     def __init__(self, context: DownstreamContext, lifecycle: ConnectionLifecycle) -> None:
@@ -47,9 +48,9 @@
             return unsent
 
     def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview]) -> None:
-        """Writes the remaining buffers and waits for the client to read.
+        """Writes the remaining buffers; waits whenever the client has to read before more can be sent.
 
-        The response is aborted if the client reads nothing for the write stall timeout.
+        The response is aborted if the client reads nothing for as long as the write stall timeout.
         """
         lifecycle = self._lifecycle
         with lifecycle.lock:
@@ -68,20 +69,23 @@
             self._complete(response)
 
     def abandon_response(self, exchange: Exchange, response: Response) -> None:
-        """Aborts a response that no thread can finish."""
+        """Aborts a response because no thread could be started to write its rest."""
         with self._lifecycle.lock:
             if not self._release_if_abandoned(exchange, response):
                 self._lifecycle.abort(CloseReason.WRITE_FAILED)
                 self._complete(response)
 
     def abort(self, reason: CloseReason) -> None:
-        """Shuts down the socket immediately, without the lock."""
+        """Shuts down the socket immediately, without taking the lock."""
         self._lifecycle.abort(reason)
 
-    # The caller holds the lock.
+    # The callers of the methods below hold the lock of the connection's lifecycle.
 
     def _release_if_abandoned(self, exchange: Exchange, response: Response) -> bool:
-        """Releases the response if the connection no longer has its exchange; returns whether it did."""
+        """Releases the response if the connection is closed or no longer has the exchange.
+
+        Returns whether the response was released.
+        """
         if self._lifecycle.exchange is exchange and not self._lifecycle.is_closed:
             return False
         response.release()
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -15,17 +15,17 @@
 class ResponseTarget(Protocol):
     """Interface of the connection that a response is written to, as the writer threads use it.
 
-    The response is released even if `write` or `finish_writing` raises an exception.
+    `write` and `finish_writing` release the response even if they raise an exception.
     """
 
     def write(self, exchange: Exchange, response: Response, /) -> list[memoryview]:
         """Writes the response without waiting; returns the buffers that the socket did not take."""
 
     def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview], /) -> None:
-        """Writes the remaining buffers and waits for the client to read."""
+        """Writes the remaining buffers; waits whenever the client has to read first."""
 
     def abandon_response(self, exchange: Exchange, response: Response, /) -> None:
-        """Aborts a response that no thread can finish."""
+        """Aborts a response because no thread could be started to write its rest."""
 
     def abort(self, reason: CloseReason, /) -> None:
         """Shuts down the socket immediately."""
@@ -54,7 +54,7 @@
             start_thread(self._run, "writer", START_TIMEOUT_S)
 
     def submit(self, target: ResponseTarget, exchange: Exchange, response: Response) -> None:
-        """Queues a response; never waits."""
+        """Queues a response for a writer thread; never waits."""
         self._jobs.put(WriteJob(target, exchange, response))
 
     def _run(self) -> None:
@@ -70,9 +70,9 @@
                 job.target.abort(CloseReason.ERROR)
 
     def _start_slow_writer(self, job: WriteJob, unsent: list[memoryview]) -> None:
-        """Starts the thread that finishes a response.
+        """Starts a thread that writes the rest of a response.
 
-        If the system can't start one, the connection is aborted, so that the client can detect that the
+        If the system can't start a thread, the connection is aborted, so that the client can detect that the
         response is incomplete.
         """
         self._log.increment("slow_clients")
--- a/olivepost/proxy/downstream/routes.py
+++ b/olivepost/proxy/downstream/routes.py
@@ -12,7 +12,7 @@
 
 HEALTH_TARGET = "/-/healthy"
 METHODS = ("GET", "PUT")
-ALLOW_HEADER = {"Allow": ", ".join(METHODS)}  # field of every response with status 405
+ALLOW_HEADER = {"Allow": ", ".join(METHODS)}  # header field of every response with status 405
 MAX_GROUP = 255  # largest group number of an object
 _OBJECT_TARGET = re.compile(r"/api/v2/([^/]+)/([0-9a-f]{16})/slice-(0|[1-9][0-9]{0,8})", re.ASCII)
 _CALL_ID = re.compile(r"[0-9a-f]{16}", re.ASCII)
@@ -81,7 +81,7 @@
 
 
 def _idempotency_key(message: Message[RequestLine]) -> str | None:
-    """Returns the client's key for retries of this request; None if the client sent none."""
+    """Returns the idempotency key, by which caches recognize a retry; None if the client sent none."""
     if not message.header("x-dedupe-key"):
         return None
     return _required_field(message, "x-dedupe-key", _IDEMPOTENCY_KEY)
--- a/olivepost/proxy/upstream/command.py
+++ b/olivepost/proxy/upstream/command.py
@@ -6,16 +6,16 @@
 from olivepost.proxy.exchange import Exchange
 from olivepost.units import MILLISECOND
 
-# Shorter durations are sent as 1 ms, because 0 has a special meaning on the wire: the class's freshness
-# lifetime in `within`, and no wait in `ttl`.
+# Shorter durations are sent as 1 ms, because 0 has a special meaning on the wire: in the field `within` it
+# stands for the class's freshness lifetime, and in the field `ttl` it means no wait.
 MIN_DURATION_MS = 1
 
 
 def command_fields(exchange: Exchange, attempt: api.ForwardAttempt) -> dict[str, str]:
     """Returns the fields of an attempt's `fetch` command, in the order in which they are sent.
 
-    Durations are rounded down to whole milliseconds, but not to 0. The rounding down keeps waits and the ages
-    of responses within the limits that the router decided.
+    Durations are rounded down to whole milliseconds, but not to 0. Rounding down keeps waits and the ages of
+    responses within the limits that the router decided.
     """
     fields = {"lane": exchange.class_name, "name": exchange.object, "piece": str(exchange.part)}
     fields["ttl"] = str(max(MIN_DURATION_MS, attempt.timeout // MILLISECOND))
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -30,7 +30,7 @@
     "FAULT": api.AttemptStatus.ERROR,
     "LATE": api.AttemptStatus.NOT_SENT,
 }
-MAX_TIMESTAMP_DIGITS = 15  # limit for `issued`, a Unix time in milliseconds; current times have 13 digits
+MAX_TIMESTAMP_DIGITS = 15  # limit for the field `issued`, in Unix milliseconds; current times have 13 digits
 
 
 def completed_from_response(
@@ -58,7 +58,8 @@
     """Yields the outcomes of the requests that were pending on a connection when it ended.
 
     If the connection was established, a request whose first byte was not written is forwarded again, but only
-    once. All other requests end, and only the first outcome reports the loss of the connection.
+    once. All other requests end. Only the first of their outcomes reports the loss of the connection; the
+    others have `is_repeated_loss` set.
     """
     is_repeated_loss = False
     for request in requests:
@@ -78,21 +79,22 @@
 def _response(
     request: UpstreamRequest, line: ResponseLine, clock: Clock, completed_at: Instant
 ) -> Response | None:
-    """Returns the response for the client; None if the endpoint served none."""
+    """Returns the response for the client; None if the endpoint sent none that can be delivered."""
     etag = line.fields.get("entity") or None
     if line.status == "HIT" and request.body is not None:
         generated_at = _generated_at(line.fields.get("issued", ""), clock, completed_at)
         return Response(ResponseKind.SERVED, etag, request.body, generated_at)
-    # Only the response that the client has cached, as its entity tag shows, may be reported as not modified.
+    # A response may be reported as not modified only if its entity tag shows that the client has cached it.
     if line.status == "VALID" and etag is not None and etag == request.exchange.etag:
         return Response(ResponseKind.NOT_MODIFIED, etag)
     return None
 
 
 def _generated_at(issued: str, clock: Clock, completed_at: Instant) -> Instant | None:
-    """Returns the time in the field `issued` on this process's clock; None if it is missing, malformed or 0.
+    """Returns the time in the field `issued`, converted to this process's clock, but at most `completed_at`.
 
-    A response can't be generated after it was received, so a later time shows how far this clock is behind.
+    Returns None if the field is missing, malformed or 0. A response can't be generated after it was received.
+    A later time therefore shows how far this process's clock is behind, and the clock records that.
     """
     is_timestamp = issued.isascii() and issued.isdigit() and len(issued) <= MAX_TIMESTAMP_DIGITS
     if not is_timestamp:
--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -59,13 +59,13 @@
         """Gives a request up.
 
         A request that is not being written yet is never written. A request that is already being written is
-        followed by an `abort` command. With `is_awaited`, returns whether an `UpstreamAborted` event will
-        follow; until that event the endpoint may still execute the request.
+        followed by an `abort` command. If `is_awaited` is set, returns whether an `UpstreamAborted` event
+        will follow; until that event, the endpoint may still execute the request. Otherwise returns False.
         """
         return self._state.abort(request, is_awaited)
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Removes and returns the matching requests that are not being written yet."""
+        """Removes and returns the requests that match and are not being written yet."""
         return self._state.withdraw(matches)
 
     def drain(self) -> None:
--- a/olivepost/proxy/upstream/connection_context.py
+++ b/olivepost/proxy/upstream/connection_context.py
@@ -42,7 +42,10 @@
         )
 
     def confirm_abort(self, aborted: UpstreamAborted) -> None:
-        """Reports, once and only if awaited, that an abort was written or that its connection has ended."""
+        """Reports to the event loop that an abort was written, or that this connection has ended.
+
+        Each abort is reported only once, and only if it is awaited.
+        """
         if self.state.take_awaited_abort(aborted):
             self.resources.post(aborted)
 
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -18,29 +18,29 @@
 )
 from olivepost.units import Instant
 
-MAX_PAST_REQUESTS = 256  # remembered ids of ended requests whose responses may still arrive
+MAX_PAST_REQUESTS = 256  # most ids of ended requests that are kept, since their responses may still arrive
 
 
 class WriterSignal(Enum):
-    """Signals to the writer thread, besides requests and aborts."""
+    """Messages to the writer thread other than requests and aborts."""
 
     DRAIN = "drain"  # close the connection once no request is pending
     CHECK_LIVENESS = "check liveness"
 
 
 class WriteStart(Enum):
-    """Decision whether a request that reached the writer is to be written."""
+    """Decision whether a request that reached the writer thread is to be written."""
 
     STARTED = "started"
     WITHDRAWN = "withdrawn"  # the request was withdrawn or aborted while it was queued
-    TOO_LATE = "too late"  # its `start_before` has passed
+    TOO_LATE = "too late"  # the request's `start_before` has passed
 
 
 class UnmatchedResponse(Enum):
     """Reasons why a response belongs to no pending request; the values are names of counters."""
 
-    DUPLICATE = "duplicate_responses"  # its request was written on this connection and has ended
-    UNKNOWN = "unmatched_responses"  # no request with this id is known to have been written on it
+    DUPLICATE = "duplicate_responses"  # the response's request was written on this connection and has ended
+    UNKNOWN = "unmatched_responses"  # this connection is not known to have written a request with this id
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,8 +56,8 @@
 
     `_lock` guards `_pending`, `_past_ids`, `_awaited_aborts` and changes of `is_closing`. It also guards the
     fields `connection`, `stage`, `body` and `is_missing_buffers` of the pending requests. Aborts are put into
-    `outbox` under the lock, in the order in which their requests end. `pending_count`, `can_accept` and
-    `is_closing` are read without the lock and may be out of date.
+    `outbox` while the lock is held, in the order in which their requests end. `pending_count`, `can_accept`
+    and `is_closing` are read without the lock and may be out of date.
 
     No method does I/O, waits for another thread's work, or reports to the event loop.
     """
@@ -69,20 +69,20 @@
         self._lock = threading.Lock()
         self._pending: dict[str, UpstreamRequest] = {}
         self._past_ids: dict[str, None] = {}  # ids of ended requests that were written, oldest first
-        self._awaited_aborts: list[UpstreamAborted] = []  # aborts to be reported that are not written yet
+        self._awaited_aborts: list[UpstreamAborted] = []  # awaited aborts that are not reported yet
 
     @property
     def pending_count(self) -> int:
         """Returns the number of pending requests."""
         return len(self._pending)
 
-    # Called by the event loop.
+    # The event loop calls the methods below.
 
     def can_accept(self, request_id: str) -> bool:
         """Whether a request with this id can be sent on this connection.
 
-        An id that was used before is refused, because a late response to the earlier request would be taken
-        for the response to the new one.
+        The connection must be below its request limit. An id that was used before is refused, because a late
+        response to the earlier request would be taken for the response to the new one.
         """
         return (
             len(self._pending) < self._max_requests
@@ -91,7 +91,10 @@
         )
 
     def add(self, request: UpstreamRequest, connection: AbortableConnection) -> bool:
-        """Makes a request pending and hands it to the writer; returns False if the connection is closing."""
+        """Makes a request pending and hands it to the writer thread.
+
+        Returns False if the connection is closing.
+        """
         with self._lock:
             if self.is_closing:
                 return False
@@ -103,10 +106,10 @@
         return True
 
     def abort(self, request: UpstreamRequest, is_awaited: bool) -> bool:
-        """Ends a request that is given up; returns whether an awaited abort will be confirmed.
+        """Ends a request that is given up; returns whether the abort is awaited and will be confirmed.
 
         A request that is not being written yet is never written. For a request that is already being written,
-        the writer sends an abort after it.
+        the writer thread sends an abort after the request.
         """
         with self._lock:
             if self._pending.get(request.exchange.id) is not request:
@@ -123,7 +126,7 @@
         return is_awaited
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Removes and returns the matching requests that are not being written yet."""
+        """Removes and returns the requests that match and are not being written yet."""
         with self._lock:
             queued = [request for request in self._pending.values() if request.stage is RequestStage.QUEUED]
             withdrawn = [request for request in queued if matches(request)]
@@ -131,7 +134,7 @@
                 self._remove(request)
         return withdrawn
 
-    # Called by the writer thread.
+    # The writer thread calls the methods below.
 
     def start_writing(self, request: UpstreamRequest, now: Instant) -> WriteStart:
         """Marks a request as being written, unless it was withdrawn or its `start_before` has passed."""
@@ -146,7 +149,10 @@
             return WriteStart.STARTED
 
     def take_awaited_abort(self, aborted: UpstreamAborted) -> bool:
-        """Removes an awaited abort; returns whether to report it, which is True only once for each abort."""
+        """Removes an abort from the awaited ones; returns whether the caller is to report it.
+
+        The result is True only once for each awaited abort.
+        """
         with self._lock:
             if aborted not in self._awaited_aborts:
                 return False
@@ -159,10 +165,14 @@
             if not self._pending:
                 self.is_closing = True
 
-    # Called by the reader thread.
+    # The reader thread calls the methods below.
 
     def waiting_since(self, now: Instant) -> Instant:
-        """Returns when the longest-waiting started request was forwarded; `now` if none is waiting."""
+        """Returns when the longest-waiting of the started pending requests was forwarded.
+
+        A request is started once its first byte may have been written. Returns `now` if there is no such
+        request.
+        """
         with self._lock:
             started = [request.forwarded_at for request in self._pending.values() if request.is_started]
         return min(started, default=now)
@@ -196,17 +206,17 @@
                 request.body.append(chunk)
 
     def complete(self, request: UpstreamRequest) -> bool:
-        """Ends a request whose response is complete; returns False if it has already ended."""
+        """Ends a request whose response is complete; returns False if the request has already ended."""
         with self._lock:
             if request.stage is RequestStage.DONE:
                 return False
             self._remove(request)
             return True
 
-    # Called by the writer thread and the reader thread.
+    # The writer thread and the reader thread call the method below.
 
     def close(self) -> UnfinishedWork:
-        """Marks the connection as closing, ends all requests and returns the unfinished work.
+        """Marks the connection as closing, ends all requests, and returns those requests and awaited aborts.
 
         A second call returns no requests, but it returns each abort that has not been reported yet.
         """
--- a/olivepost/proxy/upstream/errors.py
+++ b/olivepost/proxy/upstream/errors.py
@@ -12,7 +12,7 @@
 class LineProtocolError(UpstreamError):
     """Bytes that the published line protocol does not allow.
 
-    `received` is the start of the rejected input. It is empty if only the length was wrong.
+    `received` is the start of the rejected input. It is empty if the input was only too long.
     """
 
     def __init__(self, problem: str, received: bytes | str = "") -> None:
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -13,14 +13,14 @@
 from olivepost.proxy.upstream.errors import LineProtocolError
 
 MAX_LINE_BYTES = 1_024  # longest line including CR LF; the protocol sets this limit
-MAX_LENGTH_DIGITS = 9  # digits of a body's length in bytes, since no endpoint sends a body of 1 GB
+MAX_LENGTH_DIGITS = 9  # most digits of a body's length in bytes; no endpoint sends a body of 1 GB
 MAX_REPORTED_BYTES = 80  # largest number of bytes of a rejected line that an error quotes
 LINE_END = b"\r\n"
 LINE_FEED = 0x0A
 NO_FIELDS = "-"
 LIVENESS_STATUS = "PONG"  # status of the reply to a liveness check
-RESPONSE_WORDS = 4  # request id, status, fields, body length
-LIVENESS_RESPONSE_WORDS = 2  # request id, status
+RESPONSE_WORDS = 4  # words of a response line: request id, status, fields, body length
+LIVENESS_RESPONSE_WORDS = 2  # words of the reply to a liveness check: request id, status
 
 PRINTABLE_ASCII = re.compile(rb"[ -~]*")
 # Allowed text of a field's value and of an endpoint's id: printable ASCII without the separators of fields
@@ -37,7 +37,7 @@
     """First line of a response."""
 
     request_id: str
-    status: str  # HIT, VALID, NONE, SHED, FAULT, LATE or PONG; the caller handles all others
+    status: str  # HIT, VALID, NONE, SHED, FAULT, LATE or PONG; the caller handles any other status
     fields: dict[str, str]
     body_length: int | None  # length in bytes; None if neither a body nor its CR LF follows
 
@@ -114,8 +114,8 @@
     def __init__(self, max_body_bytes: int) -> None:
         self._max_body_bytes = max_body_bytes
         self._line = bytearray()  # received part of an incomplete response line
-        # Number of bytes of a body and its CR LF that are not received yet; None if the next byte belongs to
-        # a line.
+        # Number of bytes of the current body and its CR LF that are not received yet; None if the next byte
+        # belongs to a response line.
         self._remaining: int | None = None
 
     @property
@@ -152,7 +152,7 @@
                     yield RESPONSE_END
 
     def _add_to_line(self, chunk: memoryview) -> ResponseLine | None:
-        """Adds a chunk to the current line; returns the parsed line if it is complete, otherwise None."""
+        """Adds a chunk to the current line; returns the parsed line, or None while the line is incomplete."""
         if len(self._line) + len(chunk) > MAX_LINE_BYTES:
             raise LineProtocolError(f"line is longer than {MAX_LINE_BYTES} bytes")
         self._line += chunk
@@ -165,13 +165,16 @@
         return parse_response_line(line[: -len(LINE_END)], self._max_body_bytes)
 
     def _check_line_end_byte(self, remaining: int, byte: int) -> None:
-        """Checks and counts one byte of the CR LF that follows a body."""
+        """Checks one byte of the CR LF that follows a body, and subtracts it from the remaining bytes."""
         if byte != LINE_END[-remaining]:
             raise LineProtocolError("byte after a body is not part of CR LF", bytes((byte,)))
         self._remaining = remaining - 1 or None
 
 
 def _chunk_of_line(data: memoryview) -> memoryview:
-    """Returns the data up to and including the first line feed; all of the data if it has none."""
+    """Returns the data up to and including the first line feed.
+
+    Returns all of the data if its first `MAX_LINE_BYTES` bytes contain no line feed.
+    """
     end = bytes(data[:MAX_LINE_BYTES]).find(b"\n")
     return data if end < 0 else data[: end + 1]
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -8,7 +8,8 @@
 from olivepost.proxy.upstream.errors import EndpointUnresponsiveError
 from olivepost.units import MILLISECOND, Duration, Instant
 
-# If no byte has been received for longer than this, the endpoint may have closed the connection.
+# If no byte has been received for longer than this, the endpoint may have closed the connection. The writer
+# thread therefore checks the socket before it writes the connection's only pending request.
 IDLE_CHECK_AFTER: Duration = 50 * MILLISECOND
 
 
@@ -16,13 +17,16 @@
 class LivenessMonitor:
     """Times of one connection's responses and liveness checks, in Unix nanoseconds.
 
-    Only the connection's reader thread writes them. The writer thread reads `last_received_at` in `is_idle`.
+    Only the connection's reader thread writes the times. The writer thread reads `last_received_at` in
+    `is_idle`.
     """
 
     limits: ResourceLimits
     last_received_at: Instant = 0
     response_started_at: Instant | None = None  # start of the response in progress; None if there is none
-    check_sent_at: Instant | None = None  # time of the last check; None once a byte has followed
+    # Time of the last liveness check; None before the first one and once a byte has been received after a
+    # check.
+    check_sent_at: Instant | None = None
 
     @property
     def is_waiting(self) -> bool:
@@ -42,14 +46,17 @@
         self.check_sent_at = None
 
     def record_progress(self, *, is_between_responses: bool) -> None:
-        """Records whether a response is in progress after the received bytes have been parsed."""
+        """Records, after received bytes were parsed, whether a response is in progress."""
         if is_between_responses:
             self.response_started_at = None
         elif self.response_started_at is None:
             self.response_started_at = self.last_received_at
 
     def check_progress(self, now: Instant) -> None:
-        """Raises EndpointUnresponsiveError if a response stalls or takes too long, or if a check fails."""
+        """Raises EndpointUnresponsiveError if a response or the reply to a liveness check is overdue.
+
+        A response is overdue if it stalls or if it takes too long as a whole.
+        """
         limits = self.limits
         if self.response_started_at is not None:
             if now - self.last_received_at > limits.response_pause_timeout:
@@ -62,5 +69,8 @@
             )
 
     def is_check_due(self, now: Instant, waiting_since: Instant) -> bool:
-        """Whether a request has waited without any received byte for longer than `liveness_check_delay`."""
+        """Whether a liveness check is due for a request that has waited since `waiting_since`.
+
+        It is due if no byte was received for longer than `liveness_check_delay` while the request waited.
+        """
         return now - max(waiting_since, self.last_received_at) > self.limits.liveness_check_delay
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -23,7 +23,7 @@
 class UpstreamPool:
     """All endpoints of the endpoint list and their connections.
 
-    Only the event loop's thread calls a method, unless the method allows any thread.
+    Only the event loop's thread may call the methods, except for those that allow any thread.
     """
 
     def __init__(self, resources: UpstreamResources) -> None:
@@ -35,8 +35,8 @@
     def update(self, addresses: list[EndpointAddress], is_full: bool) -> None:
         """Applies a full or incremental endpoint list.
 
-        A connection belongs to one process of one endpoint. It is not used for another process or endpoint
-        with the same socket address.
+        A connection belongs to one process of one endpoint. The connection is not used for another process or
+        endpoint with the same socket address.
         """
         for address in addresses:
             self._update_endpoint(address)
@@ -47,7 +47,7 @@
                 self._remove_endpoint(endpoint_id)
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Removes and returns the matching requests that no connection has begun to write."""
+        """Removes and returns the requests that match and that no connection has begun to write."""
         withdrawn: list[UpstreamRequest] = []
         for endpoint in self._endpoints.values():
             for connection in endpoint.connections:
@@ -57,7 +57,8 @@
     def forward(self, request: UpstreamRequest) -> None:
         """Gives a request to the connection with the fewest pending requests, or to a new connection.
 
-        Established connections are preferred to those that are still being established.
+        Only connections to the request's endpoint are used. Established connections are preferred to those
+        that are still being established.
         """
         endpoint = self._ready_endpoint(request)
         if endpoint is None:
@@ -114,18 +115,19 @@
             connection.drain()
 
     def _ready_endpoint(self, request: UpstreamRequest) -> EndpointConnections | None:
-        """Returns the request's endpoint; None if it is not listed or accepts no new requests."""
+        """Returns the request's endpoint; None if the endpoint is not listed or accepts no new requests."""
         endpoint = self._endpoints.get(request.cache)
         is_ready = endpoint is not None and endpoint.address.state is api.EndpointState.READY
-        # A rerouted request may be forwarded after its endpoint has begun to drain. Its first connection was
-        # lost before the request's first byte was written.
+        # Only a rerouted request may be forwarded after its endpoint has begun to drain. Such a request is
+        # forwarded again, because its first connection was lost before the request's first byte was written.
         invariants.check(is_ready or request.is_rerouted, "only_to_ready_endpoints")
         return endpoint if is_ready else None
 
     def _forward_on_new_connection(self, request: UpstreamRequest, endpoint: EndpointConnections) -> None:
         """Gives a request to a new connection.
 
-        Reports the request as not sent if a limit is reached or the system can't start a thread.
+        Reports the request as not sent if a limit on connections is reached or the system can't start a
+        thread.
         """
         limits = self._resources.limits
         self._connections = [connection for connection in self._connections if not connection.is_closed]
@@ -146,5 +148,5 @@
         connection.offer(request)
 
     def _report(self, request: UpstreamRequest, status: api.AttemptStatus) -> None:
-        """Reports the outcome of a request that was not given to any connection."""
+        """Reports to the event loop the outcome of a request that was not given to any connection."""
         self._resources.post(UpstreamCompleted(request, status, request.forwarded_at))
--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -14,7 +14,8 @@
 from olivepost.proxy.upstream.request import UpstreamRequest
 from olivepost.units import Instant
 
-# Longest wait for free buffers. While one response waits, so do all other responses of the connection.
+# Longest wait for free buffers. The wait is limited, because all other responses of the connection wait as
+# long.
 BUFFER_TIMEOUT_S = 0.05
 
 
@@ -31,7 +32,8 @@
         self._liveness = context.liveness
         self._parser = ResponseParser(context.resources.limits.max_response_body_bytes)
         self._line: ResponseLine | None = None  # first line of the response in progress
-        self._request: UpstreamRequest | None = None  # request of that response; None if it is dropped
+        # Request that the response in progress belongs to; None if the response is dropped.
+        self._request: UpstreamRequest | None = None
 
     def run(self, sock: socket.socket) -> None:
         """Reads until the connection ends, then ends it on this side as well."""
@@ -53,7 +55,7 @@
             if buffers:
                 read_buffers.release(buffers)
             sockets.shutdown(sock)
-            self._state.outbox.put(WriterSignal.DRAIN)  # wakes the writer
+            self._state.outbox.put(WriterSignal.DRAIN)  # wakes the writer thread, which closes the socket
 
     def _read(self, sock: socket.socket, buffer: memoryview) -> None:
         """Receives and processes bytes until the connection ends; raises OSError or UpstreamError."""
@@ -89,7 +91,7 @@
                 self._liveness.response_started_at = None
 
     def _check_liveness(self, now: Instant) -> None:
-        """Raises EndpointUnresponsiveError if a response stalls; sends a liveness check if one is due.
+        """Raises EndpointUnresponsiveError if the endpoint is overdue; sends a liveness check if one is due.
 
         A slow endpoint replies to a liveness check. An endpoint that has failed, can't be reached or has lost
         the end of a response does not.
@@ -107,8 +109,8 @@
         """Finds the request that a response belongs to, and reserves buffers for the response's body.
 
         A response may have no pending request, because its request was aborted, was completed before or was
-        never written on this connection. Such a response is read to its end and dropped, since the bytes that
-        follow it are valid.
+        never written on this connection. Such a response is read to its end and dropped. The connection stays
+        open, since the bytes that follow the response are valid.
         """
         self._line = line
         self._request = None
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -17,34 +17,35 @@
     """Progress of an upstream request on its connection."""
 
     QUEUED = "queued"
-    WRITING = "writing"  # the writer thread has taken the request, and it may reach the endpoint
+    WRITING = "writing"  # the writer thread has taken the request, so the request may reach the endpoint
     DONE = "done"
 
 
 class AbortableConnection(Protocol):
-    """Connection that a request was given to, as the event loop uses it."""
+    """Interface of the connection that a request was given to, as the event loop uses it."""
 
     def abort(self, request: UpstreamRequest, is_awaited: bool = False, /) -> bool:
-        """Gives the request up; returns whether an `UpstreamAborted` event will follow."""
+        """Gives the request up; returns whether an awaited `UpstreamAborted` event will follow."""
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamRequest:
     """One attempt of an exchange, sent or to be sent to an endpoint.
 
-    The event loop creates it. While it is pending on a connection, the connection's lock guards `connection`,
-    `stage`, `body` and `is_missing_buffers`. Only the connection's writer thread changes `is_started`.
+    The event loop creates the request. While the request is pending on a connection, the connection's lock
+    guards `connection`, `stage`, `body` and `is_missing_buffers`. Only the connection's writer thread changes
+    `is_started`.
     """
 
     exchange: Exchange
     number: int  # number of the attempt within its exchange
     cache: str
     source: str | None
-    forwarded_at: Instant  # Unix nanoseconds
+    forwarded_at: Instant  # time at which the event loop forwarded the request, in Unix nanoseconds
     fields: dict[str, str]
     start_before: Instant | None = None  # latest start of writing, in Unix nanoseconds; None if unlimited
     stage: RequestStage = RequestStage.QUEUED
-    is_started: bool = False  # whether the first byte has been, or may have been, written
+    is_started: bool = False  # whether the request's first byte has been, or may have been, written
     is_rerouted: bool = False  # whether an earlier connection was lost before the first byte was written
     connection: AbortableConnection | None = None
     body: PooledBody | None = None  # body of the response
@@ -64,23 +65,27 @@
 
     request: UpstreamRequest
     status: api.AttemptStatus
-    completed_at: Instant  # Unix nanoseconds; when its response was complete or it ended without one
+    completed_at: Instant  # time of the complete response or of the end without one, in Unix nanoseconds
     cache_status: api.CacheStatus = api.CacheStatus.UNKNOWN
     response: Response | None = None
-    # Whether the request ended with its connection and an earlier event has already reported that loss.
+    # Whether the request ended with its connection and an earlier event has already reported the loss of that
+    # connection.
     is_repeated_loss: bool = False
 
 
 @dataclass(slots=True)
 class UpstreamAborted:
-    """Event: the abort of an upstream request has been written, or its connection has ended."""
+    """Event: the abort of an upstream request has been written, or the request's connection has ended."""
 
     request: UpstreamRequest
 
 
 @dataclass(slots=True)
 class UpstreamUnsent:
-    """Event: a connection was lost before the first byte of a request was written. Forward it again."""
+    """Event: a connection was lost before a request's first byte was written.
+
+    The event loop has to forward the request again.
+    """
 
     request: UpstreamRequest
 
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -21,9 +21,9 @@
 LIVENESS_COMMAND = encode_command("alive", "link")
 # The proxy closes an idle connection this long before its endpoint does.
 IDLE_MARGIN: Duration = 1 * SECOND
-READER_START_TIMEOUT_S = 0.2  # limit for retries if the system can't start the reader thread at once
+READER_START_TIMEOUT_S = 0.2  # time limit for retries if the system can't start the reader thread at once
 LOCAL_FAILURE_PAUSE_S = 0.02  # pause before connecting again after a failure of this machine
-DRAIN_POLL_S = 0.1  # interval at which a draining connection counts its pending requests
+DRAIN_POLL_S = 0.1  # interval at which a draining connection checks whether requests are pending
 
 
 class ConnectionWriter:
@@ -37,7 +37,7 @@
         self._state = context.state
         self._resources = context.resources
         self._is_draining = False
-        self._is_local_failure = False  # the connection failed because of this process or its machine
+        self._is_local_failure = False  # whether the connection failed because of this process or its machine
 
     def start(self) -> None:
         """Starts the writer thread; raises RuntimeError if the system can't start it."""
@@ -110,7 +110,7 @@
         )
 
     def _write(self, sock: socket.socket) -> None:
-        """Writes the messages in the outbox, until the connection ends or has been idle for its timeout."""
+        """Writes the outbox's messages until the connection ends or has been idle for its idle timeout."""
         idle_timeout = self._resources.limits.upstream_idle_timeout
         idle_timeout_s = max(idle_timeout - IDLE_MARGIN, idle_timeout // 2) / SECOND
         while not self._is_finished():
@@ -137,23 +137,27 @@
         return self._is_draining and not self._state.pending_count
 
     def _write_request(self, sock: socket.socket, request: UpstreamRequest) -> None:
-        """Writes a request, unless its client has disconnected, or it was withdrawn or is too late."""
+        """Writes a request, unless its client has disconnected or the request was withdrawn.
+
+        If the request's `start_before` has passed, reports the request as not sent instead of writing it.
+        """
         exchange = request.exchange
         if exchange.is_client_disconnected():  # the event loop is about to abort the request
             self._resources.log.increment("requests_of_disconnected_clients")
             return
         now = self._resources.clock.now()
-        # The endpoint may have closed an idle connection, and the reader may not have noticed that yet. A
-        # request that is written now would be treated as possibly executed. A request that is not started is
-        # forwarded again.
+        # The endpoint may have closed an idle connection, and the reader thread may not have noticed that
+        # yet. A request that is written then would be treated as possibly executed, while a request that is
+        # not started is forwarded again. The socket is therefore checked first.
         if self._state.pending_count <= 1 and self._context.liveness.is_idle(now):
             if sockets.is_closed_by_peer(sock):
                 raise ConnectionError("closed by the endpoint while idle")
-            # The clock is read again after the check, because `start_before` is a strict limit.
+            # The clock is read again after the check of the socket, because `start_before` is a strict limit.
             now = self._resources.clock.now()
         match self._state.start_writing(request, now):
             case WriteStart.STARTED:
-                # The command is encoded only now, so that a queued request does not hold its body twice.
+                # The command is encoded only now, so that a queued request does not hold its body in memory
+                # twice.
                 data = encode_command("fetch", exchange.id, request.fields, exchange.body)
                 self._send(sock, data, request)
             case WriteStart.TOO_LATE:
@@ -168,8 +172,8 @@
         """
         view = memoryview(data)
         if request is not None:
-            # This is set before the first byte is sent: if the connection ends in the meantime, the request
-            # must be treated as started.
+            # The flag is set before the first byte is sent: if the connection ends during the call that sends
+            # it, the request must be treated as started.
             request.is_started = True
         while view:
             try:
