--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -1,4 +1,7 @@
-"""The circuit breaker that stops the use of a store while replies are late or lost. No clock, no I/O."""
+"""The circuit breaker of a store, which stops the use of the store while its replies are late or lost.
+
+This module has no clock and does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,11 @@
 
 from olivepost.units import Duration, Instant
 
-MAX_CONSECUTIVE_FAILURES = 5  # number of failures in a row that opens the breaker
+MAX_CONSECUTIVE_FAILURES = 5  # number of consecutive failures that opens the breaker
 RECENT_REPLIES = 20  # number of latest replies from which the failure rate is computed
-MAX_FAILURE_RATE = 0.5  # share of failures in the recent replies; a higher one opens the breaker
-SUCCESSES_TO_CLOSE = 2  # number of successes in a row that closes a half-open breaker
-MIN_JITTER_SHARE = 0.5  # share of a backoff that is always waited; a random part of the rest is added
+MAX_FAILURE_RATE = 0.5  # share of failures among the recent replies; a higher share opens the breaker
+SUCCESSES_TO_CLOSE = 2  # number of consecutive successes that closes a half-open breaker
+MIN_JITTER_SHARE = 0.5  # share of a backoff that always passes; a random part of the rest is added to it
 
 
 class BreakerState(Enum):
@@ -30,19 +33,19 @@
 class CircuitBreaker:
     """A counter of one store's timely replies and failures, which decides whether the store is used.
 
-    Used by the coordinator's thread only. `random_source` is shared by all stores of the proxy. A new breaker
-    is half-open.
+    Only the coordinator's thread uses this class. `random_source` is shared by all stores of the proxy. A new
+    breaker is half-open.
     """
 
     def __init__(self, random_source: random.Random, min_backoff: Duration, max_backoff: Duration) -> None:
         self.state = BreakerState.HALF_OPEN
-        self.retry_at: Instant | None = None  # when it becomes half-open; `None` unless it is open
+        self.retry_at: Instant | None = None  # when an open breaker becomes half-open; `None` in other states
         self._random = random_source
         self._min_backoff = min_backoff
         self._max_backoff = max_backoff
-        # The latest backoff; `None` at first and after the breaker has closed.
+        # The latest backoff, or `None` if the breaker has not opened since it was created or last closed.
         self._backoff: Duration | None = None
-        self._trial_successes = 0  # successes in a row while the breaker is half-open
+        self._trial_successes = 0  # consecutive successes while the breaker is half-open
         self._consecutive_failures = 0
         self._recent_failures: deque[bool] = deque(maxlen=RECENT_REPLIES)
 
@@ -53,7 +56,9 @@
         if self.state is BreakerState.HALF_OPEN:
             self._record_trial_success()
         else:
-            self._open_if_failing(now)  # this reply may complete the sliding window of recent ones
+            # The failure rate is computed only when there are enough recent replies, and this reply may be
+            # the one that was missing.
+            self._open_if_failing(now)
 
     def record_failure(self, now: Instant) -> None:
         """Records that a reply was late or lost, regardless of the cause.
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -1,6 +1,6 @@
 """The Redis client of one store.
 
-It never retries, its timeouts are short, and it reads the password each time it connects.
+The client never repeats a command, its timeouts are short, and it reads the password each time it connects.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from olivepost.units import SECOND
 
 PROTOCOL_VERSION = 3  # RESP3
-DEFAULT_CONNECTIONS = 2  # one for a scan, and one for commands that are sent during the scan
+DEFAULT_CONNECTIONS = 2  # one for a scan of the keys, and one for commands that are sent during the scan
 
 
 class PasswordFile(CredentialProvider):
@@ -53,8 +53,8 @@
 ) -> redis.Redis:
     """Returns a client that has its own connection pool and connects when it sends its first command.
 
-    The client never repeats a command. A command whose reply was lost may have run, and repeating it would
-    grant quota twice.
+    The client never repeats a command. A command whose reply was lost may have run. If it granted quota,
+    repeating it would grant the quota twice.
     """
     host, port = store.address
     return redis.Redis(
@@ -102,10 +102,11 @@
     *,
     is_transaction: bool,
 ) -> list[object]:
-    """Runs operations in one round trip and returns the reply, or the exception, of each.
+    """Runs operations and returns the reply, or the exception, of each.
 
-    Operations whose script the store does not have are sent again after the scripts are loaded. Raises
-    redis.RedisError or OSError if a round trip fails; any of the operations may have run in that case.
+    All operations are sent in one round trip. If the store does not have the script of an operation, all
+    scripts are loaded, and the operations that did not run are sent again. Raises redis.RedisError or OSError
+    if a round trip fails; any of the operations may have run in that case.
     """
     calls = [encode_operation(operation, prefix, incarnation) for operation in operations]
     replies = _execute(client, calls, is_transaction)
--- a/olivepost/shared_store/commands.py
+++ b/olivepost/shared_store/commands.py
@@ -1,7 +1,7 @@
 """Tracking of the commands whose replies are pending.
 
-Each command has a ticket. The number of pending commands is limited, and the successes and failures of
-commands are recorded in the stores' circuit breakers.
+Each command has a ticket, a number that connects a reply with its command. The number of pending commands is
+limited, and the successes and failures of commands are recorded in the stores' circuit breakers.
 """
 
 from __future__ import annotations
@@ -15,7 +15,8 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-# Limit for all stores together. Commands beyond it are dropped, which costs hints but never a request.
+# Largest number of pending commands, of all stores together. Further commands are dropped. The dropped ones
+# cost hints, but never a request.
 MAX_PENDING_COMMANDS = 4_096
 
 ReplyValues = tuple[object, ...]
@@ -37,11 +38,11 @@
     generation: int
     confirmed_serial: int
     on_reply: ReplyHandler
-    has_failed: bool = False  # whether its failure has been recorded
+    has_failed: bool = False  # whether the circuit breaker has recorded its failure
 
 
 class CommandTracker:
-    """Pending commands by ticket. Used by the coordinator's thread only."""
+    """The pending commands, by ticket. Only the coordinator's thread uses this class."""
 
     def __init__(self, context: CoordinatorContext) -> None:
         self._context = context
@@ -59,7 +60,10 @@
         *,
         is_urgent: bool = False,
     ) -> bool:
-        """Sends an operation. Returns False, and never calls `on_reply`, if too many commands are pending."""
+        """Sends an operation and returns True.
+
+        If too many commands are pending, drops the operation, returns False and never calls `on_reply`.
+        """
         if len(self._pending) >= MAX_PENDING_COMMANDS:
             self._context.counts["commands_dropped"] += 1
             return False
--- a/olivepost/shared_store/context.py
+++ b/olivepost/shared_store/context.py
@@ -1,6 +1,7 @@
 """State that all parts of the store coordinator share: terms, stores, endpoints, counters and actions.
 
-The coordinator emits actions only through this module.
+The actions are commands for stores, events for the router and events for the log. The coordinator emits them
+only through this module.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 
 @dataclass(slots=True)
 class CoordinatorContext:
-    """State that belongs to no single part of the coordinator. Used by the coordinator's thread only.
+    """State that belongs to no single part of the coordinator. Only the coordinator's thread uses this class.
 
-    `counts` are totals since the start, by metric name. `actions` are the actions of the event that is being
-    handled, in the order in which they were emitted.
+    `counts` are totals since the coordinator was created, by metric name. `actions` are the actions of
+    the event that is being handled, in the order in which they were emitted.
     """
 
     terms: SharingTerms
@@ -35,7 +36,7 @@
 
     @classmethod
     def create(cls, terms: SharingTerms, seed: int) -> CoordinatorContext:
-        """Returns a context in which no store is trusted yet; `seed` determines the backoffs' jitter."""
+        """Returns a context in which no store is trusted yet; `seed` determines the jitter of backoffs."""
         random_source = random.Random(seed)
         stores: dict[str, StoreHealth] = {}
         for name in terms.stores:
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -1,9 +1,9 @@
 """Coordinator of this proxy's use of the shared stores.
 
 The coordinator decides what is sent to the stores, which replies are used, and which events the router gets.
-`StoreCoordinator(terms, seed).handle(now, event)` returns actions. It has no clock, does no I/O and starts no
-threads. This module only dispatches events; each kind of decision has its own module. No decision extends a
-deadline, an age limit or a quota, even if a store misbehaves.
+`StoreCoordinator(terms, seed).handle(now, event)` returns actions. The coordinator has no clock, does no I/O
+and starts no threads. This module only dispatches events; each kind of decision has its own module.
+No decision extends a deadline, an age limit or a quota, even if a store misbehaves.
 """
 
 from __future__ import annotations
@@ -51,7 +51,7 @@
         self._context = context
         self.terms = terms
         self.stores = context.stores
-        self.counts = context.counts  # totals since the start, by metric name
+        self.counts = context.counts  # totals since the coordinator was created, by metric name
         self.leases = LeaseTable()
         self.commands = CommandTracker(context)
         known_invalidations = KnownInvalidations()
@@ -68,7 +68,7 @@
         self._handlers = self._event_handlers()
 
     def handle(self, now: Instant, event: Event) -> list[Action]:
-        """Handles one event and returns the actions to take, in order."""
+        """Handles one event and returns the actions that the host must take, in order."""
         actions: list[Action] = []
         self._context.actions = actions
         self._handlers[type(event)](now, event)
--- a/olivepost/shared_store/endpoints.py
+++ b/olivepost/shared_store/endpoints.py
@@ -1,15 +1,18 @@
-"""Endpoint list of the store coordinator, which tells whether a stored record's cache is still usable."""
+"""The store coordinator's list of endpoints.
+
+The list tells whether the cache that a stored record names is still usable.
+"""
 
 from __future__ import annotations
 
 from olivepost import interface as api
 from olivepost.units import Instant
 
-UNKNOWN_START: Instant = 0  # start of an endpoint in records if its start is unknown
+UNKNOWN_START: Instant = 0  # start time that records contain if an endpoint's start time is unknown
 
 
 class EndpointDirectory:
-    """Listed endpoints by id. Used by the coordinator's thread only."""
+    """The endpoints that updates have listed, by id. Only the coordinator's thread uses this class."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, api.EndpointMetadata] = {}
@@ -31,7 +34,7 @@
                 self._by_id[endpoint.id] = endpoint
 
     def started_at(self, endpoint_id: str) -> Instant:
-        """Returns an endpoint's start as records store it, or `UNKNOWN_START` if it is unknown."""
+        """Returns an endpoint's start time as records store it, or `UNKNOWN_START` if the time is unknown."""
         endpoint = self._by_id.get(endpoint_id)
         return UNKNOWN_START if endpoint is None else _stored_start(endpoint)
 
@@ -49,5 +52,5 @@
 
 
 def _stored_start(endpoint: api.EndpointMetadata) -> Instant:
-    """Returns the start of a listed endpoint as records store it."""
+    """Returns the start time of a listed endpoint as records store it."""
     return UNKNOWN_START if endpoint.started_at is None else endpoint.started_at
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -1,7 +1,8 @@
-"""Fill leases, which this proxy requests from the stores with lookups and releases when the fills end.
+"""The fill leases of this proxy, which requests them with lookups and releases them when the fills end.
 
-A lease publishes nothing if it has expired by its owner's clock, or if its fencing number is not the store's
-current one. No clock, no I/O.
+A release publishes the location of the filled cache. It publishes nothing if the lease has expired by its
+owner's clock, or if the lease's fencing number is not the one that the store has for the name. This module
+has no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -22,24 +23,28 @@
 
 @dataclass(slots=True)
 class PendingLease:
-    """A lease that was requested with a lookup and waits for the store's reply."""
+    """A lease that was requested with a lookup, and for which the store's reply is pending."""
 
     lookup: api.LookUpHint
     request: LeaseRequest
     store: StoreHealth
     generation: int
     requested_at: Instant
-    release: LeaseReleased | None = None  # set if the request ends before the reply comes
+    # The end of the request that the lease is for, if the request ends before the store's reply comes.
+    release: LeaseReleased | None = None
 
 
 class FillLeases:
-    """Fill leases that this proxy requests, acquires and releases. Used by the coordinator's thread only."""
+    """Fill leases that this proxy requests, acquires and releases.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(self, context: CoordinatorContext, commands: CommandTracker, table: LeaseTable) -> None:
         self._context = context
         self._commands = commands
         self._table = table
-        self._pending: dict[str, PendingLease] = {}  # latest lease of each request, by request id
+        self._pending: dict[str, PendingLease] = {}  # latest pending lease of each request, by request id
 
     def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
         """Returns the lease on a name if this proxy still owns it, else `None`."""
@@ -70,9 +75,10 @@
             del self._pending[request_id]
 
     def acquire(self, pending: PendingLease, fencing_number: int) -> bool:
-        """Adds a lease that the store granted.
+        """Adds a lease that the store granted, and returns True.
 
-        Returns False if a lease with the same or a later fencing number is known, or if there are too many.
+        Adds nothing and returns False if a lease on the name with the same or a later fencing number is
+        known, or if this proxy owns too many leases.
         """
         lookup = pending.lookup
         lease = OwnedLease(
@@ -96,7 +102,7 @@
     def release(self, now: Instant, event: LeaseReleased) -> None:
         """Releases the lease of a request that has ended.
 
-        If the reply to the lease request is still pending, the lease is released when the reply comes.
+        If the store has not yet replied to the lease request, the lease is released when the reply comes.
         """
         request_id = event.release.request_id
         lease = self._table.pop(request_id)
@@ -108,10 +114,10 @@
             pending.release = event
 
     def _release_owned(self, now: Instant, lease: OwnedLease, event: LeaseReleased) -> None:
-        """Ends the lease in its store, and publishes the cache location if the fill led to one.
+        """Ends the lease in its store, and publishes the cache location if the release names a cache.
 
-        Sends nothing if the lease has expired, the store's generation has changed or its circuit breaker is
-        open.
+        Sends nothing if the lease has expired, if the store's generation has changed, or if the store's
+        circuit breaker is open.
         """
         if now >= lease.expires_at:
             self._context.counts["leases_expired"] += 1
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -1,6 +1,6 @@
-"""Generations of the stores: adopting a later one, and advancing it after a store has lost state.
+"""The adoption of a store's later generation, and the advance to a new one after a store has lost state.
 
-After either, all invalidations are published again before the store is trusted.
+After each of them, all invalidations are published to the store again before the store is trusted.
 """
 
 from __future__ import annotations
@@ -21,7 +21,10 @@
 
 
 class GenerationManager:
-    """The manager of each store's generation and trust level. Used by the coordinator's thread only."""
+    """The manager of each store's generation and trust level.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(
         self, context: CoordinatorContext, commands: CommandTracker, invalidations: KnownInvalidations
@@ -33,7 +36,7 @@
     def handle_verdict(
         self, now: Instant, store: StoreHealth, verdict: ReplyVerdict, generation: int
     ) -> None:
-        """Handles a reply whose values are not used; `generation` is the one that the reply carries."""
+        """Handles a reply whose values are not used; `generation` is the generation in the reply."""
         self._context.counts[f"replies_{verdict.value}"] += 1
         if verdict is ReplyVerdict.MOVED:
             self._adopt(now, store, generation)
@@ -41,7 +44,7 @@
             self._advance(now, store, generation)
 
     def _advance(self, now: Instant, store: StoreHealth, found: int) -> None:
-        """Requests a new generation, which makes all records that the store has now unreachable."""
+        """Requests a new generation, which makes all existing records of the store unreachable."""
         store.trust = TrustLevel.NONE
         if store.is_advancing:
             return
@@ -74,7 +77,7 @@
     def publish_next_chunk(self, now: Instant, store: StoreHealth) -> None:
         """Publishes the next chunk of the invalidations that must be published again.
 
-        If there is none, an empty chunk is published, so that the store still confirms its generation.
+        If no chunk is left, an empty chunk is published, so that the store still confirms its generation.
         """
         chunk = store.unpublished[0] if store.unpublished else ()
         operation = PublishInvalidations(store.generation, chunk)
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -1,7 +1,8 @@
-"""The host of the store coordinator; it owns the thread, the queue of events and each store's workers.
+"""The host of the store coordinator.
 
-The host makes no decision. One thread runs the coordinator. Each store has two workers, each with a thread
-and a connection. One worker runs the commands that requests wait for, and the other runs all other commands.
+The host owns the coordinator's thread, the coordinator's queue of events, and the workers of each store. It
+makes no decision. One thread runs the coordinator. Each store has two workers, each with a thread and a
+connection. One worker runs the commands that requests wait for, and the other runs all other commands.
 """
 
 from __future__ import annotations
@@ -23,25 +24,28 @@
 from olivepost.shared_store.store_worker import Lane, StoreWorker, WorkerContext
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Interval between ticks. It is the shortest `sync` that can be set, and the resolution of reply timeouts.
+# Interval between ticks. It equals the smallest value of the setting `sync`. Each tick checks the timeouts of
+# replies, so the interval is also their resolution.
 TICK_INTERVAL: Duration = 10 * MILLISECOND
-# Limit of the event queue. At the limit, new lookups, reports and all other events except
-# `UNDROPPABLE_EVENTS` are dropped.
+# Largest number of events in the queue. While the queue is full, new lookups, reports and all other events
+# except `UNDROPPABLE_EVENTS` are dropped.
 MAX_QUEUED_EVENTS = 20_000
-INCARNATION_BITS = 64  # random bits, enough that no two processes of a branch get the same incarnation
+# Random bits of a process's id, enough that no two processes of a branch get the same id.
+INCARNATION_BITS = 64
 SEED_BITS = 64
-# Time for all threads together to end. A thread that waits for an unresponsive store is left running.
+# Time within which all threads together must end. A thread that waits for an unresponsive store is left
+# running.
 CLOSE_TIMEOUT_S = 1.0
 
-# If one of these events were dropped, its command would stay pending forever, or its lease would only end
-# when it expires.
+# Events that are never dropped. Without its reply event, a command would stay pending forever. Without its
+# release, a lease would end only at its expiry.
 UNDROPPABLE_EVENTS = (messages.StoreReply, messages.ReplyLost, messages.LeaseReleased)
 
 
 class StoreHost:
     """The shared stores as the proxy's event loop uses them.
 
-    Any thread may call the methods; none of them blocks, except `start` and `close`. `coordinator` belongs to
+    Any thread may call the methods. No method blocks, except `start` and `close`. `coordinator` belongs to
     the coordinator's thread; other threads only read its counts and stores.
     """
 
@@ -83,7 +87,7 @@
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
         """Requests the end of all threads and waits for them until the timeout.
 
-        A command in flight is not interrupted; it ends with its reply or at its own timeout.
+        A command in flight is not interrupted; the command ends with its reply or at its own timeout.
         """
         until = time.monotonic() + timeout_s
         self._events.put(None)
@@ -95,13 +99,14 @@
             worker.join(max(0.0, until - time.monotonic()))
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None) -> None:
-        """Requests a hint; the router receives it as a `CacheHint`."""
+        """Requests a hint; the router receives the hint as a `CacheHint`."""
         self._queue_event(messages.LookupRequested(lookup, object_name, group))
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None) -> None:
         """Releases a fill lease.
 
-        `generated_at` is when the response was generated, in Unix time; `None` if that is unknown.
+        `generated_at` is when the request's response was generated, in Unix time. It is `None` if the time is
+        unknown.
         """
         generated_at_ms = None if generated_at is None else generated_at // MILLISECOND
         self._queue_event(messages.LeaseReleased(release, generated_at_ms))
@@ -123,7 +128,7 @@
         self._queue_event(messages.InvalidationReceived(invalidation, invalidated_at // MILLISECOND))
 
     def metrics(self) -> dict[str, object]:
-        """Returns the counters since the start, and the state of each store."""
+        """Returns the coordinator's counters since its creation, and the state of each store."""
         stores = {
             name: {
                 "circuit_breaker": store.breaker.state.value,
@@ -135,7 +140,10 @@
         return {"counters": dict(self.coordinator.counts), "stores": stores}
 
     def _queue_event(self, event: messages.Event) -> None:
-        """Queues an event for the coordinator, from any thread; counts and drops it if the queue is full."""
+        """Queues an event for the coordinator; any thread may call this method.
+
+        If the queue is full, counts and drops the event, unless it is one of `UNDROPPABLE_EVENTS`.
+        """
         is_full = self._events.qsize() >= MAX_QUEUED_EVENTS
         if is_full and not isinstance(event, UNDROPPABLE_EVENTS):
             self._log.increment("store_events_dropped")
@@ -163,10 +171,11 @@
         try:
             actions = self.coordinator.handle(self._clock.now(), event)
         except Exception:
-            # Nothing above catches this, and one event's fault must not stop the handling of others.
+            # No caller catches exceptions, and a fault in one event must not stop the handling of others.
             log = self._log
             log.exception("store_coordinator_error", kind=type(event).__name__)
-            if isinstance(event, messages.LookupRequested):  # the request waits for a hint
+            if isinstance(event, messages.LookupRequested):
+                # The request waits for a hint, so the router gets one that names no cache.
                 self._post(api.CacheHint(event.lookup.request_id))
             return
         for action in actions:
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -1,7 +1,7 @@
 """The commands `olivepost sharing ...`, which read the records of the stores or delete them.
 
-They are for operators at a terminal and don't involve a running proxy. `--json` prints the rows with the same
-keys as in this module.
+They are for operators at a terminal and don't involve a running proxy. With `--json`, the commands print
+their rows as JSON objects, whose keys are the keys of the rows in this module.
 """
 
 from __future__ import annotations
@@ -34,8 +34,9 @@
 
 MAX_KEYS = 100_000  # largest number of keys that one command reads from a store
 SCAN_COUNT = 1_000  # keys that the server examines in one step of a scan
-OPERATOR_INCARNATION = "operator"  # sent to the scripts in place of a proxy process's incarnation
-ENVELOPE_FIELDS = ("type", "v")  # fields of every stored record, for its tag and its version
+# What these commands send to the scripts in place of a proxy process's incarnation.
+OPERATOR_INCARNATION = "operator"
+ENVELOPE_FIELDS = ("type", "v")  # stored names of the tag and the version, which every record has
 
 LEASE_KIND = "c"  # first part of a fill lease's key, after the generation's prefix
 LOCATION_KIND = "h"  # first part of a cache location's key
@@ -46,7 +47,7 @@
 
 
 class Verb(Enum):
-    """The command to run, by its name on the command line."""
+    """A command of `olivepost sharing`. The value is the command's name on the command line."""
 
     PING = "ping"
     CLAIMS = "claims"
@@ -55,7 +56,7 @@
 
 
 class StoreContentError(Exception):
-    """An error that the value of `key` in a store is one that no proxy writes."""
+    """An error about a value that no proxy writes, which a store has under `key`."""
 
     def __init__(self, key: str, value: bytes) -> None:
         super().__init__(f"{key} must be a whole number, not {value[:40]!r}")
@@ -82,7 +83,7 @@
 def run(settings: SharedStoreSettings, verb: Verb, names: list[str], store_name: str | None) -> Report:
     """Runs a command on one store, or on all stores if `store_name` is `None`.
 
-    `names` are the names that `forget` deletes; if there are none, it deletes everything.
+    `names` are the names that `forget` deletes; if there are none, `forget` makes all records unreachable.
     """
     report = Report(verb)
     for store in settings.stores:
@@ -111,12 +112,13 @@
 
 
 class StoreInspector:
-    """The commands on one store, in the generation that the store has when the inspector is created."""
+    """The commands on one store, which use the generation that the store has at the inspector's creation."""
 
     def __init__(self, settings: SharedStoreSettings, store: StoreSettings, connection: Any) -> None:
         self._settings = settings
         self._store = store
-        self._connection = connection  # a redis.Redis, whose stubs don't tell sync replies from async ones
+        # A redis.Redis, typed as `Any` because the library's stubs don't tell sync replies from async ones.
+        self._connection = connection
         self._generation = self._read_generation()
         self._prefix = f"{settings.key_prefix}:{self._generation}:"
 
@@ -157,7 +159,10 @@
         }
 
     def _describe_name(self, key: bytes) -> Row:
-        """Returns the row of a fill lease or a cache location; if it is malformed, `odd` has the reason."""
+        """Returns the row of a fill lease or a cache location.
+
+        If the record is malformed, the row's field `odd` has the reason.
+        """
         kind, _, name = key[len(self._prefix) :].decode(errors="replace").partition(":")
         row: Row = {"name": name, "kind": LABELS[kind]}
         try:
@@ -175,7 +180,10 @@
         return _stored_fields(decode_record(CacheLocation, self._connection.hget(key, "rec")))
 
     def _invalidations(self) -> Iterator[Row]:
-        """Yields the rows of invalidations, the oldest first; if one is malformed, `odd` has the reason."""
+        """Yields the rows of invalidations, the oldest first.
+
+        If an invalidation is malformed, its row's only field `odd` has the reason.
+        """
         times = self._connection.hgetall(f"{self._prefix}purges")
         for key, at_ms in sorted(times.items(), key=lambda item: item[1]):
             try:
@@ -185,7 +193,7 @@
                 yield {"odd": str(error)}
 
     def _forget_names(self, names: list[str]) -> list[Row]:
-        """Deletes the fill leases and cache locations of those names that belong to this store."""
+        """Deletes the leases and locations of the names that belong to this store; returns a row per name."""
         stores = tuple(store.name for store in self._settings.stores)
         return [
             {"name": name, "forgotten": self._delete_name(name)}
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -1,8 +1,9 @@
 """Invalidations from the platform and from other proxies, and their exchange through the stores.
 
-Only the latest time of each key is kept. The number of keys is limited. A dropped invalidation raises a
-floor, and a cache location is not used if its response was generated at or before the floor. No clock, no
-I/O.
+A key stands for an object or a group of objects. Only the latest time of each key is kept, and the number of
+keys is limited. The floor is the latest time of an invalidation that was dropped for this limit. A cache
+location is not used if its response was generated at or before the floor. This module has no clock and does
+no I/O.
 """
 
 from __future__ import annotations
@@ -18,15 +19,18 @@
 from olivepost.shared_store.store_health import StoreHealth, TrustLevel
 from olivepost.units import MILLISECOND, Instant
 
-MAX_INVALIDATIONS = 4_096  # invalidations that this proxy remembers
-CHUNK_SIZE = 256  # invalidations in one operation; a larger operation would keep the store busy
-MAX_CLOCK_LEAD_MS = 10_000  # limit for the lead of another proxy's clock over this one
-ROW_LENGTH = 3  # number, key and Unix millisecond of an invalidation
+MAX_INVALIDATIONS = 4_096  # largest number of invalidations that this proxy remembers
+CHUNK_SIZE = 256  # most invalidations in one operation; a larger operation would keep the store busy
+MAX_CLOCK_LEAD_MS = 10_000  # largest accepted lead of another proxy's clock over this proxy's
+ROW_LENGTH = 3  # values in a row: number, key and Unix millisecond of an invalidation
 EPOCH_MS = 0  # the start of Unix time, which is before any response was generated
 
 
 class KnownInvalidations:
-    """Latest invalidation times in Unix milliseconds, by key. Used by the coordinator's thread only."""
+    """Latest invalidation times in Unix milliseconds, by key.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(self) -> None:
         self._times: dict[InvalidationKey, int] = {}
@@ -51,9 +55,10 @@
         return True
 
     def last_ms(self, object_name: str, group: int | None) -> int:
-        """Returns when an object or its group was last invalidated, or the floor if the floor is later.
+        """Returns the Unix millisecond at which an object or its group was last invalidated.
 
-        If the group is unknown, the invalidations of all groups are considered.
+        Returns the floor if the floor is later. If `group` is `None`, the object's group is unknown, and the
+        invalidations of all groups are considered.
         """
         times = [self.floor_ms, self._times.get(InvalidationKey(object_name, None), EPOCH_MS)]
         if group is None:
@@ -72,7 +77,7 @@
 class InvalidationExchange:
     """Exchange of invalidations with other proxies through the stores.
 
-    Used by the coordinator's thread only.
+    Only the coordinator's thread uses this class.
     """
 
     def __init__(
@@ -85,7 +90,7 @@
     def publish(self, now: Instant, event: InvalidationReceived) -> None:
         """Publishes an invalidation from the platform to every store that accepts publications.
 
-        A store that is being restored gets it after the invalidations that are still to be published again.
+        A store that is being restored gets this invalidation after those that must still be published again.
         """
         object_name = event.invalidation.object
         key = InvalidationKey(object_name, None if object_name else event.invalidation.group)
@@ -104,9 +109,9 @@
     def _on_published(
         self, store: StoreHealth, generation: int, _now: Instant, values: ReplyValues | None
     ) -> None:
-        """Publishes all invalidations again if one was not confirmed.
+        """Marks all invalidations to be published again if the store has not confirmed a publication.
 
-        A store that lacks an invalidation must not be trusted.
+        The store may lack an invalidation, so it is not trusted until it has confirmed all of them.
         """
         if values is None and store.trust is TrustLevel.TRUSTED and generation == store.generation:
             self._context.counts["invalidations_unconfirmed"] += 1
@@ -118,7 +123,8 @@
         if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[1], bytes):
             raise RecordError("a malformed invalidation", "number, key and Unix millisecond")
         number = parse_integer(row[0])
-        # An invalidation far in the future would make every hint for its key useless permanently.
+        # The time is limited, because an invalidation far in the future would make every hint for its key
+        # useless permanently.
         at_ms = min(parse_integer(row[2]), now // MILLISECOND + MAX_CLOCK_LEAD_MS)
         store.last_invalidation = max(store.last_invalidation, number)
         key = InvalidationKey.read(row[1])
@@ -126,6 +132,6 @@
         if not is_new or not self._context.terms.invalidations_enabled:
             return
         self._context.counts["invalidations_received"] += 1
-        # A time ahead of this proxy's clock is treated as now. No response cached anywhere is younger.
+        # A time ahead of this proxy's clock is treated as now, since no cached response is younger than now.
         age = max(0, now - at_ms * MILLISECOND)
         self._context.notify_router(api.Invalidation(key.object, key.group, age))
--- a/olivepost/shared_store/lease_table.py
+++ b/olivepost/shared_store/lease_table.py
@@ -1,6 +1,7 @@
 """Fill leases that this proxy owns, with their fencing numbers and their expiry by this proxy's clock.
 
-The store grants one lease at a time for each name, with a fencing number that only grows. No clock, no I/O.
+The store grants one lease at a time for each name, with a fencing number that only grows. This module has no
+clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -24,14 +25,18 @@
     stored: bytes  # fencing number and record, as the store keeps them
     fencing_number: int
     cache: str
-    # Earlier than the time of the store's grant, so that the lease expires here before it does in the store.
+    # The start of the lease's duration in this proxy. It is earlier than the store's grant, so that the lease
+    # expires here before it does in the store.
     requested_at: Instant
     expires_at: Instant
 
 
 @dataclass(slots=True)
 class LeaseTable:
-    """Owned leases by request, and the latest lease of each name. Used by the coordinator's thread only."""
+    """Owned leases by request id, and the latest lease of each name.
+
+    Only the coordinator's thread uses this class.
+    """
 
     _by_request: dict[str, OwnedLease] = field(default_factory=dict)
     _by_name: dict[str, OwnedLease] = field(default_factory=dict)
@@ -46,7 +51,10 @@
         return len(self._by_request) >= MAX_LEASES
 
     def add(self, lease: OwnedLease) -> bool:
-        """Adds a lease. Returns False if the name's fencing number did not grow or the table is full."""
+        """Adds a lease and returns True.
+
+        Adds nothing and returns False if the name's fencing number did not grow or if the table is full.
+        """
         latest = self._by_name.get(lease.name)
         if latest is not None and lease.fencing_number <= latest.fencing_number:
             return False
@@ -58,14 +66,17 @@
         return True
 
     def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
-        """Returns the latest lease on a name, or `None` if it has expired or is of another generation."""
+        """Returns the latest lease on a name.
+
+        Returns `None` if there is none, or if the lease has expired or is of another generation.
+        """
         lease = self._by_name.get(name)
         if lease is None or now >= lease.expires_at or lease.generation != generation:
             return None
         return lease
 
     def pop(self, request_id: str) -> OwnedLease | None:
-        """Removes and returns the lease of a request that has ended, or returns `None` if it has none."""
+        """Removes and returns the lease of a request that has ended, or returns `None` if there is none."""
         lease = self._by_request.pop(request_id, None)
         if lease is not None and self._by_name.get(lease.name) is lease:
             del self._by_name[lease.name]
