--- a/olivepost/shared_store/location_hints.py
+++ b/olivepost/shared_store/location_hints.py
@@ -11,10 +11,13 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-MAX_HINTS = MAX_PENDING_COMMANDS  # hints remembered; most of them are never reported as stale
-# Reports that the store counts if the hinted cache did not have the object.
+# Largest number of hints that are remembered. The oldest may be forgotten, because most hints are never
+# reported as stale.
+MAX_HINTS = MAX_PENDING_COMMANDS
+# Number of reports that the store adds to a location's count if the hinted cache did not have the object.
 STALE_HINT_REPORTS = 1
-# Reports that the store counts if no proxy can use a location. This number makes the store delete it at once.
+# Number of reports that the store adds to a location's count if no proxy can use the location. The store
+# deletes a location at a count of two, and therefore deletes this one at once.
 UNUSABLE_LOCATION_REPORTS = 2
 
 
@@ -28,7 +31,10 @@
 
 
 class LocationHints:
-    """The latest hints, by request id. Used by the coordinator's thread only."""
+    """The latest hints, by request id.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(self, context: CoordinatorContext, commands: CommandTracker) -> None:
         self._context = context
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -1,7 +1,8 @@
-"""Lookups of names. A lookup asks a store which cache has or fills a name, and its reply becomes a hint.
+"""Lookups of names. A lookup asks a store which cache has or fills a name, and the reply becomes a hint.
 
-Each lookup gets at most one hint, and gets it at once if no store may be asked. The router waits no longer
-than the lookup's timeout, whether a hint comes or not.
+The router gets at most one hint for each lookup. The hint names no cache if none is known. If the store may
+not be asked, the router gets such a hint at once. The router waits no longer than the lookup's timeout,
+whether a hint comes or not.
 """
 
 from __future__ import annotations
@@ -39,12 +40,15 @@
     store: StoreHealth
     generation: int
     sent_at: Instant
-    lease: PendingLease | None = None  # requested together with the lookup
+    lease: PendingLease | None = None  # the lease that the lookup requests, if any
     is_answered: bool = False  # whether the router has its hint or no longer waits for it
 
 
 class Lookups:
-    """Lookups that this proxy sends, and their replies. Used by the coordinator's thread only."""
+    """Lookups that this proxy sends, and their replies.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(
         self,
@@ -64,9 +68,10 @@
     # Requests
 
     def look_up(self, now: Instant, event: LookupRequested) -> None:
-        """Sends a lookup to the store, unless its reply would come too late or contain nothing useful.
+        """Sends a lookup to the store, unless the reply would come too late or contain nothing useful.
 
-        If this proxy already owns the fill lease on the name, the hint names the cache of that lease.
+        If this proxy already owns the fill lease on the name, nothing is sent, and the hint names the cache
+        that is being filled under that lease.
         """
         request = event.lookup
         store = self._context.store_of(request.name)
@@ -108,7 +113,10 @@
     # Replies
 
     def _on_reply(self, lookup: PendingLookup, now: Instant, values: ReplyValues | None) -> None:
-        """Handles a store's reply. Without a reply, it is unknown whether this proxy has the lease."""
+        """Handles a store's reply, or the loss of the reply if `values` is `None`.
+
+        After a loss, this proxy can't know whether the store granted it the lease, and doesn't use the lease.
+        """
         if now - lookup.sent_at > lookup.request.timeout:
             lookup.is_answered = True  # the router no longer waits for a hint
         if lookup.lease is not None:
@@ -136,16 +144,20 @@
                 raise RecordError(f"an unexpected reply to a lookup: {values[0]!r:.40}", allowed)
 
     def _acquire_lease(self, now: Instant, lease: PendingLease, fencing_number: int) -> None:
-        """Adds the lease that the store granted to this proxy, which therefore has no hint to follow.
+        """Adds the lease that the store granted to this proxy.
 
-        The lease is released immediately if its request has ended in the meantime.
+        This proxy is to fill the name itself, so the lookup gets no hint at another cache. The lease is
+        released immediately if the request that it is for has ended in the meantime.
         """
         is_acquired = self._leases.acquire(lease, fencing_number)
         if is_acquired and lease.release is not None:
             self.end_request(now, lease.release)
 
     def _follow_lease(self, lookup: PendingLookup, stored: object, remaining_ms: object) -> None:
-        """Gives a hint at the cache that another proxy, the owner of the lease, is filling."""
+        """Gives a hint at the cache that the owner of the lease, another proxy, is filling.
+
+        Gives no hint if that cache is not usable.
+        """
         _, _, record = (stored if isinstance(stored, bytes) else b"").partition(b" ")
         lease = decode_record(FillLease, record)
         if not self._context.endpoints.is_usable(lease.cache, lease.cache_started_at):
@@ -156,7 +168,10 @@
         self._hint_at_fill(lookup, lease.cache, ready_in_ms * MILLISECOND)
 
     def _use_location(self, now: Instant, lookup: PendingLookup, stored: object) -> None:
-        """Gives a hint at a stored location's cache if that is usable, or reports a stale location."""
+        """Gives a hint at the cache that a stored location names, if the cache is usable.
+
+        Gives no hint if the location is stale, but reports that to the store.
+        """
         record = stored if isinstance(stored, bytes) else b""
         location = decode_record(CacheLocation, record)
         request = lookup.request
@@ -189,7 +204,7 @@
         self._answer(lookup, api.CacheHint(lookup.request.request_id))
 
     def _answer(self, lookup: PendingLookup, hint: api.CacheHint) -> None:
-        """Notifies the router, unless the lookup has already been answered."""
+        """Sends the router a hint, unless the lookup has already been answered."""
         if not lookup.is_answered:
             lookup.is_answered = True
             self._context.notify_router(hint)
--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -2,16 +2,16 @@
 
 Each operation is one script, which makes it atomic. The scripts are in Lua 5.1, for Redis and compatible
 servers. Each script first compares the generation. If the store has another generation, the script returns
-that one and does nothing else. All keys except the generation's own begin with PREFIX:GENERATION:. A new
-generation therefore makes all older keys unreachable; they expire within a day. The scripts compute key
-names, so a store must be a single server, not a cluster. The proxies themselves distribute names over several
-stores.
+the store's generation and does nothing else. All keys except the generation's own begin with
+PREFIX:GENERATION:. A new generation therefore makes all older keys unreachable; they expire within a day. The
+scripts compute key names, so a store must be a single server, not a cluster. The proxies themselves
+distribute names over several stores.
 
 Proxies of two versions that run at the same time use the same loaded scripts of a store, by their SHA-1
-digests, and read each other's keys and replies. The Lua text must therefore stay the same byte for byte,
-which a test checks. Notes on the Lua code are in Python comments.
+digests, and read each other's keys and replies. The Lua text must therefore stay the same byte for byte. A
+test checks this. Notes on the Lua code are in Python comments.
 
-Keys under PREFIX:GENERATION: (times in milliseconds)
+Keys under PREFIX:GENERATION: (times in milliseconds; a serial is the number of a process's sync)
 
     seen:PROCESS   last sync serial of a proxy process                string, expires after 600,000
     purges         invalidation key -> Unix millisecond               hash
@@ -30,19 +30,21 @@
 from olivepost.shared_store.records import MAX_RECORD_BYTES
 
 # These numbers are part of the scripts' text, so changing one changes the scripts' digests.
-MAX_INVALIDATIONS = 8_192  # invalidations that one store keeps
-MAX_SYNC_ROWS = 256  # rows of each kind in one reply; bounds the reply's size and the server's time
+MAX_INVALIDATIONS = 8_192  # largest number of invalidations that one store keeps
+MAX_SYNC_ROWS = 256  # most rows of each kind in one reply; bounds the reply's size and the server's time
 QUOTA_REQUEST_TTL_MS = 2_500  # time to live of a quota request since a sync last renewed it
 OUTLIER_REPORT_TTL_MS = 3_000  # time to live of an outlier report since a sync last renewed it
 QUOTA_GRANT_TTL_MS = 5_000  # time to live of the grants for a process that no longer reads them
 SERIAL_TTL_MS = 600_000  # time to live of the serial of a process that no longer syncs
-# Time to live of a key. Every sync renews it, so only an abandoned generation's keys expire.
+# Time to live of the keys that every sync renews, so that only the keys of an abandoned generation expire.
+# The key `fence` has the same time to live, which every granted lease renews.
 KEY_TTL_MS = 86_400_000
 
-# The beginning of all scripts but the last. KEYS[1] is the generation's key in every script. ARGV has the
-# generation, the key prefix and the process, followed by the script's own arguments. The prologue defines `P`
-# (the prefix of this generation's keys), `seen` (this process's last serial), `time` (the server's clock in
-# seconds and microseconds), `now` (the same in Unix milliseconds) and `num` (formats a whole number as text).
+# The beginning (prologue) of all scripts but the last. KEYS[1] is the generation's key in every script. ARGV
+# has the generation, the key prefix and the process, followed by the script's own arguments. The prologue
+# defines `P` (the prefix of this generation's keys), `seen` (this process's last serial), `time` (the
+# server's clock in seconds and microseconds), `now` (the same in Unix milliseconds) and `num` (formats a
+# whole number as text).
 _PROLOGUE = """
 local gen = redis.call('GET', KEYS[1]) or '0'
 if gen ~= ARGV[1] or gen == '0' then return {gen, '0'} end
@@ -53,8 +55,9 @@
 local function num(n) return string.format('%.0f', n) end
 """
 
-# The definition of the function `purged`. It returns the latest Unix millisecond at which any of the keys was
-# invalidated, or the floor if that is later.
+# The definition of the function `purged`. The function returns the latest Unix millisecond at which any of
+# the given invalidation keys was invalidated. If the floor (the latest time of an evicted invalidation) is
+# later, the function returns the floor.
 _LATEST_INVALIDATION = """
 local function purged(keys)
   local last = tonumber(redis.call('GET', P .. 'floor') or '0')
@@ -65,16 +68,16 @@
 end
 """
 
-# ARGV from 4: the serial, the number of the last invalidation read, the count of quota requests, the field
-# and the record of each request, then the ids of the endpoints to report as outliers. The reply has the
-# generation, the previous serial, and four lists: new invalidations (number, key, Unix millisecond), quota
-# requests (field, stamp, record), quota grants for this process (records, which are deleted from the store),
-# and outlier reports ("process|endpoint").
+# ARGV from index 4: the serial of this sync, the number of the last invalidation read, the count of quota
+# requests, the field and the record of each request, then the ids of the endpoints to report as outliers. The
+# reply has the generation, the process's previous serial, and four lists: new invalidations (number, key,
+# Unix millisecond), quota requests (field, stamp, record), quota grants for this process (records, which are
+# deleted from the store), and outlier reports ("process|endpoint").
 #
-# For each quota request, the store keeps `stamp` (when the request was first made; the oldest is met first),
-# `fresh` (when it was last renewed) and `left` (the amount that is not granted yet; "-" means all of it, "0"
-# means none). A renewed request keeps its stamp until it has been met, and keeps its `left` only as long as
-# its record is the same.
+# For each quota request, the store keeps `stamp` (when the request was first made; the oldest request is met
+# first), `fresh` (when the request was last renewed) and `left` (the amount that is not granted yet; "-"
+# means all of it, "0" means none). A renewed request keeps its stamp until it has been met, and keeps its
+# `left` only as long as its record is the same.
 SYNC = (
     _PROLOGUE
     + f"""
@@ -127,11 +130,11 @@
 """
 )
 
-# ARGV from 4: the name, the lease's duration in milliseconds (0 means that no lease is requested), the
+# ARGV from index 4: the name, the lease's duration in milliseconds (0 means that no lease is requested), the
 # lease's record, and the invalidation keys that concern the name. The reply has the generation, the serial,
-# and one of these: 'held' and a location's record; 'taken', another process's lease and its remaining
-# milliseconds; 'mine' and the new lease's fencing number; 'none'. A location is deleted if it is not younger
-# than the last invalidation, or if its record is too large.
+# and one of these: 'held' and the record of the name's cache location; 'taken', the lease of another request
+# and the lease's remaining milliseconds; 'mine' and the fencing number of the lease that was granted; 'none'.
+# A location is deleted if it is not younger than the last invalidation, or if its record is too large.
 LOOK_UP = (
     _PROLOGUE
     + _LATEST_INVALIDATION
@@ -161,9 +164,9 @@
 """
 )
 
-# ARGV from 4: the name, the lease (number and record), a location's record or "", the Unix millisecond at
-# which the location's response was generated, and the location's time to live in milliseconds. The reply is
-# 'done', or 'lost' if the lease is no longer the current one of the name.
+# ARGV from index 4: the name, the lease (fencing number and record), a location's record or "", the Unix
+# millisecond at which the location's response was generated, and the location's time to live in milliseconds.
+# The reply is 'done' if the lease was released, or 'lost' if it was not the name's current lease.
 RELEASE_LEASE = (
     _PROLOGUE
     + """
@@ -177,9 +180,9 @@
 """
 )
 
-# ARGV from 4: the name, a location's record, and the number of times it was found stale. The location is
-# deleted when the sum of these numbers reaches two. The reply is 'dropped' if it was deleted, 'counted' if it
-# was not, or 'other' if the store has another record.
+# ARGV from index 4: the name, a location's record, and the number of reports that the location is stale. The
+# location is deleted when the sum of these numbers reaches two. The reply is 'dropped' if the location was
+# deleted, 'counted' if it was not, or 'other' if the store has another record or none.
 REPORT_STALE = (
     _PROLOGUE
     + """
@@ -192,9 +195,9 @@
 """
 )
 
-# ARGV from 4: pairs of an invalidation key and its Unix millisecond, which is limited to 10 s after the
-# server's clock. If there are more than MAX_INVALIDATIONS, the oldest are deleted, and the latest of their
-# times becomes the floor of all keys.
+# ARGV from index 4: pairs of an invalidation key and the Unix millisecond of the invalidation, which is
+# limited to 10 s after the server's clock. If there are more than MAX_INVALIDATIONS keys, the oldest are
+# deleted, and the latest time of all deleted ones becomes the floor, which applies to all keys.
 INVALIDATE = (
     _PROLOGUE
     + f"""
@@ -221,9 +224,9 @@
 """
 )
 
-# ARGV from 4: the quota request's field, its nonce, the process that made it, the amount, and the grant's
-# record. The reply is 'handed', or 'not wanted' if the request was removed, was met, or was renewed with
-# another nonce.
+# ARGV from index 4: the quota request's field, the request's nonce, the process that made the request, the
+# granted amount, and the grant's record. The reply is 'handed' if the grant was stored for that process, or
+# 'not wanted' if the request was removed, was met, or was renewed with another nonce.
 GRANT_QUOTA = (
     _PROLOGUE
     + f"""
@@ -243,8 +246,9 @@
 """
 )
 
-# ARGV: the expected generation and the minimum. This is the only script without the prologue. The new
-# generation is also above the server's clock in seconds, so that a store that was restored from a snapshot
+# ARGV: the expected generation, and the minimum that the new generation must exceed. If the store has another
+# generation, the script changes nothing. This is the only script without the prologue. The new generation is
+# also above the server's clock in seconds, so that a store that was restored from a snapshot
 # does not use a generation a second time.
 ADVANCE_GENERATION = """
 local gen = redis.call('GET', KEYS[1]) or '0'
--- a/olivepost/shared_store/malformed_records.py
+++ b/olivepost/shared_store/malformed_records.py
@@ -9,13 +9,16 @@
 from olivepost.shared_store.records import RecordError
 from olivepost.units import SECOND, Duration, Instant
 
-REPORT_INTERVAL: Duration = 60 * SECOND  # shortest time between two lines of the log
-MAX_REASONS = 16  # different reasons in one line of the log; further ones are only counted as a metric
+REPORT_INTERVAL: Duration = 60 * SECOND  # shortest time between two summaries in the log
+MAX_REASONS = 16  # most reasons in one summary; a record with a further reason is only counted as a metric
 MAX_REASON_LENGTH = 120  # characters of a reason in the log
 
 
 class MalformedRecords:
-    """Malformed records since the last report, by reason. Used by the coordinator's thread only."""
+    """Malformed records since the last report, by reason.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(self, context: CoordinatorContext) -> None:
         self._context = context
@@ -37,7 +40,7 @@
             self._reasons[reason] += 1
 
     def report_if_due(self, now: Instant) -> None:
-        """Writes the reasons since the last report to the log, once per `REPORT_INTERVAL`."""
+        """Writes the reasons since the last report to the log, at most once per `REPORT_INTERVAL`."""
         if not self._reasons:
             return
         if self._reported_at is not None and now - self._reported_at < REPORT_INTERVAL:
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -1,7 +1,7 @@
-"""The events that the store coordinator handles, and the actions that it returns. Types only.
+"""The events that the store coordinator handles, and the actions that it returns.
 
-Names that end in `_ms` are Unix milliseconds by other clocks, those of the platform's coordinator and of the
-origin.
+This module contains only types. Fields whose names end in `_ms` are Unix milliseconds by other clocks, those
+of the platform's coordinator and of the origin.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupRequested:
-    """The router's lookup of the name of a request."""
+    """The event that the router has requested a lookup.
+
+    `object` is the requested object. `group` is the object's group, or `None` if the group is unknown.
+    """
 
     lookup: api.LookUpHint
     object: str
@@ -27,7 +30,7 @@
 class LeaseReleased:
     """The end of a request that requested a fill lease.
 
-    `generated_at_ms` is when its response was generated; `None` if that is unknown.
+    `generated_at_ms` is when the request's response was generated, or `None` if that time is unknown.
     """
 
     release: api.ReleaseLease
@@ -39,7 +42,8 @@
     """A store's reply to the command with this ticket.
 
     `generation` is the store's generation. `serial` is the number of this process's last heartbeat that the
-    store had received before the command. Heartbeats are numbered from 1; 0 means that the reply has none.
+    store had received before the command. Heartbeats are numbered from 1; 0 means that the reply has no
+    serial.
     """
 
     ticket: int
@@ -50,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyLost:
-    """The loss of a usable reply to a command; whether the store ran the command is unknown."""
+    """The notice that a command got no usable reply; whether the store ran the command is unknown."""
 
     ticket: int
     reason: str
@@ -58,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidationReceived:
-    """An invalidation that the platform's coordinator has sent."""
+    """An invalidation that the platform's coordinator has sent, and its time."""
 
     invalidation: api.Invalidation
     at_ms: int
@@ -88,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreCommand:
-    """A command to a store; exactly one `StoreReply` or `ReplyLost` with the ticket must follow.
+    """A command to a store; exactly one `StoreReply` or `ReplyLost` with the same ticket must follow.
 
     `is_urgent` is true if a request waits for the reply.
     """
--- a/olivepost/shared_store/operations.py
+++ b/olivepost/shared_store/operations.py
@@ -1,8 +1,9 @@
-"""Operations that a store executes, and the types of their replies. Types only.
+"""Operations that a store executes, and the types of their replies.
 
-Each operation carries the generation that the proxy has adopted. A store with another generation does not
-execute the operation and only returns its own generation. `scripts` encodes operations. Names that end in
-`_ms` are points in time as Unix milliseconds, or durations in milliseconds.
+This module contains only types. Each operation carries the generation that the proxy has adopted. A
+store with another generation does not execute the operation and only returns its own generation. `scripts`
+encodes operations. Fields whose names end in `_ms` are points in time as Unix milliseconds, or durations in
+milliseconds.
 """
 
 from __future__ import annotations
@@ -11,21 +12,21 @@
 from enum import Enum
 from typing import NamedTuple
 
-NO_GENERATION = 0  # returned by scripts if a store has no generation; generations are numbered from 1
+NO_GENERATION = 0  # scripts return 0 if a store has no generation; generations are numbered from 1
 
 
 class InvalidationRow(NamedTuple):
-    """An invalidation as a store keeps it, with the key's text and the Unix millisecond."""
+    """An invalidation as a store keeps it, with the text of its key and the Unix millisecond of its time."""
 
     key: str
     at_ms: int
 
 
-InvalidationChunk = tuple[InvalidationRow, ...]  # rows that one operation publishes
+InvalidationChunk = tuple[InvalidationRow, ...]  # invalidations that one operation publishes
 
 
 class QuotaRequestRow(NamedTuple):
-    """A quota request as a store keeps it."""
+    """A quota request as a store keeps it, with the field of the hash and the request's record."""
 
     field: str
     record: bytes
@@ -35,9 +36,10 @@
 class SyncOperation:
     """The periodic exchange, which sends a heartbeat and reads what other proxies have sent.
 
-    The heartbeat carries quota requests and outlier reports; the reply has those of other proxies.
-    `serial` is the heartbeat's number, and `last_invalidation` the number of the last invalidation read.
-    `outliers` are the ids of endpoints that this proxy has ejected.
+    The heartbeat carries this proxy's quota requests and outlier reports. The reply contains those of other
+    proxies.
+    `serial` is the heartbeat's number. `last_invalidation` is the number of the last invalidation that this
+    proxy has read. `outliers` are the ids of endpoints that this proxy has ejected.
     """
 
     generation: int
@@ -48,7 +50,7 @@
 
 
 class LeaseRequest(NamedTuple):
-    """The record of a fill lease to acquire, and its duration."""
+    """The record of a fill lease that a proxy wants to acquire, and the lease's duration."""
 
     record: bytes
     duration_ms: int
@@ -58,8 +60,8 @@
 class LookUp:
     """A lookup of the cache that has or fills a name.
 
-    If it carries a lease request, the fill lease is acquired unless the store has a location or another lease
-    of the name. `invalidation_keys` are the keys of invalidations that concern the name.
+    If the lookup carries a lease request, the fill lease is acquired unless the store has a location or
+    another lease of the name. `invalidation_keys` are the keys of invalidations that concern the name.
     """
 
     generation: int
@@ -69,7 +71,7 @@
 
 
 class LocationPublication(NamedTuple):
-    """The record of a cache location to publish, and when its response was generated."""
+    """The record of a cache location to publish, and when the cached response was generated."""
 
     record: bytes
     generated_at_ms: int
@@ -77,9 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishLocation:
-    """The release of the fill lease `lease`. It has no effect unless that is the name's current lease.
+    """The release of a fill lease, which has no effect unless `lease` is the name's current lease.
 
-    If there is a `location`, it is published as the name's cache location and kept for `lifetime_ms`.
+    Unless `location` is `None`, the release also publishes it as the name's cache location. The store keeps
+    the location for `lifetime_ms`.
     """
 
     generation: int
@@ -91,7 +94,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportStaleLocation:
-    """A number of reports that a cache location is stale; the store deletes it at the second report."""
+    """One or more reports that a cache location is stale.
+
+    `reports` is their number. The store deletes the location when it has counted two reports.
+    """
 
     generation: int
     name: str
@@ -101,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PublishInvalidations:
-    """The publication of invalidations; the store keeps the latest one of each key."""
+    """The publication of invalidations. The store keeps only the latest invalidation of each key."""
 
     generation: int
     rows: InvalidationChunk
@@ -111,8 +117,8 @@
 class GrantQuota:
     """A grant of quota to the proxy process `recipient`. The grant is made completely or not at all.
 
-    `request_field` is the field of the request in the store, and `nonce` is the nonce that the request must
-    still have.
+    `request_field` is the field under which the store has the quota request. The grant is made only if that
+    request still has the nonce `nonce`.
     """
 
     generation: int
@@ -127,7 +133,7 @@
 class AdvanceGeneration:
     """The change to a new generation above `minimum`, made only if the store is still at `expected`.
 
-    `expected` is `NO_GENERATION` for a store that has no generation.
+    `expected` is `NO_GENERATION` if the store has no generation.
     """
 
     expected: int
@@ -146,7 +152,7 @@
 
 
 class ReplyType(bytes, Enum):
-    """The type of a reply, as the first value after generation and serial in the script's reply."""
+    """The type of a reply. It is the value that follows the generation and the serial in the reply."""
 
     LEASE_GRANTED = b"mine"
     LEASE_TAKEN = b"taken"
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -1,6 +1,7 @@
-"""Outlier reports, which are weak evidence against an endpoint if several other proxies report it.
+"""Outlier reports. An outlier is an endpoint that a proxy has ejected and reports to the other proxies.
 
-No clock, no I/O.
+Reports from several other proxies are weak evidence against the endpoint. This module has no clock and does
+no I/O.
 """
 
 from __future__ import annotations
@@ -12,8 +13,8 @@
 
 # Lifetime of a report that is not renewed. The store keeps a report for the same time.
 REPORT_LIFETIME: Duration = 3 * SECOND
-NOTIFY_INTERVAL: Duration = 1 * SECOND  # time between two events for the router about one endpoint
-MIN_REPORTERS = 2  # number of other proxies that must report an endpoint
+NOTIFY_INTERVAL: Duration = 1 * SECOND  # shortest time between two events for the router about one endpoint
+MIN_REPORTERS = 2  # number of other proxies that must report an endpoint before the router gets an event
 MAX_REPORTS = 1_024  # limit for this proxy's reports, and for the reporters of one endpoint
 
 
@@ -34,7 +35,10 @@
 
 
 class OutlierReports:
-    """This proxy's reports, and those of other proxies by endpoint. Used by the coordinator's thread only."""
+    """This proxy's outlier reports, and the reports of other proxies by endpoint.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(self) -> None:
         self._own: dict[str, Instant] = {}  # endpoint -> when the report expires
@@ -52,7 +56,7 @@
         return tuple(sorted(self._own))
 
     def add(self, now: Instant, report: OutlierReport) -> None:
-        """Records another process's report. Repeated reports of one process are counted once."""
+        """Records the report of another proxy's process. Repeated reports of one process are counted once."""
         reporters = self._others.setdefault(report.endpoint_id, {})
         if len(reporters) < MAX_REPORTS:
             reporters[report.incarnation] = now + REPORT_LIFETIME
@@ -61,7 +65,10 @@
             del reporters[reporter]
 
     def notify_if_due(self, now: Instant, endpoint_id: str) -> bool:
-        """Returns whether the router must be notified now, and starts the next interval if so."""
+        """Returns whether the router must be notified now about an endpoint.
+
+        If so, starts the interval in which the router is not notified about this endpoint again.
+        """
         next_notification = self._next_notification.get(endpoint_id)
         if next_notification is not None and now < next_notification:
             return False
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -1,4 +1,7 @@
-"""Quota requests of other proxies that this proxy answers, and its donations to them. No clock, no I/O."""
+"""Quota requests of other proxies that this proxy answers, and its donations to those proxies.
+
+This module has no clock and does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -31,27 +34,31 @@
 
 
 class QuotaDonations:
-    """Requests of other proxies that this proxy is answering. Used by the coordinator's thread only."""
+    """Requests of other proxies that this proxy is answering.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(self, own_requests: QuotaRequests, ids: IdSequence, duration: Duration) -> None:
         self._own_requests = own_requests
         self._ids = ids
         self._duration = duration
         self._donations: dict[int, Donation] = {}  # donations offered to the router, by transfer id
-        # The time until which a request is not answered again, by the request's nonce.
+        # The time until which a request is not answered again, by the nonce of the request.
         self._answered_until: dict[str, Instant] = {}
 
     def __contains__(self, transfer_id: int) -> bool:
-        """Whether the router has not answered the offer of a transfer yet."""
+        """Whether a transfer is offered to the router and the router has not answered yet."""
         return transfer_id in self._donations
 
     def offer(self, now: Instant, transfer_id: int, field: str, request: QuotaRequest) -> Donation | None:
-        """Returns the donation to ask the router for, or `None` if the request may not be answered."""
+        """Returns the donation to offer to the router, or `None` if the request may not be answered."""
         self._drop_expired(now)
         if not self._may_answer(now, request):
             return None
         self._answered_until[request.nonce] = now + self._duration
-        # The recipient's duration starts at its request, which is earlier, but its clock may be slower.
+        # The recipient's clock may be slower than this proxy's, so the donation lasts longer here by the
+        # drift. The recipient also measures the duration from its request, which is earlier than now.
         expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
         donation = Donation(request, field, expires_at)
         self._donations[transfer_id] = donation
@@ -75,9 +82,9 @@
         return GrantedDonation(donation, grant)
 
     def _drop_expired(self, now: Instant) -> None:
-        """Drops expired answers and offers.
+        """Drops the entries of answered requests and the offers that have expired.
 
-        These include the offers that the router never answered because it failed to handle them.
+        The dropped offers include those that the router never answered because it failed to handle them.
         """
         self._answered_until = {nonce: until for nonce, until in self._answered_until.items() if until > now}
         self._donations = {
@@ -93,8 +100,8 @@
     def _may_answer(self, now: Instant, request: QuotaRequest) -> bool:
         """Whether a request may be answered.
 
-        A proxy does not donate any quota of which it is short itself. If all proxies are short of it,
-        transfers would only keep quota unused until they expire.
+        A proxy does not donate any quota of which the proxy is short itself. If all proxies are short of a
+        quota, transfers would only keep some of it unused until they expire.
         """
         if request.incarnation == self._ids.incarnation or self._own_requests.has_shortage(request.key):
             return False
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -2,15 +2,16 @@
 
 The exchange reads the requests and grants of other proxies, and grants the quota that the router donates.
 
-Each of n proxies owns an n-th part of every quota in its router's accounting, with or without a store. A
-transfer moves an amount of one proxy's part to one process of another proxy. The donor first gives the amount
-up, until the transfer has expired for both. Only the process that requested the amount may use it, and only
-once. The time during which it may do so starts at the instant of its request.
+In the accounting of the routers, each of n proxies owns an n-th part of every quota, with or without a store.
+A transfer moves an amount of one proxy's part to one process of another proxy. The donor first gives the
+amount up, until the transfer has expired for both proxies. Only the process that requested the amount may use
+the amount, and only once. The time during which the process may do so starts at the instant of its request.
 
 Parts and transfers together never exceed the whole quota, even if a store loses, repeats, delays or restores
 messages. Such faults only leave quota unused. Each proxy measures the time by its own clock, and the
-recipient measures it from an earlier instant than the donor. Clocks may be hours apart, but their rates must
-agree within `MAX_CLOCK_DRIFT`. No clock, no I/O.
+recipient measures it from an earlier instant than the donor. A transfer therefore expires for the recipient
+no later than for the donor. Clocks may be hours apart, but their rates must agree within `MAX_CLOCK_DRIFT`.
+This module has no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -38,7 +39,7 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-ROW_LENGTH = 3  # field, Unix millisecond and record of a quota request
+ROW_LENGTH = 3  # values in a row: field, Unix millisecond and record of a quota request
 
 
 class RequestedQuota(NamedTuple):
@@ -49,7 +50,11 @@
     request: QuotaRequest
 
     def precedes(self, other: RequestedQuota) -> bool:
-        """Whether this request is the older one, which is answered instead of the other one."""
+        """Whether this request is older than the other one.
+
+        Only the older of two requests for one quota is answered. Of two equally old ones, the one whose field
+        sorts first precedes.
+        """
         return (self.since_ms, self.field) <= (other.since_ms, other.field)
 
 
@@ -66,7 +71,10 @@
 
 
 class QuotaExchange:
-    """Exchange of quota between this proxy's router and the stores. Used by the coordinator's thread only."""
+    """Exchange of quota between this proxy's router and the stores.
+
+    Only the coordinator's thread uses this class.
+    """
 
     def __init__(
         self, context: CoordinatorContext, commands: CommandTracker, malformed: MalformedRecords
@@ -78,7 +86,7 @@
         ids = IdSequence(terms.incarnation)
         self._requests = QuotaRequests(ids, terms.quota_duration)
         self._donations = QuotaDonations(self._requests, ids, terms.quota_duration)
-        self._offered: dict[int, StoreHealth] = {}  # store of the offered request, by transfer id
+        self._offered: dict[int, StoreHealth] = {}  # the store that has the request, by transfer id
 
     # Own requests
 
@@ -88,7 +96,7 @@
             self._requests.record_shortage(now, encode_quota_key(event.key), event.amount)
 
     def renew_requests(self, now: Instant, store: StoreHealth) -> tuple[QuotaRequestRow, ...]:
-        """Renews this proxy's requests and returns those that belong to a store."""
+        """Renews this proxy's requests and returns those that the given store is responsible for."""
         if not self._context.terms.quota_transfers_enabled:
             return ()
         incarnation = self._context.terms.incarnation
@@ -108,18 +116,19 @@
     # Donations
 
     def receive_requests(self, now: Instant, store: StoreHealth, rows: Sequence[object]) -> None:
-        """Answers the oldest request of each quota, so that all proxies donate to the same one."""
+        """Answers the oldest request for each quota, so that all proxies donate to the same request."""
         oldest: dict[str, RequestedQuota] = {}
         for row in rows:
             self._malformed.skip_errors(_keep_oldest, oldest, row)
         for requested in oldest.values():
             key = parse_quota_key(requested.request.key)
-            # A proxy of a version that shares more quotas sent an unknown key, so there is nothing to donate.
+            # An unknown key comes from a proxy whose version shares more quotas. This proxy has nothing to
+            # donate for the key, and ignores the request.
             if key is not None:
                 self._offer(now, store, key, requested)
 
     def _offer(self, now: Instant, store: StoreHealth, key: api.QuotaKey, requested: RequestedQuota) -> None:
-        """Asks the router to donate to a request, if this proxy may answer it."""
+        """Asks the router to donate to a request, if this proxy may answer the request."""
         request = requested.request
         transfer_id = self._context.issue_ticket()
         donation = self._donations.offer(now, transfer_id, requested.field, request)
@@ -137,8 +146,8 @@
     def donate(self, now: Instant, event: api.DonateQuota) -> None:
         """Grants an amount that the router has given up.
 
-        The amount then belongs to the other proxy, even if the command is lost or never sent. The
-        router gets it back only if the store certainly has not granted it.
+        The amount then belongs to the other proxy, even if the command to the store is lost or never sent.
+        The router gets the amount back only if the store certainly has not granted it.
         """
         store = self._offered.pop(event.transfer_id, None)
         granted = self._donations.donate(event.transfer_id, event.amount, event.expires_at)
@@ -160,9 +169,10 @@
         self._commands.send(now, store, operation, partial(self._on_granted, donation))
 
     def _on_granted(self, donation: Donation, now: Instant, values: ReplyValues | None) -> None:
-        """Returns an amount to the router if the store certainly has not granted it.
+        """Gives an amount back to the router if the store certainly has not granted the amount.
 
-        Without a reply, the store may have granted it, so the amount stays donated until it expires.
+        If the reply is lost, the store may have granted the amount, so the amount stays donated until the
+        donation expires.
         """
         if not values:
             self._context.counts["quota_grants_unconfirmed"] += 1
@@ -185,7 +195,7 @@
 
 
 def _keep_oldest(oldest: dict[str, RequestedQuota], row: object) -> None:
-    """Adds the request in a row unless an older one for the same quota is known."""
+    """Adds the request in a row to `oldest`, unless an older request for the same quota is known."""
     requested = parse_requested_quota(row)
     known = oldest.get(requested.request.key)
     if known is None or requested.precedes(known):
--- a/olivepost/shared_store/quota_keys.py
+++ b/olivepost/shared_store/quota_keys.py
@@ -1,4 +1,7 @@
-"""Texts of quota keys in records: `cold:ENDPOINT@START`, `open:ENDPOINT@START` and `retry`. No I/O."""
+"""Texts of quota keys in records: `cold:ENDPOINT@START`, `open:ENDPOINT@START` and `retry`.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -10,14 +13,14 @@
 
 
 def encode_quota_key(key: QuotaKey) -> str:
-    """Returns the text of a key in the store; a start of 0 means that the start is unknown."""
+    """Returns the text of a quota key in a store. START is 0 if the endpoint's start time is unknown."""
     if key.kind is QuotaKind.RETRY:
         return RETRY_TEXT
     return f"{PREFIXES[key.kind]}:{key.endpoint_id}@{key.started_at or 0}"
 
 
 def parse_quota_key(text: str) -> QuotaKey | None:
-    """Returns the key for a text from a record, or `None` if this version knows no such quota.
+    """Returns the quota key for a text from a record, or `None` if this version knows no such quota.
 
     Only a text that `encode_quota_key` returns is accepted, so that each quota has exactly one text.
     """
--- a/olivepost/shared_store/quota_requests.py
+++ b/olivepost/shared_store/quota_requests.py
@@ -1,4 +1,7 @@
-"""Quota that this proxy requests from others, and the grants that it accepts from them. No clock, no I/O."""
+"""Quota that this proxy requests from other proxies, and the grants that it accepts from them.
+
+This module has no clock and does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -9,18 +12,20 @@
 from olivepost.units import MILLISECOND, Duration, Instant
 
 MAX_SHORTAGES = 64  # largest number of quotas requested at once
-MAX_GRANTS = 1_024  # grants remembered until they expire, so that none is accepted twice
-MIN_AMOUNT = 1e-6  # amount of a quota; only larger amounts are transferred
+# Largest number of grants that are remembered. A grant is remembered until it expires, so that it is not
+# accepted twice.
+MAX_GRANTS = 1_024
+MIN_AMOUNT = 1e-6  # only larger amounts of quota are transferred
 # Number of times that a request is renewed within its duration. The validity of a grant starts at the
-# instant of its request, so an older request leaves a grant less time.
+# instant of its request. The renewals keep the latest request young, so that a grant has more time left.
 RENEWALS_PER_DURATION = 8
-SHORTAGE_MEMORY: Duration = 500 * MILLISECOND  # time in which a shortage decays to zero
+SHORTAGE_MEMORY: Duration = 500 * MILLISECOND  # time in which a recorded shortage decays to zero
 
 
 class IdSequence:
     """Ids of this process's requests and grants, which are unique among the proxies that share the stores.
 
-    Used by the coordinator's thread only.
+    Only the coordinator's thread uses this class.
     """
 
     def __init__(self, incarnation: str) -> None:
@@ -42,7 +47,7 @@
     largest: float = 0.0
 
     def add(self, now: Instant, amount: float) -> None:
-        """Adds the amount of a shortage."""
+        """Adds the amount of a further shortage to the decayed sum."""
         self.total = self.remaining(now) + amount
         self.updated_at = now
         self.largest = max(self.largest, amount)
@@ -74,7 +79,7 @@
 class QuotaRequests:
     """This proxy's shortages and requests, and the grants that it received for them.
 
-    Keys are the texts of quota keys in records. Used by the coordinator's thread only.
+    Keys are the texts of quota keys in records. Only the coordinator's thread uses this class.
     """
 
     def __init__(self, ids: IdSequence, duration: Duration) -> None:
@@ -95,7 +100,10 @@
         return key in self._shortages
 
     def renew(self, now: Instant) -> dict[str, bytes]:
-        """Drops expired requests and renews the others. Returns the records of the unmet ones, by key."""
+        """Drops expired requests and renews those that are due.
+
+        Returns the records of the requests that are not met yet, by key.
+        """
         self._drop_expired(now)
         records: dict[str, bytes] = {}
         for key, shortage in self._shortages.items():
@@ -105,10 +113,11 @@
         return records
 
     def receive(self, now: Instant, grant: QuotaGrant) -> ReceivedQuota:
-        """Records a grant and returns what it gives this proxy.
+        """Records a grant, and returns its amount and the end of its validity.
 
         Raises `RecordError` if the grant must not be used, because it was not requested here, was received
-        before, came too late or has an invalid amount, or because too many grants have not expired yet.
+        before, came too late or has an invalid amount, or because this proxy remembers too many unexpired
+        grants.
         """
         self._grants = {grant_id: expiry for grant_id, expiry in self._grants.items() if expiry > now}
         request = self._requests.get(grant.nonce)
@@ -135,7 +144,7 @@
         }
 
     def _current_request(self, now: Instant, key: str, shortage: Shortage) -> OpenRequest:
-        """Returns the latest request for a key, or a new one if it is time to renew it."""
+        """Returns the latest request for a key, or a new one if there is none or it must be renewed."""
         latest = self._latest.get(key)
         if latest is not None and now < latest.requested_at + self._duration // RENEWALS_PER_DURATION:
             return latest
@@ -146,9 +155,9 @@
         return request
 
     def _amount_to_request(self, now: Instant, key: str, shortage: Shortage) -> float:
-        """Returns the shortage expected over a whole transfer, minus the amounts already received.
+        """Returns the shortage expected over a transfer's duration, minus the amounts already received.
 
-        The result is at least the largest single shortage, so that one attempt can use the transfer.
+        The result is at least the largest single shortage, so that the transfer is enough for one attempt.
         """
         received = sum(request.received for request in self._requests.values() if request.key == key)
         expected = shortage.remaining(now) * self._duration / SHORTAGE_MEMORY
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -2,8 +2,8 @@
 
 A record is the CRC-32C of its JSON in eight hexadecimal digits, a space, and the JSON. Anything else (another
 version, a wrong type, too many bytes, a flipped bit) raises `RecordError`. The reader then skips the record,
-and nothing repairs it. Field names and tags are stored, so they must not change. An attribute with another
-name gives the stored one as `name`.
+and nothing repairs it. Field names and tags are stored, so they must not change. If an attribute
+has another name than its stored field, `name` is the field's name.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from olivepost.units import Duration, Instant
 
-RECORD_VERSION = 1  # increased when a field changes its meaning; records of other versions are skipped
+RECORD_VERSION = 1  # to be increased when a field changes its meaning; records of other versions are skipped
 MAX_RECORD_BYTES = 1_024
 MAX_INTEGER_DIGITS = 18  # every decimal number of this length fits into 64 bits
 MAX_OBJECT_LENGTH = 256  # characters of an object's name in an invalidation
@@ -26,7 +26,8 @@
 class RecordError(Exception):
     """An error about a stored record, or a part of a store's reply, that can't be used.
 
-    `problem` says what is wrong. `allowed` says what is accepted; `None` if `problem` already says it.
+    `problem` says what is wrong. `allowed` says what is accepted, or is `None` if `problem` already says
+    that.
     """
 
     def __init__(self, problem: str, allowed: str | None = None) -> None:
@@ -36,7 +37,7 @@
 
 
 class StoredRecord(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all records."""
+    """The base class of all stored records."""
 
     version: int = msgspec.field(default=RECORD_VERSION, name="v")
 
@@ -55,7 +56,11 @@
 
 
 class CacheLocation(StoredRecord, frozen=True, tag="holder", kw_only=True):
-    """The cache that has a name, the cached response's rank, and the Unix millisecond of its generation."""
+    """The cache that has the response for a name.
+
+    `rank` is the cached response's rank. `generated_at_ms` is the Unix millisecond at which the response was
+    generated.
+    """
 
     cache: str
     cache_started_at: Instant = msgspec.field(name="started")
@@ -65,7 +70,7 @@
 
 
 class QuotaRequest(StoredRecord, frozen=True, tag="need", kw_only=True):
-    """A proxy's request for the amount of one quota that it lacks.
+    """A proxy's request for the amount of one quota that the proxy lacks.
 
     A grant that names the nonce is valid for `duration` nanoseconds from the time of the request.
     """
@@ -124,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidationKey:
-    """The object, or the group of objects, that an invalidation concerns."""
+    """The object that an invalidation concerns, or the group of objects. The other field is `None`."""
 
     object: str | None
     group: int | None
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -14,9 +14,9 @@
 from olivepost.shared_store.records import RecordError, parse_integer
 
 MAX_EXCERPT_LENGTH = 60  # characters of a malformed reply in the reason of its `ReplyLost`
-NO_LEASE = (0, b"")  # duration and record in a lookup that requests no lease
-NO_LOCATION = operations.LocationPublication(b"", 0)  # argument of a release without a location
-HEADER_LENGTH = 2  # number of values, generation and serial, that begin every reply
+NO_LEASE = (0, b"")  # the lease's duration and record in a lookup that requests no lease
+NO_LOCATION = operations.LocationPublication(b"", 0)  # what a lease's release without a location sends
+HEADER_LENGTH = 2  # number of values that begin every reply: the generation and the serial
 
 
 class ScriptName(Enum):
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ScriptCall:
-    """One operation as it is sent to a store, with the script, the script's only key, and its arguments."""
+    """One operation as a store gets it, with the script's name, the script's only key, and the arguments."""
 
     name: ScriptName
     key: str
@@ -96,7 +96,7 @@
 
 
 def read_reply(ticket: int, reply: object) -> messages.StoreReply | messages.ReplyLost:
-    """Returns a script's reply as an event, which is `ReplyLost` if the reply is malformed."""
+    """Returns the event for a script's reply, which is a `ReplyLost` if the reply is malformed."""
     if not isinstance(reply, Sequence) or isinstance(reply, (str, bytes)) or len(reply) < HEADER_LENGTH:
         return messages.ReplyLost(
             ticket, f"a reply must be a list of at least {HEADER_LENGTH} values, not {_excerpt(reply)}"
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -63,7 +63,7 @@
 
 
 class FillLeaseSettings(SettingsSection):
-    """Leases on fills, so that one proxy of a branch fills an object and the others use its fill."""
+    """Settings of leases on fills, with which one proxy of a branch fills an object for the others too."""
 
     enabled: bool = True
     most: Annotated[Duration, DurationRange("100ms", "60s")] = Field(
@@ -73,7 +73,7 @@
 
 
 class CacheLocationSettings(SettingsSection):
-    """Published locations, which tell the other proxies which cache has an object."""
+    """Settings of published locations, which tell the other proxies which cache has an object."""
 
     enabled: bool = True
     keep: Annotated[Duration, DurationRange("1s", "24h")] = Field(
@@ -82,13 +82,13 @@
 
 
 class InvalidationSettings(SettingsSection):
-    """Invalidations (purges) that are published, and read from other proxies."""
+    """Settings of the invalidations (purges) that a proxy publishes, and reads from other proxies."""
 
     enabled: bool = True
 
 
 class QuotaTransferSettings(SettingsSection):
-    """Transfers of quota between the proxies of a branch."""
+    """Settings of the transfers of quota between the proxies of a branch."""
 
     enabled: bool = True
     loan: Annotated[Duration, DurationRange("100ms", "1950ms")] = Field(
@@ -98,7 +98,7 @@
 
 
 class OutlierReportSettings(SettingsSection):
-    """Outlier reports that are published, and read from other proxies."""
+    """Settings of the outlier reports that a proxy publishes, and reads from other proxies."""
 
     enabled: bool = True
 
@@ -106,7 +106,7 @@
 class TrialSettings(SettingsSection):
     """Delays before a half-open trial of a store whose circuit breaker is open.
 
-    They begin with `first`, double up to `most`, and have jitter.
+    The delays begin with `first`, double up to `most`, and have jitter.
     """
 
     first: Annotated[Duration, DurationRange("10ms", "10s")] = 100 * MILLISECOND
@@ -124,7 +124,7 @@
 class QueueLimits(SettingsSection):
     """Limits on the commands that may wait for a store's connection.
 
-    Further commands are dropped, but requests never are.
+    Commands beyond a limit are dropped, but clients' requests never are.
     """
 
     urgent: int = Field(default=256, ge=1, le=MAX_QUEUE_LENGTH)
@@ -132,7 +132,7 @@
 
 
 class SharedStoreSettings(SettingsSection):
-    """The stores that the proxies of one branch use, and what they share through them."""
+    """The stores that the proxies of one branch use, and what the proxies share through them."""
 
     branch: str = Field(
         pattern=NAME_PATTERN,
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -1,12 +1,13 @@
 """The health of one shared store, by its circuit breaker and the trust in its generation.
 
-It decides whether the store is used. A store that came back empty, or from an old snapshot, must not be
-trusted. Its cache locations may be older than invalidations, and its leases may belong to other owners. Each
-proxy process therefore stores a growing serial with every sync. A store that does not know the last confirmed
-serial has lost state, regardless of its generation, and the proxy that notices it advances the
-generation. All other records are kept under a generation, so that records of older generations become
-unreachable for all proxies at once. After each change of the generation, a proxy publishes its invalidations
-again, and trusts what it reads only after they are confirmed. No clock, no I/O.
+The health decides whether the store is used. A store that came back empty, or from an old snapshot, must not
+be trusted. Its cache locations may be older than invalidations, and its leases may belong to other owners.
+Each proxy process therefore numbers its syncs, and stores the number (the serial) with each sync. A store
+that does not know the last confirmed serial has lost state, regardless of its generation, and the proxy that
+notices the loss advances the generation. All other records are kept under a generation, so that records of
+older generations become unreachable for all proxies at once. After each change of the generation, a proxy
+publishes its invalidations again, and trusts what it reads only after the store has confirmed them. This
+module has no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -36,15 +37,15 @@
     """The conclusion about a store from one of its replies."""
 
     CURRENT = "current"  # the reply's values are used
-    STALE = "stale"  # the command was sent under an earlier generation
+    STALE = "stale"  # the command was sent before this proxy adopted the present generation
     EMPTY = "empty"  # the store has no generation
     ROLLED_BACK = "rolled_back"  # the store has lost state
-    MOVED = "moved"  # the store has a later generation
+    MOVED = "moved"  # the store has a later generation than this proxy has adopted
 
 
 @dataclass(slots=True)
 class StoreHealth:
-    """One store as this proxy sees it. Used by the coordinator's thread only."""
+    """One store as this proxy sees it. Only the coordinator's thread uses this class."""
 
     name: str
     breaker: CircuitBreaker
@@ -74,7 +75,7 @@
     def judge_reply(self, reply: StoreReply, generation: int, confirmed_serial: int) -> ReplyVerdict:
         """Returns what a reply shows about the store.
 
-        `generation` and `confirmed_serial` are the values at the time when the command was sent.
+        `generation` and `confirmed_serial` are the values of this object when the command was sent.
         """
         if reply.generation == NO_GENERATION:
             return ReplyVerdict.EMPTY
@@ -84,7 +85,8 @@
             return ReplyVerdict.MOVED
         if generation != self.generation:
             return ReplyVerdict.STALE
-        # After a store has lost state, a later serial proves nothing until a new generation is adopted.
+        # The trust is NONE after a store has lost state. A later serial then proves nothing until a new
+        # generation is adopted.
         has_lost_state = reply.serial < confirmed_serial or self.trust is TrustLevel.NONE
         return ReplyVerdict.ROLLED_BACK if has_lost_state else ReplyVerdict.CURRENT
 
@@ -97,7 +99,7 @@
         self.unpublished = deque(chunks)
 
     def confirm_published(self, chunk: InvalidationChunk) -> None:
-        """Records that the store confirmed a chunk of invalidations; it is trusted after the last chunk."""
+        """Removes a chunk that the store has confirmed; the store is trusted after the last chunk."""
         if self.trust is not TrustLevel.RESTORING:
             return
         if self.unpublished and self.unpublished[0] is chunk:
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -20,7 +20,7 @@
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 from olivepost.units import Instant
 
-MAX_BATCH = 64  # commands in one round trip; the first one's reply waits for the last one
+MAX_BATCH = 64  # most commands in one round trip; the first command's reply waits for the last one's
 MAX_REASON_LENGTH = 120  # characters of a store's error that the coordinator receives
 
 ReplyEvent = messages.StoreReply | messages.ReplyLost
@@ -81,7 +81,7 @@
         self._thread = start_thread(self._run, self._thread_name, START_TIMEOUT_S)
 
     def submit(self, command: messages.StoreCommand) -> None:
-        """Queues a command; its reply is lost at once if the queue is full or the worker is closed."""
+        """Queues a command, or reports its reply as lost if the queue is full or the worker is closed."""
         with self._changed:
             if len(self._queue) < self._max_queued and not self._is_closed:
                 self._queue.append(QueuedCommand(command, self._context.clock.now()))
@@ -91,7 +91,7 @@
         self._context.post(messages.ReplyLost(command.ticket, "the queue is full"))
 
     def close(self) -> None:
-        """Requests the thread's end; commands that are still queued are dropped without a reply."""
+        """Requests the end of the thread; commands that are still queued are dropped without a reply."""
         with self._changed:
             self._is_closed = True
             self._changed.notify()
@@ -112,7 +112,10 @@
         self._client.close()
 
     def _take_batch(self) -> list[QueuedCommand]:
-        """Waits for commands and removes them from the queue; returns an empty list after `close`."""
+        """Waits for commands, and takes up to `MAX_BATCH` of them from the queue.
+
+        Returns an empty list after `close`.
+        """
         with self._changed:
             self._changed.wait_for(lambda: self._queue or self._is_closed)
             if self._is_closed:
@@ -120,7 +123,7 @@
             return [self._queue.popleft() for _ in range(min(MAX_BATCH, len(self._queue)))]
 
     def _drop_expired(self, batch: list[QueuedCommand]) -> list[messages.StoreCommand]:
-        """Reports commands that have waited too long as lost and returns the others."""
+        """Returns the commands that have not waited too long, and reports the other ones as lost."""
         commands: list[messages.StoreCommand] = []
         for command, queued_at in batch:
             if self._context.clock.now() - queued_at <= self._max_wait:
@@ -145,7 +148,7 @@
             self._fail(commands, error)
             return
         except Exception as error:
-            # Nothing above catches this, and every command must get its `StoreReply` or `ReplyLost`.
+            # No caller catches exceptions, and every command must get its `StoreReply` or `ReplyLost`.
             log = context.log
             log.exception("store_worker_error")
             self._fail(commands, error)
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -1,6 +1,7 @@
 """Periodic sync with each store.
 
-A sync sends a heartbeat with this proxy's requests and reports, and reads those of other proxies.
+A sync sends a heartbeat with this proxy's quota requests and outlier reports. Its reply contains those of
+other proxies, the grants for this proxy, and new invalidations.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class SyncReply(NamedTuple):
-    """Rows that other proxies left in a store and that have not been validated yet."""
+    """The reply to a sync, as lists of rows that other proxies left in a store. No row is validated yet."""
 
     invalidations: Rows = ()
     quota_requests: Rows = ()
@@ -34,13 +35,13 @@
 
     @classmethod
     def read(cls, values: ReplyValues) -> SyncReply:
-        """Returns the parts of a reply; a part is empty if it is missing or not a list."""
+        """Returns the lists of rows in a reply; a list is empty if the value is missing or not a list."""
         parts = [part if isinstance(part, (list, tuple)) else () for part in values]
         return cls(*parts[: len(cls._fields)])
 
 
 class Exchanges(NamedTuple):
-    """The exchanges that each sync serves, by topic."""
+    """The objects that supply what a sync sends and receive what it reads, by topic."""
 
     invalidations: InvalidationExchange
     quotas: QuotaExchange
@@ -48,9 +49,9 @@
 
 
 class Synchronizer:
-    """Synchronizer of this proxy with each store, at the terms' interval.
+    """The sender of this proxy's syncs to each store, at the interval that the terms set.
 
-    Used by the coordinator's thread only.
+    Only the coordinator's thread uses this class.
     """
 
     def __init__(
@@ -73,7 +74,7 @@
         self._next_sync: dict[str, Instant] = {}
 
     def sync_if_due(self, now: Instant) -> None:
-        """Sends a sync to each store whose interval has passed, unless its circuit breaker stays open."""
+        """Sends a sync to each store that is due for one, unless the store's circuit breaker stays open."""
         for store in self._context.stores.values():
             if not self._is_due(now, store):
                 continue
--- a/olivepost/shared_store/terms.py
+++ b/olivepost/shared_store/terms.py
@@ -14,7 +14,8 @@
     proxy: str
     incarnation: str  # id of this process, different from those of the proxy's earlier processes
     stores: tuple[str, ...]
-    # A later reply is of no use to a request, and the circuit breaker records it as a failure.
+    # Time after a command within which its reply must come. A later reply is of no use to a request, and the
+    # circuit breaker records it as a failure.
     reply_timeout: Duration
     sync_interval: Duration
     leases_enabled: bool = True
