--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -105,7 +105,7 @@
         self.state = BreakerState.OPEN
         self._trial_successes = 0
         self._backoff = self._next_backoff()
-        # The jitter prevents proxies that lost a store at the same time from all retrying it at once.
+        # The jitter prevents proxies that lost a store at the same time from all retrying the store at once.
         share = MIN_JITTER_SHARE + self._random.random() * (1 - MIN_JITTER_SHARE)
         self.retry_at = now + int(self._backoff * share)
 
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -41,7 +41,8 @@
 LEASE_KIND = "c"  # first part of a fill lease's key, after the generation's prefix
 LOCATION_KIND = "h"  # first part of a cache location's key
 NAME_PATTERN = f"[{LEASE_KIND}{LOCATION_KIND}]:*"
-LABELS = {LEASE_KIND: "claim", LOCATION_KIND: "holder"}  # values of `kind` in the rows
+# Values of `kind` in the rows that the commands print.
+LABELS = {LEASE_KIND: "claim", LOCATION_KIND: "holder"}
 
 Row = dict[str, object]
 
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -22,7 +22,7 @@
 MAX_INVALIDATIONS = 4_096  # largest number of invalidations that this proxy remembers
 CHUNK_SIZE = 256  # most invalidations in one operation; a larger operation would keep the store busy
 MAX_CLOCK_LEAD_MS = 10_000  # largest accepted lead of another proxy's clock over this proxy's
-ROW_LENGTH = 3  # values in a row: number, key and Unix millisecond of an invalidation
+ROW_LENGTH = 3  # values in one row of a reply: number, key and Unix millisecond of an invalidation
 EPOCH_MS = 0  # the start of Unix time, which is before any response was generated
 
 
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -26,7 +26,10 @@
 
 
 def parse_outlier_report(row: object) -> OutlierReport:
-    """Returns the report in a row of a sync's reply; raises `RecordError` if the row is malformed."""
+    """Returns the outlier report that a row of a sync's reply contains.
+
+    Raises `RecordError` if the row is malformed.
+    """
     text = row.decode(errors="replace") if isinstance(row, bytes) else ""
     incarnation, _, endpoint_id = text.partition("|")
     if not endpoint_id:
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -39,7 +39,7 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-ROW_LENGTH = 3  # values in a row: field, Unix millisecond and record of a quota request
+ROW_LENGTH = 3  # values in one row of a reply: field, Unix millisecond and record of a quota request
 
 
 class RequestedQuota(NamedTuple):
@@ -59,7 +59,10 @@
 
 
 def parse_requested_quota(row: object) -> RequestedQuota:
-    """Returns the request in a row of a sync's reply; raises `RecordError` if the row is malformed."""
+    """Returns the quota request that a row of a sync's reply contains.
+
+    Raises `RecordError` if the row is malformed.
+    """
     if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[0], bytes):
         raise RecordError("a malformed quota request", "field, Unix millisecond and record")
     field = row[0].decode(errors="replace")
@@ -195,7 +198,7 @@
 
 
 def _keep_oldest(oldest: dict[str, RequestedQuota], row: object) -> None:
-    """Adds the request in a row to `oldest`, unless an older request for the same quota is known."""
+    """Adds the request that a row contains to `oldest`, unless an older one for the same quota is known."""
     requested = parse_requested_quota(row)
     known = oldest.get(requested.request.key)
     if known is None or requested.precedes(known):
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -52,9 +52,10 @@
     trust: TrustLevel = TrustLevel.NONE
     generation: int = NO_GENERATION  # generation that this proxy has adopted
     last_serial: int = 0  # number of the last heartbeat sent; heartbeats are numbered from 1
-    confirmed_serial: int = 0  # last serial that the store has confirmed in this generation
+    confirmed_serial: int = 0  # number of the last heartbeat that the store has confirmed in this generation
     last_invalidation: int = 0  # number of the last invalidation read; the store numbers invalidations from 1
-    unpublished: deque[InvalidationChunk] = field(default_factory=deque)  # chunks still to be published again
+    # Chunks of invalidations that must still be published again, in this order.
+    unpublished: deque[InvalidationChunk] = field(default_factory=deque)
     is_advancing: bool = False  # whether a new generation has been requested
 
     @property
