--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -35,7 +35,7 @@
 
 
 class RequestLifecycle:
-    """The pending requests of one router. Not thread-safe: only the router's owner calls it."""
+    """The life cycles of one router's pending requests. Not thread-safe: only the router's owner calls it."""
 
     def __init__(self, state: RoutingState, timers: TimerTable, actions: ActionEmitter) -> None:
         self.pending: dict[str, PendingRequest] = {}
@@ -73,10 +73,8 @@
         self._forward(now, pending, overload=state.arrivals)
 
     def _set_deadline_timer(self, pending: PendingRequest, timeout: Duration) -> None:
-        """Sets the timer that gives a request up shortly before its deadline.
-
-        This upholds the deadline invariant: the final response goes out before the client's timeout is over.
-        """
+        """Sets the timer that gives a request up shortly before its deadline."""
+        # This upholds the deadline invariant: the final response is sent before the client's timeout is over.
         delay = max(0, timeout - self._settings.deadline_margin)
         give_up = partial(self.give_up, pending=pending, reason=api.GiveUpReason.DEADLINE)
         self._actions.set_request_timer(delay, give_up, pending)
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -258,7 +258,7 @@
 
 
 def test_packages_of_the_operators_file_are_not_imported_without_one() -> None:
-    """A proxy without an operator's file is spared the memory and start-up time of these packages."""
+    """Guards against the memory and start-up time that these packages take in a proxy without such a file."""
     code = (
         "import sys, olivepost.cli, olivepost.proxy.server\n"
         "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
--- a/tests/proxy/discovery/test_faulty_coordinators.py
+++ b/tests/proxy/discovery/test_faulty_coordinators.py
@@ -121,7 +121,7 @@
 
 
 def test_drain_during_unresponsive_polls_is_applied_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Checks a drain that begins while neither the open poll nor the next one gets a response.
+    """Checks a drain that begins while the open poll and the poll after it get no response.
 
     The draining cache stays reachable, so it would receive a request that is wrongly sent to it.
     """
@@ -135,8 +135,9 @@
         other.add(endpoints={"version": 2, "full": False, "servers": draining_entries(proxy, 1)})
         assert proxy.wait_until(lambda: cache_a_is_draining(proxy))
         fetches_before = len(proxy.caches[0].received())
-        # One response of 200 is enough. On a busy machine the only remaining cache may stall briefly, and
-        # requests are then rejected for a reason other than discovery. The draining cache must get none.
+        # One response with status 200 is enough. On a busy machine the only remaining cache may stall
+        # briefly, and requests are then rejected for a reason other than discovery. The draining cache must
+        # get no request.
         assert 200 in {client.request(part=part).status for part in range(12)}
         assert len(proxy.caches[0].received()) == fetches_before
         other.is_over.set()
--- a/tests/proxy/test_cached_responses.py
+++ b/tests/proxy/test_cached_responses.py
@@ -16,7 +16,7 @@
 
 
 def request_until_cached(proxy: ProxyHarness, client: HttpClient) -> None:
-    """Sends three requests for the same object, so that the last response comes from the response cache.
+    """Requests the same object three times; the third response comes from the response cache.
 
     The first response is not stored because the name is new. The second one is stored.
     """
--- a/tests/proxy/test_client_limits.py
+++ b/tests/proxy/test_client_limits.py
@@ -74,7 +74,7 @@
         assert proxy.counter("connection_deadlines_exceeded") >= 1
     with running_proxy(bounds=SHORT_TIMEOUTS) as proxy, proxy.connect() as client:
         assert client.request().status == 200
-        assert client.is_closed_by_proxy()  # idle after its first request
+        assert client.is_closed_by_proxy()  # the client is idle after its first request
 
 
 @pytest.mark.parametrize("data", [b"GET /api/v2/segm", HttpClient.encode_request(Content_Length="9")])
@@ -103,7 +103,7 @@
 
 
 def test_endless_sender_is_closed_after_its_rejection() -> None:
-    """Checks that the bytes and the time of reading are limited after the proxy has closed its side."""
+    """Checks that the proxy limits how many bytes it reads, and for how long, after closing its side."""
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(Content_Length="60000000"))
         with pytest.raises(ConnectionError):
--- a/tests/proxy/test_connection_limit.py
+++ b/tests/proxy/test_connection_limit.py
@@ -43,7 +43,7 @@
         clients = [proxy.connect() for _ in range(cap)]
         for client in clients:
             assert client.request().status == 200
-        assert clients[0].request().status == 200  # so that it is no longer the longest idle
+        assert clients[0].request().status == 200  # the first client is no longer the longest idle
         with proxy.connect() as late:
             assert late.request().status == 200
         assert clients[1].is_closed_by_proxy()
@@ -118,7 +118,7 @@
 
 
 def test_wait_for_a_slot_is_taken_from_the_time_of_the_request() -> None:
-    """Guards against a final response that is late by the time for which its client waited for a slot."""
+    """Guards against a late final response: the wait for a slot is part of the request's timeout."""
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies, limits=FEW_CONNECTIONS) as proxy:
         clients = clients_with_pending_requests(proxy)
@@ -137,7 +137,7 @@
 
 
 def test_client_is_rejected_where_the_wait_for_its_slot_raises(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a client that is dropped without a response if the eviction of another one raises."""
+    """Guards against closing a new connection without a response if the eviction of an idle one raises."""
     with running_proxy(limits=FEW_CONNECTIONS) as proxy:
         clients = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
         for client in clients:
@@ -145,7 +145,8 @@
         monkeypatch.setattr(ConnectionEvictor, "evict_one", None)
         with proxy.connect() as late:
             assert late.request(timeout_ms=15_000).status == 503
-        assert proxy.wait_until(lambda: proxy.counter("accept_error") == 1)  # logged after the response
+        # The error is logged after the response.
+        assert proxy.wait_until(lambda: proxy.counter("accept_error") == 1)
         for client in clients:
             client.sock.close()
 
@@ -163,7 +164,7 @@
 
 
 def test_client_that_writes_its_first_request_slowly_is_not_evicted() -> None:
-    """Guards against an eviction without a response after a part of the first request has been read."""
+    """Guards against evicting a client without a response after part of its first request has been read."""
     with running_proxy(limits=FEW_CONNECTIONS) as proxy, proxy.connect() as slow:
         request = HttpClient.encode_request(timeout_ms=15_000)
         slow.send(request[:30])
@@ -215,9 +216,10 @@
 
 
 def test_client_that_was_just_served_is_not_evicted() -> None:
-    """Guards against a reset that overtakes a response.
+    """Guards against a connection reset that overtakes the response before it.
 
-    At the limit, another client is evicted, or none until one has been idle for long enough.
+    At the limit, another client is evicted. If no client has been idle for `MIN_IDLE_BEFORE_EVICTION` yet,
+    none is evicted until one has.
     """
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         cap = proxy.parts.config.limits.max_client_connections
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -70,7 +70,7 @@
 
 
 def test_request_that_was_read_is_served_after_the_connection_deadline() -> None:
-    """Checks a deadline that passed before the request was read but is enforced only after that."""
+    """Checks a connection deadline that passes before a request is read and is enforced only afterwards."""
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -31,7 +31,7 @@
 
 def test_log_without_a_reader_drops_and_counts_lines() -> None:
     read, write = os.pipe()
-    log = EventLog(Clock(), "n1", max_bytes=3_600, descriptor=write)  # enough for three lines
+    log = EventLog(Clock(), "n1", max_bytes=3_600, descriptor=write)  # 3,600 bytes hold three lines
     for _ in range(2_000):
         log.event("long", text="x" * 1_000)
         assert log.waiting_bytes <= 3_600
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: requests that arrive after SIGTERM, and responses that are pending at that time."""
+"""Tests of graceful shutdown: requests after SIGTERM, and responses that are pending at SIGTERM."""
 
 from __future__ import annotations
 
@@ -92,7 +92,7 @@
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         (connection,) = proxy.parts.downstream.connections.snapshot()
-        with connection.lock:  # its reader thread has to wait for it
+        with connection.lock:  # the connection's reader thread has to wait for the lock
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: not connection.has_nothing_unread)
             proxy.parts.downstream.drain()
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -49,6 +49,6 @@
         assert not has_nothing_unread(near)
         far.close()
         assert is_closed_by_peer(near)
-        near.close()  # the connection's own thread may close it at any time
+        near.close()  # the connection's own thread may close the socket at any time
         assert not is_closed_by_peer(near)
         assert not has_nothing_unread(near)
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -135,7 +135,7 @@
 
 
 def recv_with_failing_peeks(sock: socket.socket, size: int, flags: int = 0) -> bytes:
-    """Receives as `socket.recv` does, but fails for every peek that does not wait."""
+    """Receives as `socket.recv` does, but fails for every non-blocking peek."""
     peek = socket.MSG_PEEK | socket.MSG_DONTWAIT
     if flags & peek == peek:
         raise os_error(errno.ENOBUFS)
@@ -168,14 +168,14 @@
 ) -> None:
     """Regression test: a request was lost because its connection was closed as idle.
 
-    The system reported the received bytes neither to a peek nor to `poll`.
+    A peek and `poll` both failed to show the received bytes.
     """
     with running_proxy() as proxy, proxy.connect() as client, proxy.connect() as idle:
         assert client.request().status == 200
         assert idle.request().status == 200
         connections = proxy.parts.downstream.connections.snapshot()
         with contextlib.ExitStack() as locks:
-            for connection in connections:  # their reader threads have to wait for it
+            for connection in connections:  # the reader threads have to wait for the locks
                 locks.enter_context(connection.lock)
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: sum(not c.has_nothing_unread for c in connections) == 1)
@@ -293,7 +293,7 @@
             with pytest.raises(RuntimeError):
                 proxy.parts.discovery.switch_coordinator(address)
         polls = proxy.coordinator.polls
-        assert proxy.coordinator.wait_for_poll(polls + 1)  # the old poll continues
+        assert proxy.coordinator.wait_for_poll(polls + 1)  # the old coordinator is still polled
         assert proxy.parts.discovery.switch_coordinator(address)  # the next reload succeeds
 
 
@@ -317,7 +317,7 @@
             proxy.server.reload()
             assert time.monotonic() < began_at + 1
         assert other.coordinator.polls == polls
-        proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)  # repeats the reload, as in `run`
+        proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)  # repeats the reload, as `run` does
         assert other.coordinator.wait_for_poll(polls + 2)
 
 
@@ -341,9 +341,9 @@
 
 
 def test_connection_that_waits_for_a_thread_is_not_evicted_for_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The connection waits for a thread for longer than `MIN_IDLE_BEFORE_EVICTION`.
+    """Guards against evicting a connection that waits for its reader thread.
 
-    Its request may arrive in this time.
+    The connection may wait for longer than `MIN_IDLE_BEFORE_EVICTION`, and its request may arrive meanwhile.
     """
     start = failing(_thread.start_new_thread, RuntimeError("can't start new thread"), 30)
     with running_proxy() as proxy:
--- a/tests/proxy/upstream/test_connections.py
+++ b/tests/proxy/upstream/test_connections.py
@@ -173,7 +173,7 @@
 def test_retry_whose_connection_is_established_after_its_window_is_not_sent(
     delayed_connects: DelayedConnects,
 ) -> None:
-    """Checks a retry whose idempotency window ends before its first byte could be written."""
+    """Checks that a retry is not sent if its idempotency window ends before it can be written."""
     with (
         running_proxy(settings=settings_with_idempotency("idempotency_key", window=5 * SECOND)) as proxy,
         proxy.connect() as client,
@@ -182,7 +182,7 @@
 
         def forward_with_bound(request: UpstreamRequest) -> None:
             proxy.parts.upstream.forward = forward  # type: ignore[method-assign]
-            request.start_before = proxy.parts.clock.now() + 50 * MS  # as the router sets it for a retry
+            request.start_before = proxy.parts.clock.now() + 50 * MS  # the router sets this bound for retries
             forward(request)
 
         proxy.parts.upstream.forward = forward_with_bound  # type: ignore[method-assign]
@@ -192,7 +192,7 @@
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > window_end)
         delayed_connects.may_connect.set()
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
-        # The first attempt was not executed, so another one is allowed.
+        # The first attempt was not executed, so the request may be retried.
         assert client.read_response().status == 200
         assert len(proxy.wait_for_fetches()) == 1
 
--- a/tests/proxy/upstream/test_single_attempt.py
+++ b/tests/proxy/upstream/test_single_attempt.py
@@ -1,4 +1,4 @@
-"""Tests of settings that allow one attempt of a request at a time: the next one waits for the one before."""
+"""Tests of settings that allow only one attempt of a request at a time: a retry waits for its predecessor."""
 
 from __future__ import annotations
 
--- a/tests/routing/proxy_fleet.py
+++ b/tests/routing/proxy_fleet.py
@@ -36,7 +36,7 @@
     """An attempt that was sent to the cache that restarts."""
 
     sent_at: Instant
-    known_start: Instant | None  # start time of the cache that its proxy knows
+    known_start: Instant | None  # the cache's start time as its proxy knew it; None if it knew none
 
 
 class ProxyFleet:
@@ -53,7 +53,8 @@
         )
         self.cache_ids = [f"c{number}:1" for number in range(caches)]
         self.restarting_id = self.cache_ids[0]
-        # Start time of the restarting cache that each proxy knows, by proxy.
+        # The restarting cache's start time as each proxy knows it, by the proxy's number. None if a proxy
+        # knows no start.
         self.known_starts: list[Instant | None] = [None] * proxies
         self.routers = [self._start_router(proxy) for proxy in range(proxies)]
         self.traffic = [self.random.expovariate(1) + 0.1 for _ in range(proxies)]
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -31,7 +31,10 @@
 
 
 def test_late_fills_reject_the_most_expensive_fills_and_no_hits(driver: RouterDriver) -> None:
-    """A saturated incoming link had made every fill of a location late, and every one of them was retried."""
+    """Guards against additional load by retries of late fills.
+
+    A saturated incoming link made every fill of a location late, and every one of them was retried.
+    """
     for number in range(40):
         driver.request_missed_by_cache(f"slow{number}", size_kb=20.0)
         driver.complete_attempt(
@@ -41,7 +44,8 @@
     assert driver.state.fills.level > 0.8
     assert forwarded_attempts(driver.request_missed_by_cache("small", size_kb=5.0))
     assert final_responses(driver.request_missed_by_cache("large", size_kb=400.0))
-    assert forwarded_attempts(driver.request("1", size_kb=400.0))  # it may be a hit and then needs no fill
+    # The request may be a hit, which needs no fill.
+    assert forwarded_attempts(driver.request("1", size_kb=400.0))
 
     for number in range(60):
         driver.request_missed_by_cache(f"fast{number}", size_kb=5.0)
@@ -52,7 +56,10 @@
 
 
 def test_rejected_fills_raise_the_fill_level_as_late_ones_do(driver: RouterDriver) -> None:
-    """In incident i114a12, thousands of fills were rejected, and retried at the next parent of one origin."""
+    """Guards against rejected fills that do not raise the fill level.
+
+    In incident i114a12, thousands of fills were rejected, and retried at the next parent of one origin.
+    """
     driver.request_missed_by_cache("1")
 
     driver.complete_attempt("1", 1, AttemptStatus.REJECTED)
@@ -72,7 +79,10 @@
 
 
 def test_late_fills_lower_the_sources_limit_and_late_hits_the_caches(driver: RouterDriver) -> None:
-    """In incident i36c20f, incoming links were saturated, so fills were late but hits were not."""
+    """Guards against attributing a late fill to the filled cache instead of the source.
+
+    In incident i36c20f, incoming links were saturated, so fills were late but hits were not.
+    """
     attempt = first_attempt(driver.request_missed_by_cache("1"))
     filled_cache = driver.endpoint(attempt.cache)
     source = driver.endpoint(source_of(attempt))
@@ -91,7 +101,10 @@
 
 
 def test_concurrency_limit_of_one_of_many_proxies_allows_bursts(driver: RouterDriver) -> None:
-    """With a limit of 1 at each proxy, every fourth request had skipped its home cache."""
+    """Guards against a concurrency limit of 1 at each proxy.
+
+    With this limit, every fourth request skipped its home cache.
+    """
     one_of_many = RouterDriver(make_settings(caches=api.TierSettings(12, 0.2, 10 * SECOND, 2.0)))
 
     limit_of_many = concurrency_limit(one_of_many, "a:1")
@@ -101,7 +114,10 @@
 
 
 def test_starting_cache_has_a_lower_concurrency_limit() -> None:
-    """During a release, starting caches had responded late because they were used like warm ones."""
+    """Guards against using a starting cache like a warm one.
+
+    During a release, starting caches responded late for this reason.
+    """
     driver = RouterDriver(make_settings(), (cache("a:1"), cache("z:1", started_at=START), ORIGIN))
 
     assert concurrency_limit(driver, "z:1") == pytest.approx(0.2 * concurrency_limit(driver, "a:1"))
--- a/tests/routing/test_endpoint_lists.py
+++ b/tests/routing/test_endpoint_lists.py
@@ -57,7 +57,7 @@
 
 
 def test_restored_list_of_replaced_endpoints_is_survived() -> None:
-    """All restored endpoints refuse connections.
+    """Checks a restored list whose endpoints all refuse connections.
 
     Each request gets its final response without delay, and the new list is used once it arrives.
     """
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -26,7 +26,7 @@
     driver.complete_attempt("1", 0, AttemptStatus.ERROR)
     driver.complete_attempt("1", 1, AttemptStatus.OK, cache_status=CacheStatus.HIT)
 
-    assert first_attempt(driver.request("2")).cache != home  # ejected
+    assert first_attempt(driver.request("2")).cache != home  # the home cache is ejected
     driver.handle(api.ClientDisconnected("2"))
     driver.advance(1100 * MS)
 
@@ -59,9 +59,9 @@
 
 
 def test_one_connections_end_is_one_failure(driver: RouterDriver) -> None:
-    """Guards against counting each attempt on a reset connection as a failure of its own.
+    """Guards against counting each attempt on a reset connection as a separate failure.
 
-    That had ejected healthy endpoints and used up the retry budget.
+    Such a count ejected healthy endpoints and used up the retry budget.
     """
     homes = {
         request_id: first_attempt(driver.request(request_id, "x")).cache for request_id in map(str, range(6))
@@ -147,7 +147,10 @@
 
 
 def test_error_of_a_cache_that_has_responded_is_attributed_to_its_source(driver: RouterDriver) -> None:
-    """In incident ic4de60, healthy caches were ejected because fills were interrupted after seconds."""
+    """Guards against attributing an interrupted fill to the cache.
+
+    In incident ic4de60, healthy caches were ejected because fills were interrupted after seconds.
+    """
     first = first_attempt(driver.request_missed_by_cache("1"))
 
     retry = first_attempt(driver.complete_attempt("1", 1, AttemptStatus.ERROR))
@@ -157,7 +160,10 @@
 
 
 def test_errors_of_two_endpoints_are_attributed_to_the_request(driver: RouterDriver) -> None:
-    """Requests for objects that don't exist had ejected healthy caches and used up the retry budget."""
+    """Guards against attributing errors to endpoints if the request causes them.
+
+    Requests for objects that don't exist ejected healthy caches and used up the retry budget.
+    """
     for number in range(40):
         request_id = str(number)
         first = first_attempt(driver.request(request_id, f"odd{number}"))
@@ -166,7 +172,7 @@
             caches = {first.cache, first_attempt(actions).cache}
             assert len(caches) == 2
             actions = driver.complete_attempt(request_id, 1, AttemptStatus.ERROR)
-        assert isinstance(final_responses(actions)[0], api.Reject)  # without another attempt
+        assert isinstance(final_responses(actions)[0], api.Reject)  # no further attempt is made
 
     assert not any(endpoint.ejected_until for endpoint in driver.state.endpoints.by_id.values())
     assert driver.state.retry_balance == MAX_RETRIES
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -22,10 +22,10 @@
 @pytest.mark.parametrize(
     ("level", "gamma"),
     [
-        (0.5, 0.4),  # far below the ceiling, Γ = ϑs
-        (0.85, 0.4),  # at 1 - 3ε/2, the lower bound, Γ is still ϑs
-        (0.9, 0.7),  # halfway between these bounds, Γ = ϑs + (1 - ϑs)/2
-        (0.95, 1.0),  # at 1 - ε/2, the upper bound, Γ = 1
+        (0.5, 0.4),  # Γ = ϑs far below the ceiling
+        (0.85, 0.4),  # Γ is still ϑs at the lower bound, 1 - 3ε/2
+        (0.9, 0.7),  # Γ = ϑs + (1 - ϑs)/2 halfway between the bounds
+        (0.95, 1.0),  # Γ = 1 at the upper bound, 1 - ε/2
         (1.0, 1.0),
     ],
 )
@@ -48,9 +48,8 @@
 
 def test_size_samples_move_the_first_seen_level_by_weight() -> None:
     class_levels = levels(0.5, 0.5)
-    adaptive_ttl.move_levels(
-        class_levels, False, 10 * SECOND, 4.0
-    )  # the first size is the mean, so its weight is 1
+    # The first size is the mean, so its weight is 1.
+    adaptive_ttl.move_levels(class_levels, False, 10 * SECOND, 4.0)
     assert class_levels.first_seen_level == pytest.approx(0.5 - 0.0001)
     adaptive_ttl.move_levels(class_levels, False, 0.0, 8.0)  # the mean becomes 4.04
     assert class_levels.first_seen_level == pytest.approx(0.5 - 0.0001 + 0.0001 * 8 / 4.04)
@@ -100,7 +99,7 @@
     driver = RouterDriver(make_settings())
     driver.state.levels["image"].first_seen_level = 0.0
     ranks = [first_attempt(driver.request(str(i), f"n{i}")).rank for i in range(5)]
-    assert ranks == [RANK_LOW] * 5  # at θs = 0 no new name ranks higher, and all are cached
+    assert ranks == [RANK_LOW] * 5  # no new name ranks higher at θs = 0, and all are cached
     assert first_attempt(driver.request("again", "n1")).rank == RANK_TOP
 
 
--- a/tests/routing/test_lifecycle.py
+++ b/tests/routing/test_lifecycle.py
@@ -23,9 +23,8 @@
 
     assert not final_responses(driver.advance(SECOND - 3 * MS))
     assert len(final_responses(driver.advance(2 * MS))) == 1
-    assert not driver.complete_attempt(
-        "1", 0, AttemptStatus.OK
-    )  # outcomes after the final response are ignored
+    # An outcome after the final response is ignored.
+    assert not driver.complete_attempt("1", 0, AttemptStatus.OK)
     assert not driver.advance(10 * SECOND)
 
 
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -67,7 +67,10 @@
 
 @pytest.mark.parametrize("path", MECHANISM_MODULES, ids=lambda path: path.stem)
 def test_no_tuned_value_stands_outside_the_policy(path: Path) -> None:
-    """The router and its state have no numbers except -1, 0 and 1; steps and sizes come from the policy."""
+    """Checks that the router and its state contain no numbers except -1, 0 and 1.
+
+    Steps and sizes come from the policy. Only the name table also contains 2, a factor of its queue's size.
+    """
     numbers = {
         node.value
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -130,7 +130,10 @@
 
 
 def test_endpoint_late_more_often_than_the_best_sheds_names_by_degrees() -> None:
-    """On a day at full size, half of all misses had been rejected after two parents had slowed down."""
+    """Guards against the rejection of many misses after a parent has slowed down.
+
+    On a day at full size, half of all misses were rejected after two parents had slowed down.
+    """
     names_at_parent = []
     for late_share in (0.0, 0.4, 0.9):
         driver = RouterDriver(make_settings())
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -29,7 +29,7 @@
 def test_starting_cache_gets_no_more_than_its_slow_start_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     """The budget, computed by hand, is 2.0 x 0.2 x 2 transfers x 2 s = 1.6 s of work.
 
-    Each request takes 0.05 s.
+    Each request costs 0.05 s of work.
     """
     monkeypatch.setattr("olivepost.routing.admission.LEVEL_CEILING", 0.0)
     driver = RouterDriver(make_settings(allows_direct_forwarding=False), STARTING_CACHE)
@@ -44,7 +44,7 @@
 def test_starting_parent_gets_no_more_than_its_slow_start_budget() -> None:
     """The budget, computed by hand, is 2.0 x 0.1 x 2 transfers x 2 s = 0.8 s of work.
 
-    Each request takes 0.05 s.
+    Each request costs 0.05 s of work.
     """
     driver = RouterDriver(make_settings(), STARTING_PARENT)
 
@@ -66,7 +66,10 @@
 
 
 def test_slow_start_budget_does_not_grow_as_warm_endpoints_are_removed() -> None:
-    """In incident i0667f8, the estimate of a link grew with each warm cache that a release replaced."""
+    """Guards against a slow start budget that grows during a release.
+
+    In incident i0667f8, the estimate of a link grew with each warm cache that a release replaced.
+    """
     warm_ids = [f"w{number}:1" for number in range(6)]
     endpoints = (*[cache(endpoint_id) for endpoint_id in warm_ids], ORIGIN)
     driver = RouterDriver(make_settings(allows_direct_forwarding=False), endpoints)
@@ -95,7 +98,10 @@
 
 
 def test_response_without_body_is_no_sample_of_transfer_time(driver: RouterDriver) -> None:
-    """Not-modified responses had lowered the mean transfer times that slow start budgets are charged with."""
+    """Guards against mean transfer times that not-modified responses lower.
+
+    Slow start budgets are charged with these mean transfer times.
+    """
     for number, is_not_modified in enumerate((True, False)):
         driver.request(str(number), size_kb=None)
         driver.complete_attempt(
--- a/tests/routing_state/test_name_table.py
+++ b/tests/routing_state/test_name_table.py
@@ -30,7 +30,7 @@
         renewed, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    # A renewed name's expiry time is another integer object than its queue entry's, which takes 32 bytes.
+    # After a renewal, the name and its queue entry have expiry times in separate integer objects of 32 bytes.
     assert renewed_once < filled + 40 * CAPACITY
     assert renewed < renewed_once + CAPACITY
 
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -103,7 +103,7 @@
     branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(20 * MS)
     branch.proxies[0].paused_until = branch.now + 3600 * SECOND
-    branch.run(4 * SECOND)  # longer than the class's deadline, which limits the lease's duration
+    branch.run(4 * SECOND)  # 4 s exceed the class's deadline, which limits the lease's duration
     store = branch.stores["s0"]
     assert not [key for key in [*store.data] if b":c:" in key and store.live_value(key)]
     for cache in branch.caches.values():
@@ -218,7 +218,7 @@
         proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
     }
     earlier_lease = acquire_lease(branch, branch.proxies[0], generation)
-    branch.now += 600 * MS  # longer than the lease
+    branch.now += 600 * MS  # the lease of 500 ms has expired
     lease = acquire_lease(branch, branch.proxies[1], generation)
     branch.now += 400 * MS
 
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -141,7 +141,7 @@
 
 
 def test_grant_without_a_reply_stays_donated() -> None:
-    """Guards against an amount that counts twice.
+    """Guards against an amount that the donor and the recipient both use.
 
     Without a reply the store may have made the grant, so that the donor must not get the amount back.
     """
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -194,7 +194,7 @@
 
 def test_paused_server_runs_the_received_commands(server: Server) -> None:
     client = client_of(server)
-    assert client.ping()  # connects before the fault begins
+    assert client.ping()  # the client connects before the fault begins
 
     server.faults.pause = True
     with pytest.raises(redis.TimeoutError):
@@ -212,7 +212,7 @@
     server: Server, fault: str, error: type[redis.ResponseError]
 ) -> None:
     client = client_of(server)
-    assert client.ping()  # connects before the fault begins
+    assert client.ping()  # the client connects before the fault begins
 
     setattr(server.faults, fault, True)
 
@@ -222,7 +222,7 @@
 
 def test_command_whose_reply_was_cut_has_run(server: Server) -> None:
     client = client_of(server)
-    assert client.ping()  # connects before the fault begins
+    assert client.ping()  # the client connects before the fault begins
 
     server.faults.cut = 1.0
     with pytest.raises(redis.ConnectionError):
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -82,7 +82,7 @@
         """Returns a request that has not been sent, with a new id and a random name, class and timeout."""
         with self._oracle.lock:
             request_id = f"{self._seed:04x}{next(self._ids):012x}"
-        # The smaller of two random numbers, so that some names are requested more often than others.
+        # Chooses the smaller of two random numbers, so that some names are requested more often than others.
         number = min(random_source.randrange(NAMES), random_source.randrange(NAMES))
         name = object_name(number)
         timeout_s = MIN_TIMEOUT_S + random_source.random() * TIMEOUT_RANGE_S
--- a/tests/soak/fault_injector.py
+++ b/tests/soak/fault_injector.py
@@ -28,7 +28,7 @@
 class FaultInjector:
     """The injector of one run's faults.
 
-    All random choices come from one random source, so that a seed always injects the same faults. `proxy`
+    One random source makes all random choices, so that a seed always injects the same faults. `proxy`
     returns the current proxy process, since the run may restart the proxy.
     """
 
--- a/tests/soak/load_process.py
+++ b/tests/soak/load_process.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadRequest:
-    """A request that was answered late or not at all; times are monotonic seconds."""
+    """A request whose response was late or missing; times are monotonic seconds."""
 
     id: str
     name: str
@@ -169,9 +169,9 @@
         self._options = options
         self._random_source = random.Random(options.seed)
         self._request_ids = itertools.count(options.first_request_id)
-        # Heap of clients that wait: the time at which one sends or connects, a sequence number that orders
-        # equal times, and its connection. The connection is None if the client has to connect.
         self._sequence_numbers = itertools.count()
+        # Heap of waiting clients. An entry has the time at which the client sends or connects, a sequence
+        # number that orders equal times, and the client's connection, or None if the client has to connect.
         self._waiting: list[tuple[float, int, LoadConnection | None]] = []
         self._selector = selectors.DefaultSelector()
         self._may_connect = True
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -21,7 +21,7 @@
 # Clients open connections up to this time after SIGTERM. They send requests on open connections until the
 # proxy exits or is killed.
 ACCEPT_AFTER_SIGTERM_S = 0.4
-CLOSE_RACE_S = 0.05  # a request that ends this soon may have crossed the close of its idle connection
+CLOSE_RACE_S = 0.05  # a request that ends this soon may have crossed a close of its connection as idle
 SCHEDULING_SLACK_S = 0.15  # added to each time limit, for scheduling delays of the test's own threads
 
 
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -49,8 +49,8 @@
 SAMPLE_INTERVAL_S = 0.05  # interval at which memory and descriptors are sampled
 MAX_SAMPLE_GAP_S = 0.15  # a longer time between two samples is recorded as a pause of the test
 MAX_START_S = 6.0  # longest allowed start of the proxy
-MAX_PRINTED_FINDINGS = 8  # most printed findings of a seed
-MAX_FINDING_CHARACTERS = 3_000  # most printed characters of a finding
+MAX_PRINTED_FINDINGS = 8  # maximum number of printed findings of a seed
+MAX_FINDING_CHARACTERS = 3_000  # maximum number of printed characters of a finding
 
 
 class SoakRun:
--- a/tests/soak/test_connection_cap.py
+++ b/tests/soak/test_connection_cap.py
@@ -20,7 +20,8 @@
 LOAD_S = 4.0
 THINK_TIME_S = 0.02
 MAX_FIRST_WAIT_S = 1.0
-MIN_THROUGHPUT_SHARE = 0.8  # relative to the throughput at the cap
+# Lowest throughput at twice the cap, as a share of the throughput at the cap.
+MIN_THROUGHPUT_SHARE = 0.8
 
 
 @pytest.fixture(scope="module")
--- a/tests/soak/test_memory_limit.py
+++ b/tests/soak/test_memory_limit.py
@@ -14,7 +14,7 @@
 from tests.soak.misbehaving_clients_process import MisbehavingClientsProcess
 from tests.soak.proxy_process import KILOBYTE, ProxyProcess
 
-UNREACHABLE = "127.0.0.1:9"  # no coordinator listens there
+UNREACHABLE = "127.0.0.1:9"  # no coordinator listens at this address
 SETTLING_TIME_S = 1.0
 LOAD_S = 10.0
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -173,7 +173,7 @@
             assert new_coordinator.wait_for_poll(1)
             assert client.request().body == body_of(OBJECT_NAME, "3")
         proxy.send_signal(signal.SIGTERM)
-        proxy.send_signal(signal.SIGHUP)  # must not end the process, not even during the shutdown
+        proxy.send_signal(signal.SIGHUP)  # SIGHUP must not end the process, not even during the shutdown
         rest = [json.loads(line) for line in proxy.stdout]
         assert proxy.wait(WAIT_TIMEOUT_S) == 0
         assert_logs_one_shutdown(rest)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -193,6 +193,6 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
 def test_diagrams_hold_no_semicolon(page: Path) -> None:
-    """Mermaid reads a semicolon as the end of a line, and then does not draw the diagram at all."""
+    """Mermaid reads a semicolon as the end of a line, and then draws no part of the diagram."""
     diagrams = re.findall(r"^```mermaid$.*?^```$", page.read_text(encoding="utf-8"), re.DOTALL | re.MULTILINE)
     assert [diagram for diagram in diagrams if ";" in diagram] == []
