--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -1,4 +1,4 @@
-"""The event log and its counters."""
+"""Tests of the event log and its counters."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_exchange.py
+++ b/tests/proxy/test_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges: each one delivers exactly one response to its request."""
+"""Tests of exchanges: each one delivers exactly one response to its request."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 parser: any split of the bytes gives the same messages; garbage raises only `HttpError`."""
+"""Tests of the HTTP/1.1 parser.
+
+Any split of the bytes gives the same messages, and garbage raises only `HttpError`.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -1,4 +1,4 @@
-"""Memory pressure: its levels, and what the proxy frees or rejects at each of them."""
+"""Tests of memory pressure: its levels, and what the proxy frees or rejects at each of them."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_metrics.py
+++ b/tests/proxy/test_metrics.py
@@ -1,4 +1,4 @@
-"""Values of the `metrics` event that are read from the operating system."""
+"""Tests of the values of the `metrics` event that are read from the operating system."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_pending_exchanges.py
+++ b/tests/proxy/test_pending_exchanges.py
@@ -1,4 +1,4 @@
-"""The table of pending requests and their attempts."""
+"""Tests of the table of pending requests and their attempts."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -1,4 +1,4 @@
-"""Reasons that are logged or counted for given-up requests, failed attempts and closed connections."""
+"""Tests of the logged and counted reasons of given-up requests, failed attempts and closed connections."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -1,4 +1,4 @@
-"""Client requests: what the proxy forwards, and which response the client gets."""
+"""Tests of client requests: what the proxy forwards, and which response the client gets."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_routes.py
+++ b/tests/proxy/test_routes.py
@@ -1,4 +1,4 @@
-"""Mapping of HTTP requests to exchanges, and of responses to HTTP."""
+"""Tests of the mapping of HTTP requests to exchanges, and of responses to HTTP."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_shutdown_exit.py
+++ b/tests/proxy/test_shutdown_exit.py
@@ -1,4 +1,4 @@
-"""Exit of a graceful shutdown: it comes before the kill, even if a step of the shutdown is delayed."""
+"""Tests that a process exits before the kill, even if a step of its graceful shutdown is delayed."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_shutdown_schedule.py
+++ b/tests/proxy/test_shutdown_schedule.py
@@ -1,4 +1,4 @@
-"""The schedule of a graceful shutdown."""
+"""Tests of the schedule of a graceful shutdown."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -1,4 +1,4 @@
-"""Socket timeouts in the kernel's format, and socket states that the proxy reads from the kernel."""
+"""Tests of socket timeouts in the kernel's format, and socket states that the proxy reads from the kernel."""
 
 from __future__ import annotations
 
@@ -35,7 +35,10 @@
 def test_close_is_noticed_where_the_system_refuses_to_show_received_bytes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression test: the proxy sent an attempt for a client that had already disconnected."""
+    """Regression test: the proxy sent an attempt for a client that had already disconnected.
+
+    The close went unnoticed because the system refused to show received bytes.
+    """
 
     def refuse(*_: object) -> bytes:
         raise OSError(errno.ENOBUFS, os.strerror(errno.ENOBUFS))
--- a/tests/proxy/test_stall_watch.py
+++ b/tests/proxy/test_stall_watch.py
@@ -1,4 +1,4 @@
-"""Stall watch: a thread that spends too long on one step is reported with its stack."""
+"""Tests of the stall watch: a thread that spends too long on one step is reported with its stack."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -1,4 +1,4 @@
-"""Temporary failures of system calls and thread starts, which must not lose any request."""
+"""Tests of temporary failures of system calls and thread starts, which must not lose any request."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -1,4 +1,4 @@
-"""Timers of the event loop."""
+"""Tests of the timers of the event loop."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -1,4 +1,7 @@
-"""Write requests: forwarded with their body and idempotency key, never cached, and limited in size."""
+"""Tests of write requests.
+
+They are forwarded with their body and idempotency key, never cached, and limited in size.
+"""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -1,4 +1,4 @@
-"""Fill leases and cache locations of emulated proxies that share a store."""
+"""Tests of fill leases and cache locations of emulated proxies that share a store."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_client.py
+++ b/tests/shared_store/test_client.py
@@ -1,4 +1,4 @@
-"""Redis client of a store: a command that may have run is not sent again."""
+"""Tests of a store's Redis client: a command that may have run is not sent again."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_host.py
+++ b/tests/shared_store/test_host.py
@@ -1,4 +1,4 @@
-"""Threads of the shared store's host: their start and their end."""
+"""Tests of the start and the end of the threads of the shared store's host."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def test_start_waits_for_threads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a regression: a process failed to start if the system briefly could create no thread."""
+    """Regression test: a process failed to start if the system briefly could create no thread."""
     failures = iter(range(5))
     start = threading.Thread.start
 
--- a/tests/shared_store/test_invalidations.py
+++ b/tests/shared_store/test_invalidations.py
@@ -1,4 +1,4 @@
-"""Invalidations by way of the stores: their number is bounded, and all proxies receive them.
+"""Tests of invalidations in the stores: their number is bounded, and all proxies receive them.
 
 They are published again to a store that lost them.
 """
--- a/tests/shared_store/test_lease_table.py
+++ b/tests/shared_store/test_lease_table.py
@@ -1,4 +1,4 @@
-"""Fill leases that a proxy owns: increasing fencing numbers, and expiry by the owner's clock."""
+"""Tests of the fill leases that a proxy owns: increasing fencing numbers, and expiry by the owner's clock."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_outlier_reports.py
+++ b/tests/shared_store/test_outlier_reports.py
@@ -1,4 +1,4 @@
-"""Outlier reports by way of the stores: weak evidence, and only if several proxies report an endpoint."""
+"""Tests of outlier reports in the stores: weak evidence, and only if several proxies report an endpoint."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -1,4 +1,4 @@
-"""Two proxies that share one stand-in store on loopback: tests of host, event loop and `sharing` commands."""
+"""Tests of two proxies that share one stand-in store on loopback: host, event loop and `sharing` commands."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_quota_keys.py
+++ b/tests/shared_store/test_quota_keys.py
@@ -1,4 +1,4 @@
-"""Quota keys in records: the texts of earlier versions are still read, and written without a change."""
+"""Tests of quota keys in records: texts of earlier versions are still read, and written without a change."""
 
 import pytest
 
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -1,4 +1,4 @@
-"""Quota transfers: which grants are accepted, and what is donated.
+"""Tests of quota transfers: which grants are accepted, and what is donated.
 
 The proxies' parts and the transfers together never exceed the whole quota.
 """
@@ -170,7 +170,7 @@
 
 
 def test_offers_that_the_router_never_answers_are_dropped_when_they_expire() -> None:
-    """Guards against a regression: a proxy stopped donating after its router failed to handle some events."""
+    """Regression test: a proxy stopped donating after its router failed to handle some events."""
     donations = make_donations(make_requests("you"))
     for number in range(MAX_DONATIONS):
         request = request_quota(make_requests(f"other{number}"))
--- a/tests/shared_store/test_records.py
+++ b/tests/shared_store/test_records.py
@@ -1,4 +1,4 @@
-"""Stored records: their bytes in the store, and the data that is rejected."""
+"""Tests of stored records: their bytes in the store, and the data that is rejected."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_reply_shapes.py
+++ b/tests/shared_store/test_reply_shapes.py
@@ -1,4 +1,4 @@
-"""Replies of any shape and type: the coordinator handles each one, and no lookup gets two hints."""
+"""Tests of replies of any shape and type: the coordinator handles each one, and no lookup gets two hints."""
 
 from __future__ import annotations
 
@@ -85,7 +85,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_reply_of_any_shape_is_handled(seed: int) -> None:
-    """Guards against a regression: the coordinator failed on replies with too few or unexpected values."""
+    """Regression test: the coordinator failed on replies with too few or unexpected values."""
     store = FaultyStore(seed)
     for number in range(STEPS):
         store.step(number)
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -1,4 +1,4 @@
-"""Use of the shared store by a router: lookups, hints and outlier reports."""
+"""Tests of a router's use of the shared store: lookups, hints and outlier reports."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_router_quota.py
+++ b/tests/shared_store/test_router_quota.py
@@ -1,4 +1,4 @@
-"""Quota that a router donates to other proxies or requests from them, and the effect of transfers."""
+"""Tests of the quota that a router donates or requests, and of the effect of transfers between proxies."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -1,4 +1,4 @@
-"""Stores that are slow, unresponsive, empty, restored from a snapshot or full of malformed records.
+"""Tests of stores that are slow, unresponsive, empty, restored from a snapshot or full of malformed records.
 
 Requests are served during each of these faults.
 """
--- a/tests/shared_store/test_store_health.py
+++ b/tests/shared_store/test_store_health.py
@@ -1,4 +1,7 @@
-"""Circuit breaker of one store and the trust in it: when it is used, and which replies are accepted."""
+"""Tests of a store's circuit breaker and of the trust in the store.
+
+Breaker and trust decide when the store is used, and which of its replies are accepted.
+"""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_store_worker.py
+++ b/tests/shared_store/test_store_worker.py
@@ -1,4 +1,4 @@
-"""Worker of a store, and the rate limit of the log lines about the store's faults."""
+"""Tests of the worker of a store, and the rate limit of the log lines about the store's faults."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -1,4 +1,4 @@
-"""Stand-in server as the client library sees it, in RESP2 and RESP3, and the faults that a test can set."""
+"""Tests of the stand-in server with the client library, in RESP2 and RESP3, and of the server's faults."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_connection_cap.py
+++ b/tests/soak/test_connection_cap.py
@@ -1,4 +1,4 @@
-"""Real proxy processes with more clients than they may have connections."""
+"""Tests of real proxy processes with more clients than they may have connections."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_memory_limit.py
+++ b/tests/soak/test_memory_limit.py
@@ -1,4 +1,4 @@
-"""Memory use of real proxy processes, which must stay under the limit that the platform sets."""
+"""Tests of the memory use of real proxy processes, which must stay under the limit that the platform sets."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -1,4 +1,4 @@
-"""Violations that the soak's oracle reports, and observations that it accepts."""
+"""Tests of the violations that the soak's oracle reports, and observations that it accepts."""
 
 from __future__ import annotations
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""A few short soaks; `python -m tests.soak.run SEED...` runs other seeds by hand."""
+"""Tests that run a few short soaks; `python -m tests.soak.run SEED...` runs other seeds by hand."""
 
 from __future__ import annotations
 
