--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -149,6 +149,8 @@
         for client in clients:
             assert client.request().status == 200
         connections = proxy.parts.downstream.connections.snapshot()
+        # A client may have its response before the thread that wrote it has released the connection's lock.
+        assert proxy.wait_until(lambda: all(c.is_idle and not c.lock.locked() for c in connections))
         monkeypatch.setattr(socket.socket, "recv", recv_with_failing_peeks)
         began_at = time.monotonic()
         for connection in connections[:10]:
