--- a/tests/proxy/conftest.py
+++ b/tests/proxy/conftest.py
@@ -23,10 +23,10 @@
 
 @pytest.fixture
 def may_notice_close(monkeypatch: pytest.MonkeyPatch) -> Iterator[threading.Event]:
-    """Makes the proxy wait until the endpoint has closed the first upstream connection.
+    """Makes the proxy wait, after its first upstream connect, until the endpoint has closed the connection.
 
-    The writer thread waits for that close before it writes a request. The reader thread does not notice the
-    close until the event is set.
+    The upstream writer thread waits for that close before it writes a request. The connection's reader thread
+    does not notice the close until the event that this fixture returns is set.
     """
     may_notice = threading.Event()
     has_connected = threading.Event()
@@ -60,7 +60,10 @@
 
 @pytest.fixture
 def short_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Limits the time from SIGTERM to the kill to 1.5 s, even if a request class has a longer deadline."""
+    """Limits the time between SIGTERM and the platform's kill of the process to 1.5 s.
+
+    The limit also holds if a request class has a longer deadline.
+    """
     monkeypatch.setattr(shutdown, "MAX_DEADLINE", 1100 * MS)
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 400 * MS)
     monkeypatch.setattr(shutdown, "RESPONSE_MARGIN", 600 * MS)
--- a/tests/proxy/discovery/test_client.py
+++ b/tests/proxy/discovery/test_client.py
@@ -38,7 +38,7 @@
 
 @dataclass
 class ClientHarness:
-    """The discovery client under test, and the messages that it has posted."""
+    """The discovery client under test, and the messages that the client has posted."""
 
     client: DiscoveryClient
     log: EventLog
--- a/tests/proxy/discovery/test_faulty_coordinators.py
+++ b/tests/proxy/discovery/test_faulty_coordinators.py
@@ -19,8 +19,9 @@
 class StallingCoordinator(Coordinator):
     """A coordinator that stalls within its response to the first poll.
 
-    It sends half of that response and keeps the connection open. After that, it sends nothing or, with
-    `trickles`, one byte every 100 ms until `is_over` is set. Later polls get complete responses.
+    The coordinator sends half of that response and keeps the connection open. After that, it sends nothing.
+    If `trickles` is true, it sends one byte every 100 ms until `is_over` is set. Later polls get complete
+    responses.
     """
 
     def __init__(self, trickles: bool) -> None:
@@ -93,7 +94,7 @@
 
 
 class UnresponsiveCoordinator(Coordinator):
-    """A coordinator that accepts its first `polls` polls without a response and keeps them open."""
+    """A coordinator that leaves its first `polls` polls open without a response and answers later ones."""
 
     def __init__(self, polls: int) -> None:
         self.polls_left = polls
@@ -121,7 +122,7 @@
 
 
 def test_drain_during_unresponsive_polls_is_applied_and_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Checks a drain that begins while the open poll and the poll after it get no response.
+    """Checks a cache that begins to drain while the open poll and the poll after it get no response.
 
     The draining cache stays reachable, so it would receive a request that is wrongly sent to it.
     """
--- a/tests/proxy/discovery/test_flow_control.py
+++ b/tests/proxy/discovery/test_flow_control.py
@@ -1,6 +1,7 @@
 """Tests of flow control in discovery.
 
-Polls are kept apart, and the next poll waits until the event loop has handled the last response.
+A minimum interval lies between two polls, and the next poll waits until the event loop has handled the last
+response.
 """
 
 from __future__ import annotations
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -1,4 +1,4 @@
-"""Fake endpoints, delays and helpers that several tests of a complete proxy share."""
+"""Reply functions of endpoints, patches that delay threads, and helpers for tests of a complete proxy."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class DelayedReplies:
-    """A reply function of endpoints that wait until `may_reply` is set before they respond."""
+    """A reply function of toy endpoints, which respond only after `may_reply` is set."""
 
     def __init__(self) -> None:
         self.may_reply = threading.Event()
@@ -36,14 +36,17 @@
 
 
 def only_connection(proxy: ProxyHarness) -> ConnectionLifecycle:
-    """Returns the only client connection, once exactly one is open."""
+    """Waits until exactly one client connection is open; returns that connection."""
     assert proxy.wait_until(lambda: proxy.parts.downstream.open_count == 1)
     (connection,) = proxy.parts.downstream.connections.snapshot()
     return connection
 
 
 def idle_connection(proxy: ProxyHarness) -> ConnectionLifecycle:
-    """Returns the only client connection, once its response is written and no thread holds its lock."""
+    """Waits until the only client connection is idle and no thread holds its lock; returns the connection.
+
+    The connection is idle once its response is written.
+    """
     connection = only_connection(proxy)
     assert proxy.wait_until(lambda: connection.is_idle and not connection.lock.locked())
     return connection
@@ -77,7 +80,7 @@
 def settings_with_idempotency(effect: str, **changes: Any) -> dict[str, Any]:
     """Returns the example's settings with another `effect` of the first request class.
 
-    `changes` are applied to the same class.
+    `changes` replace further fields of that class.
     """
     settings: dict[str, Any] = toy_config()["settings"]
     first_class = {**settings["classes"][0], "effect": effect, **changes}
@@ -87,7 +90,8 @@
 class DelayedAborts:
     """A patch of the connection writer that delays aborts until `may_abort` is set.
 
-    With `is_reset`, the connection is then reset, and the abort is not written.
+    If `is_reset` is true, the delayed abort then fails as if the endpoint had reset the connection, and the
+    abort is not written.
     """
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -106,7 +110,7 @@
 
 
 def draining_entries(proxy: ProxyHarness, count: int) -> list[dict[str, Any]]:
-    """Returns the first `count` entries of the endpoint list with the state of a draining endpoint."""
+    """Returns the first `count` entries of the coordinator's endpoint list, changed to the draining state."""
     return [{**entry, "state": "terminating"} for entry in proxy.listed_endpoints[:count]]
 
 
--- a/tests/proxy/test_buffers.py
+++ b/tests/proxy/test_buffers.py
@@ -73,7 +73,8 @@
     pool.release(taken)
     again = pool.acquire(4)
     assert again is not None
-    assert pool.touched_bytes == 10 * 4_096  # buffers that were used before are acquired first
+    # The pool hands out used buffers first, so the second `acquire` has touched no further buffer.
+    assert pool.touched_bytes == 10 * 4_096
     assert pool.trim() == 6 * 4_096
     assert pool.touched_bytes == 4 * 4_096
     pool.release(again)
--- a/tests/proxy/test_cached_responses.py
+++ b/tests/proxy/test_cached_responses.py
@@ -59,7 +59,10 @@
 
 @pytest.mark.parametrize("clock_error_ms", [5_000, -5_000, 3_600_000, -3_600_000])
 def test_invalidation_evicts_cached_responses_whatever_the_wall_clock_was(clock_error_ms: int) -> None:
-    """Checks clocks of this process that are ahead of or behind the one of the endpoints and coordinator."""
+    """Guards against a cached response that survives its invalidation because this process's clock is wrong.
+
+    The clock may be ahead of or behind the clock of the endpoints and the coordinator.
+    """
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb != "fetch":
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -43,7 +43,7 @@
 
 
 def delay_reader(monkeypatch: pytest.MonkeyPatch, may_notice: threading.Event) -> None:
-    """Makes the reader threads of clients wait for `may_notice` before every read but the first."""
+    """Makes the reader threads of client connections wait for `may_notice`, except before the first read."""
     wait_readable = sockets.wait_readable
     has_read = threading.Event()
 
@@ -74,7 +74,10 @@
     disconnect: Disconnect,
     late_thread: str,
 ) -> None:
-    """Checks disconnects that the event loop or the connection's reader thread has not handled yet."""
+    """Guards against an attempt that is sent although the client has already disconnected.
+
+    The event loop or the connection's reader thread has not handled the disconnect yet.
+    """
     may_notice = threading.Event()
     if late_thread == "event loop":
         delay_abandonment(monkeypatch, may_notice)
@@ -93,7 +96,7 @@
         assert no_attempt_was_sent(proxy)
         may_notice.set()
         client.sock.close()
-        with proxy.connect() as other:  # the upstream connection stays open
+        with proxy.connect() as other:  # the upstream connection stays open for other clients
             assert other.request(part=7).status == 200
         assert proxy.parts.event_loop._router.state.endpoints.by_id["a"].failure_score == 0
         assert proxy.parts.event_loop._router.state.endpoints.by_id["b"].failure_score == 0
--- a/tests/proxy/test_client_limits.py
+++ b/tests/proxy/test_client_limits.py
@@ -48,7 +48,10 @@
 
 
 def test_exhausted_body_buffers_leave_the_proxy_responsive() -> None:
-    """Checks that requests are still rejected in time and that no endpoint's failure score rises."""
+    """Checks that a request is rejected in time if no body buffer is free.
+
+    No endpoint's failure score may rise, because no endpoint has failed.
+    """
     with running_proxy() as proxy, proxy.connect() as client:
         taken = proxy.parts.body_buffers.acquire(proxy.parts.config.limits.body_buffers)
         assert taken is not None
@@ -74,7 +77,8 @@
         assert proxy.counter("connection_deadlines_exceeded") >= 1
     with running_proxy(bounds=SHORT_TIMEOUTS) as proxy, proxy.connect() as client:
         assert client.request().status == 200
-        assert client.is_closed_by_proxy()  # the client is idle after its first request
+        # After its first request, the client stays idle for longer than the keep-alive timeout.
+        assert client.is_closed_by_proxy()
 
 
 @pytest.mark.parametrize("data", [b"GET /api/v2/segm", HttpClient.encode_request(Content_Length="9")])
@@ -103,7 +107,11 @@
 
 
 def test_endless_sender_is_closed_after_its_rejection() -> None:
-    """Checks that the proxy limits how many bytes it reads, and for how long, after closing its side."""
+    """Guards against reading without end from a client that goes on sending after its request was rejected.
+
+    After the rejection, the proxy closes its side of the connection. It then limits how many bytes it still
+    reads, and for how long.
+    """
     with running_proxy() as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(Content_Length="60000000"))
         with pytest.raises(ConnectionError):
@@ -135,9 +143,10 @@
 
 @pytest.mark.usefixtures("small_send_buffer")
 def test_slow_reader_is_closed_where_no_thread_can_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Checks that the connection closes and its buffers are released.
+    """Guards against a connection that stays open and buffers that are never released.
 
-    The rest of the response can't be written, because no thread can be started for it.
+    The proxy starts a thread to write the rest of a response to a slow reader. Here this thread can't be
+    started, so the rest can't be written.
     """
     with running_proxy(reply_with_large_body) as proxy:
         start = threading.Thread.start
--- a/tests/proxy/test_clock.py
+++ b/tests/proxy/test_clock.py
@@ -28,9 +28,11 @@
     clock = Clock()
     now = clock.now()
     assert clock.from_unix(now) == now
-    clock.observe(now - 5_000_000_000)  # a time in the past shows no error of the clock
+    # Another machine's time in the past is no evidence that this clock is wrong.
+    clock.observe(now - 5_000_000_000)
     assert clock.from_unix(now) == now
     clock.observe(clock.now() + 3_600_000_000_000)
     later = clock.from_unix(now + 3_600_000_000_000)
     assert abs(later - now) < 1_000_000_000
-    assert clock.now() - now < 1_000_000_000  # durations on this clock stay correct
+    # Observing a later time does not set this clock forward, so durations measured with it stay correct.
+    assert clock.now() - now < 1_000_000_000
--- a/tests/proxy/test_connection_limit.py
+++ b/tests/proxy/test_connection_limit.py
@@ -99,7 +99,7 @@
 
 
 def test_client_is_rejected_where_no_slot_becomes_free_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against a client that gets no response because all slots are taken by pending requests."""
+    """Guards against leaving a client without a response while pending requests take all connection slots."""
     monkeypatch.setattr(connection_admission, "MAX_SLOT_WAIT_S", 0.1)
     monkeypatch.setattr(connection_admission, "PATIENT_SLOT_WAIT_S", 0.1)
     delayed_replies = DelayedReplies()
@@ -118,7 +118,7 @@
 
 
 def test_wait_for_a_slot_is_taken_from_the_time_of_the_request() -> None:
-    """Guards against a late final response: the wait for a slot is part of the request's timeout."""
+    """Guards against a late response: the request's timeout includes the wait for a connection slot."""
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies, limits=FEW_CONNECTIONS) as proxy:
         clients = clients_with_pending_requests(proxy)
@@ -126,7 +126,7 @@
             sent_at = time.monotonic()
             late.send(HttpClient.encode_request(timeout_ms=1_000))
             time.sleep(0.5)
-            # Frees a slot for the late client. The endpoints do not reply to its request either.
+            # Frees a connection slot for the late client, whose request also gets no reply from any endpoint.
             clients[0].sock.close()
             assert late.read_response().status == 503
             assert time.monotonic() < sent_at + 1.2
@@ -137,7 +137,7 @@
 
 
 def test_client_is_rejected_where_the_wait_for_its_slot_raises(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against closing a new connection without a response if the eviction of an idle one raises."""
+    """Guards against closing a new connection without a response if evicting an idle one raises an error."""
     with running_proxy(limits=FEW_CONNECTIONS) as proxy:
         clients = [proxy.connect() for _ in range(proxy.parts.config.limits.max_client_connections)]
         for client in clients:
@@ -145,7 +145,7 @@
         monkeypatch.setattr(ConnectionEvictor, "evict_one", None)
         with proxy.connect() as late:
             assert late.request(timeout_ms=15_000).status == 503
-        # The error is logged after the response.
+        # The proxy counts the error after it has sent the response, so the test waits for the count.
         assert proxy.wait_until(lambda: proxy.counter("accept_error") == 1)
         for client in clients:
             client.sock.close()
@@ -164,7 +164,7 @@
 
 
 def test_client_that_writes_its_first_request_slowly_is_not_evicted() -> None:
-    """Guards against evicting a client without a response after part of its first request has been read."""
+    """Guards against evicting a client whose first request was read in part: it would get no response."""
     with running_proxy(limits=FEW_CONNECTIONS) as proxy, proxy.connect() as slow:
         request = HttpClient.encode_request(timeout_ms=15_000)
         slow.send(request[:30])
@@ -206,7 +206,8 @@
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             headers: dict[str, str] = {}
-            with contextlib.suppress(ConnectionError):  # the busy client may also be evicted between requests
+            # The proxy may evict the busy client between two requests.
+            with contextlib.suppress(ConnectionError):
                 for _ in range(MAX_BUSY_CLIENT_REQUESTS):
                     if "connection" in headers:
                         break
@@ -216,10 +217,11 @@
 
 
 def test_client_that_was_just_served_is_not_evicted() -> None:
-    """Guards against a connection reset that overtakes the response before it.
+    """Guards against evicting a client right after its response was sent.
 
-    At the limit, another client is evicted. If no client has been idle for `MIN_IDLE_BEFORE_EVICTION` yet,
-    none is evicted until one has.
+    The eviction could reset the connection, and the reset could overtake the response. At the connection
+    limit, the proxy therefore evicts another client. If no client has been idle for
+    `MIN_IDLE_BEFORE_EVICTION` yet, the proxy evicts none until one has.
     """
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         cap = proxy.parts.config.limits.max_client_connections
@@ -241,7 +243,11 @@
 
 
 def test_idle_clients_at_the_limit_keep_out_neither_discovery_nor_upstream_nor_clients() -> None:
-    """Checks that a descriptor is left to poll the coordinator, which restarts after the clients connect."""
+    """Guards against idle clients that use up all descriptors.
+
+    The coordinator restarts after the clients have connected, and a descriptor must be left to poll it.
+    Upstream connections and further clients need descriptors, too.
+    """
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         assert proxy.coordinator.wait_for_poll(1)
         proxy.coordinator.close()
@@ -261,7 +267,11 @@
 
 
 def test_flood_of_idle_clients_is_admitted_as_fast_as_slots_become_free() -> None:
-    """Checks that the next client gets an evicted client's slot at once, not only at the next check."""
+    """Checks that a waiting client gets an evicted client's connection slot at once.
+
+    If each client of a flood got its slot only when the proxy next checks for a free one, every client would
+    take `SLOT_RETRY_INTERVAL_S` to be admitted.
+    """
     with running_proxy(limits={"sockets": 64, "memory_mb": 64}) as proxy:
         flood = [proxy.connect() for _ in range(10 * proxy.parts.config.limits.max_client_connections)]
         began_at = time.monotonic()
--- a/tests/proxy/test_delay_histogram.py
+++ b/tests/proxy/test_delay_histogram.py
@@ -1,4 +1,7 @@
-"""Tests of the histogram of durations: percentiles equal those of a sorted list within one part in 32."""
+"""Tests of the histogram of durations.
+
+Its percentiles exceed those of a sorted list of the same durations by at most one part in 32.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_discovery_changes.py
+++ b/tests/proxy/test_discovery_changes.py
@@ -65,9 +65,10 @@
 
 @pytest.mark.parametrize("clock_error_ms", [0, -500, 5_000, -5_000, HOUR_MS, -HOUR_MS])
 def test_invalidations_bound_the_age_of_cached_responses(clock_error_ms: int) -> None:
-    """Checks that the maximum age is measured from the invalidation.
+    """Checks the maximum age that the proxy sends with a request after its object was invalidated.
 
-    An error of this process's wall clock, which is read at its start, must make no difference.
+    The maximum age is measured from the invalidation. This process reads the wall clock at its start, and an
+    error of that clock must make no difference.
     """
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
@@ -162,7 +163,7 @@
 
 
 def test_proxy_serves_by_the_known_list_before_discovery_responds() -> None:
-    """Checks that the endpoint list of the configuration is used if discovery is down at the start."""
+    """Checks that the configuration's endpoint list is used if the coordinator is down at the start."""
     coordinator = Coordinator()
     coordinator.close()
     with running_proxy() as other:
@@ -185,9 +186,11 @@
 def test_invalidations_of_the_start_are_no_older_than_their_distance_from_the_last(
     clock_error_ms: int,
 ) -> None:
-    """Checks the ages of the invalidations in the configuration if this process's clock may be wrong.
+    """Checks the ages of the configuration's invalidations if this process's clock may be wrong at the start.
 
-    Only the differences between their times are certain, and the last invalidation may have an age of 0.
+    Only the differences between the invalidations' times are certain. The last invalidation may have
+    happened just now, so its age is taken to be 0, and the age of an earlier one to be at most its distance
+    from the last.
     """
     now_ms = time.time_ns() // 1_000_000 - clock_error_ms
     updates = [
--- a/tests/proxy/test_downstream_connections.py
+++ b/tests/proxy/test_downstream_connections.py
@@ -1,4 +1,4 @@
-"""Tests of requests that arrive at the close, the eviction or the deadline of a client's connection."""
+"""Tests of requests that arrive just when a client's connection is closed, is evicted or expires."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 def test_request_that_arrives_during_the_close_is_not_forwarded(
     close: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Checks that a request in the kernel's buffer at the close is not forwarded when it is read later."""
+    """Guards against forwarding a request whose connection is already being closed.
+
+    The request is in the kernel's buffer at the close, and the proxy may still read it afterwards.
+    """
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         connection = idle_connection(proxy)
@@ -70,7 +73,10 @@
 
 
 def test_request_that_was_read_is_served_after_the_connection_deadline() -> None:
-    """Checks a connection deadline that passes before a request is read and is enforced only afterwards."""
+    """Guards against losing a request that has been read just after its connection's deadline passed.
+
+    The proxy enforces the deadline only after it has read the request.
+    """
     delayed_replies = DelayedReplies()
     with running_proxy(delayed_replies) as proxy, proxy.connect() as client:
         client.send(HttpClient.encode_request(timeout_ms=15_000))
--- a/tests/proxy/test_error_isolation.py
+++ b/tests/proxy/test_error_isolation.py
@@ -35,7 +35,7 @@
 
 
 def test_error_in_a_response_writer_releases_the_body(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against buffers that are never released; `running_proxy` checks that none is still in use."""
+    """Guards against buffers that stay in use: `running_proxy` checks at its end that none is in use."""
     with running_proxy() as proxy, proxy.connect() as client, proxy.connect() as other:
         with monkeypatch.context() as patched:
             patched.setattr("olivepost.proxy.downstream.response_delivery.encode_response", None)
@@ -57,7 +57,8 @@
     monkeypatch.setattr(sockets, "send_buffers", send_with_fault)
     with running_proxy(reply_with_large_body) as proxy:
         sock = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
-        # If the client read earlier, it could receive the whole response without a slow writer.
+        # The client reads only after the proxy has noticed that it is slow. If the client read earlier, it
+        # could receive the whole response without a slow-writer thread.
         assert proxy.wait_until(lambda: proxy.counter("slow_clients") == 1)
         while sock.recv(65_536):
             pass
--- a/tests/proxy/test_event_log.py
+++ b/tests/proxy/test_event_log.py
@@ -63,7 +63,8 @@
     os.close(write)
     with os.fdopen(read, "rb") as lines:
         logged_count = len(list(lines))
-    assert logged_count <= 2 * MAX_SAMPLES_PER_S  # the events may fall into two seconds
+    # The limit holds for each second, and the events may be spread over two seconds.
+    assert logged_count <= 2 * MAX_SAMPLES_PER_S
     assert log.counters()["frequent_not_logged"] == 1_000 - logged_count
 
 
--- a/tests/proxy/test_http1.py
+++ b/tests/proxy/test_http1.py
@@ -36,7 +36,7 @@
 def parse(
     chunks: list[bytes], make_parser: Callable[[int, int], Parser[Any]] = RequestParser
 ) -> list[Message[Any]]:
-    """Feeds the chunks to a new parser and returns the messages, which are taken after each chunk."""
+    """Feeds the chunks to a new parser, takes its messages after each chunk, and returns all messages."""
     parser = make_parser(MAX_HEAD_SIZE, MAX_BODY_SIZE)
     messages = list[Message[Any]]()
     for chunk in chunks:
--- a/tests/proxy/test_invariants.py
+++ b/tests/proxy/test_invariants.py
@@ -1,4 +1,4 @@
-"""Checks of invariants in debug builds and in release builds (`python -O`)."""
+"""Tests of what a violated invariant does in debug builds and in release builds (`python -O`)."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -34,7 +34,7 @@
         self.monitor = MemoryMonitor(LIMIT, self.log, self.levels.append, lambda: self.used)
 
     def level_at(self, share: float) -> Level:
-        """Checks the memory with a share of the limit in use; returns the level."""
+        """Sets the memory in use to a share of the limit and checks it; returns the level of pressure."""
         self.used = int(share * LIMIT)
         self.monitor.check()
         return self.monitor.level
@@ -88,7 +88,7 @@
 
 
 def set_memory_use(proxy: ProxyHarness, share: float) -> None:
-    """Makes the proxy find a share of its memory limit in use, and checks it as the main thread does."""
+    """Makes a share of the proxy's memory limit appear as in use; runs the main thread's memory check."""
     limit = proxy.parts.config.limits.memory.limit
     proxy.parts.memory_monitor.read_resident_bytes = lambda: int(share * limit)
     proxy.parts.memory_monitor.check()
@@ -99,7 +99,8 @@
         running_proxy(flow_bytes_per_s=1_000_000, link_bytes_per_s=8_000_000) as proxy,
         proxy.connect() as client,
     ):
-        for part in (0, 1, 2, 3) * 2:  # the second response for a name is stored
+        # Each name is requested twice, because only the second response for a name is stored.
+        for part in (0, 1, 2, 3) * 2:
             assert client.request(part=part).status == 200
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 4)
         set_memory_use(proxy, 0.81)
@@ -107,7 +108,7 @@
         set_memory_use(proxy, 0.81)
         set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: len(proxy.parts.response_cache) == 0)
-        assert client.request().status == 200  # the connection is still open and served
+        assert client.request().status == 200  # the client's connection is still open and served
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.in_use <= 60)
         set_memory_use(proxy, 0.81)
         assert proxy.wait_until(lambda: proxy.parts.body_buffers.touched_bytes < 300_000)
@@ -129,8 +130,8 @@
 def has_evicted_under_pressure(proxy: ProxyHarness) -> bool:
     """Puts the proxy under memory pressure; returns whether it has evicted an idle connection.
 
-    The call has to be repeated, because a connection is not evicted before it has been idle for
-    `MIN_IDLE_BEFORE_EVICTION`.
+    Callers repeat the call until it returns True, because a connection is not evicted before it has been
+    idle for `MIN_IDLE_BEFORE_EVICTION`.
     """
     set_memory_use(proxy, 0.85)
     return proxy.counter("connections_evicted") > 0
--- a/tests/proxy/test_reasons.py
+++ b/tests/proxy/test_reasons.py
@@ -35,7 +35,7 @@
 
 
 def first_event(proxy: ProxyHarness, lines: LogLines, name: str) -> dict[str, object]:
-    """Waits until an event with a name is logged; returns the first such event."""
+    """Waits until an event with the given name is logged; returns the first such event."""
     assert proxy.wait_until(lambda: any(line["event"] == name for line in lines))
     return next(line for line in lines if line["event"] == name)
 
--- a/tests/proxy/test_requests.py
+++ b/tests/proxy/test_requests.py
@@ -171,7 +171,7 @@
 
 
 def test_only_the_etag_that_the_client_sent_gets_304() -> None:
-    """A `VALID` response with another ETag, or without one, does not confirm the client's copy."""
+    """Checks that a `VALID` response with another ETag, or with none, doesn't confirm the client's copy."""
     names = iter(["other", ""])
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
--- a/tests/proxy/test_response_cache.py
+++ b/tests/proxy/test_response_cache.py
@@ -27,7 +27,7 @@
         response = make_response(pool, b"0123456789", 100 + part)
         cache.store(make_exchange(part, group=part % 2), response)
         response.release()
-        assert cache.get(make_exchange(0)) is not None  # the most recently used entry stays
+        assert cache.get(make_exchange(0)) is not None  # the most recently used entry is not evicted
     assert len(cache) == 3
     assert pool.in_use == 3
     assert cache.get(make_exchange(1)) is None
--- a/tests/proxy/test_routes.py
+++ b/tests/proxy/test_routes.py
@@ -20,7 +20,7 @@
 
 
 def build(method: str = "GET", target: str = f"/api/v2/image/{OBJECT}/slice-3", **fields: str) -> Exchange:
-    """Returns the exchange of a request. A field with the value '' is left out of the request."""
+    """Returns the exchange built from a request. A field with the value '' is left out of the request."""
     given = FIELDS | {name.replace("_", "-"): value for name, value in fields.items()}
     headers: dict[str, tuple[str, ...]] = {name: (value,) for name, value in given.items() if value}
     message = Message(RequestLine(method, target, "HTTP/1.1"), headers, b"body")
--- a/tests/proxy/test_shutdown.py
+++ b/tests/proxy/test_shutdown.py
@@ -60,7 +60,10 @@
 
 
 def test_connections_accepted_by_the_kernel_are_served_at_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A busy proxy may have unread requests and connections in its accept queue when it shuts down."""
+    """Guards against losing clients whose connections only the kernel has accepted when the proxy shuts down.
+
+    A busy proxy may have unread requests and connections in its accept queue at that time.
+    """
     may_start = threading.Event()
     start = ConnectionAdmission._start_connection
 
@@ -92,7 +95,8 @@
     with running_proxy() as proxy, proxy.connect() as client:
         assert client.request().status == 200
         (connection,) = proxy.parts.downstream.connections.snapshot()
-        with connection.lock:  # the connection's reader thread has to wait for the lock
+        # The connection's reader thread can't read the request while the test holds the lock.
+        with connection.lock:
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: not connection.has_nothing_unread)
             proxy.parts.downstream.drain()
@@ -175,9 +179,9 @@
 def test_client_that_waits_at_the_connection_limit_is_served_at_shutdown(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The accept thread has accepted the client's connection while all slots are in use.
+    """Guards against losing a connection that still waits for a free slot when the listener is closed.
 
-    Closing the listener must not lose this connection.
+    The accept thread has accepted the client's connection while all connection slots are in use.
     """
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     delayed_replies = DelayedReplies()
@@ -224,7 +228,8 @@
             lambda: proxy.counter("slow_clients") == 1 and proxy.parts.event_loop.pending_count == 0
         )
         shutdown_thread, began_at = start_shutdown(proxy)
-        # The times to accept and to close are over, but the proxy still waits for the pending response.
+        # The time in which clients may connect and the time in which they may close their connections are
+        # over, but the proxy still waits for the pending response.
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > began_at + 400 * MS)
         assert shutdown_thread.is_alive()
         received = b""
@@ -239,7 +244,10 @@
 def test_connection_that_is_written_to_during_shutdown_closes_once_it_is_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The response was begun before the shutdown, so it did not announce the connection's close."""
+    """Guards against a connection that stays open after a response that did not announce its close.
+
+    The response began before the shutdown, so it could not announce the close.
+    """
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
     with running_proxy(reply_with_large_body) as proxy:
         sock = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
@@ -302,7 +310,10 @@
 
 @pytest.mark.usefixtures("small_send_buffer", "short_shutdown")
 def test_slow_reader_does_not_delay_the_exit_past_the_kill() -> None:
-    """The platform kills the process when the grace period ends, even if log lines are not written yet."""
+    """Guards against log lines that are lost because a slow client delays the exit.
+
+    The platform kills the process when the grace period ends, even if log lines are not written yet.
+    """
     kill_after_s = (shutdown.MAX_DEADLINE + shutdown.ACCEPT_FOR) / SECOND
     with running_proxy(reply_with_large_body, bounds={"slow_client_timeout": 5 * SECOND}) as proxy:
         slow_client = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
--- a/tests/proxy/test_shutdown_exit.py
+++ b/tests/proxy/test_shutdown_exit.py
@@ -1,4 +1,7 @@
-"""Tests that a process exits before the kill, even if a step of its graceful shutdown is delayed."""
+"""Tests of the exit at the end of a graceful shutdown.
+
+The process exits before the platform kills it, even if a step of the shutdown is delayed.
+"""
 
 from __future__ import annotations
 
@@ -32,7 +35,10 @@
 
 @contextmanager
 def proxy_with_slow_reader() -> Iterator[ProxyHarness]:
-    """Runs a proxy whose only client does not read its response, so that a shutdown waits until `exit_by`."""
+    """Runs a proxy whose only client does not read its response.
+
+    A shutdown of the proxy therefore waits until `exit_by`, the time at which the process begins to exit.
+    """
     with running_proxy(reply_with_large_body, bounds={"slow_client_timeout": 5 * SECOND}) as proxy:
         slow_client = request_with_small_receive_buffer(proxy, timeout_ms=15_000)
         assert proxy.wait_until(lambda: proxy.counter("slow_clients") == 1)
@@ -44,9 +50,10 @@
 def test_log_that_nobody_reads_does_not_delay_the_exit_past_the_kill(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Regression test: each step of a shutdown waited for its own timeout, one after another.
+    """Regression test: the platform could kill the process before the process exited.
 
-    The sum of the timeouts could exceed the time until the kill.
+    Each step of the shutdown waited for its own timeout, one after another, and the sum of the timeouts
+    could exceed the time until the kill.
     """
     with proxy_with_slow_reader() as proxy:
         may_write = threading.Event()
@@ -66,7 +73,10 @@
 
 @pytest.mark.usefixtures("small_send_buffer", "short_shutdown")
 def test_reloads_do_not_delay_the_exit_past_the_kill() -> None:
-    """Regression test: shortly before the kill, the main thread still read the configuration for a reload."""
+    """Regression test: the platform could kill the process before the process exited.
+
+    Shortly before the kill, the main thread still read the configuration for a reload.
+    """
     with proxy_with_slow_reader() as proxy:
         config = proxy.parts.config
 
@@ -89,7 +99,10 @@
 
 @pytest.mark.usefixtures("short_shutdown")
 def test_repeated_signals_leave_clients_their_time_to_close(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression test: the time for clients to close was counted in waits, and a signal ends a wait early."""
+    """Regression test: repeated signals shortened the time in which clients may close their connections.
+
+    The proxy measured this time by the number of its waits, and each signal ends a wait early.
+    """
     monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.5)
     with running_proxy() as proxy, proxy.connect() as idle:
         assert idle.request().status == 200
@@ -109,7 +122,7 @@
 ) -> None:
     """Regression test: the process exited although a response was pending.
 
-    It had been paused for longer than clients have to close their connections.
+    The main thread had been paused for longer than the time in which clients may close their connections.
     """
     monkeypatch.setattr(shutdown, "CLIENT_CLOSE_S", 0.05)
     monkeypatch.setattr(shutdown, "ACCEPT_FOR", 100 * MS)
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -29,7 +29,8 @@
         assert accept_queue_length(listener) == 2
         for client in clients:
             client.close()
-    assert accept_queue_length(listener) == 0  # the system reports no length for a closed socket
+    # The system reports no length for a closed socket, so the result is 0.
+    assert accept_queue_length(listener) == 0
 
 
 def test_close_is_noticed_where_the_system_refuses_to_show_received_bytes(
@@ -37,7 +38,7 @@
 ) -> None:
     """Regression test: the proxy sent an attempt for a client that had already disconnected.
 
-    The close went unnoticed because the system refused to show received bytes.
+    The proxy did not notice the close, because the system refused to let it peek at received bytes.
     """
 
     def refuse(*_: object) -> bytes:
@@ -52,6 +53,7 @@
         assert not has_nothing_unread(near)
         far.close()
         assert is_closed_by_peer(near)
-        near.close()  # the connection's own thread may close the socket at any time
+        # The connection's own thread may close the socket at any time, even while another thread checks it.
+        near.close()
         assert not is_closed_by_peer(near)
         assert not has_nothing_unread(near)
--- a/tests/proxy/test_stall_watch.py
+++ b/tests/proxy/test_stall_watch.py
@@ -1,4 +1,7 @@
-"""Tests of the stall watch: a thread that spends too long on one step is reported with its stack."""
+"""Tests of the stall watch: a thread that spends too long on one step is reported with its stack.
+
+A step is the work of a thread between two waits.
+"""
 
 from __future__ import annotations
 
@@ -73,7 +76,10 @@
 
 @pytest.mark.parametrize("standard_error", ["open", "closed"])
 def test_signal_for_a_dump_of_all_threads_does_not_end_the_process(standard_error: str) -> None:
-    """Regression test: a process without standard error did not start, or was ended by the signal."""
+    """Regression test: a process without standard error did not start, or was ended by the signal.
+
+    The signal, SIGUSR1, makes a process write the stacks of all its threads to standard error.
+    """
     close = "os.close(2); sys.stderr = None" if standard_error == "closed" else "pass"
     program = (
         f"import os, signal, sys; {close}; from olivepost.proxy.server import register_thread_dump;"
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -135,7 +135,7 @@
 
 
 def recv_with_failing_peeks(sock: socket.socket, size: int, flags: int = 0) -> bytes:
-    """Receives as `socket.recv` does, but fails for every non-blocking peek."""
+    """Receives as `socket.recv` does, but raises an OSError (ENOBUFS) for every non-blocking peek."""
     peek = socket.MSG_PEEK | socket.MSG_DONTWAIT
     if flags & peek == peek:
         raise os_error(errno.ENOBUFS)
@@ -143,13 +143,16 @@
 
 
 def test_peeks_that_fail_for_good_delay_no_other_connection(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression test: the threads for shutdown, deadlines and accepting paused once for each connection."""
+    """Regression test: connections whose received bytes can't be peeked at delayed other connections.
+
+    The threads for shutdown, deadlines and accepting paused once for each such connection.
+    """
     with running_proxy() as proxy:
         clients = [proxy.connect() for _ in range(30)]
         for client in clients:
             assert client.request().status == 200
         connections = proxy.parts.downstream.connections.snapshot()
-        # A client may have its response before the thread that wrote it has released the connection's lock.
+        # A client may have its response before the thread that wrote the response has released the lock.
         assert proxy.wait_until(lambda: all(c.is_idle and not c.lock.locked() for c in connections))
         monkeypatch.setattr(socket.socket, "recv", recv_with_failing_peeks)
         began_at = time.monotonic()
@@ -177,7 +180,8 @@
         assert idle.request().status == 200
         connections = proxy.parts.downstream.connections.snapshot()
         with contextlib.ExitStack() as locks:
-            for connection in connections:  # the reader threads have to wait for the locks
+            # The reader threads can't read while the test holds the locks of their connections.
+            for connection in connections:
                 locks.enter_context(connection.lock)
             client.send(HttpClient.encode_request(timeout_ms=15_000))
             assert proxy.wait_until(lambda: sum(not c.has_nothing_unread for c in connections) == 1)
@@ -193,7 +197,7 @@
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
         with proxy.connect() as client:
             assert client.request().status == 200
-            # The pause is longer than the listener's receive timeout, which accepted sockets inherit.
+            # Accepted sockets inherit the listener's receive timeout. The pause is longer than that timeout.
             time.sleep(4 * ACCEPT_TIMEOUT / SECOND)
             assert client.request(part=4).status == 200
 
@@ -296,13 +300,15 @@
                 proxy.parts.discovery.switch_coordinator(address)
         polls = proxy.coordinator.polls
         assert proxy.coordinator.wait_for_poll(polls + 1)  # the old coordinator is still polled
-        assert proxy.parts.discovery.switch_coordinator(address)  # the next reload succeeds
+        # Threads can be started again, so the next reload succeeds.
+        assert proxy.parts.discovery.switch_coordinator(address)
 
 
 def test_reload_waits_for_no_thread_and_is_repeated(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression test: a reload waited for a thread for seconds.
+    """Regression test: a reload waited for seconds until a thread could be started.
 
-    Meanwhile, the main thread handled no signal, and the events of the running poll were not applied.
+    Meanwhile, the main thread handled no signal, and the events that the running poll received were not
+    applied.
     """
     with running_proxy() as proxy, running_proxy() as other:
         assert proxy.coordinator.wait_for_poll(1)
@@ -319,7 +325,8 @@
             proxy.server.reload()
             assert time.monotonic() < began_at + 1
         assert other.coordinator.polls == polls
-        proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)  # repeats the reload, as `run` does
+        # While it waits, the main thread repeats the failed reload, as it does in `run`.
+        proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)
         assert other.coordinator.wait_for_poll(polls + 2)
 
 
@@ -333,7 +340,10 @@
 
 
 def test_client_that_sends_beside_a_failing_poll_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Discovery always fails to connect, so requests are routed by the configured list of known endpoints."""
+    """Guards against requests that fail or wait because discovery can't connect to the coordinator.
+
+    Discovery always fails to connect, so requests are routed by the configured list of known endpoints.
+    """
     connect = failing(sockets.connect, os_error(errno.ENETUNREACH), 1_000_000, "discovery")
     monkeypatch.setattr(sockets, "connect", connect)
     with running_proxy() as proxy, proxy.connect() as client:
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -1,6 +1,6 @@
 """Tests of write requests.
 
-They are forwarded with their body and idempotency key, never cached, and limited in size.
+Write requests are forwarded with their body and idempotency key, never cached, and limited in size.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def serve_writes(endpoint: ToyEndpoint, command: Command) -> None:
-    """Responds with `done` to a fetch that has a body, and to all other commands as the toy endpoints do."""
+    """Responds to a fetch that has a body with the body `done`, to other commands as toy endpoints do."""
     if command.verb == "fetch" and command.body:
         command.respond("HIT", b"done", why="fill", entity="new", issued="1")
     else:
@@ -95,7 +95,10 @@
 
 
 def test_platform_classes_reject_writes() -> None:
-    """Without a class that accepts writes, bodies must be small and no memory is budgeted for large ones."""
+    """Checks the limits on request bodies if no request class accepts writes.
+
+    Bodies must then be small, and no memory is budgeted for large ones.
+    """
     limits = read_config(toy_config(), {}).limits
     assert limits.max_request_body_bytes == SMALL_BODY_BYTES
     assert limits.large_body_bytes == 0
@@ -106,9 +109,10 @@
 
 
 def test_large_bodies_share_one_budget_and_release_their_parts() -> None:
-    """A body that exceeds the budget is rejected before it is read.
+    """Checks the memory budget of large request bodies, in which each large body reserves its size.
 
-    A response releases the reservation of its request, and a client that disconnects releases its own.
+    A body that exceeds the rest of the budget is rejected before it is read. A reservation is released when
+    its request gets a response or its client disconnects.
     """
     may_reply = threading.Event()
 
@@ -145,9 +149,9 @@
 
 
 def test_large_body_of_a_health_check_releases_its_reservation() -> None:
-    """The response releases the reservation, not the close of the connection.
+    """Guards against a reservation that is released only when the connection closes.
 
-    The long keep-alive timeout keeps the connection open.
+    The response must release the reservation. The long keep-alive timeout keeps the connection open.
     """
     keepalive = {"keepalive_timeout": 60_000_000_000}
     with (
--- a/tests/proxy/upstream/test_completion.py
+++ b/tests/proxy/upstream/test_completion.py
@@ -85,7 +85,9 @@
     ("issued", "generated_at"),
     [
         ("1764575999123", 1_764_575_999_123 * MILLISECOND),
-        ("1764576000123", START),  # a time after its receipt shows that this process's clock is behind
+        # A response that was issued after its receipt shows that this process's clock is behind. The time of
+        # the receipt is then used.
+        ("1764576000123", START),
         ("", None),
         ("soon", None),
         ("²", None),
--- a/tests/proxy/upstream/test_connections.py
+++ b/tests/proxy/upstream/test_connections.py
@@ -65,9 +65,10 @@
 
 
 def test_duplicate_response_is_not_taken_for_the_next_attempt() -> None:
-    """Guards against a fill that is ended by the second NONE response to the lookup before it.
+    """Guards against a fill that ends because a duplicate response is taken for the response to the fill.
 
-    The fill and the lookup have the same request id.
+    The endpoint responds with NONE twice to the lookup before the fill, and the lookup and the fill have the
+    same request id.
     """
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
@@ -173,7 +174,7 @@
 def test_retry_whose_connection_is_established_after_its_window_is_not_sent(
     delayed_connects: DelayedConnects,
 ) -> None:
-    """Checks that a retry is not sent if its idempotency window ends before it can be written."""
+    """Checks that a retry is not sent if the idempotency window ends before the retry can be written."""
     with (
         running_proxy(settings=settings_with_idempotency("idempotency_key", window=5 * SECOND)) as proxy,
         proxy.connect() as client,
--- a/tests/proxy/upstream/test_endpoint_failures.py
+++ b/tests/proxy/upstream/test_endpoint_failures.py
@@ -54,7 +54,7 @@
     ],
 )
 def test_connection_with_malformed_frames_is_closed(line: bytes) -> None:
-    """Checks that the attempt is lost, and that its request is retried or gets a final response."""
+    """Checks that the attempt is lost, and that its request is then retried or gets a final response."""
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
         if command.verb == "fetch":
--- a/tests/proxy/upstream/test_liveness.py
+++ b/tests/proxy/upstream/test_liveness.py
@@ -1,4 +1,7 @@
-"""Tests of the liveness monitor of an upstream connection: stalled responses and due liveness checks."""
+"""Tests of the liveness monitor of an upstream connection.
+
+The monitor detects stalled responses and endpoints that do not reply, and decides when a check is due.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/upstream/test_single_attempt.py
+++ b/tests/proxy/upstream/test_single_attempt.py
@@ -1,4 +1,7 @@
-"""Tests of settings that allow only one attempt of a request at a time: a retry waits for its predecessor."""
+"""Tests of settings that allow only one attempt of a request at a time.
+
+A retry waits until the attempt before it has ended.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 class SlowFirstCache:
-    """A reply function of caches; the first cache to receive a fetch replies to liveness checks only."""
+    """A reply function of caches: the first cache that receives a fetch replies to liveness checks only."""
 
     def __init__(self) -> None:
         self.first_id: str | None = None
@@ -45,9 +48,10 @@
 def test_next_attempt_waits_for_the_abort_of_the_one_before(
     is_reset: bool, delayed_aborts: DelayedAborts
 ) -> None:
-    """Checks that the next attempt begins only after the abort is written or its connection is closed.
+    """Guards against two attempts of one request in flight.
 
-    The writer thread delays the abort, so that the deferred attempt can be observed.
+    The next attempt begins only after the abort of the attempt before is written, or after that attempt's
+    connection is closed. The writer thread delays the abort, so that the deferred attempt can be observed.
     """
     slow = SlowFirstCache()
     delayed_aborts.is_reset = is_reset
@@ -80,7 +84,10 @@
 
 
 def test_connection_is_closed_before_its_requests_are_reported_lost() -> None:
-    """Guards against two attempts in flight: a request may be retried as soon as its loss is reported."""
+    """Guards against two attempts of one request in flight.
+
+    A request may be retried as soon as its attempt is reported lost. The connection must be closed by then.
+    """
     has_failed = threading.Event()
 
     def reply(endpoint: ToyEndpoint, command: Command) -> None:
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -103,7 +103,8 @@
     branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(20 * MS)
     branch.proxies[0].paused_until = branch.now + 3600 * SECOND
-    branch.run(4 * SECOND)  # 4 s exceed the class's deadline, which limits the lease's duration
+    # The class's deadline limits the lease's duration. After 4 s, a longer time, the lease has expired.
+    branch.run(4 * SECOND)
     store = branch.stores["s0"]
     assert not [key for key in [*store.data] if b":c:" in key and store.live_value(key)]
     for cache in branch.caches.values():
@@ -128,7 +129,10 @@
 
 
 def test_fencing_numbers_grow_across_an_unnoticed_snapshot() -> None:
-    """Guards against repeated fencing numbers: a snapshot restores a plain counter to an earlier value."""
+    """Guards against repeated fencing numbers after a restart from a snapshot that no proxy notices.
+
+    The restart would set a plain counter back to an earlier value.
+    """
     branch = make_branch()
     store = branch.stores["s0"]
     (generation,) = {
@@ -158,7 +162,7 @@
     branch.stores["s0"].restart_empty()
     branch.run(100 * MS)
     eject_for(branch, 1, first_choice(branch))
-    # The store has lost the lease of proxy 0, so that proxy 1 acquires one at once.
+    # The store has lost the lease of proxy 0, so proxy 1 acquires a lease of the same name at once.
     branch.request(branch.proxies[1], UNCACHED_NAME)
     branch.run(3 * SECOND)
 
@@ -197,7 +201,7 @@
     (key,) = location_keys(branch)
     cache_with_name = next(name for name, cache in branch.caches.items() if cache.stored)
     branch.restart_cache(cache_with_name)
-    # The cache is warm, so that a router sends a lookup-only attempt before a fill.
+    # Makes the restarted cache warm. A router sends a lookup-only attempt to a warm cache before a fill.
     branch.caches[cache_with_name].started_at = branch.now - 3600 * SECOND
     branch.publish_endpoints()
     proxy = branch.proxies[1]
@@ -212,7 +216,10 @@
 
 
 def test_owner_whose_lease_was_acquired_by_another_proxy_publishes_nothing() -> None:
-    """Checks that the store compares the complete lease: its fencing number and its owner's incarnation."""
+    """Guards against a location that is published under a lease that another proxy has since acquired.
+
+    The store compares the complete lease: its fencing number and its owner's incarnation.
+    """
     branch = make_branch()
     (generation,) = {
         proxy.coordinator.stores["s0"].generation for proxy in branch.proxies if proxy.coordinator
@@ -228,7 +235,7 @@
 
 
 def acquire_lease(branch: Branch, proxy: EmulatedProxy, generation: int) -> bytes:
-    """Acquires the lease of the name `n` for 500 ms; returns its bytes in the store."""
+    """Acquires the lease of the name `n` for 500 ms; returns the lease as the bytes that the store holds."""
     request = operations.LeaseRequest(b"record", 500)
     lookup = operations.LookUp(generation, "n", ("o:x", "g:1"), request)
     reply = branch.run_script(proxy, messages.StoreCommand(1, "s0", lookup))
@@ -249,7 +256,7 @@
 
 
 def test_release_after_the_lease_expired_sends_nothing() -> None:
-    """Checks the expiry by the owner's own clock, before a tick has dropped the lease."""
+    """Checks a lease that has expired by its owner's clock and that no periodic tick has dropped yet."""
     branch = make_branch(fill_durations=(900 * MS, 901 * MS))
     branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(30 * MS)
--- a/tests/shared_store/test_budgets.py
+++ b/tests/shared_store/test_budgets.py
@@ -1,4 +1,7 @@
-"""Quotas under random faults: parts and pending transfers together never exceed the whole quota."""
+"""Tests of quotas under random faults.
+
+The proxies' parts of a quota and the pending transfers between proxies together never exceed the whole quota.
+"""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_client.py
+++ b/tests/shared_store/test_client.py
@@ -16,7 +16,7 @@
 
 
 def test_command_whose_reply_was_cut_off_is_not_repeated() -> None:
-    """Guards against retries by the client library, which would grant quota twice."""
+    """Guards against retries by the client library: a repeated command could grant the same quota twice."""
     with closing(Server()) as server:
         section = {"name": "s", "address": "{}:{}".format(*server.address)}
         settings = SharedStoreSettings.model_validate({"branch": "b", "stores": [section]})
@@ -36,6 +36,7 @@
         with pytest.raises(redis.ConnectionError):
             client.run_operations(store, [advance], "b", "me", is_transaction=False)
 
-        assert int(server.keyspace.data[b"b:generation"]) > before  # the command has run
+        # The command has run, although its reply was cut off.
+        assert int(server.keyspace.data[b"b:generation"]) > before
         assert server.commands < 40
         store.close()
--- a/tests/shared_store/test_host.py
+++ b/tests/shared_store/test_host.py
@@ -33,7 +33,7 @@
 
 
 def test_start_waits_for_threads(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Regression test: a process failed to start if the system briefly could create no thread."""
+    """Regression test: a process failed to start if the system could create no thread for a short time."""
     failures = iter(range(5))
     start = threading.Thread.start
 
--- a/tests/shared_store/test_invalidations.py
+++ b/tests/shared_store/test_invalidations.py
@@ -1,6 +1,6 @@
 """Tests of invalidations in the stores: their number is bounded, and all proxies receive them.
 
-They are published again to a store that lost them.
+Proxies publish invalidations again to a store that has lost them.
 """
 
 from __future__ import annotations
--- a/tests/shared_store/test_lease_table.py
+++ b/tests/shared_store/test_lease_table.py
@@ -1,4 +1,4 @@
-"""Tests of the fill leases that a proxy owns: increasing fencing numbers, and expiry by the owner's clock."""
+"""Tests of the fill leases a proxy owns: fencing numbers increase; leases expire by the owner's clock."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_outlier_reports.py
+++ b/tests/shared_store/test_outlier_reports.py
@@ -1,4 +1,7 @@
-"""Tests of outlier reports in the stores: weak evidence, and only if several proxies report an endpoint."""
+"""Tests of outlier reports: through the stores, proxies tell each other which endpoints fail.
+
+A report is weak evidence, and it has an effect only if several proxies report the same endpoint.
+"""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -1,4 +1,7 @@
-"""Tests of two proxies that share one stand-in store on loopback: host, event loop and `sharing` commands."""
+"""Tests of two proxies that share one stand-in store on loopback, and of the `sharing` commands.
+
+Each of the proxies runs its own event loop and its own host of the shared store.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +34,8 @@
 class ProxyPair:
     """Two proxies of one branch with the same endpoints and the same store.
 
-    `sharing` contains fields of the `sharing` section; `store` among them contains fields of the store.
+    `sharing` contains fields of the `sharing` section. Its field `store` contains fields of the store's entry
+    in that section.
     """
 
     def __init__(self, server: Server, **sharing: Any) -> None:
@@ -80,10 +84,10 @@
         return proxy.parts.event_loop._router.state.is_store_available
 
     def have_synced(self) -> bool:
-        """Whether the store has confirmed each proxy's first sync under its current generation.
+        """Whether the store has confirmed the first sync of each proxy under the store's current generation.
 
-        That sync writes the key of the process to the store. A proxy may use the store even earlier: as soon
-        as the store has confirmed the proxy's invalidations.
+        That sync writes the key of the process to the store. A proxy may use the store even before the sync:
+        as soon as the store has confirmed the proxy's invalidations.
         """
         generations = {store.generation for store in self.stores}
         return len(generations) == 1 and all(store.confirmed_serial > 0 for store in self.stores)
--- a/tests/shared_store/test_quota_keys.py
+++ b/tests/shared_store/test_quota_keys.py
@@ -1,4 +1,4 @@
-"""Tests of quota keys in records: texts of earlier versions are still read, and written without a change."""
+"""Tests of quota keys in records: the texts that earlier versions wrote are read, and written unchanged."""
 
 import pytest
 
--- a/tests/shared_store/test_quota_transfers.py
+++ b/tests/shared_store/test_quota_transfers.py
@@ -25,7 +25,7 @@
 
 
 def request_quota(requests: QuotaRequests) -> QuotaRequest:
-    """Records a shortage of a quota; returns the request that results from it."""
+    """Records that a proxy is short of a quota; returns the proxy's request for more."""
     requests.record_shortage(0, "cold:c@1", 0.5)
     (record,) = requests.renew(0).values()
     return decode_record(QuotaRequest, record)
@@ -55,7 +55,10 @@
 def test_grant_that_is_old_foreign_late_or_malformed_counts_for_nothing(
     change: dict[str, object], at: int
 ) -> None:
-    """Guards against exceeding the whole quota: a donor may already have the amount of such a grant back."""
+    """Guards against exceeding the whole quota by accepting an old, foreign, late or malformed grant.
+
+    The donor of such a grant may already have its amount back, so donor and recipient would both use it.
+    """
     requests = make_requests("me")
     request = request_quota(requests)
     fields = {"id": "x.1", "key": request.key, "nonce": request.nonce, "amount": 0.5, **change}
@@ -93,7 +96,11 @@
 
 
 def test_restarted_proxy_does_not_use_what_its_earlier_process_donated() -> None:
-    """Checks that the part is complete again only after the longest transfer and an overload window."""
+    """Guards against quota that both the recipient and the donor's new process use.
+
+    After its restart, a proxy has its complete part of the quota again only when the longest possible
+    transfer and an overload window are over.
+    """
     branch = make_branch(3)
     branch.restart_cache("c0")
     branch.run(SECOND)
@@ -143,7 +150,8 @@
 def test_grant_without_a_reply_stays_donated() -> None:
     """Guards against an amount that the donor and the recipient both use.
 
-    Without a reply the store may have made the grant, so that the donor must not get the amount back.
+    If a command to grant quota gets no reply, the store may have made the grant. The donor must therefore
+    not get the amount back.
     """
     branch = make_branch(3)
     branch.restart_cache("c0")
@@ -170,13 +178,16 @@
 
 
 def test_offers_that_the_router_never_answers_are_dropped_when_they_expire() -> None:
-    """Regression test: a proxy stopped donating after its router failed to handle some events."""
+    """Regression test: a proxy stopped donating after its router failed to handle some events.
+
+    The offers that the router did not answer stayed open, until as many were open as the limit allows.
+    """
     donations = make_donations(make_requests("you"))
     for number in range(MAX_DONATIONS):
         request = request_quota(make_requests(f"other{number}"))
         assert donations.offer(0, number, "f", request) is not None
     late_request = request_quota(make_requests("late"))
-    # The other offers are still open.
+    # The earlier offers are still open, and no more than `MAX_DONATIONS` may be.
     assert donations.offer(SECOND, MAX_DONATIONS, "f", late_request) is None
 
     assert donations.offer(2 * SECOND, MAX_DONATIONS, "f", late_request) is not None
--- a/tests/shared_store/test_reply_shapes.py
+++ b/tests/shared_store/test_reply_shapes.py
@@ -16,13 +16,13 @@
 SEEDS = range(20)
 STEPS = 2_000
 NAMES = ("x", "y")
-# Exclusive upper bound of the number of values in a reply or in a list within it; also the depth to which
-# lists are nested.
+# Exclusive upper bound of the number of values in a reply, and in each list that a reply contains. The same
+# number is the greatest depth to which lists are nested.
 MAX_LENGTH = 5
 
 
 class FaultyStore:
-    """A coordinator with one store whose replies have the right generation and arbitrary values after it."""
+    """A coordinator with one store, whose replies have the right generation and then arbitrary values."""
 
     def __init__(self, seed: int) -> None:
         stores = [{"name": "s", "address": "127.0.0.1:1"}]
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -49,7 +49,8 @@
     assert forwarded_attempts(proxy.advance(1 * MS))
     (lookup,) = lookups(proxy.complete_attempt("2", 0, api.AttemptStatus.NOT_CACHED))
     assert lookup.source is not None
-    assert lookup.timeout == 0  # the first lookup has used up the time for lookups
+    # The first lookup has used up the time that a request may spend on all its lookups.
+    assert lookup.timeout == 0
     assert forwarded_attempts(proxy.advance(0))
 
 
@@ -76,7 +77,7 @@
 
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.REMOVED])
 def test_location_in_a_draining_or_removed_cache_is_not_tried(state: api.EndpointState) -> None:
-    """Checks that the draining invariant also holds for the cache that a store's hint names."""
+    """Checks that a draining or removed cache gets no request, even if a store's hint names the cache."""
     proxy = proxy_with_store()
     proxy.request("1")
     proxy.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (cache("b:1", state),)))
@@ -119,7 +120,10 @@
 
 
 def test_fill_that_never_ends_delays_nobody_past_half_of_the_timeout() -> None:
-    """Checks that an attempt waits at most half of the remaining time, then proceeds as without a store."""
+    """Checks that a request waits for another proxy's fill for at most half of its remaining time.
+
+    After that, the request proceeds as without a store.
+    """
     proxy = proxy_with_store(can_collapse_fills=False)
     proxy.request("1", timeout=SECOND)
     proxy.handle(api.CacheHint("1", "b:1", True, 3600 * SECOND))
--- a/tests/shared_store/test_router_quota.py
+++ b/tests/shared_store/test_router_quota.py
@@ -19,7 +19,7 @@
 
 
 def proxy_with_starting_cache(**changes: object) -> RouterDriver:
-    """Returns a proxy one of whose caches, `a:1`, starts at the proxy's current time."""
+    """Returns a proxy with a cache, `a:1`, that starts at the proxy's current time."""
     proxy = proxy_with_store(
         has_endpoint_weights=True, caches=api.TierSettings(4, 0.2, 20 * SECOND, 3.0), **changes
     )
@@ -32,14 +32,14 @@
 
 
 def slow_start_key(proxy: RouterDriver) -> api.QuotaKey:
-    """Returns the slow start key of the cache `a:1`, which has started at the proxy's current time."""
+    """Returns the key of the slow start quota of `a:1`, a cache that starts at the proxy's current time."""
     return api.QuotaKey(api.QuotaKind.SLOW_START, "a:1", proxy.now)
 
 
 def donated_amount(
     proxy: RouterDriver, key: api.QuotaKey, max_amount: float = 1e12, duration: Duration = SECOND
 ) -> float:
-    """Returns the amount that the proxy donates when another proxy requests quota."""
+    """Returns the amount of quota that the proxy donates when another proxy requests `max_amount`."""
     (action,) = proxy.handle(api.QuotaRequested(1, key, max_amount, proxy.now + duration))
     assert isinstance(action, api.DonateQuota)
     return action.amount
@@ -58,7 +58,10 @@
 
 
 def test_quota_that_was_used_is_not_donated() -> None:
-    """Checks that the slow start invariant also holds in windows that begin before the transfer."""
+    """Guards against exceeding the slow start limit in windows that begin before the transfer.
+
+    The donor has used a part of its quota in such a window, so it may donate only the rest.
+    """
     proxy = proxy_with_starting_cache()
     other = proxy_with_starting_cache()
     key = slow_start_key(proxy)
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -26,7 +26,10 @@
 
 
 def test_unresponsive_store_gets_no_lookup_until_syncs_are_replied_to_again() -> None:
-    """Checks the circuit breaker: without it each request for a new name would wait until its timeout."""
+    """Checks the circuit breaker of an unresponsive store.
+
+    Without the breaker, each request for a new name would wait for the store until its lookup times out.
+    """
     branch = make_branch(2)
     branch.load(100, 10 * SECOND)
     branch.run(2 * SECOND)
@@ -51,7 +54,7 @@
 def test_store_restored_from_before_an_invalidation_gives_no_hint_from_that_time() -> None:
     """Guards against hints from before an invalidation.
 
-    The keys of the snapshot's cache locations contain a generation that all proxies have left.
+    The keys of the snapshot's cache locations contain a generation that no proxy uses any more.
     """
     branch = make_branch()
     branch.request(branch.proxies[0], UNCACHED_NAME)
@@ -138,7 +141,8 @@
 
     branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(900 * MS)
-    assert branch.counts.served == 1  # the request waited 10 ms for the store
+    # The request waited 10 ms for the store and was then served without it.
+    assert branch.counts.served == 1
 
     branch.run(4 * SECOND)
     assert branch.counts.leases <= 1
--- a/tests/shared_store/test_store_health.py
+++ b/tests/shared_store/test_store_health.py
@@ -1,6 +1,6 @@
 """Tests of a store's circuit breaker and of the trust in the store.
 
-Breaker and trust decide when the store is used, and which of its replies are accepted.
+Circuit breaker and trust decide when the store is used, and which of the store's replies are accepted.
 """
 
 from __future__ import annotations
@@ -129,7 +129,11 @@
 
 
 def test_store_that_lost_state_is_not_trusted_for_later_serials() -> None:
-    """Guards against trust in a restored store: the sync that detects the loss writes a new serial to it."""
+    """Guards against trusting a store that was restored to an earlier state.
+
+    The sync that detects the loss writes its own number, a new serial, to the store. Serials in later
+    replies are therefore no evidence that the store has its state back.
+    """
     store = trusted_store()
     store.trust = TrustLevel.NONE
 
--- a/tests/shared_store/test_store_worker.py
+++ b/tests/shared_store/test_store_worker.py
@@ -1,4 +1,4 @@
-"""Tests of the worker of a store, and the rate limit of the log lines about the store's faults."""
+"""Tests of the worker of a store, and of the rate limit of log lines about the store's faults."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class WorkerHarness:
-    """A worker of one lane that uses a stand-in store; `replies` contains the events that it posts."""
+    """A worker of one lane that uses a stand-in store; `replies` contains the events the worker posts."""
 
     def __init__(self, server: Server, **sharing: Any) -> None:
         store = {"name": "s", "address": "{}:{}".format(*server.address)}
--- a/tests/shared_store/test_wire.py
+++ b/tests/shared_store/test_wire.py
@@ -146,7 +146,10 @@
 
 
 def test_script_texts_are_those_of_the_released_version() -> None:
-    """Checks the digests, by which proxies of two versions share the scripts that one store has loaded."""
+    """Guards against a changed script text, which would give the script another digest.
+
+    Proxies of two versions share the scripts that one store has loaded, and call the scripts by digest.
+    """
     assert {name.name: digest for name, digest in DIGESTS.items()} == {
         "SYNC": "b9e6d594fecf6d8f4bfd0dd4327254c0ddd853e0",
         "LOOK_UP": "212e283ec3b23ca3da5099ed4adf343472bcd0fc",
