--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -1,4 +1,4 @@
-"""Tests of a proxy's configuration: values, defaults, derived limits, and errors with the faulty key."""
+"""Tests of a proxy's configuration: values, defaults, derived limits, and errors that name the faulty key."""
 
 from pathlib import Path
 from typing import Any
@@ -80,7 +80,7 @@
 
     buffer_bytes = (limits.read_buffers + limits.body_buffers) * limits.buffer_bytes
     threads = limits.max_client_connections + 2 * limits.max_upstream_connections
-    stack_bytes = threads * 24 * 1024  # resident part of each thread's stack
+    stack_bytes = threads * 24 * 1024  # 24 KiB of each thread's stack are resident
     assert 22 * BYTES_PER_MB + buffer_bytes + stack_bytes < memory_mb * BYTES_PER_MB
     assert limits.max_client_connections + limits.max_upstream_connections + 16 < sockets
     assert limits.max_client_connections >= 32
@@ -186,7 +186,7 @@
     "limits", [{"attempts-cap": 0, "max-streams": 0, "connect-timeout": 0, "conn-idle": 0}, {}]
 )
 def test_zero_and_missing_limits_mean_their_defaults(limits: dict[str, int]) -> None:
-    """The settings have 30 classes, one of them with a weight of 0, and a whole number written as a float."""
+    """Checks settings with 30 classes, one of weight 0, and with a whole number written as a float."""
     classes = [{**READ_CLASS, "name": f"c{number}", "gain": number, "aim": 0} for number in range(30)]
     settings = {"zone": "x", "classes": classes, "limits": limits, "contract": {"fall": 2e9}}
 
--- a/tests/config/test_memory_budget.py
+++ b/tests/config/test_memory_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the memory budget: its parts add up at every memory limit that the platform sets."""
+"""Tests of the memory budget: its parts fit into every memory limit that the platform sets."""
 
 from __future__ import annotations
 
--- a/tests/config/test_operator_config.py
+++ b/tests/config/test_operator_config.py
@@ -144,7 +144,7 @@
 
 
 def definition_of(field: dict[str, Any]) -> dict[str, Any]:
-    """Returns the schema that a field or one of its branches refers to, or an empty one if there is none."""
+    """Returns the schema that a field, its items or an alternative refers to; an empty one if none does."""
     for branch in (field, field.get("items", {}), *field.get("anyOf", ())):
         if "$ref" in branch:
             return DEFINITIONS[branch["$ref"].rpartition("/")[2]]
@@ -152,7 +152,7 @@
 
 
 def defaults_of(section: dict[str, Any], path: KeyPath) -> Iterator[tuple[KeyPath, dict[str, Any]]]:
-    """Yields each key below a section that has a default, with the key's own schema."""
+    """Yields the path and the schema of each key below a section, if the key has a default."""
     for key, field in section.get("properties", {}).items():
         if "default" in field:
             yield (*path, key), field
@@ -172,7 +172,7 @@
 def test_default_of_the_schema_can_be_put_into_a_file(
     tmp_path: Path, path: KeyPath, field: dict[str, Any]
 ) -> None:
-    """Guards against defaults in a form that the file does not accept, such as nanoseconds without a unit."""
+    """Guards against schema defaults that the file does not accept, such as nanoseconds without a unit."""
     store = {"name": "s", "address": "127.0.0.1:1", "tls": {"ca_file": "/ca.pem"}}
     document: dict[str, Any] = {"sharing": {"branch": "w", "stores": [store]}}
     section: Any = document
@@ -258,7 +258,10 @@
 
 
 def test_packages_of_the_operators_file_are_not_imported_without_one() -> None:
-    """Guards against the memory and start-up time that these packages take in a proxy without such a file."""
+    """Guards against needless imports in a proxy without an operator's file.
+
+    The packages that read this file take memory and lengthen the start.
+    """
     code = (
         "import sys, olivepost.cli, olivepost.proxy.server\n"
         "sys.exit(olivepost.cli.main(['check', '--config', sys.argv[1]]) or\n"
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,8 @@
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Marks the tests listed in KNOWN-RED.txt as expected failures.
 
-    They still run. A listed test that passes fails the run, so its entry has to be removed from the list.
+    The listed tests still run. A listed test that passes fails the run, so that its entry has to be removed
+    from the list.
     """
     reasons = {failure.test: failure.observed for failure in read_known_failures()}
     for item in items:
@@ -29,7 +30,7 @@
 
 @pytest.fixture
 def small_send_buffer(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Limits send buffers to 4 KiB, so that the kernel does not accept a large body in one write."""
+    """Limits the proxy's send buffers to 4 KiB, so that the kernel accepts no large body in one write."""
     monkeypatch.setattr(
         sockets,
         "set_send_buffer",
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -16,16 +16,16 @@
 
     test: str  # pytest's id of the test
     command: str  # command and seed that reproduce the fault
-    observed: str  # observed failure
+    observed: str  # how the test fails
     issue: str
 
 
 class KnownFailuresError(Exception):
-    """An unusable list of known failures; the message has the malformed line or the exceeded limit."""
+    """Error for an unusable list of known failures; it names the malformed line or the exceeded limit."""
 
 
 def read_known_failures(path: Path = LIST) -> list[KnownFailure]:
-    """Returns the entries of the list, or none if the file does not exist."""
+    """Returns the entries of the list, or no entries if the file does not exist."""
     if not path.exists():
         return []
     lines = [line.strip() for line in path.read_text(encoding="utf-8").splitlines()]
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -34,7 +34,7 @@
 
 
 def toy_config(**changes: Any) -> dict[str, Any]:
-    """Returns the example's configuration with an ephemeral port, less memory and the given changes."""
+    """Returns the example configuration, but with an ephemeral port, less memory and the given changes."""
     data: dict[str, Any] = json.loads(CONFIG.read_text())
     return {**data, "listen": "127.0.0.1:0", "limits": {"memory_mb": 64, "sockets": 1024}, **changes}
 
@@ -110,7 +110,7 @@
         return self.read_response()
 
     def is_closed_by_proxy(self) -> bool:
-        """Waits until the proxy closes the connection; returns whether it sent no data before that."""
+        """Waits until the proxy closes the connection; returns whether the proxy sent no data before."""
         try:
             return not self._data and not self.sock.recv(1)
         except ConnectionResetError:
@@ -149,7 +149,8 @@
         limits = replace(read.limits, **(bounds or {}))
         self.server = ProxyServer(replace(read, limits=limits), self._devnull)
         self.parts = self.server.parts
-        # The tests run in the same process, so its resident memory is not that of the proxy alone.
+        # The proxy shares its process with the test, so the process's resident memory would overstate the
+        # proxy's. The memory monitor therefore always reads 0.
         self.parts.memory_monitor.read_resident_bytes = lambda: 0
         self.attempt_outcomes: list[api.AttemptOutcome] = []
         self._record_outcomes(self.parts.event_loop._router)
@@ -188,7 +189,7 @@
         return False
 
     def wait_for_outcomes(self, status: str, count: int) -> list[api.AttemptOutcome]:
-        """Returns the outcomes with a status that the router has handled, once there are at least `count`."""
+        """Returns the handled outcomes with the given status, once there are at least `count` of them."""
         assert self.wait_until(lambda: len(self._outcomes_of(status)) >= count)
         return self._outcomes_of(status)
 
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -38,7 +38,7 @@
 
 
 def make_settings(*classes: api.ClassSettings, **changes: Any) -> api.Settings:
-    """Returns the settings of a zone with one proxy, caches, parents and an origin, and with the changes."""
+    """Returns the settings of a zone with a proxy, caches, parents and an origin, with the given changes."""
     settings = api.Settings(
         classes={request_class.name: request_class for request_class in classes or (make_class(),)},
         zone="west",
@@ -163,7 +163,7 @@
 
 
 def source_of(attempt: api.ForwardAttempt) -> str:
-    """Returns the source of an attempt that fills a cache."""
+    """Returns the source of an attempt that fills a cache; fails if the attempt has no source."""
     assert attempt.source is not None
     return attempt.source
 
@@ -174,6 +174,6 @@
 
 
 def split(stream: bytes, cuts: list[int]) -> list[bytes]:
-    """Splits a stream into pieces at the given offsets."""
+    """Splits a byte stream into pieces at the given offsets."""
     edges = [0, *sorted(cuts), len(stream)]
     return [stream[start:end] for start, end in pairwise(edges)]
--- a/tests/routing/event_histories.py
+++ b/tests/routing/event_histories.py
@@ -18,7 +18,7 @@
 REQUEST_IDS = ("r1", "r2", "r3", "")
 OBJECTS = ("x", "y", "")
 GROUPS = (None, 0, 1)
-# Start times that are unknown, in the past, now and in the future.
+# Start times of endpoints: unknown, in the past, now and in the future.
 STARTS = (None, None, 0, START - SECOND, START, START + 3_600 * SECOND)
 DURATIONS = (0, MS, 100 * MS, SECOND, 3 * SECOND)
 WEIGHTS = (1.0, 4.0, 100.0)
@@ -26,11 +26,11 @@
 MAX_ATTEMPT_NUMBER = 6
 MAX_TIMER_ID = 50
 MAX_CHANGED_ENDPOINTS = 3
-FULL_LIST_SHARE = 0.3  # share of endpoint updates with all endpoints
+FULL_LIST_SHARE = 0.3  # share of endpoint updates that list all endpoints
 
 
 class HistoryChecker(RouterDriver):
-    """A driver that checks the router's attempts and final responses against the set of open requests."""
+    """A driver that compares the router's actions and pending requests with its own set of open requests."""
 
     def __init__(self, settings: api.Settings, endpoints: tuple[api.EndpointMetadata, ...]) -> None:
         self.open_requests: set[str] = set()
@@ -49,7 +49,7 @@
             self._check(action)
         pending = set(self.router.requests.pending)
         if isinstance(event, (api.AttemptOutcome, api.ClientDisconnected)):
-            self.open_requests &= pending  # the event itself ends its request, without an action
+            self.open_requests &= pending  # such an event may end its request without an action
         assert pending == self.open_requests
         return actions
 
@@ -86,7 +86,7 @@
         ]
 
     def first_list(self) -> tuple[api.EndpointMetadata, ...]:
-        """Returns metadata of all endpoints in the state READY."""
+        """Returns the metadata of all endpoints, each in the state READY."""
         return tuple(self._endpoint(endpoint_id, api.EndpointState.READY) for endpoint_id in ENDPOINT_IDS)
 
     def play(self, checker: HistoryChecker, event_count: int) -> None:
--- a/tests/routing/invariant_checker.py
+++ b/tests/routing/invariant_checker.py
@@ -42,7 +42,8 @@
     deadline: Instant
     attempt_count: int = 0
     in_flight: dict[int, api.ForwardAttempt] = field(default_factory=dict)  # attempts by number
-    executed: list[tuple[Instant, str]] = field(default_factory=list)  # time of the outcome, and cache
+    # Outcome time and cache of each attempt that may have been executed.
+    executed: list[tuple[Instant, str]] = field(default_factory=list)
     is_over: bool = False
 
 
@@ -72,7 +73,8 @@
         self.started_at: dict[str, Instant | None] = dict.fromkeys(CACHES + PARENTS)
         self.requests: dict[str, TrackedRequest] = {}
         self.invalidations: list[TrackedInvalidation] = []
-        self.work: dict[str, list[tuple[Instant, float]]] = {}  # work sent to endpoints in slow start
+        # Time and work of the attempts that were sent to endpoints in slow start, by endpoint id.
+        self.work: dict[str, list[tuple[Instant, float]]] = {}
         super().__init__(self.settings, self.endpoint_list(), seed=3)
 
     def endpoint_list(self) -> tuple[api.EndpointMetadata, ...]:
@@ -108,7 +110,7 @@
     def track_outcome(
         self, request_id: str, number: int, status: api.AttemptStatus, cache_status: api.CacheStatus
     ) -> None:
-        """Passes an attempt's outcome to the router; if it is a response, the request is over."""
+        """Passes an attempt's outcome to the router; if the outcome is a response, the request is over."""
         tracked = self.requests[request_id]
         attempt = tracked.in_flight.pop(number)
         if status not in api.NOT_EXECUTED:
@@ -135,7 +137,7 @@
     def track_invalidation(self, object_name: str | None, age: Duration) -> None:
         """Records an invalidation and passes it to the router.
 
-        It concerns one object, or the group of all requests if `object_name` is None.
+        The invalidation concerns one object, or the group of all requests if `object_name` is None.
         """
         self.invalidations.append(TrackedInvalidation(object_name, self.now - age))
         self.handle(api.Invalidation(object_name, 1, age))
@@ -214,7 +216,7 @@
     def _check_slow_start(self, endpoint_id: str, request: api.Request) -> None:
         """Checks the slow start invariant for the smallest link that an endpoint may have.
 
-        This proxy may use its part of that link's budget.
+        This proxy is one of `PROXIES` proxies and may use only its part of that link's budget.
         """
         started_at = self.started_at.get(endpoint_id)
         if started_at is None:
--- a/tests/routing/proxy_fleet.py
+++ b/tests/routing/proxy_fleet.py
@@ -1,4 +1,7 @@
-"""A simulation of proxies in one zone with uneven traffic and shared caches; the first cache restarts."""
+"""A simulation of one zone's proxies, which have uneven traffic and share caches.
+
+The first of the caches restarts during the simulation.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 SLOW_START: Duration = 10 * SECOND
 INITIAL_SHARE = 0.2
 OVERLOAD_MULTIPLE = 3.0
-HIT_SHARE = 0.75  # share of lookups that are hits
+HIT_SHARE = 0.75  # share of lookups in a cache that are hits
 
 
 class FleetAttempt(NamedTuple):
@@ -36,7 +39,7 @@
     """An attempt that was sent to the cache that restarts."""
 
     sent_at: Instant
-    known_start: Instant | None  # the cache's start time as its proxy knew it; None if it knew none
+    known_start: Instant | None  # start time that the sending proxy knew for the cache, or None
 
 
 class ProxyFleet:
@@ -59,7 +62,7 @@
         self.routers = [self._start_router(proxy) for proxy in range(proxies)]
         self.traffic = [self.random.expovariate(1) + 0.1 for _ in range(proxies)]
         self.link_free_at = {cache_id: [0] * LINK_TRANSFERS for cache_id in self.cache_ids}
-        self.in_flight: list[FleetAttempt] = []  # a heap
+        self.in_flight: list[FleetAttempt] = []  # a heap ordered by completion time
         self.request_count = 0
         self.last_numbers: dict[str, int] = {}  # number of the last attempt, by request id
         self.sent: list[SentAttempt] = []
@@ -73,11 +76,11 @@
         return router
 
     def restart_proxy(self, proxy: int, now: Instant) -> None:
-        """Replaces the proxy's process by a new one, which doesn't know what the earlier one sent."""
+        """Replaces the proxy's process by a new one, which doesn't know what the earlier process sent."""
         self.routers[proxy] = self._start_router(proxy, now)
 
     def announce_start(self, proxy: int, now: Instant, started_at: Instant) -> None:
-        """Informs a proxy that the cache has restarted."""
+        """Informs a proxy that the first cache has restarted."""
         self.known_starts[proxy] = started_at
         restarted = cache(self.restarting_id, weight=LINK_WEIGHT, started_at=started_at)
         update = api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (restarted,))
@@ -109,7 +112,7 @@
             heappush(self.in_flight, in_flight)
 
     def _transfer(self, cache_id: str, now: Instant) -> Instant:
-        """Adds a response to the cache's link; returns the time at which its transfer is complete."""
+        """Starts a response's transfer on a cache's link; returns the time at which it is complete."""
         free_at = self.link_free_at[cache_id]
         slot = min(range(LINK_TRANSFERS), key=free_at.__getitem__)
         free_at[slot] = max(now, free_at[slot]) + int(self.random.expovariate(1 / MEAN_WORK))
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -31,9 +31,10 @@
 
 
 def test_late_fills_reject_the_most_expensive_fills_and_no_hits(driver: RouterDriver) -> None:
-    """Guards against additional load by retries of late fills.
+    """Guards against the additional load of retried fills on a link that is already saturated.
 
-    A saturated incoming link made every fill of a location late, and every one of them was retried.
+    When the incoming link of a location was saturated, every fill there was late, and every late fill was
+    retried.
     """
     for number in range(40):
         driver.request_missed_by_cache(f"slow{number}", size_kb=20.0)
@@ -44,7 +45,7 @@
     assert driver.state.fills.level > 0.8
     assert forwarded_attempts(driver.request_missed_by_cache("small", size_kb=5.0))
     assert final_responses(driver.request_missed_by_cache("large", size_kb=400.0))
-    # The request may be a hit, which needs no fill.
+    # No cache has reported a miss for this request, so it may be a hit, which needs no fill.
     assert forwarded_attempts(driver.request("1", size_kb=400.0))
 
     for number in range(60):
@@ -56,9 +57,10 @@
 
 
 def test_rejected_fills_raise_the_fill_level_as_late_ones_do(driver: RouterDriver) -> None:
-    """Guards against rejected fills that do not raise the fill level.
+    """Guards against rejected fills that do not raise the fill level, which measures the overload by fills.
 
-    In incident i114a12, thousands of fills were rejected, and retried at the next parent of one origin.
+    In incident i114a12, thousands of fills from one origin were rejected, and then retried at the next
+    parent.
     """
     driver.request_missed_by_cache("1")
 
@@ -101,22 +103,23 @@
 
 
 def test_concurrency_limit_of_one_of_many_proxies_allows_bursts(driver: RouterDriver) -> None:
-    """Guards against a concurrency limit of 1 at each proxy.
+    """Guards against a limit of one attempt in flight at each proxy if many proxies share a cache.
 
-    With this limit, every fourth request skipped its home cache.
+    With such a limit, every fourth request skipped its home cache.
     """
     one_of_many = RouterDriver(make_settings(caches=api.TierSettings(12, 0.2, 10 * SECOND, 2.0)))
 
     limit_of_many = concurrency_limit(one_of_many, "a:1")
 
-    assert concurrency_limit(driver, "a:1") == pytest.approx(1.5 * 6.5)  # a single proxy sees all requests
+    # A single proxy sees all requests, so its limit needs no margin for bursts.
+    assert concurrency_limit(driver, "a:1") == pytest.approx(1.5 * 6.5)
     assert 3 < limit_of_many < 4.5 < 12 * limit_of_many
 
 
 def test_starting_cache_has_a_lower_concurrency_limit() -> None:
-    """Guards against using a starting cache like a warm one.
+    """Guards against sending as many attempts to a starting cache as to a warm one.
 
-    During a release, starting caches responded late for this reason.
+    During a release, starting caches responded late because proxies did so.
     """
     driver = RouterDriver(make_settings(), (cache("a:1"), cache("z:1", started_at=START), ORIGIN))
 
--- a/tests/routing/test_clock_errors.py
+++ b/tests/routing/test_clock_errors.py
@@ -46,4 +46,4 @@
     assert slow_start_share(NOW + duration, endpoint) == 1
     driver.now = NOW + duration
     driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.FULL, (listed, parent("p:1"), ORIGIN)))
-    assert driver.endpoint("new:1") is endpoint  # it is the same process, although it is listed again
+    assert driver.endpoint("new:1") is endpoint  # the list names the same process as before
--- a/tests/routing/test_endpoint_lists.py
+++ b/tests/routing/test_endpoint_lists.py
@@ -41,7 +41,7 @@
     assert len(hashed) == 5
     assert len(driver.state.endpoints.by_id) == len(FLEET)
 
-    # An update of endpoints that the router does not use keeps the computed endpoint orders.
+    # An update that concerns only endpoints the router does not use discards no computed endpoint order.
     driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, others))
     driver.request_missed_by_cache("2", "x")
     assert len(hashed) == 5
@@ -57,7 +57,7 @@
 
 
 def test_restored_list_of_replaced_endpoints_is_survived() -> None:
-    """Checks a restored list whose endpoints all refuse connections.
+    """Checks a router with a restored list of endpoints that have been replaced and refuse all connections.
 
     Each request gets its final response without delay, and the new list is used once it arrives.
     """
--- a/tests/routing/test_event_histories.py
+++ b/tests/routing/test_event_histories.py
@@ -1,6 +1,6 @@
 """Random histories of events on random settings.
 
-No event raises an exception, and each request gets one final response.
+The router must not raise an exception on any event, and must give each request one final response.
 """
 
 from __future__ import annotations
--- a/tests/routing/test_failed_events.py
+++ b/tests/routing/test_failed_events.py
@@ -1,4 +1,4 @@
-"""Tests of a router after an event that raised an exception, and on events that its host should not send."""
+"""Tests of a router after an exception, and of events that the program around it should not send."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -1,4 +1,7 @@
-"""Tests of many proxies with shared endpoints: the slow start invariant holds for 4 and for 250 proxies."""
+"""Tests of the slow start invariant for up to 250 proxies with shared endpoints.
+
+The invariant: all proxies together send an endpoint that is warming up no more work than its budget.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,9 @@
 
 
 def work_under_flood(proxies: int, restarts: int) -> dict[str, list[tuple[Instant, float]]]:
-    """Returns the work that all proxies send to a starting cache and a starting parent, with the times.
+    """Returns the work that all proxies send to a starting cache and to a starting parent, by endpoint id.
+
+    Each amount of work comes with the time at which it was sent.
 
     Clients send a flood of requests, during which randomly chosen proxies restart `restarts` times in all.
     """
@@ -65,7 +70,7 @@
 
 @pytest.mark.parametrize(("proxies", "restarts"), [(4, 0), (4, 1), (4, 8), (250, 0), (250, 25)])
 def test_all_proxies_together_stay_within_a_starting_endpoints_budget(proxies: int, restarts: int) -> None:
-    """The slow start invariant holds in every window, even if proxies restart and forget what they sent."""
+    """Checks the slow start invariant in every window, even if proxies restart and forget what they sent."""
     sent = work_under_flood(proxies, restarts)
 
     assert sent["a:1"]
@@ -77,7 +82,10 @@
 
 
 class FleetEvent(NamedTuple):
-    """A proxy learns that the cache has started, or the proxy restarts if `cache_started_at` is None."""
+    """An event at one proxy: news that the cache has started, or a restart of the proxy.
+
+    `cache_started_at` is None if the proxy restarts.
+    """
 
     at: Instant
     proxy: int
@@ -131,11 +139,11 @@
 ) -> None:
     """Checks the slow start invariant for all proxies together.
 
-    The budget is N requests of mean work, and 2 * sqrt(N) + 2 more are allowed for random variation.
+    The budget is N requests of mean work, and 2 * sqrt(N) + 2 more requests are allowed for random variation.
 
-    The cache restarts twice. Proxies learn of it at different times and have uneven traffic, and some of them
-    restart in the meantime. A window is checked if proxies that knew of the start sent over two thirds of its
-    attempts.
+    The cache restarts twice. Proxies learn of each restart at different times and have uneven traffic, and
+    some of the proxies restart in the meantime. A window is checked if more than two thirds of its attempts
+    came from proxies that knew of the cache's start.
     """
     cache_starts = [START + 6 * SECOND, START + 12 * SECOND]
     duration = 20 * SECOND
@@ -150,13 +158,14 @@
 
 
 def check_slow_start(fleet: ProxyFleet, start: Instant, end: Instant) -> None:
-    """Checks each window that begins with an attempt, from a start of the cache until `end`."""
+    """Checks each window that begins with an attempt, from the cache's start at `start` until `end`."""
     sent = [
         (attempt.sent_at, (attempt.known_start or 0) >= start)
         for attempt in fleet.sent
         if start <= attempt.sent_at < end
     ]
-    # With very many proxies, each one's part of the budget is at first less than one request.
+    # With very many proxies, each proxy's part of the budget is at first less than one request, so the cache
+    # may get no attempt.
     assert sent or len(fleet.routers) > 30
     for index, (window_start, _) in enumerate(sent):
         knew_start = [knew for sent_at, knew in sent[index:] if sent_at < window_start + WINDOW]
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -1,4 +1,7 @@
-"""Tests of ejection after failures and silences, of half-open trials, and of the attribution of errors."""
+"""Tests of ejection after failures and silences, of half-open trials, and of the attribution of errors.
+
+An error is attributed to an endpoint or to the request itself.
+"""
 
 from olivepost import interface as api
 from olivepost.interface import AttemptStatus, CacheStatus
@@ -30,7 +33,7 @@
     driver.handle(api.ClientDisconnected("2"))
     driver.advance(1100 * MS)
 
-    assert first_attempt(driver.request("3")).cache == home  # the only half-open trial
+    assert first_attempt(driver.request("3")).cache == home  # an ejected cache gets one half-open trial
     assert first_attempt(driver.request("4")).cache != home
     driver.complete_attempt("3", 0, AttemptStatus.OK, cache_status=CacheStatus.HIT)
     assert first_attempt(driver.request("5")).cache == home
@@ -117,7 +120,10 @@
 
 
 def test_one_silence_is_waited_for_where_many_good_responses_take_as_long() -> None:
-    """Guards against the ejection of caches for slow fills, which happened at proxies with few requests."""
+    """Guards against the ejection of caches because their fills are slow.
+
+    Proxies with few requests ejected such caches.
+    """
     fast = RouterDriver(make_settings())
     slow = RouterDriver(make_settings())
     fast.state.slow_share.value = 0.02
@@ -149,7 +155,7 @@
 def test_error_of_a_cache_that_has_responded_is_attributed_to_its_source(driver: RouterDriver) -> None:
     """Guards against attributing an interrupted fill to the cache.
 
-    In incident ic4de60, healthy caches were ejected because fills were interrupted after seconds.
+    In incident ic4de60, healthy caches were ejected because their fills were interrupted after some seconds.
     """
     first = first_attempt(driver.request_missed_by_cache("1"))
 
@@ -162,7 +168,8 @@
 def test_errors_of_two_endpoints_are_attributed_to_the_request(driver: RouterDriver) -> None:
     """Guards against attributing errors to endpoints if the request causes them.
 
-    Requests for objects that don't exist ejected healthy caches and used up the retry budget.
+    Errors of requests for objects that don't exist led to the ejection of healthy caches and used up the
+    retry budget.
     """
     for number in range(40):
         request_id = str(number)
@@ -190,7 +197,8 @@
     driver.state.request_fault_share.value = 1.0
     driver.request("first", "known")
     driver.complete_attempt("first", 0, AttemptStatus.OK, cache_status=CacheStatus.HIT)
-    driver.request("second", "known")  # a known name is retried regardless of the share
+    # A request for a known name is retried, even if all recent errors were the requests' own.
+    driver.request("second", "known")
     assert forwarded_attempts(driver.complete_attempt("second", 0, AttemptStatus.ERROR))
 
 
--- a/tests/routing/test_invalidation.py
+++ b/tests/routing/test_invalidation.py
@@ -1,4 +1,7 @@
-"""Tests of the invalidation invariant, of age bounds, and of the proxy's own response cache."""
+"""Tests of the invalidation invariant, of age bounds, and of the proxy's own response cache.
+
+The invariant: no response that is older than an invalidation is served after it.
+"""
 
 from typing import Any
 
@@ -76,7 +79,7 @@
 
 
 def is_served_from_cache(driver: RouterDriver, request_id: str, age: int, **changes: Any) -> bool:
-    """Whether a request is served from the proxy's response cache; the transfer takes 100 ms."""
+    """Whether a request is served from the proxy's response cache; the response's transfer takes 100 ms."""
     cached_response = api.CachedResponse(age, transfer_time=100 * MS)
     actions = driver.request(request_id, cached_response=cached_response, **changes)
     assert (api.ServeCachedResponse(request_id) in actions) is not bool(forwarded_attempts(actions))
@@ -107,7 +110,10 @@
 
 
 def test_invalidation_counts_against_cached_responses_for_good() -> None:
-    """A response that was in flight when its invalidation arrived may still be stored."""
+    """Guards against serving an invalidated response from the proxy's cache long after the invalidation.
+
+    A response that was in flight when its invalidation arrived may still be stored afterwards.
+    """
     driver = RouterDriver(make_settings(local_transfer_capacity=9.0))
     driver.handle(api.Invalidation(None, 1, 0))
     driver.advance(60 * SECOND)
@@ -117,7 +123,7 @@
 
 
 def stored_responses(driver: RouterDriver, request_ids: tuple[str, ...]) -> list[api.StoreResponse]:
-    """Returns the actions that store a response, for several hits of one name."""
+    """Passes requests for one name to the router, all of them hits; returns the actions that store one."""
     stored = []
     for request_id in request_ids:
         driver.request(request_id)
--- a/tests/routing/test_invariants.py
+++ b/tests/routing/test_invariants.py
@@ -1,4 +1,4 @@
-"""Property-based tests of the routing invariants with hostile sequences of events."""
+"""Property-based tests of the routing invariants with sequences of events that are meant to break them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class AttemptEnds:
-    index: int  # index among the attempts in flight
+    index: int  # index into the attempts in flight, modulo their number
     status: api.AttemptStatus
     cache_status: api.CacheStatus
 
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class ClientDisconnects:
-    index: int  # index among the pending requests
+    index: int  # index into the pending requests, modulo their number
 
     def play(self, checker: InvariantChecker) -> None:
         pending = checker.pending()
@@ -86,7 +86,7 @@
 
 @dataclass(frozen=True)
 class HintArrives:
-    index: int  # index among the pending requests
+    index: int  # index into the pending requests, modulo their number
     cache: str | None
     is_filling: bool
 
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -22,10 +22,10 @@
 @pytest.mark.parametrize(
     ("level", "gamma"),
     [
-        (0.5, 0.4),  # Γ = ϑs far below the ceiling
-        (0.85, 0.4),  # Γ is still ϑs at the lower bound, 1 - 3ε/2
-        (0.9, 0.7),  # Γ = ϑs + (1 - ϑs)/2 halfway between the bounds
-        (0.95, 1.0),  # Γ = 1 at the upper bound, 1 - ε/2
+        (0.5, 0.4),  # the threshold function Γ is ϑs if the level ϑ is far below 1
+        (0.85, 0.4),  # Γ is still ϑs at ϑ = 1 - 3ε/2, where its rise begins
+        (0.9, 0.7),  # Γ = ϑs + (1 - ϑs)/2 at ϑ = 1 - ε, halfway through its rise
+        (0.95, 1.0),  # Γ = 1 at ϑ = 1 - ε/2, where its rise ends
         (1.0, 1.0),
     ],
 )
@@ -43,15 +43,16 @@
     assert class_levels.level == pytest.approx(0.5 + 0.01 * (0.8 - 1))
     adaptive_ttl.move_levels(class_levels, False, 5 * SECOND, 1.0)
     assert class_levels.level == pytest.approx(0.5 + 0.01 * (0.8 - 1) + 0.01 * 0.8)
-    assert class_levels.first_seen_level == pytest.approx(0.5)  # a sample at the target changes nothing
+    assert class_levels.first_seen_level == pytest.approx(0.5)  # unchanged: both samples equal the target
 
 
 def test_size_samples_move_the_first_seen_level_by_weight() -> None:
     class_levels = levels(0.5, 0.5)
-    # The first size is the mean, so its weight is 1.
+    # The first response's size becomes the mean size. A sample's weight is its size divided by the mean, so
+    # the weight is 1 here.
     adaptive_ttl.move_levels(class_levels, False, 10 * SECOND, 4.0)
     assert class_levels.first_seen_level == pytest.approx(0.5 - 0.0001)
-    adaptive_ttl.move_levels(class_levels, False, 0.0, 8.0)  # the mean becomes 4.04
+    adaptive_ttl.move_levels(class_levels, False, 0.0, 8.0)  # the mean size becomes 4.04 KB
     assert class_levels.first_seen_level == pytest.approx(0.5 - 0.0001 + 0.0001 * 8 / 4.04)
 
 
@@ -91,15 +92,15 @@
     state.names.put("big", NameEntry(10, RANK_LOW, 89.0))
     assert adaptive_ttl.top_rank_has_capacity(state, "new")
     state.names.put("one", NameEntry(10, RANK_TOP, 11.0))
-    assert not adaptive_ttl.top_rank_has_capacity(state, "new")  # 11 of 100 exceed the share of 0.1
-    assert adaptive_ttl.top_rank_has_capacity(state, "one")  # its own bytes are not counted
+    assert not adaptive_ttl.top_rank_has_capacity(state, "new")  # 11 of 100 KB exceed its share of 0.1
+    assert adaptive_ttl.top_rank_has_capacity(state, "one")  # the bytes of `one` itself are not counted
 
 
 def test_new_names_rank_low_at_level_zero_and_repeats_rank_top() -> None:
     driver = RouterDriver(make_settings())
     driver.state.levels["image"].first_seen_level = 0.0
     ranks = [first_attempt(driver.request(str(i), f"n{i}")).rank for i in range(5)]
-    assert ranks == [RANK_LOW] * 5  # no new name ranks higher at θs = 0, and all are cached
+    assert ranks == [RANK_LOW] * 5  # at ϑs = 0, new names have the lowest rank that is cached
     assert first_attempt(driver.request("again", "n1")).rank == RANK_TOP
 
 
--- a/tests/routing/test_lifecycle.py
+++ b/tests/routing/test_lifecycle.py
@@ -78,7 +78,11 @@
     "changes", [{"latency_objective": 0, "latency_objective_stretch": 0.0}, {"priority_weight": 0.0}]
 )
 def test_class_without_objective_or_weight_is_served(changes: dict[str, Any]) -> None:
-    """Guards against continuous silence checks at an objective of 0, and a division by a weight of 0."""
+    """Guards against silence checks without a pause between them, and against a division by 0.
+
+    The checks follow each other at once if the latency objective is 0. The
+    cost of a request is divided by the priority weight of its class.
+    """
     driver = RouterDriver(make_settings(make_class(**changes), transfer_rate_kb_per_s=None))
 
     for number in range(20):
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -35,7 +35,8 @@
     package = ROOT / "olivepost" / "routing"
     modules = {path.relative_to(ROOT).as_posix() for path in package.glob("**/*.py")}
     assert modules - set(POLICY_MODULES) == {"olivepost/routing/__init__.py"}
-    assert len(ast.parse((package / "__init__.py").read_text(encoding="utf-8")).body) == 1  # its docstring
+    # The docstring is the only statement.
+    assert len(ast.parse((package / "__init__.py").read_text(encoding="utf-8")).body) == 1
 
 
 def test_router_names_its_interface_at_the_top() -> None:
@@ -81,6 +82,9 @@
 
 
 def test_what_run_imports_is_compiled_by_build() -> None:
-    """A process can't write the platform's files, so each start would otherwise compile all modules."""
+    """Guards against the compilation of all modules at each start of a process.
+
+    A process can't write the platform's files, so it can't keep what it has compiled for the next start.
+    """
     assert " -O " in DEPLOY["run"]
     assert "-O -m compileall -q olivepost" in DEPLOY["build"]
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -42,7 +42,8 @@
     assert forwarded_attempts(not_executed)
 
     driver.request("3")
-    assert not forwarded_attempts(driver.advance(2 * SECOND))  # a silent attempt is not abandoned
+    # A silent attempt of a non-idempotent request is not abandoned for a retry.
+    assert not forwarded_attempts(driver.advance(2 * SECOND))
 
 
 def test_request_with_key_stays_in_its_deduplication_scope_and_window() -> None:
@@ -63,7 +64,10 @@
 
 
 def test_retry_must_start_within_its_idempotency_window() -> None:
-    """The window keeps running while a retry waits for its connection."""
+    """Guards against a retry that starts too late because it has waited for its connection.
+
+    The idempotency window keeps running during this wait.
+    """
     request_class = make_class(idempotency=api.Idempotency.WITH_KEY, idempotency_window=SECOND)
     driver = RouterDriver(make_settings(request_class))
     (first,) = forwarded_attempts(driver.request("r"))
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -148,7 +148,8 @@
 
     assert names_at_parent[0] > 70
     assert 15 < names_at_parent[1] < names_at_parent[0] - 15
-    assert 0 < names_at_parent[2] < names_at_parent[0] / 4  # some names stay, so that a recovery shows
+    # Some names stay with the slow parent, so that the proxy can notice the parent's recovery.
+    assert 0 < names_at_parent[2] < names_at_parent[0] / 4
 
 
 def test_endpoints_that_are_equally_late_shed_nothing(driver: RouterDriver) -> None:
--- a/tests/routing/test_slow_start.py
+++ b/tests/routing/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Tests of the slow start invariant: the work that is sent to endpoints that are warming up."""
+"""Tests of the slow start invariant: an endpoint that is warming up gets no more work than its budget."""
 
 import dataclasses
 
@@ -27,9 +27,10 @@
 
 
 def test_starting_cache_gets_no_more_than_its_slow_start_budget(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The budget, computed by hand, is 2.0 x 0.2 x 2 transfers x 2 s = 1.6 s of work.
+    """Checks the budget of a starting cache against a value computed by hand.
 
-    Each request costs 0.05 s of work.
+    The budget is the overload multiple of 2.0 x the initial share of 0.2 x 2 transfers x a window of 2 s =
+    1.6 s of work. Each request costs 0.05 s of work, so 32 requests are sent.
     """
     monkeypatch.setattr("olivepost.routing.admission.LEVEL_CEILING", 0.0)
     driver = RouterDriver(make_settings(allows_direct_forwarding=False), STARTING_CACHE)
@@ -38,13 +39,14 @@
     assert attempts == 32
 
     driver.advance(SECOND)
-    assert not forwarded_attempts(driver.request("next"))  # the window is not over yet
+    assert not forwarded_attempts(driver.request("next"))  # the window of 2 s is not over yet
 
 
 def test_starting_parent_gets_no_more_than_its_slow_start_budget() -> None:
-    """The budget, computed by hand, is 2.0 x 0.1 x 2 transfers x 2 s = 0.8 s of work.
+    """Checks the budget of a starting parent against a value computed by hand.
 
-    Each request costs 0.05 s of work.
+    The budget is the overload multiple of 2.0 x the initial share of 0.1 x 2 transfers x a window of 2 s =
+    0.8 s of work. Each request costs 0.05 s of work, so the parent is the source of 16 requests.
     """
     driver = RouterDriver(make_settings(), STARTING_PARENT)
 
@@ -55,7 +57,11 @@
 
 
 def test_lookup_only_attempt_counts_at_no_parent_and_is_not_sent_to_a_starting_cache() -> None:
-    """A starting cache's budget covers every attempt; a starting parent's covers only fills from it."""
+    """Checks which attempts use up a slow start budget.
+
+    A starting cache's budget covers every attempt to the cache. A starting parent's budget covers only fills
+    from the parent.
+    """
     driver = RouterDriver(make_settings(), STARTING_PARENT)
     for number in range(40):
         driver.request(str(number))
@@ -68,7 +74,8 @@
 def test_slow_start_budget_does_not_grow_as_warm_endpoints_are_removed() -> None:
     """Guards against a slow start budget that grows during a release.
 
-    In incident i0667f8, the estimate of a link grew with each warm cache that a release replaced.
+    In incident i0667f8, the estimate of how much a link carries grew with each warm cache that a
+    release replaced.
     """
     warm_ids = [f"w{number}:1" for number in range(6)]
     endpoints = (*[cache(endpoint_id) for endpoint_id in warm_ids], ORIGIN)
@@ -98,9 +105,9 @@
 
 
 def test_response_without_body_is_no_sample_of_transfer_time(driver: RouterDriver) -> None:
-    """Guards against mean transfer times that not-modified responses lower.
+    """Guards against not-modified responses that lower a class's mean transfer time.
 
-    Slow start budgets are charged with these mean transfer times.
+    Such responses have no body. Slow start budgets are charged with the mean transfer time.
     """
     for number, is_not_modified in enumerate((True, False)):
         driver.request(str(number), size_kb=None)
@@ -141,7 +148,10 @@
 
 
 def test_restarted_proxy_sends_starting_endpoints_nothing_for_a_window() -> None:
-    """The proxy doesn't know how much work its earlier process sent in that window."""
+    """Guards against a restarted proxy that exceeds its slow start budgets.
+
+    The new process doesn't know how much work the earlier one sent in the current window.
+    """
     settings = make_settings(
         caches=api.TierSettings(1, 0.5, 30 * SECOND, 3.0), allows_direct_forwarding=False
     )
--- a/tests/routing_state/test_name_table.py
+++ b/tests/routing_state/test_name_table.py
@@ -30,13 +30,14 @@
         renewed, _ = tracemalloc.get_traced_memory()
     finally:
         tracemalloc.stop()
-    # After a renewal, the name and its queue entry have expiry times in separate integer objects of 32 bytes.
+    # Until the first renewal, a name and its queue entry share one expiry time, an integer object of 32
+    # bytes. The name then has a second such object. Further renewals add none.
     assert renewed_once < filled + 40 * CAPACITY
     assert renewed < renewed_once + CAPACITY
 
 
 def test_names_come_and_go_as_in_a_table_that_sorts_them() -> None:
-    """Compares the table with a dictionary under renewals, shorter lifetimes and evictions over capacity."""
+    """Compares the table with a dictionary while names are renewed, get shorter lifetimes and are evicted."""
     random_source = random.Random(7)
     table = ExpiringNameTable(50, 4)
     plain: dict[str, int] = {}
--- a/tests/routing_state/test_order_cache.py
+++ b/tests/routing_state/test_order_cache.py
@@ -1,4 +1,4 @@
-"""Tests of the bounded cache of endpoint orders."""
+"""Tests of the bounded cache of endpoint orders, each the endpoints' rendezvous order for a name."""
 
 from __future__ import annotations
 
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -96,7 +96,7 @@
 
 
 def read_event(message: Mapping[str, object]) -> api.Event | None:
-    """Reads a message as for a router with `SETTINGS`; returns None if it is no event for the router."""
+    """Reads a message for a router with `SETTINGS`; returns None if the message is no event for it."""
     return codec.read_event(codec.read_message({"front": 1, **message}), read_settings(SETTINGS))
 
 
--- a/tests/soak/child_process.py
+++ b/tests/soak/child_process.py
@@ -1,4 +1,4 @@
-"""Child processes of a test, which end with the test, also if it fails."""
+"""Child processes of a test, which end with the test, even if the test fails."""
 
 from __future__ import annotations
 
@@ -15,8 +15,9 @@
     """A Python process that is killed at the end of the `with` block.
 
     `arguments` are the interpreter's arguments. If `has_pipes` is set, the test reads the process's standard
-    output and may write to its standard input. If `captures_errors` is set, it also reads standard error.
-    `variables` are the process's environment variables; with None, the process inherits those of the test.
+    output and may write to its standard input. If `captures_errors` is set, the test also
+    reads its standard error. `variables` are the process's environment variables. If `variables` is None, the
+    process inherits those of the test.
     """
 
     def __init__(
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,7 +1,7 @@
 """Clients of a soak, which run on threads of the test's process.
 
 Regular clients send valid requests and read the responses. The others disconnect early, stay idle, pipeline
-requests, read or write slowly, or use a connection after the proxy announced its end.
+requests, read or write slowly, or send a request after a response with `Connection: close`.
 """
 
 from __future__ import annotations
@@ -144,7 +144,8 @@
                 request.name = random_source.choice(sorted(LARGE_NAMES))
                 request.class_name = "segment"
                 request.timeout_s = SLOW_READER_TIMEOUT_S
-                # The proxy may cut off the response at its write timeout or at its exit.
+                # The proxy may cut off the response at its write timeout or at its exit. The oracle must not
+                # expect a complete response.
                 request.outcome = Outcome.DISCONNECTED
                 request.ended_at = float("inf")
                 send_request(self._oracle, sock, request)
@@ -226,7 +227,7 @@
 
 
 def send_request(oracle: Oracle, sock: socket.socket, request: ClientRequest, data: bytes = b"") -> bool:
-    """Records a request and sends it, or sends its remaining bytes if `data` contains them.
+    """Records a request and sends it. If `data` has the request's remaining bytes, sends only these.
 
     Returns False if the connection failed, so that no response is expected.
     """
@@ -255,10 +256,11 @@
         while len(body) < length:
             body += receive(sock)
     except TimeoutError:
-        return False  # the request stays pending
+        return False  # the outcome stays PENDING, and the oracle reports it
     except OSError:
         request.ended_at = time.monotonic()
-        # If part of a response has arrived, the client can tell that the response is incomplete.
+        # If part of a response has arrived, the client can tell that the response is incomplete. The oracle
+        # therefore does not report the close.
         request.outcome = Outcome.COMPLETED if data else Outcome.CLOSED
         return False
     request.ended_at = time.monotonic()
--- a/tests/soak/environment.py
+++ b/tests/soak/environment.py
@@ -1,4 +1,4 @@
-"""Endpoints and coordinator of a soak, which run in the test's process and show the faults of a seed."""
+"""Endpoints and coordinator of a soak, which run in the test's process and misbehave as the seed decides."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.soak.oracle import Arrival, Execution, Oracle
 from tests.soak.traffic import object_name, reset_on_close
 
-ENDPOINT_IDS = ("c0", "c1", "c2", "c3", "p0", "p1", "o0")  # caches, parents, the origin
+ENDPOINT_IDS = ("c0", "c1", "c2", "c3", "p0", "p1", "o0")  # four caches, two parents, the origin
 BODY_REPEATS = 40
-LARGE_BODY_REPEATS = 15_000  # bodies of 240 KB
+LARGE_BODY_REPEATS = 15_000  # a large body is its object's 16-byte name, repeated to 240 KB
 LARGE_NAMES = frozenset(object_name(number) for number in range(1_000, 1_010))
-MAX_INVALIDATION_DELAY_S = 5.5  # shorter than the time for which the settings keep an invalidation
+MAX_INVALIDATION_DELAY_S = 5.5  # the settings keep an invalidation for longer than this
 SILENCE_POLL_S = 0.05  # interval at which a silent coordinator checks its mode
 TRUNCATED_BYTES = 60  # length of a truncated response
 STATUS_WORDS = {
@@ -73,7 +73,7 @@
             sock.sendall(f"{check_id} PONG\r\n".encode())
 
     def _fetch(self, sock: socket.socket, request_id: str, fields: dict[str, str], began_at: float) -> bool:
-        """Handles one `fetch` command; returns False if the fault plan closes the connection."""
+        """Handles one `fetch` command; returns False if a fault closes the connection."""
         name = fields["name"]
         arrival = Arrival(request_id, self.id, fields.get("miss", self.id), name, began_at)
         self._oracle.add_arrival(arrival)
@@ -130,7 +130,7 @@
 
 
 def faulty_response(fault: EndpointFault | None, request_id: str, response: bytes) -> bytes:
-    """Returns what an endpoint with a fault sends instead of a response; without a fault, the response."""
+    """Returns what an endpoint with this fault sends instead of a response; without a fault, `response`."""
     match fault:
         case EndpointFault.ERROR:
             return empty_response(request_id, STATUS_WORDS[fault])
@@ -153,7 +153,7 @@
 
 
 class SoakCoordinator(Coordinator):
-    """A coordinator whose `mode` the run changes."""
+    """A coordinator whose reaction to polls, its `mode`, the run changes."""
 
     def __init__(self) -> None:
         self.mode = DiscoveryMode.NORMAL
@@ -179,7 +179,7 @@
 class SoakEnvironment:
     """The caches, parents, origin and coordinator of one run.
 
-    `plans` and `entries` contain the fault plan and the entry in the endpoint list for each endpoint id.
+    `plans` has each endpoint's fault plan, and `entries` its entry in the endpoint list; both are by id.
     """
 
     def __init__(self, seed: int, oracle: Oracle) -> None:
@@ -195,7 +195,7 @@
         self.publish(list(self.entries.values()), is_full=True)
 
     def publish(self, entries: list[dict[str, Any]], is_full: bool) -> None:
-        """Publishes the entries of a complete endpoint list, or only those that have changed."""
+        """Publishes a complete endpoint list if `is_full` is set, and only changed entries otherwise."""
         version = len(self.coordinator.events) + 1
         self.coordinator.add(endpoints={"version": version, "full": is_full, "servers": entries})
 
--- a/tests/soak/fault_injector.py
+++ b/tests/soak/fault_injector.py
@@ -15,14 +15,14 @@
 from tests.soak.traffic import object_name
 
 COMMON_FAULT_SHARE = 0.15  # share of endpoint faults that affect all endpoints
-FAULT_SHARES = (0.1, 0.5, 1.0)  # share of an endpoint's commands that a fault affects
+FAULT_SHARES = (0.1, 0.5, 1.0)  # possible shares of an endpoint's commands that a fault affects
 DISCOVERY_FAULTS = (DiscoveryMode.SILENT, DiscoveryMode.DOWN)
 MAX_OUTAGE_S = 0.4  # longest outage of discovery
 MAX_INTERVAL_S = 0.4  # longest time between two faults
-MAX_PAUSE_S = 1.0  # longest time for which the proxy is stopped
+MAX_PAUSE_S = 1.0  # longest time for which the proxy is stopped with SIGSTOP
 MAX_RELOAD_INTERVAL_S = 0.02
-INVALIDATIONS = 5  # number of invalidations in one step
-MIN_READY_ENDPOINTS = 3  # number of caches and parents that are left in service
+INVALIDATIONS = 5  # number of objects that are invalidated one after another
+MIN_READY_ENDPOINTS = 3  # at least this many caches and parents stay in service
 
 
 class FaultInjector:
@@ -81,7 +81,7 @@
         self._oracle.discovery_outages.append((began_at, time.monotonic()))
 
     def _publish_repeatedly(self) -> None:
-        """Publishes complete endpoint lists without a pause in between."""
+        """Publishes the complete endpoint list several times without a pause in between."""
         for _ in range(self._random_source.randrange(1, 20)):
             self._environment.publish_all()
 
--- a/tests/soak/faulty_calls.py
+++ b/tests/soak/faulty_calls.py
@@ -26,7 +26,8 @@
 from collections.abc import Callable
 from typing import Any
 
-# Times after the start. Calls fail only from `FAULTS_FROM_S` on, when the proxy has started and is running.
+# Times after the import of this module. Calls fail only from `FAULTS_FROM_S` on, when the proxy has started
+# and is running.
 FAULTS_FROM_S = 1.5
 FAULTS_UNTIL_S = 6.0
 STEP_AFTER_S = 2.0
@@ -103,8 +104,9 @@
     return receive
 
 
-# Writes the stack of one thread: the main thread, to which the system delivers a process's signals. The
-# proxy's own SIGUSR1 writes the stacks of all threads, and its output ends after a hundred threads.
+# On SIGUSR2, the process writes the stack of one thread: the main thread, to which the system delivers a
+# process's signals. On SIGUSR1, the proxy writes the stacks of all threads, but this output ends after a
+# hundred threads and may lack the main thread.
 faulthandler.register(signal.SIGUSR2, all_threads=False)
 socket_class: Any = socket.socket
 if os.environ.get("SOAK_SMALL_SEND_BUFFERS"):
--- a/tests/soak/load_process.py
+++ b/tests/soak/load_process.py
@@ -1,8 +1,8 @@
 """Clients in a separate process: `python -m tests.soak.load_process HOST PORT OPTIONS`.
 
 OPTIONS is a JSON object with the fields of `LoadOptions`. The process prints a `LoadReport` as one JSON line
-when the load's duration is over or its standard input ends. After a line on its standard input, it opens no
-further connections.
+when the load's duration is over or its standard input ends. After a line on its standard input, the process
+opens no further connections.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from tests.soak.child_process import ChildProcess
 from tests.soak.traffic import object_name
 
-EXIT_TIMEOUT_S = 60.0  # added to the load's duration
+EXIT_TIMEOUT_S = 60.0  # longest wait for the process's report, in addition to the load's duration
 RECEIVE_BYTES = 262_144
 END_OF_HEAD = b"\r\n\r\n"
 CONNECT_TIMEOUT_S = 5.0
 RECONNECT_PAUSE_S = 0.05  # time until the next attempt after a refused connection
 SELECT_TIMEOUT_S = 0.02
-REQUEST_NUMBER_BITS = 40  # low bits of a request id; the higher bits are the load's seed
+REQUEST_NUMBER_BITS = 40  # low bits of a request id that number the requests; the rest is the seed
 LATE_SHARE = 0.5  # a request that takes longer than this share of its timeout is reported
 
 
@@ -41,7 +41,7 @@
     seed: int
     duration_s: float
     connections: int
-    names: int  # number of objects, which are requested uniformly
+    names: int  # number of objects, which are requested with equal probability
     class_name: str = "segment"
     timeout_ms: int = 3_000
     think_time_s: float = 0.0
@@ -73,7 +73,8 @@
 class LoadReport:
     """Observations of a load's clients."""
 
-    # Responses by status. `closed` and `refused` count connections that the proxy closed or refused.
+    # Number of responses by status. The keys `closed` and `refused` count connections that the proxy closed
+    # or refused.
     statuses: Counter[str] = field(default_factory=Counter)
     # Longest wait for the first response on a connection, including waits that ended without a response.
     longest_first_wait_s: float = 0.0
@@ -124,7 +125,7 @@
         self.name = ""
         self.sent_at: float | None = None  # None if no request is in flight
         self.response_count = 0
-        self.is_kept_open = True  # False after a response with `Connection: close`
+        self.is_kept_open = True  # becomes False with the header `Connection: close`
         self._received = bytearray()
 
     def send(self, name: int, request_id: int, options: LoadOptions) -> None:
--- a/tests/soak/options.py
+++ b/tests/soak/options.py
@@ -1,4 +1,4 @@
-"""Options that a seed chooses for a whole soak, and the proxy's configuration for them."""
+"""Options of a whole soak, all derived from its seed, and the configuration of the soak's proxy."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 CLOCK_ERRORS_S = (0, 0, 5, -5, 3_600, -3_600)
 MEMORY_LIMITS_MB = (32, 48, 64, 96)
 FAILING_CALL_SHARES = (0.0, 0.0, 0.02, 0.1)
-IDLE_CLIENTS_SHARE = 0.3  # share of all seeds
-KILLED_SHARE = 0.2  # share of all seeds
+IDLE_CLIENTS_SHARE = 0.3  # share of all seeds whose runs have idle clients
+KILLED_SHARE = 0.2  # share of all seeds whose runs kill the proxy and restart it
 
-# Seeds below this one get no pressure, so that their runs are the same as before `PressureOptions` existed.
+# Runs of seeds below this one have no pressure. They are the same as before `PressureOptions` existed.
 FIRST_PRESSURE_SEED = 1_000
 # A crowd is a load with more clients than the proxy may have connections.
-CROWD_FACTORS = (0, 2, 3, 4)  # clients for each connection that the proxy may have
+CROWD_FACTORS = (0, 2, 3, 4)  # clients for each connection that the proxy may have; 0 without a crowd
 # Descriptor limits of a proxy with a crowd. They are low, so that the test's machine can run all clients.
 CROWD_SOCKETS = (64, 96)
 SLOW_READERS = (0, 1, 4)
-STALLED_LOG_SHARE = 0.4  # share of the seeds with pressure
-LASTING_SHORTAGE_SHARE = 0.25  # share of the seeds with pressure
+STALLED_LOG_SHARE = 0.4  # share of the seeds with pressure whose runs have a stalled log
+LASTING_SHORTAGE_SHARE = 0.25  # share of the seeds with pressure that get a lasting shortage
 UNRESPONSIVE_STORES = (0, 0, 4)
-MIN_STORE_MEMORY_MB = 96  # lowest limit with shared stores, whose libraries take additional memory
+MIN_STORE_MEMORY_MB = 96  # lowest memory limit with shared stores; their client libraries need memory
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
 
 
 @dataclass(frozen=True, slots=True)
 class SoakOptions:
-    """Options of one run, which every seed chooses."""
+    """Options of one soak run, all derived from its seed, whether or not the run has pressure."""
 
     memory_mb: int
     failing_call_share: float  # share of system calls and thread starts that fail
-    clock_error_s: int  # error of the proxy's wall clock at its start
-    clock_step_s: int  # later step of that clock
+    clock_error_s: int  # error of the proxy's wall clock from the proxy's start on
+    clock_step_s: int  # additional error of that clock from a later time on
     has_idle_clients: bool
     is_killed: bool  # whether the proxy is killed with SIGKILL once during the run, and restarted
 
@@ -47,7 +47,7 @@
     def sample(cls, random_source: random.Random) -> SoakOptions:
         """Returns the options that a seed's random source chooses.
 
-        Always draws the same number of values, because the run uses this source for its faults afterwards.
+        Always draws the same number of values, because the run then draws its faults from this source.
         """
         return cls(
             memory_mb=random_source.choice(MEMORY_LIMITS_MB),
@@ -78,15 +78,15 @@
     max_sockets: int = MAX_SOCKETS
     crowd_factor: int = 0
     slow_readers: int = 0
-    persistent_clients: int = 0  # clients that also use a connection after a response announced its end
+    persistent_clients: int = 0  # clients that send a request even after `Connection: close`
     has_stalled_log: bool = False  # whether the test stops reading the log shortly before SIGTERM
-    has_lasting_shortage: bool = False  # whether peeks at sockets fail from some time until the exit
+    has_lasting_shortage: bool = False  # whether all peeks at sockets fail from a time until the exit
     unresponsive_stores: int = 0
     has_signal_series: bool = False  # whether SIGTERM, SIGHUP and SIGINT are sent until the process ends
 
     @classmethod
     def sample(cls, seed: int, options: SoakOptions) -> PressureOptions:
-        """Returns the options of a seed; the defaults if the seed is below `FIRST_PRESSURE_SEED`."""
+        """Returns the options of a seed, or the defaults if the seed is below `FIRST_PRESSURE_SEED`."""
         if seed < FIRST_PRESSURE_SEED:
             return cls()
         random_source = random.Random(f"pressure {seed}")
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -12,21 +12,21 @@
 from enum import Enum
 from operator import attrgetter
 
-RESPONSE_SLACK_S = 0.5  # a response may arrive up to this time after its request's deadline
-DISCONNECT_SLACK_S = 0.1  # attempts may reach endpoints up to this time after the client disconnected
+RESPONSE_SLACK_S = 0.5  # a response may arrive this long after its request's deadline
+DISCONNECT_SLACK_S = 0.1  # attempts may reach endpoints this long after the client disconnected
 SOCKET_SLACK_S = 0.05  # added to each time limit of the settings, for the transfer over sockets
-DRAIN_GRACE_S = 0.5  # attempts may reach a draining endpoint up to this time after its update
-INVALIDATION_GRACE_S = 0.3  # an invalidated response may be served up to this time afterwards
-DISCOVERY_RECOVERY_S = 2.0  # time after an outage of discovery at which the proxy must know all updates
-# Clients open connections up to this time after SIGTERM. They send requests on open connections until the
+DRAIN_GRACE_S = 0.5  # attempts may reach a draining endpoint this long after the proxy must know its state
+INVALIDATION_GRACE_S = 0.3  # a response may be served this long after the proxy must know its invalidation
+DISCOVERY_RECOVERY_S = 2.0  # the proxy must know all updates this long after an outage of discovery
+# Clients open connections for this long after SIGTERM. They send requests on open connections until the
 # proxy exits or is killed.
 ACCEPT_AFTER_SIGTERM_S = 0.4
-CLOSE_RACE_S = 0.05  # a request that ends this soon may have crossed a close of its connection as idle
+CLOSE_RACE_S = 0.05  # a request that is cut off this soon may have crossed the close of its idle connection
 SCHEDULING_SLACK_S = 0.15  # added to each time limit, for scheduling delays of the test's own threads
 
 
 class Outcome(Enum):
-    """Outcome of a request for its client."""
+    """Outcome of a request as its client observed it."""
 
     PENDING = "pending"
     COMPLETED = "completed"
@@ -35,7 +35,7 @@
 
 
 class Execution(Enum):
-    """Knowledge of whether an endpoint executed a request."""
+    """Possibility that an endpoint has executed a request."""
 
     POSSIBLE = "may have been executed"
     NONE = "not executed"
@@ -122,11 +122,11 @@
             self.invalidated[name].append((self._notified_at(), unix_ms))
 
     def accepts_new_connections(self) -> bool:
-        """Whether clients may open connections, which ends `ACCEPT_AFTER_SIGTERM_S` after SIGTERM."""
+        """Whether clients may open connections; they may until `ACCEPT_AFTER_SIGTERM_S` after SIGTERM."""
         return time.monotonic() < self.terminated_at + ACCEPT_AFTER_SIGTERM_S
 
     def _notified_at(self) -> float:
-        """Returns the time at which the proxy must know an update that is published now."""
+        """Returns the time by which the proxy must know an update that is published now."""
         now = time.monotonic()
         recoveries = [
             end + DISCOVERY_RECOVERY_S
@@ -207,7 +207,9 @@
         for arrival in self.arrivals:
             found += self._violations_of_draining(arrival)
             if arrival.request_id.startswith(self.load_id_prefix):
-                continue  # the load process keeps records of its requests, and reports the late ones
+                # The load process records its requests itself and reports only late and unanswered ones, so
+                # the oracle does not know the others.
+                continue
             request = self.requests.get(arrival.request_id)
             if request is None or request.name != arrival.name:
                 found.append(f"{arrival.label}: no client sent it")
@@ -241,7 +243,7 @@
         return found
 
     def _repeated_execution_violations(self) -> list[str]:
-        """Returns violations by non-idempotent requests that were sent again after a possible execution."""
+        """Returns a violation for each command that repeats a possibly executed non-idempotent request."""
         found = []
         possible: set[str] = set()
         for arrival in sorted(self.arrivals, key=attrgetter("began_at")):
--- a/tests/soak/proxy_process.py
+++ b/tests/soak/proxy_process.py
@@ -1,4 +1,4 @@
-"""A proxy in a separate process, started as in the deploy file, with access to its log and its memory."""
+"""A proxy in a separate process, started as in the deploy file. Tests can read its log and memory use."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 KILOBYTE = 1_024
 SMALL_PIPE_BYTES = 4_096  # smallest capacity that the system allows for a pipe
 DUMP_TIMEOUT_S = 0.5  # longest wait for the process to write its main thread's stack
-DUMP_INTERVAL_S = 0.02  # interval at which the test checks for that stack
-MAX_STACK_LINES = 8  # number of innermost frames that are kept
+DUMP_INTERVAL_S = 0.02  # interval at which the test checks whether the stack is written
+MAX_STACK_LINES = 8  # number of innermost frames of that stack that are reported
 STACK_MARK = "Stack (most recent call first)"
 PROXY_VARIABLES = {"MALLOC_ARENA_MAX": "2", "PYTHONPATH": str(ROOT)}
 
@@ -113,7 +113,7 @@
         self._may_read_log.clear()
 
     def main_thread_stack(self) -> str:
-        """Returns the main thread's stack, which the process writes on SIGUSR2; empty after the timeout."""
+        """Sends SIGUSR2 and returns the main thread's stack, or an empty text if none is written in time."""
         known = len(self._error_lines)
         self.signal(signal.SIGUSR2)
         for _ in range(int(DUMP_TIMEOUT_S / DUMP_INTERVAL_S)):
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -2,7 +2,7 @@
 
     python -m tests.soak.run SEED [SEED...]
 
-runs the seeds one after another and prints the first violations of each.
+runs the seeds one after another and prints the first violations of each seed.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 from tests.soak.unresponsive_store import UnresponsiveStores
 
 ANY_PORT = "127.0.0.1:0"  # the system chooses the port
-FAULT_PHASE_S = 8.0  # time in which faults are injected, until SIGTERM
-# Earliest time after SIGTERM at which the platform kills a process: the longest deadline plus its margin.
+FAULT_PHASE_S = 8.0  # time for which faults are injected before SIGTERM
+# Earliest time after SIGTERM at which the platform kills a process: the longest deadline plus a margin.
 KILL_AFTER_S = 3.0 + 0.7
 KILL_MARGIN_S = 0.04  # the proxy must end this long before the kill, so that the test sees the end in time
 SIGNAL_INTERVAL_S = 0.01
@@ -44,24 +44,25 @@
 LOG_STALL_BEFORE_SIGTERM_S = 1.0
 CROWD_THINK_TIME_S = 0.05
 CROWD_TIMEOUT_MS = 2_500
-# Added to the seed, so that ids of the crowd's requests differ from those of the run's own clients.
+# Added to the run's seed for the crowd, the clients in a separate process. The ids of the crowd's requests
+# then differ from those of the run's own clients.
 CROWD_SEED_SHIFT = 1_000_000
 SAMPLE_INTERVAL_S = 0.05  # interval at which memory and descriptors are sampled
 MAX_SAMPLE_GAP_S = 0.15  # a longer time between two samples is recorded as a pause of the test
-MAX_START_S = 6.0  # longest allowed start of the proxy
+MAX_START_S = 6.0  # longest time that the proxy may take to start
 MAX_PRINTED_FINDINGS = 8  # maximum number of printed findings of a seed
 MAX_FINDING_CHARACTERS = 3_000  # maximum number of printed characters of a finding
 
 
 class SoakRun:
-    """One run of a seed."""
+    """One soak run with the options and faults that its seed chooses."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self._random_source = random.Random(seed)
         self.options = SoakOptions.sample(self._random_source)
         self.pressure = PressureOptions.sample(seed, self.options)
         self.exit_s: float | None = None  # time from SIGTERM to the exit; None if the proxy was killed
-        self.longest_first_wait_s = 0.0  # longest first wait of the crowd's clients
+        self.longest_first_wait_s = 0.0  # longest wait of a crowd's client for the first response
         self._seed = seed
         self._folder = folder
         self._oracle = Oracle(NON_IDEMPOTENT_CLASS)
@@ -71,7 +72,7 @@
         self._is_over = threading.Event()
 
     def run(self) -> list[str]:
-        """Runs the soak; returns a line for each violation, and the log events that belong to it."""
+        """Runs the soak; returns lines of text for all violations and for the log events related to them."""
         sampler = threading.Thread(target=self._sample_resources, daemon=True)
         sampler.start()
         clients = SoakClients(self._proxy.address, self._oracle, self._seed)
@@ -88,7 +89,7 @@
         try:
             self._inject_faults()
             if self.options.has_idle_clients and self.pressure.has_signal_series:
-                # The first idle connections have reached their deadline by now.
+                # The first idle connections have reached their deadline by now. New ones replace them.
                 clients.open_idle_connections(IDLE_CLIENTS_BEFORE_SIGTERM)
             self._terminate(crowd)
         finally:
@@ -125,7 +126,10 @@
         )
 
     def _start_crowd(self) -> LoadProcess | None:
-        """Starts a process with more clients than the proxy may have connections, if the options say so."""
+        """Starts a crowd, a process with more clients than the proxy may have connections.
+
+        Returns None if the options have no crowd.
+        """
         if not self.pressure.crowd_factor:
             return None
         limits = read_config(self._config(ANY_PORT), {}).limits
@@ -169,7 +173,7 @@
         self._proxy = self._start_proxy(f"{host}:{port}")
 
     def _terminate(self, crowd: LoadProcess | None) -> None:
-        """Sends SIGTERM and other signals, and waits until the process has ended or its time is over.
+        """Sends SIGTERM and other signals, and waits until the process has ended or must be killed.
 
         The clients continue to send requests in this time.
         """
@@ -195,7 +199,8 @@
     def _send_signals(self, until: float) -> None:
         """Sends SIGTERM twice, each followed by SIGHUP.
 
-        If the options ask for a series, sends random shutdown signals until the process ends or `until`.
+        If the options ask for a series of signals, then sends random shutdown signals until the process has
+        ended or the time `until` has come.
         """
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP):
             self._proxy.signal(number)
@@ -205,11 +210,11 @@
             time.sleep(SIGNAL_INTERVAL_S)
 
     def _sample_resources(self) -> None:
-        """Checks the memory peak and the descriptors of the current proxy; stops after the first excess."""
+        """Checks the current proxy's memory peak and descriptors; stops when one exceeds its limit."""
         last_at = time.monotonic()
         while not self._is_over.wait(SAMPLE_INTERVAL_S):
             now = time.monotonic()
-            if now - last_at > MAX_SAMPLE_GAP_S:  # the test's own process was not scheduled
+            if now - last_at > MAX_SAMPLE_GAP_S:  # the test's own process has not run meanwhile
                 self._oracle.pauses.append((last_at, now))
             last_at = now
             peak_kb = self._proxy.status_kb("VmHWM")
@@ -238,7 +243,7 @@
 def crowd_request(request: LoadRequest) -> ClientRequest:
     """Returns a request of the crowd in the form that the oracle checks.
 
-    It has no status and body, so that the oracle doesn't check the bytes of its response.
+    The returned request has no status and no body, so that the oracle doesn't check the bytes of a response.
     """
     outcome = Outcome.CLOSED if request.is_closed else Outcome.COMPLETED
     if request.ended_at is None:
@@ -259,8 +264,8 @@
 class SoakResult:
     """The result of one seed."""
 
-    findings: list[str]  # the seed's options and all violations; empty without a violation
-    summary: str  # measured times
+    findings: list[str]  # the seed's options and all violations; empty if there is no violation
+    summary: str  # the proxy's exit time and the crowd's longest first wait
 
 
 def run_seed(seed: int) -> SoakResult:
--- a/tests/soak/test_connection_cap.py
+++ b/tests/soak/test_connection_cap.py
@@ -1,4 +1,4 @@
-"""Tests of real proxy processes with more clients than they may have connections."""
+"""Tests of real proxy processes, some with more clients than the connections that a proxy allows."""
 
 from __future__ import annotations
 
@@ -15,18 +15,21 @@
 
 MEMORY_MB = 64
 SOCKETS = 64
-CONNECTION_CAP = 30  # client connections of a proxy with `SOCKETS` descriptors
+CONNECTION_CAP = 30  # client connections that a proxy with `SOCKETS` descriptors allows
 CLIENTS = (CONNECTION_CAP, 2 * CONNECTION_CAP)
 LOAD_S = 4.0
 THINK_TIME_S = 0.02
 MAX_FIRST_WAIT_S = 1.0
-# Lowest throughput at twice the cap, as a share of the throughput at the cap.
+# Lowest allowed throughput of twice as many clients as the cap, as a share of the throughput at the cap.
 MIN_THROUGHPUT_SHARE = 0.8
 
 
 @pytest.fixture(scope="module")
 def reports(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[int, LoadReport]]:
-    """Reports of a load at the cap and one at twice the cap, which run at the same time on two proxies."""
+    """Yields the reports of two loads, by number of clients: as many as the cap, and twice as many.
+
+    The loads run at the same time on two proxies.
+    """
     with ExitStack() as stack, EndpointsProcess(caches=4, body_bytes=2_000) as endpoints:
         loads = {}
         for clients in CLIENTS:
--- a/tests/soak/test_memory_limit.py
+++ b/tests/soak/test_memory_limit.py
@@ -20,7 +20,7 @@
 
 
 def process_config(listed_endpoints: list[dict[str, Any]], memory_mb: int, **changes: Any) -> dict[str, Any]:
-    """Returns a proxy's configuration with these endpoints and a coordinator that cannot be reached."""
+    """Returns a proxy's configuration with the listed endpoints and a coordinator that cannot be reached."""
     known = {
         "index": 1,
         "updates": [{"index": 1, "endpoints": {"version": 1, "full": True, "servers": listed_endpoints}}],
@@ -48,7 +48,7 @@
 def test_idle_process_uses_little_more_memory_than_the_interpreter(tmp_path: Path) -> None:
     """Guards against an idle proxy that already takes the memory that a later load may need.
 
-    Hundreds of proxies share a machine.
+    Hundreds of proxies share a machine, so memory that idle proxies take adds up.
     """
     resident_kb = []
     for memory_mb in (32, 192):
--- a/tests/soak/test_oracle.py
+++ b/tests/soak/test_oracle.py
@@ -1,4 +1,4 @@
-"""Tests of the violations that the soak's oracle reports, and observations that it accepts."""
+"""Tests of the violations that the soak's oracle reports, and of the observations that it accepts."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
     oracle = Oracle("order", load_id_prefix="load")
     oracle.add_request(completed_request(is_after_announced_close=True, outcome=Outcome.CLOSED))
     assert oracle.violations() == []
-    # The load process keeps the records of its requests itself.
+    # The load process records its requests itself, so the oracle accepts an attempt without a known request.
     oracle.add_arrival(Arrival("load1", "c0", "c0", "n", 10.1))
     assert oracle.violations() == []
     oracle.add_arrival(Arrival("a", "c0", "c0", "n", 10.1))
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -12,7 +12,8 @@
 from tests.soak.options import FIRST_PRESSURE_SEED, PressureOptions, SoakOptions
 
 SEEDS = (3, 21, 38, 43)
-# The first seed has a crowd, the second a slow reader and a stalled log, the third a lasting shortage.
+# The first seed has a crowd (more clients than connections), the second a slow reader and a log that is not
+# read, the third a lasting shortage, during which peeks at sockets fail until the exit.
 PRESSURE_SEEDS = (1003, 1039, 1262)
 RUN_TIMEOUT_S = 90.0
 
@@ -40,14 +41,17 @@
 
 @pytest.fixture(scope="module")
 def soak_runs() -> Iterator[dict[int, SoakRunProcess]]:
-    """Runs of the seeds without pressure, all at the same time."""
+    """Starts the runs of the seeds without pressure, all at the same time, and yields them by seed."""
     with ExitStack() as stack:
         yield {seed: stack.enter_context(SoakRunProcess(seed)) for seed in SEEDS}
 
 
 @pytest.fixture(scope="module")
 def pressure_runs(soak_runs: dict[int, SoakRunProcess]) -> Iterator[dict[int, SoakRunProcess]]:
-    """Runs of the seeds with pressure, which start after the others because a crowd needs the machine."""
+    """Starts the runs of the seeds with pressure, and yields them by seed.
+
+    They start when the others have ended, because the clients of a crowd need the machine to themselves.
+    """
     for run in soak_runs.values():
         run.wait()
     with ExitStack() as stack:
--- a/tests/soak/traffic.py
+++ b/tests/soak/traffic.py
@@ -6,11 +6,11 @@
 
 NAME_MULTIPLIER = 2_654_435_761  # Knuth's multiplicative hash, which spreads consecutive numbers
 NAME_RANGE = 2**64
-LINGER_ZERO = b"\1\0\0\0\0\0\0\0"  # SO_LINGER enabled with a time of 0 s
+LINGER_ZERO = b"\1\0\0\0\0\0\0\0"  # enables SO_LINGER with a time of 0 s: a close resets the connection
 
 
 def object_name(number: int) -> str:
-    """Returns the name of the object with a number."""
+    """Returns the name of the object with the given number."""
     return f"{number * NAME_MULTIPLIER % NAME_RANGE:016x}"
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -102,7 +102,7 @@
 
 
 def start_endpoints(config: dict[str, Any]) -> list[ToyEndpoint]:
-    """Starts a toy endpoint for each endpoint in the configuration, and writes its address into its entry."""
+    """Starts a toy endpoint for each listed endpoint, and writes the toy's address into the list's entry."""
     listed = config["known"]["updates"][0]["endpoints"]["servers"]
     endpoints = [ToyEndpoint(item["id"]) for item in listed]
     for item, endpoint in zip(listed, endpoints, strict=True):
@@ -120,7 +120,7 @@
 
 
 def assert_logs_one_shutdown(lines: list[dict[str, Any]]) -> None:
-    """Checks that the log ends with one line of metrics, no violated invariant and no pending request."""
+    """Checks that the log ends with one shutdown, and has no violated invariant and no pending request."""
     ignored_prefixes = ("reload", "client_connection_closed")
     events = [line["event"] for line in lines if not line["event"].startswith(ignored_prefixes)]
     assert events == ["draining", "metrics", "stopped"]
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -40,7 +40,7 @@
 
 
 def table_rows(page: Path, headings: tuple[str, ...]) -> list[list[str]]:
-    """Returns the cells of all table rows under one of the headings."""
+    """Returns the cells of all table rows under the given headings, row by row."""
     rows: list[list[str]] = []
     is_wanted = False
     previous = ""
@@ -68,7 +68,7 @@
 
 @cache
 def modules(*packages: str) -> dict[Path, ast.Module]:
-    """Returns the syntax trees of all modules of the packages, by path."""
+    """Returns the syntax trees of all modules of the given packages, by path."""
     paths = [path for package in packages for path in (ROOT / package).rglob("*.py")]
     return {path: ast.parse(path.read_text(encoding="utf-8")) for path in paths}
 
@@ -82,7 +82,8 @@
     """Returns all strings and keyword arguments of the program, and the values that f-strings may have.
 
     An f-string is assumed to be a prefix and the lower-case name of an enum member, as in `attempts_error`.
-    Each prefix is also returned with `*`, as in `attempts_*`, the documentation's notation for all its names.
+    Each prefix is also returned with `*`, as in `attempts_*`. The documentation uses this notation for all
+    names with the prefix.
     """
     names: set[str] = set()
     prefixes: set[str] = set()
@@ -158,7 +159,7 @@
 
 
 def code_names(page: Path) -> set[str]:
-    """Returns the identifiers in code type on a page; on the glossary, those in the tables' last columns."""
+    """Returns the identifiers in code type on a page; for the glossary, only those in last table columns."""
     text = prose(page.read_text(encoding="utf-8"))
     if page.stem == "glossary":
         rows = [line.strip("|").split("|") for line in text.splitlines() if line.startswith("|")]
@@ -174,7 +175,8 @@
     missing = set()
     for name in code_names(ROOT / "docs" / f"{stem}.md"):
         owner, _, member = name.partition(".")
-        # A single word in one case may be a word of a wire format.
+        # A single word that is all in lower case or all in upper case may be a word of a wire format. It need
+        # not be defined in the code.
         is_word = name in (name.lower(), name.upper()) and "_" not in name
         if "." in name:
             is_known = member in members.get(owner, ())
@@ -193,6 +195,9 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=lambda page: page.relative_to(ROOT).as_posix())
 def test_diagrams_hold_no_semicolon(page: Path) -> None:
-    """Mermaid reads a semicolon as the end of a line, and then draws no part of the diagram."""
+    """Guards against diagrams that are not drawn.
+
+    Mermaid reads a semicolon as the end of a line, and then draws no part of the diagram.
+    """
     diagrams = re.findall(r"^```mermaid$.*?^```$", page.read_text(encoding="utf-8"), re.DOTALL | re.MULTILINE)
     assert [diagram for diagram in diagrams if ";" in diagram] == []
