--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -33,8 +33,7 @@
 def test_late_fills_reject_the_most_expensive_fills_and_no_hits(driver: RouterDriver) -> None:
     """Guards against the additional load of retried fills on a link that is already saturated.
 
-    When the incoming link of a location was saturated, every fill there was late, and every late fill was
-    retried.
+    A saturated incoming link made every fill of a location late, and every late fill was retried.
     """
     for number in range(40):
         driver.request_missed_by_cache(f"slow{number}", size_kb=20.0)
@@ -59,8 +58,8 @@
 def test_rejected_fills_raise_the_fill_level_as_late_ones_do(driver: RouterDriver) -> None:
     """Guards against rejected fills that do not raise the fill level, which measures the overload by fills.
 
-    In incident i114a12, thousands of fills from one origin were rejected, and then retried at the next
-    parent.
+    In incident i114a12, thousands of fills were rejected, and were then retried at the next parent of one
+    origin.
     """
     driver.request_missed_by_cache("1")
 
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -14,7 +14,7 @@
 
 RESPONSE_SLACK_S = 0.5  # a response may arrive this long after its request's deadline
 DISCONNECT_SLACK_S = 0.1  # attempts may reach endpoints this long after the client disconnected
-SOCKET_SLACK_S = 0.05  # added to each time limit of the settings, for the transfer over sockets
+SOCKET_SLACK_S = 0.05  # added to the limits after drains and invalidations, for the sockets' delay
 DRAIN_GRACE_S = 0.5  # attempts may reach a draining endpoint this long after the proxy must know its state
 INVALIDATION_GRACE_S = 0.3  # a response may be served this long after the proxy must know its invalidation
 DISCOVERY_RECOVERY_S = 2.0  # the proxy must know all updates this long after an outage of discovery
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -50,7 +50,7 @@
 def pressure_runs(soak_runs: dict[int, SoakRunProcess]) -> Iterator[dict[int, SoakRunProcess]]:
     """Starts the runs of the seeds with pressure, and yields them by seed.
 
-    They start when the others have ended, because the clients of a crowd need the machine to themselves.
+    They start when the others have ended, because the clients of a crowd load the machine heavily.
     """
     for run in soak_runs.values():
         run.wait()
