--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -22,8 +22,8 @@
 
     Only the event loop's thread uses it. No method blocks or calls the router. An action that forwards an
     attempt, responds to a client or looks up a hint needs a pending request. If the request is no longer
-    pending, such an action has no effect, and the violated invariant is counted. The cancellation of an
-    attempt has no effect if the request is neither pending nor closed by the current event.
+    pending, such an action has no effect and is counted as a violation of an invariant. The cancellation of
+    an attempt has no effect if the request is neither pending nor closed by the current event.
     """
 
     def __init__(
@@ -47,10 +47,10 @@
         self._closed: dict[str, PendingExchange] = {}
 
     def execute(self, actions: list[api.Action], closed: PendingExchange | None = None) -> None:
-        """Executes the router's actions on one event in order.
+        """Executes the actions that the router returned for one event, in order.
 
-        `closed` is the request that was closed before this call while the event was handled. It is None if no
-        request was closed.
+        `closed` is the request that the caller has already closed while it handled the event. `closed` is
+        None if the caller has closed no request.
         """
         if closed is not None:
             self._closed[closed.exchange.id] = closed
@@ -115,9 +115,9 @@
     def _cancel(self, action: api.CancelAttempt) -> None:
         """Cancels an attempt of a request.
 
-        If hedged requests are not allowed, a request has only one attempt at a time. If the cancelled attempt
-        needs an abort command, the request's next attempt therefore waits until that command has been
-        written.
+        If hedged requests are not allowed, a request may have only one attempt at a time. If an abort command
+        has to be sent for the cancelled attempt, the request's next attempt therefore waits until that
+        command has been written.
         """
         request_id = action.request_id
         pending = self._pending.get(request_id) or self._closed.get(request_id)
--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -115,7 +115,8 @@
     With huge pages, the first access to the mapping would make all of it occupy memory.
     """
     mapping = mmap.mmap(-1, size_bytes, flags=mmap.MAP_PRIVATE | mmap.MAP_ANONYMOUS)
-    with contextlib.suppress(OSError):  # the system may not support huge pages
+    # `madvise` fails on a system that has no huge pages, where the advice is not needed.
+    with contextlib.suppress(OSError):
         mapping.madvise(mmap.MADV_NOHUGEPAGE)
     return mapping
 
--- a/olivepost/proxy/clock.py
+++ b/olivepost/proxy/clock.py
@@ -6,18 +6,18 @@
 
 from olivepost.units import Duration, Instant
 
-# Number of times that the system clock and the monotonic clock are both read at the start. The offset between
-# the two clocks is the largest of the differences.
+# Number of times that the system clock and the monotonic clock are both read when the clock is created. The
+# offset between the two clocks is the largest of the differences between the two values.
 OFFSET_READINGS = 20
 
 
 class Clock:
     """Unix time that is read at the start and then advanced by the monotonic clock. Any thread may use it.
 
-    The times of the endpoint list, of invalidations and of the router come from one common clock. While the
-    proxy runs, this clock ignores steps of the system clock. If the system clock was wrong at the start,
-    durations are still correct. `observe` and `from_unix` together convert Unix times that other machines
-    have sent.
+    All parts of a proxy share one clock, so that the times of the endpoint list, of invalidations and of the
+    router can be compared. While the proxy runs, this clock ignores steps of the system clock. If the system
+    clock was wrong at the start, durations are still correct. `from_unix` converts Unix times that other
+    machines have sent, and corrects them by the error of this clock that `observe` has recorded.
     """
 
     def __init__(self) -> None:
@@ -29,13 +29,19 @@
         self._offset = max(time.time_ns() - time.monotonic_ns() for _ in range(OFFSET_READINGS))
 
     def observe(self, unix_ns: int) -> None:
-        """Records how far this clock is behind `unix_ns`, a past Unix time that another machine has sent."""
+        """Records how far this clock is behind `unix_ns`, a past Unix time that another machine has sent.
+
+        Only the longest duration that was ever found is kept.
+        """
         error = unix_ns - self.now()
         if error > self._known_error:
             self._known_error = error
 
     def from_unix(self, unix_ns: int) -> Instant:
-        """Converts a Unix time that another machine has sent into a time on this clock."""
+        """Converts a Unix time that another machine has sent into a time on this clock.
+
+        The longest duration that `observe` has found is subtracted from the Unix time.
+        """
         return unix_ns - self._known_error
 
     def now(self) -> Instant:
--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -83,9 +83,9 @@
             old_poll = self._long_poll
             if coordinator == self._address or old_poll is None or self._is_stopped:
                 return False
-            # The timeout of 0 avoids a wait until the system can start a thread. During such a wait, the old
-            # poll could not apply its events, because this thread holds the lock, and no signal would be
-            # handled.
+            # The timeout is 0, so that this thread does not wait until the system can start a thread. During
+            # such a wait, the old poll could not apply its events, because this thread holds the lock, and no
+            # signal would be handled.
             long_poll = LongPoll(self, coordinator, self._random.random())
             long_poll.start(timeout_s=0.0)
             self._long_poll = long_poll
@@ -106,9 +106,11 @@
     def accept_response(self, long_poll: LongPoll, data: object) -> DiscoveryHeartbeat | None:
         """Applies the decoded body of a complete response; raises ConfigError if the body is invalid.
 
-        Returns the response's heartbeat, a message that the event loop marks as handled after it has handled
-        the response's events. Returns None if the response does not show that the watch is up to date, if
-        another long poll has replaced `long_poll`, or if the client is stopped.
+        Returns a heartbeat, a message that is posted to the event loop after the response's events. The event
+        loop marks the heartbeat as handled, so that the long poll can wait until these events have been
+        handled. Returns None if there is nothing to wait for, for one of these reasons: another long poll has
+        replaced `long_poll`, the client is stopped, or the response shows that events are missing or that the
+        coordinator lags behind.
         """
         with self._lock:
             if not self._is_current(long_poll):
--- a/olivepost/proxy/discovery/event_parser.py
+++ b/olivepost/proxy/discovery/event_parser.py
@@ -34,8 +34,8 @@
 def parse_numbered_event(item: object, now: Instant) -> NumberedEvent:
     """Parses one element of the coordinator's `updates`.
 
-    An invalid event is returned with its error, so that the events after it are still applied. An event
-    without a valid index raises a ConfigError, since its place in the sequence is unknown.
+    An invalid event is returned with its error, so that the events after it are still applied. If an event
+    has no valid index, raises ConfigError, since the event's place in the sequence is unknown.
     """
     fields = FieldReader("update", item)
     index = fields.integer("index")
--- a/olivepost/proxy/discovery/long_poll.py
+++ b/olivepost/proxy/discovery/long_poll.py
@@ -46,8 +46,9 @@
     def accept_response(self, long_poll: LongPoll, data: object) -> DiscoveryHeartbeat | None:
         """Applies the decoded body of a complete response.
 
-        Returns a heartbeat that the event loop marks as handled after the response's events. The long poll
-        waits for that before it polls again. Returns None if there is nothing to wait for.
+        Returns a heartbeat, a message that the event loop marks as handled after it has handled the
+        response's events. The long poll waits for that mark before it polls again. Returns None if there is
+        nothing to wait for.
         """
 
 
@@ -77,7 +78,7 @@
     def stop(self) -> None:
         """Ends the polling and aborts the open poll.
 
-        A connection that is still being established is closed afterwards.
+        If the polling thread is still opening a connection, that thread closes the connection afterwards.
         """
         self._is_stopped.set()
         with self._lock:
--- a/olivepost/proxy/discovery/poll_backoff.py
+++ b/olivepost/proxy/discovery/poll_backoff.py
@@ -6,16 +6,16 @@
 
 from olivepost.units import MILLISECOND, SECOND, Duration
 
-# Time allowed from the end of a poll's wait to the last byte of the poll's response. Events are expected to
-# be known everywhere 2 s after the end of the wait. The time is short enough for another poll before then, if
-# the first one fails.
+# Time allowed from the end of a poll's wait to the last byte of the poll's response. The wait is the time for
+# which the coordinator may hold the poll open. Events are expected to be known everywhere 2 s after the end
+# of the wait. The allowed time is short, so that another poll fits into those 2 s if the first poll fails.
 FIRST_RESPONSE_TIMEOUT: Duration = 600 * MILLISECOND
 MAX_RESPONSE_TIMEOUT: Duration = 4 * SECOND
-MAX_RESPONSE_TIMEOUT_DOUBLINGS = 8  # limits the bit shift; fewer already reach MAX_RESPONSE_TIMEOUT
+MAX_RESPONSE_TIMEOUT_DOUBLINGS = 8  # limits the bit shift; fewer doublings already reach MAX_RESPONSE_TIMEOUT
 FIRST_BACKOFF_S = 0.03
 MAX_BACKOFF_S = 0.25
-MAX_BACKOFF_DOUBLINGS = 10  # limits the bit shift; fewer already reach MAX_BACKOFF_S
-MIN_BACKOFF_SHARE = 0.5  # fixed share of the longest backoff; the rest is random
+MAX_BACKOFF_DOUBLINGS = 10  # limits the bit shift; fewer doublings already reach MAX_BACKOFF_S
+MIN_BACKOFF_SHARE = 0.5  # shortest backoff as a share of the longest; the backoff is drawn between the two
 
 
 class PollBackoff:
@@ -37,8 +37,9 @@
     def response_timeout(self) -> Duration:
         """Returns how long the next response may take after the end of the poll's wait.
 
-        Each consecutive failure doubles this time, up to `MAX_RESPONSE_TIMEOUT`, because a long endpoint list
-        may need more time to arrive.
+        The wait is the time for which the coordinator may hold the poll open. Each consecutive failure
+        doubles the time for the response, up to `MAX_RESPONSE_TIMEOUT`, because a long endpoint list may need
+        more time to arrive.
         """
         doublings = min(self._consecutive_failures, MAX_RESPONSE_TIMEOUT_DOUBLINGS)
         return min(MAX_RESPONSE_TIMEOUT, FIRST_RESPONSE_TIMEOUT << doublings)
--- a/olivepost/proxy/discovery/watch_state.py
+++ b/olivepost/proxy/discovery/watch_state.py
@@ -68,8 +68,8 @@
         """Applies a response and returns its new events, in order; advances to the response's index.
 
         If earlier events are missing, or the coordinator has restarted its numbering, begins a resync instead
-        and returns no events, unless the response already belongs to a resync. Raises ConfigError if the
-        response has no valid indices; none of its events is applied then.
+        (the next poll requests all events) and returns no events, unless the response already belongs to a
+        resync. Raises ConfigError if the response has no valid indices; none of its events is applied then.
         """
         response = FieldReader("discovery response", data)
         response_index = response.integer("index", INDEX_BEFORE_ALL_EVENTS)
@@ -138,7 +138,7 @@
 
 
 def _with_age(event: DiscoveryEvent, age_of: Callable[[Duration], Duration]) -> DiscoveryEvent:
-    """Returns an invalidation with its age replaced by `age_of(age)`; any other event unchanged."""
+    """Returns an invalidation with `age_of(age)` as its age; returns any other event unchanged."""
     change = event.change
     if not isinstance(change, api.Invalidation):
         return event
--- a/olivepost/proxy/discovery_changes.py
+++ b/olivepost/proxy/discovery_changes.py
@@ -20,8 +20,8 @@
     """Component that passes each change to every part of the proxy that depends on it.
 
     Only the event loop's thread uses it. An endpoint update is first passed to the upstream pool, and an
-    invalidation to the response cache. Then follow the router, the attempts that no connection has begun to
-    write, and finally the shared store.
+    invalidation to the response cache. The change is then passed to the router, to the attempts that no
+    connection has begun to write, and finally to the shared store.
     """
 
     def __init__(
--- a/olivepost/proxy/downstream/body_budget.py
+++ b/olivepost/proxy/downstream/body_budget.py
@@ -1,4 +1,4 @@
-"""The memory budget shared by large request bodies, and each connection's reservation in it."""
+"""The memory budget that all large request bodies share, and the reservation of one connection in it."""
 
 from __future__ import annotations
 
@@ -44,7 +44,8 @@
     def reserve(self, size_bytes: int) -> bool:
         """Reserves the bytes of a body if necessary; returns whether the body may be read.
 
-        A small body needs no reservation, and a body that already has one needs no second one.
+        A small body needs no reservation, and a body whose bytes are already reserved needs no second
+        reservation.
         """
         if size_bytes <= self._budget.small_body_bytes or self._reserved_bytes:
             return True
--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -78,8 +78,8 @@
     def _close(self) -> None:
         """Closes the socket and abandons the request in flight, if there is one."""
         lifecycle = self.lifecycle
-        # The flag is set before the event loop is notified, so that no further attempt for the request
-        # begins.
+        # `is_closed` is set before the event loop learns that the client has disconnected. The upstream
+        # connections check the flag, so that none of them begins to write a further attempt for the request.
         lifecycle.is_closed = True
         sockets.shutdown(self._sock)  # wakes a writer that waits for this client
         with lifecycle.lock:
--- a/olivepost/proxy/downstream/connection_admission.py
+++ b/olivepost/proxy/downstream/connection_admission.py
@@ -19,12 +19,12 @@
 from olivepost.proxy.http1 import response_head
 from olivepost.units import SECOND
 
-SLOT_RETRY_INTERVAL_S = 0.02  # pause between two attempts to evict a connection at the cap
+SLOT_RETRY_INTERVAL_S = 0.02  # pause between two attempts to evict a connection at the connection cap
 # Longest time until a client and all clients that wait behind it have each received a slot or a rejection.
 MAX_SLOT_WAIT_S = 0.7
-# Shortest timeout of one client while slots become free often enough for all waiting clients. A connection
-# may be evicted only after `MIN_IDLE_BEFORE_EVICTION`. With a shorter timeout, the client could be rejected
-# before the youngest connections may be evicted.
+# Shortest timeout of a client that waits for a slot, if slots become free often enough for all waiting
+# clients. A connection may be evicted only after it was idle for `MIN_IDLE_BEFORE_EVICTION`. With a shorter
+# timeout, the client could be rejected before the connections that became idle last may be evicted.
 PATIENT_SLOT_WAIT_S = 0.1
 SLOT_WAIT_STEP = 0.25  # weight of a new sample in the moving average of waits for a slot
 # Attempts to start a connection's reader thread, and the pause between two attempts: one second in total.
@@ -36,8 +36,8 @@
     """Admission control, which turns accepted sockets into connections.
 
     The accept thread calls `admit`, and the main thread sets `connection_limit`. Each connection's reader
-    thread releases the connection's slot when the connection ends. The semaphore `_slots` counts the free
-    slots. When `stopped` is set, a wait for a slot ends.
+    thread releases the connection's slot when the connection ends. A slot permits one open connection, and
+    the semaphore `_slots` counts the free slots. When `stopped` is set, a wait for a slot ends.
     """
 
     def __init__(
@@ -55,9 +55,9 @@
         self._stopped = stopped
         self._writers = ResponseWriters(context.limits.writer_threads, context.log)
         self._slots = threading.Semaphore(context.limits.max_client_connections)
-        # Moving average of the waits for a slot at the cap, and the queue delay of the client that is being
-        # admitted, which is the estimated time that this client has waited so far. Only the accept thread
-        # uses the two.
+        # Moving average of the waits for a slot at the connection cap, and the queue delay of the client that
+        # is being admitted. The queue delay is the estimated time that this client has waited so far. Only
+        # the accept thread uses these two fields.
         self._mean_slot_wait_s = 0.0
         self._queue_delay_s = 0.0
 
@@ -65,7 +65,7 @@
         """Starts a connection after it gets a slot; rejects it if no slot becomes free in time.
 
         `count_waiting` returns the number of connections that wait to be accepted behind this one. `admit`
-        calls it only at the cap.
+        calls this function only at the connection cap.
         """
         self._queue_delay_s = 0.0
         try:
@@ -96,7 +96,9 @@
     def _slot_timeout_s(self, client_count: int) -> float:
         """Returns how long the first of `client_count` waiting clients may wait for a slot, in seconds.
 
-        The timeout is chosen so that all of these clients get a slot or a rejection in time.
+        All of these clients are to get a slot or a rejection within `MAX_SLOT_WAIT_S`, so the timeout is an
+        equal share of that time. If the mean wait so far shows that slots become free fast enough for all of
+        them, the timeout is at least `PATIENT_SLOT_WAIT_S`.
         """
         timeout_s = MAX_SLOT_WAIT_S / client_count
         if self._mean_slot_wait_s * client_count <= MAX_SLOT_WAIT_S:
@@ -104,11 +106,12 @@
         return timeout_s
 
     def _wait_for_slot(self, waiting_count: int) -> bool:
-        """Waits for a slot at the cap; returns False if none becomes free in time or `stopped` is set.
+        """Waits for a slot at the connection cap; returns False if none becomes free or `stopped` is set.
 
         Evicts an idle connection. If all connections are in use, each response ends its connection during the
-        wait, so that clients take turns. During a flood of connections without any request, responses don't
-        do so, because the connections of the flood are evicted soon.
+        wait, so that clients take turns. During a flood (at least a quarter of the cap is taken by
+        connections without any request), responses don't end their connections, because the connections of
+        the flood are evicted soon.
         """
         context = self._context
         context.log.increment("connection_cap_reached")
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -108,14 +108,14 @@
     # shutdown).
 
     def evict(self) -> bool:
-        """Closes the connection immediately, unless a request is in flight or unread.
+        """Closes the connection immediately, unless it has a request in flight or unread bytes.
 
         A connection that another thread is using is not closed either. An incomplete request gets status 503.
         Returns whether the connection was closed.
         """
         with self._try_lock() as is_locked:
             if not is_locked:
-                return False  # the reader or a writer is using the connection
+                return False  # the connection is left open, because the reader or a writer is using it
             if self.exchange is not None or not self.has_nothing_unread:
                 return False
             self.record_close_reason(CloseReason.EVICTED)
@@ -129,7 +129,8 @@
         with self._try_lock() as is_locked:
             if is_locked:
                 self._expire_locked()
-            elif self.is_write_blocked:  # if False, the reader holds the lock, since bytes have arrived
+            # If no writer waits, the reader holds the lock, because bytes arrived.
+            elif self.is_write_blocked:
                 self.deadline = None
                 self.abort(CloseReason.WRITE_TIMEOUT)
 
@@ -166,7 +167,7 @@
     def _expire_locked(self) -> None:
         now = self._context.clock.now()
         if not self.is_overdue(now):
-            return  # a request was received after the caller had read the deadline
+            return  # no longer overdue: a request was received after the caller had read the deadline
         if self.is_closing or self.exchange is not None:
             self._shut_down(CloseReason.WRITE_TIMEOUT)
         elif not self.parser.is_idle:
--- a/olivepost/proxy/downstream/deadline_watch.py
+++ b/olivepost/proxy/downstream/deadline_watch.py
@@ -9,7 +9,7 @@
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 
-DEADLINE_CHECK_INTERVAL_S = 0.1  # time between two checks, by which a connection may outlive its deadline
+DEADLINE_CHECK_INTERVAL_S = 0.1  # time between two checks; a connection may outlive its deadline by as much
 
 
 class DeadlineWatch:
@@ -40,7 +40,8 @@
             try:
                 self._expire_connections()
                 self._on_check()
-            except Exception:  # top level of the thread: all deadlines depend on it, so no error ends it
+            # Top level of the thread: no error may end it, since all deadlines depend on it.
+            except Exception:
                 self._context.log.exception("deadline_error")
 
     def _expire_connections(self) -> None:
--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -51,7 +51,7 @@
 
     @property
     def has_pending_responses(self) -> bool:
-        """Whether any client waits for a response or its rest, or has sent a part of a request."""
+        """Whether any client waits for a response or the rest of one, or has sent a part of a request."""
         return any(connection.has_pending_response for connection in self.connections.snapshot())
 
     def listen(self, address: Address) -> Address:
@@ -70,7 +70,7 @@
         self.admission.connection_limit = limit
 
     def evict_idle(self) -> None:
-        """Closes a few connections without a pending response; closes those without any request first."""
+        """Closes a few connections without a pending response, first those that have had no request."""
         self._evictor.evict_idle()
 
     # The graceful shutdown calls the methods below, in this order.
--- a/olivepost/proxy/downstream/eviction.py
+++ b/olivepost/proxy/downstream/eviction.py
@@ -7,8 +7,8 @@
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.units import MILLISECOND, Duration
 
-# Time after a connection was accepted or became idle in which it is not evicted. Its next request may be on
-# its way, and a reset could overtake its last response.
+# A connection is not evicted within this time after it was accepted or became idle, because its next request
+# may be on its way, and a reset could overtake its last response.
 MIN_IDLE_BEFORE_EVICTION: Duration = 50 * MILLISECOND
 MAX_EVICTIONS_AT_ONCE = 8  # largest number of connections that one call of `evict_idle` closes
 # Unused connections, which have had no request, are a flood if they are at least a quarter of the connection
@@ -18,7 +18,7 @@
 
 
 class ConnectionEvictor:
-    """Evictor of connections without a request in flight. Any thread may call it; it keeps no state."""
+    """Stateless evictor of connections without a request in flight. Any thread may call its methods."""
 
     def __init__(self, context: DownstreamContext, connections: ConnectionSet) -> None:
         self._context = context
@@ -46,10 +46,14 @@
     def _candidates(self) -> list[ConnectionLifecycle]:
         """Returns the connections that may be evicted, in the order in which to evict them.
 
-        These are the connections without any request yet or, if there are none, the idle connections. The
-        connection that has been idle longest comes first. A connection that has sent a part of its first
-        request is not evicted, so that it can finish the request. In a flood it may be evicted, after the
-        connections that have sent nothing. No idle connection that has had a request is evicted in a flood.
+        Each of these connections has been idle for longer than `MIN_IDLE_BEFORE_EVICTION`. There is a flood
+        if connections that have had no request take at least a quarter of the connection cap.
+
+        Unless there is a flood, the method returns the connections that have sent nothing yet or, if there
+        are none, the idle connections that have had a request. A connection that has sent a part of its first
+        request is not evicted, so that it can finish the request. In a flood, the method returns all
+        connections that have not sent a complete request, and no others. Connections that have sent a part of
+        a request come last; otherwise the connection that has been idle longest comes first.
         """
         idle_before = self._context.clock.now() - MIN_IDLE_BEFORE_EVICTION
         connections = self._connections.snapshot()
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -16,7 +16,7 @@
 from olivepost.units import MILLISECOND, Duration
 
 ACCEPT_STOP_TIMEOUT_S = 1.0  # time for the accept thread to empty the accept queue
-ACCEPT_TIMEOUT: Duration = 50 * MILLISECOND  # interval between two checks whether the listener has to stop
+ACCEPT_TIMEOUT: Duration = 50 * MILLISECOND  # interval between two checks of whether the listener must stop
 # Shortest and longest pause after a failed accept. The pause doubles with each consecutive failure, because a
 # process without free descriptors must close some before it can accept again.
 MIN_ACCEPT_PAUSE_S = 0.001
--- a/olivepost/proxy/downstream/request_reader.py
+++ b/olivepost/proxy/downstream/request_reader.py
@@ -12,7 +12,8 @@
 from olivepost.proxy.http1 import HttpError, Message, RequestLine
 from olivepost.units import Duration, Instant
 
-# Most bytes that are received and dropped after the proxy's half-close, before the connection is closed.
+# Maximum number of bytes that are received and dropped after the proxy's half-close. The connection is closed
+# if the client sends more.
 MAX_LINGER_BYTES = 4_194_304
 
 
@@ -42,8 +43,9 @@
     def read(self, buffer: memoryview) -> None:
         """Reads until the connection ends; raises OSError.
 
-        Waits for bytes without the lock, and receives them with the lock. If it received them before it took
-        the lock, another thread could close the connection in between, without seeing the received request.
+        Waits for bytes without the lock of the connection's lifecycle, and receives the bytes while it holds
+        that lock. If this thread received bytes before it took the lock, another thread could close the
+        connection in between, without knowing that a request had been received.
         """
         lifecycle = self._lifecycle
         while sockets.wait_readable(lifecycle.sock):
@@ -77,7 +79,7 @@
         self._take_requests(received_at)
 
     def _take_requests(self, received_at: Instant) -> None:
-        """Takes requests out of the received bytes until one is in flight."""
+        """Takes complete requests out of the received bytes until none is left or one is in flight."""
         lifecycle = self._lifecycle
         parser = lifecycle.parser
         while lifecycle.exchange is None and not lifecycle.is_closing:
--- a/olivepost/proxy/downstream/response_delivery.py
+++ b/olivepost/proxy/downstream/response_delivery.py
@@ -69,20 +69,20 @@
             self._complete(response)
 
     def abandon_response(self, exchange: Exchange, response: Response) -> None:
-        """Aborts a response because no thread could be started to write its rest."""
+        """Aborts a partly written response, because no thread could be started to write the rest of it."""
         with self._lifecycle.lock:
             if not self._release_if_abandoned(exchange, response):
                 self._lifecycle.abort(CloseReason.WRITE_FAILED)
                 self._complete(response)
 
     def abort(self, reason: CloseReason) -> None:
-        """Shuts down the socket immediately, without taking the lock."""
+        """Shuts down the socket immediately, without taking the lock of the connection's lifecycle."""
         self._lifecycle.abort(reason)
 
     # The callers of the methods below hold the lock of the connection's lifecycle.
 
     def _release_if_abandoned(self, exchange: Exchange, response: Response) -> bool:
-        """Releases the response if the connection is closed or no longer has the exchange.
+        """Releases the response if the connection is closed or the exchange is no longer in flight on it.
 
         Returns whether the response was released.
         """
--- a/olivepost/proxy/downstream/response_encoding.py
+++ b/olivepost/proxy/downstream/response_encoding.py
@@ -10,7 +10,7 @@
 def encode_response(response: Response, closes: bool) -> list[bytes | memoryview]:
     """Encodes a final response as head and body.
 
-    With `closes`, the head announces that the connection ends after the response.
+    If `closes` is true, the head announces that the connection ends after the response.
     """
     headers = {"ETag": f'"{response.etag}"'} if response.etag is not None else {}
     if response.kind is ResponseKind.SERVED and response.body is not None:
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -25,7 +25,7 @@
         """Writes the remaining buffers; waits whenever the client has to read first."""
 
     def abandon_response(self, exchange: Exchange, response: Response, /) -> None:
-        """Aborts a response because no thread could be started to write its rest."""
+        """Aborts a partly written response, because no thread could be started to write the rest of it."""
 
     def abort(self, reason: CloseReason, /) -> None:
         """Shuts down the socket immediately."""
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -17,9 +17,10 @@
 from olivepost.units import MILLISECOND, SECOND
 
 MAX_TRACEBACK_FRAMES = 6  # number of innermost frames that are logged for an exception
-MAX_SAMPLES_PER_S = 10  # lines per second for each name of a sampled event; further events are only counted
+# Maximum number of lines per second for each name of a sampled event; further events are only counted.
+MAX_SAMPLES_PER_S = 10
 DEFAULT_MAX_BYTES = 1_048_576  # limit of the total size of the lines that wait to be written
-LINE_OVERHEAD_BYTES = 64  # memory that the queue needs for each line in addition to the line's text
+LINE_OVERHEAD_BYTES = 64  # memory in bytes that the queue needs for each line in addition to its text
 # Number of times that the write of a line to a full non-blocking pipe is tried again, and the pause in
 # seconds before each of these attempts.
 FULL_PIPE_ATTEMPTS = 100
@@ -64,7 +65,8 @@
         try:
             data = orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS) + b"\n"
         except (TypeError, ValueError):
-            # orjson raises a subclass of TypeError for a field that it cannot serialize.
+            # The line is dropped, because a field cannot be serialized. orjson's own error is a subclass of
+            # TypeError.
             self.increment("log_lines_dropped")
             return
         if self._reserve(len(data) + LINE_OVERHEAD_BYTES):
@@ -105,7 +107,10 @@
             return dict(self._counters)
 
     def close(self, timeout_s: float = 1.0) -> None:
-        """Ends the writing thread after all queued lines; waits for its end until the timeout at most."""
+        """Ends the writing thread after it has written all queued lines.
+
+        Waits for the end of the thread, but no longer than the timeout.
+        """
         self._lines.put(None)
         self._thread.join(timeout_s)
 
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -53,7 +53,7 @@
         self.activity = ThreadActivity("event-loop")
 
     def post(self, event: LoopEvent) -> None:
-        """Queues an event without blocking. Any thread may call it."""
+        """Queues an event without blocking. Any thread may call this method."""
         self._events.post(event)
 
     @property
@@ -90,7 +90,7 @@
         while is_running:
             try:
                 is_running = self._run_once()
-            except Exception:  # every request depends on this thread, which must not end
+            except Exception:  # this thread must not end, because every request depends on it
                 self._logger.exception("event_loop_error", kind="loop")
         self._response_cache.clear()
 
@@ -143,7 +143,7 @@
                 self._process_events.handle(now, event)
 
     def _fail_request_of(self, event: LoopEvent) -> None:
-        """Fails the request of an event whose handling raised an exception.
+        """Fails the request that an event concerns, because the handling of the event raised an exception.
 
         The attempts of the request are cancelled. Has no effect if the event concerns no request.
         """
@@ -171,7 +171,7 @@
         return max(0.0, (due_at - self._clock.now()) / SECOND)
 
     def _fire_due(self) -> None:
-        """Fires the shutdown deadline, if it has passed, and then all due timers in order of time."""
+        """Ends all requests if the shutdown deadline has passed, and then fires the due timers in order."""
         shutdown_at = self._lifecycle.shutdown_at
         if shutdown_at is not None:
             now = self._clock.now()
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -18,7 +18,11 @@
     """The event loop's interface to the shared store. No call waits for the store."""
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
-        """Requests a hint from the store. The answer is posted to the event loop as a `StoreEvent`."""
+        """Requests a hint from the store.
+
+        A hint names a cache that is likely to have the object. The store's answer is posted to the event loop
+        as a `StoreEvent`.
+        """
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None, /) -> None:
         """Releases a fill lease.
@@ -53,8 +57,8 @@
     clock: Clock
     log: EventLog
     response_cache: ResponseCache
-    # Bytes per second of one transfer on the proxy's own link. None if the rate is unknown; the proxy then
-    # does not use its response cache.
+    # Rate, in bytes per second, at which one response body is sent over the proxy's own link. None if the
+    # rate is unknown; the proxy then does not use its response cache.
     transfer_bytes_per_s: float | None
     upstream: UpstreamPool
     shared_store: SharedStore | None  # None if the operator has not configured one
--- a/olivepost/proxy/event_queue.py
+++ b/olivepost/proxy/event_queue.py
@@ -25,7 +25,7 @@
         self._queue: queue.SimpleQueue[PostedEvent] = queue.SimpleQueue()
 
     def post(self, event: LoopEvent) -> None:
-        """Queues an event without blocking. Any thread may call it."""
+        """Queues an event without blocking. Any thread may call this method."""
         self._queue.put(PostedEvent(self._clock.now(), event))
 
     def get(self, timeout_s: float | None) -> PostedEvent:
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -62,7 +62,7 @@
         self._executor.execute(self._router.handle(now, self._router_request(now, exchange, entry)))
 
     def _router_request(self, now: Instant, exchange: Exchange, entry: CacheEntry | None) -> api.Request:
-        """Builds the router's request, with the remaining time but without fields of the protocols."""
+        """Builds the router's request, with the time left to respond and without HTTP fields and body."""
         return api.Request(
             exchange.id,
             exchange.class_name,
@@ -156,7 +156,7 @@
         self.complete_attempt(now, UpstreamCompleted(attempt, api.AttemptStatus.TIMED_OUT, now))
 
     def withdraw(self, now: Instant, matches: Callable[[UpstreamRequest], bool]) -> None:
-        """Withdraws the matching attempts that no connection has begun to write.
+        """Withdraws the attempts that `matches` selects and that no connection has begun to write.
 
         The router then decides again how to serve their requests. An attempt may have to wait for its
         connection. Until its first byte is written, it is withdrawn if its endpoint drains or its object is
@@ -203,10 +203,10 @@
     def _close_with_response(
         self, now: Instant, pending: PendingExchange, event: UpstreamCompleted
     ) -> list[api.Action]:
-        """Closes the request if there is a response, and returns the router's actions on the outcome.
+        """Closes the request if the attempt has a response; returns the router's actions on the outcome.
 
-        Until this method returns, it is one of the holders of the body. Otherwise the client's connection
-        could release the body before the router has decided whether to store the response.
+        Until this method returns, it is one of the holders of the response's body. Otherwise the client's
+        connection could release the body before the router has decided whether to store the response.
         """
         response = event.response
         outcome = _outcome(event)
--- a/olivepost/proxy/http1.py
+++ b/olivepost/proxy/http1.py
@@ -163,7 +163,7 @@
         self._data += data
 
     def take(self) -> Message[StartLineT] | None:
-        """Returns the next message, or None if it is not complete yet; raises HttpError."""
+        """Returns the next message, or None if it is incomplete; raises HttpError if it is not accepted."""
         if self._head is None:
             self._parse_head()
         message = self._head
@@ -215,7 +215,7 @@
         return length
 
     def _parse_start_line(self, line: bytes) -> StartLineT:
-        """Parses the first line of a message; raises HttpError."""
+        """Parses the first line of a message; raises HttpError if the line is not accepted."""
         raise NotImplementedError
 
     def _check_has_no_body(self, head: Message[StartLineT]) -> None:
--- a/olivepost/proxy/invariants.py
+++ b/olivepost/proxy/invariants.py
@@ -17,7 +17,7 @@
 def check(holds: bool, name: str) -> bool:
     """Counts a violation of the invariant `name` if `holds` is false; returns `holds`.
 
-    Any thread may call it. In debug builds, a violation raises AssertionError.
+    Any thread may call this function. In debug builds, a violation raises AssertionError.
     """
     if not holds:
         with _lock:
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -1,4 +1,4 @@
-"""The memory that each owner in the process uses, and that the memory budget allows it, for the metrics."""
+"""Accounts of memory for the metrics: the bytes that each owner uses, and those that its budget allows."""
 
 from __future__ import annotations
 
--- a/olivepost/proxy/memory_shedding.py
+++ b/olivepost/proxy/memory_shedding.py
@@ -35,10 +35,10 @@
         self._buffer_pools = buffer_pools
 
     def shed(self, level: api.MemoryPressureLevel) -> None:
-        """Frees the memory that the level requires.
+        """Frees as much memory as the level requires.
 
-        The memory monitor calls it at each check under memory pressure, and once with the level `NONE` when
-        the pressure ends.
+        The memory monitor calls this method at each check under memory pressure, and once with the level
+        `NONE` when the pressure ends.
         """
         self._post(MemoryPressureReport(level))
         limit = memory_pressure.connection_limit(level, self._max_client_connections)
--- a/olivepost/proxy/metrics.py
+++ b/olivepost/proxy/metrics.py
@@ -53,7 +53,7 @@
 def count_descriptors() -> int:
     """Returns the number of open descriptors, or -1 if the system does not report it.
 
-    The metric is -1 as well in that case.
+    The metric `descriptors` then has the value -1 as well.
     """
     try:
         return sum(1 for _ in DESCRIPTORS.iterdir())
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -57,7 +57,7 @@
     def expect(self, request_id: str, invariant: str) -> PendingExchange | None:
         """Returns the pending request with this id.
 
-        If there is none, counts a violation of the invariant and returns None.
+        If there is none, counts a violation of the invariant whose name is `invariant`, and returns None.
         """
         pending = self.by_id.get(request_id)
         invariants.check(pending is not None, invariant)
@@ -107,7 +107,7 @@
         self._attempts_by_timer.pop(attempt.timer_id, None)
 
     def withdraw_deferred(self, matches: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
-        """Withdraws the deferred attempts that match, and returns them. They have no connection yet."""
+        """Withdraws and returns the deferred attempts that `matches` selects; they have no connection yet."""
         withdrawn = []
         for pending in self.by_id.values():
             attempt = pending.deferred_attempt
--- a/olivepost/proxy/process_events.py
+++ b/olivepost/proxy/process_events.py
@@ -51,7 +51,7 @@
             self._executor.execute(self._router.handle(now, event))
 
     def _shed_memory(self, now: Instant, level: api.MemoryPressureLevel) -> None:
-        """Frees as much of the memory that the event loop's thread owns as the level requires."""
+        """Frees memory that the event loop's thread owns, as much as the memory pressure level requires."""
         if level >= api.MemoryPressureLevel.EVICT_CACHE:
             self._response_cache.evict_half()
         if level >= api.MemoryPressureLevel.CLOSE_IDLE:
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -31,7 +31,7 @@
 # The garbage collector searches for reference cycles when this number of objects have been allocated and not
 # freed. The number is high, because requests create hardly any cycles.
 GC_THRESHOLD = 20_000
-# Number of collections of one generation before the next older generation is collected.
+# Number of garbage collections of one generation of objects before the next older generation is collected.
 GC_GENERATION_THRESHOLD = 20
 
 
@@ -62,9 +62,11 @@
         self._operator = operator
         self._source = source or ConfigurationSource(lambda: config, lambda: operator)
         self._wait_for_signal = wait_for_signal
-        self._is_reload_due = False  # whether the last reload lacked a thread for discovery
-        # Reloads are ignored from this time on. The proxy then no longer depends on a coordinator, and
-        # reading a file could take until the platform kills the process. None if no shutdown has begun.
+        # Whether the last reload has to be repeated, because no thread could be started for discovery.
+        self._is_reload_due = False
+        # Time from which reloads are ignored; None if no shutdown has begun. Late in a shutdown, the proxy no
+        # longer depends on a coordinator, and the read of a file could last until the platform kills the
+        # process.
         self._reloads_until: Instant | None = None
         self._activity = ThreadActivity("main")
         stall_watch = StallWatch(
@@ -84,8 +86,8 @@
         if parts.shared_store is not None:
             parts.shared_store.start()
         parts.discovery.start(self._known_events)
-        # The decoded list is dropped, because it takes several times as much memory as the endpoint tables
-        # that are built from it.
+        # The decoded endpoint list is dropped, because it takes several times as much memory as the endpoint
+        # tables that are built from it.
         self._known_events = None
         address = parts.downstream.listen(parts.config.listen)
         host, port = address
@@ -168,7 +170,7 @@
         self._run_guarded(lambda: log.event("metrics", **collect_metrics(self.parts)), "metrics_error")
 
     def _run_guarded(self, step: Callable[[], None], error_event: str) -> None:
-        """Runs a step of the main thread and logs the exception that it raises, if any."""
+        """Calls `step` on the main thread; if the call raises an exception, logs the exception."""
         try:
             step()
         except Exception:  # if the main thread ended, all pending requests would stay unanswered
@@ -208,7 +210,7 @@
     try:
         faulthandler.register(signal.SIGUSR1)
     except (RuntimeError, OSError, ValueError):
-        signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # the default action ends the process
+        signal.signal(signal.SIGUSR1, signal.SIG_IGN)  # the signal's default action would end the process
 
 
 def _tune_garbage_collection() -> None:
--- a/olivepost/proxy/shutdown.py
+++ b/olivepost/proxy/shutdown.py
@@ -2,7 +2,7 @@
 
 After SIGTERM, the platform waits before it kills the process: for the longest deadline of a request class,
 three seconds at most, plus the time in which clients may still connect. Every pending request gets its final
-response before the kill, and the process exits before it.
+response before the kill, and the process exits before the kill.
 """
 
 from __future__ import annotations
@@ -21,18 +21,18 @@
 ACCEPT_FOR: Duration = 700 * MILLISECOND
 # After SIGTERM, the platform waits for the longest deadline of a request class, but no longer than this.
 MAX_DEADLINE: Duration = 3 * SECOND
-# Time before the platform kills the process at which every final response has been given to its client's
-# connection, which then writes the response.
+# Interval before the platform kills the process. When it begins, every final response has been given to the
+# connection of its client. The connection writes the response during the interval.
 RESPONSE_MARGIN: Duration = 250 * MILLISECOND
-# Time before the platform kills the process at which the process begins to exit.
+# Interval before the platform kills the process. When it begins, the process begins to exit.
 EXIT_MARGIN: Duration = 100 * MILLISECOND
-# Time before the platform kills the process at which the process ends, even if some of its parts have not
-# stopped yet.
+# Interval before the platform kills the process. When it begins, the process ends, even if some of its parts
+# have not stopped yet.
 END_MARGIN: Duration = 70 * MILLISECOND
 # Seconds that clients have to close their connections after their last response.
 CLIENT_CLOSE_S = 1.0
-# Timeouts in seconds, one for the threads of the shared store to end, the other for the last lines of the log
-# to be written. Both are shortened if less time remains until the process must end.
+# Longest waits in seconds for the threads of the shared store to end, and for the last lines of the log to be
+# written. Both waits are shortened if less time remains until the process must end.
 STORE_CLOSE_TIMEOUT_S = 1.0
 LOG_CLOSE_TIMEOUT_S = 1.0
 # Time between two checks of whether all clients have closed their connections.
@@ -128,10 +128,12 @@
         return open_connections
 
     def _wait_for_clients(self, open_connections: list[ConnectionLifecycle]) -> None:
-        """Waits for pending responses, and then up to `CLIENT_CLOSE_S` for the clients to close.
+        """Waits until the clients have their responses and have closed their connections.
 
-        Each of `open_connections` is closed when it becomes idle, because its last response may not have
-        announced to the client that the connection ends. The wait ends at `exit_by` at the latest.
+        The wait ends `CLIENT_CLOSE_S` after the last pending response was written, and at `exit_by` at the
+        latest. A client does not know that its connection ends if the last response on that connection did
+        not announce it. The proxy therefore closes each of `open_connections` when that connection becomes
+        idle.
         """
         closed_by = self._clock.now() + int(CLIENT_CLOSE_S * SECOND)
         while self._downstream.open_count and self._clock.now() < self._schedule.exit_by:
@@ -145,7 +147,7 @@
             ]
 
     def _stop_parts(self) -> None:
-        """Stops the parts that are still running within the time that remains until `end_by`.
+        """Stops the parts that are still running, and waits for them until `end_by` at the latest.
 
         The shared store gets at most half of that time, so that the other half remains for the log.
         """
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -23,10 +23,11 @@
 
 # Errors that report a shortage of memory in the system. The same call may succeed if it is repeated.
 SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
-SHORTAGE_ATTEMPTS = 20  # number of attempts that fail for lack of memory before the last attempt
+SHORTAGE_ATTEMPTS = 20  # number of attempts that may fail for lack of memory before the last one
 SHORTAGE_PAUSE_S = 0.005  # pause after each attempt that fails for lack of memory
 PEEK_ATTEMPTS = 3  # number of attempts that `peek` makes, without a pause between them
-# Errors of connection attempts that this machine causes and that say nothing about the remote side.
+# Errors of a connection attempt that have their cause on this machine; they say nothing about the remote
+# side.
 LOCAL_FAILURES = (*SHORTAGES, errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.EAGAIN)
 
 # For a listener, the field `tcpi_unacked` of the kernel's `struct tcp_info` is the accept queue's length.
@@ -63,7 +64,7 @@
 
 
 def accept_queue_length(listener: socket.socket) -> int:
-    """Returns how many connections the kernel has accepted for the process, which has not taken them yet.
+    """Returns the number of connections that the kernel has accepted and the process has not taken yet.
 
     Returns 0 if the system does not report this number.
     """
@@ -136,8 +137,8 @@
     """Returns the bit mask of events that `poll` reports for the socket now.
 
     `events` is the bit mask of the events to check. Returns 0 if `poll` reports none, and None if the system
-    call fails. The call needs no memory for received bytes, so it may succeed when `peek` does not. It fails
-    for a socket that its own thread has closed in the meantime.
+    call fails. The system call needs no memory for received bytes, so it may succeed when `peek` does not.
+    The call fails if the thread that owns the socket has closed it in the meantime.
     """
     poller = select.poll()
     try:
@@ -151,9 +152,9 @@
 def wait_readable(sock: socket.socket) -> bool:
     """Waits until bytes can be read, without reading them; returns True if there are any.
 
-    Returns False if the remote side has closed its direction of the connection. A receive timeout does not
-    end the wait. The reason is that an accepted socket inherits its listener's timeout, and that `configure`
-    may have failed to remove this timeout.
+    Returns False if the remote side has closed its direction of the connection. The socket's receive timeout
+    does not end the wait, because an accepted socket inherits its listener's timeout, and `configure` may
+    have failed to remove that timeout.
     """
     while True:
         try:
--- a/olivepost/proxy/stall_watch.py
+++ b/olivepost/proxy/stall_watch.py
@@ -15,7 +15,8 @@
 from olivepost.proxy.event_log import EventLog
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# Time in one step after which a thread is stalled; a step normally takes far less.
+# A thread is stalled if one step, its work between two waits, takes at least this time. A step normally takes
+# far less.
 STALLED_AFTER: Duration = 3 * SECOND
 MAX_STACK_FRAMES = 12  # number of innermost frames that are logged for a stack
 
@@ -23,7 +24,8 @@
 class ThreadActivity:
     """Activity of one thread: either a step that began at a known time, or the wait for the next step.
 
-    The thread itself calls `begin_step` and `end_step`; any thread may read the fields.
+    A step is the thread's work between two waits. The thread itself calls `begin_step` and `end_step`; any
+    thread may read the fields.
     """
 
     def __init__(self, name: str) -> None:
@@ -44,9 +46,9 @@
 
 
 class StallWatch:
-    """Watch that logs a step that takes too long, once per step and with the stack of the thread.
+    """Watch that logs the stack of a thread that spends too long on one step, once for each such step.
 
-    Only one thread calls `check`.
+    A step is the work of a watched thread between two waits. Only one thread calls `check`.
     """
 
     def __init__(self, clock: Clock, log: EventLog, activities: Sequence[ThreadActivity]) -> None:
@@ -56,7 +58,7 @@
         self._reported_steps: dict[str, Instant] = {}  # start of the last logged step, by thread name
 
     def check(self) -> None:
-        """Logs `thread_stalled` for each thread whose current step takes too long."""
+        """Logs `thread_stalled` for each thread whose current step has lasted `STALLED_AFTER` or longer."""
         now = self._clock.now()
         for activity in self._activities:
             busy_since = activity.busy_since  # read once, because the thread may end its step meanwhile
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -27,10 +27,9 @@
 class TimerQueue:
     """A priority queue of timers by due time. Only the event loop's thread uses it.
 
-    Timers are not cancelled. Instead, a timer becomes stale when it is no longer needed, and the id of a
-    stale timer is ignored when it fires. Stale timers, for which `is_live` returns false, leave the queue
-    when they are due. If there are too many timers (see `MAX_STALE_TIMERS`), all stale timers are removed at
-    once.
+    Timers are not cancelled. Instead, a timer becomes stale when it is no longer needed, and a stale timer
+    has no effect when it fires. Stale timers, for which `is_live` returns false, leave the queue when they
+    are due. If there are too many timers (see `MAX_STALE_TIMERS`), all stale timers are removed at once.
     """
 
     def __init__(self, is_live: Callable[[Timer], bool]) -> None:
--- a/olivepost/proxy/upstream/command.py
+++ b/olivepost/proxy/upstream/command.py
@@ -6,8 +6,9 @@
 from olivepost.proxy.exchange import Exchange
 from olivepost.units import MILLISECOND
 
-# Shorter durations are sent as 1 ms, because 0 has a special meaning on the wire: in the field `within` it
-# stands for the class's freshness lifetime, and in the field `ttl` it means no wait.
+# Shortest duration that is sent, in milliseconds. Shorter durations are sent as 1 ms, because 0 has a special
+# meaning on the wire: in the field `within` it stands for the class's freshness lifetime, and in the field
+# `ttl` it means no wait.
 MIN_DURATION_MS = 1
 
 
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -30,7 +30,8 @@
     "FAULT": api.AttemptStatus.ERROR,
     "LATE": api.AttemptStatus.NOT_SENT,
 }
-MAX_TIMESTAMP_DIGITS = 15  # limit for the field `issued`, in Unix milliseconds; current times have 13 digits
+# Maximum number of digits of the field `issued`, a Unix time in milliseconds; current times have 13 digits.
+MAX_TIMESTAMP_DIGITS = 15
 
 
 def completed_from_response(
--- a/olivepost/proxy/upstream/connection.py
+++ b/olivepost/proxy/upstream/connection.py
@@ -65,7 +65,7 @@
         return self._state.abort(request, is_awaited)
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Removes and returns the requests that match and are not being written yet."""
+        """Removes and returns the requests that `matches` selects and that are not being written yet."""
         return self._state.withdraw(matches)
 
     def drain(self) -> None:
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -18,7 +18,8 @@
 )
 from olivepost.units import Instant
 
-MAX_PAST_REQUESTS = 256  # most ids of ended requests that are kept, since their responses may still arrive
+# Maximum number of ids of ended requests that are kept, since their responses may still arrive.
+MAX_PAST_REQUESTS = 256
 
 
 class WriterSignal(Enum):
@@ -126,7 +127,7 @@
         return is_awaited
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Removes and returns the requests that match and are not being written yet."""
+        """Removes and returns the requests that `matches` selects and that are not being written yet."""
         with self._lock:
             queued = [request for request in self._pending.values() if request.stage is RequestStage.QUEUED]
             withdrawn = [request for request in queued if matches(request)]
@@ -168,10 +169,11 @@
     # The reader thread calls the methods below.
 
     def waiting_since(self, now: Instant) -> Instant:
-        """Returns when the longest-waiting of the started pending requests was forwarded.
+        """Returns the time since which the connection has been waiting for a response.
 
-        A request is started once its first byte may have been written. Returns `now` if there is no such
-        request.
+        This is the earliest time at which the event loop forwarded one of the pending requests that are
+        started. A request is started once its first byte may have been written. Returns `now` if no pending
+        request is started.
         """
         with self._lock:
             started = [request.forwarded_at for request in self._pending.values() if request.is_started]
@@ -216,7 +218,7 @@
     # The writer thread and the reader thread call the method below.
 
     def close(self) -> UnfinishedWork:
-        """Marks the connection as closing, ends all requests, and returns those requests and awaited aborts.
+        """Marks the connection as closing, ends all requests, and returns them with the awaited aborts.
 
         A second call returns no requests, but it returns each abort that has not been reported yet.
         """
--- a/olivepost/proxy/upstream/endpoint_address.py
+++ b/olivepost/proxy/upstream/endpoint_address.py
@@ -15,8 +15,8 @@
 
     id: str
     socket_address: Address | None  # None if not given; only a removed endpoint may have none
-    # Start of the process in Unix nanoseconds, or None if not given. A process without a start is treated as
-    # warm.
+    # Start of the process in Unix nanoseconds, or None if not given. A process whose start is not given is
+    # treated as warm.
     started_at: Instant | None
     state: api.EndpointState
 
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -13,14 +13,15 @@
 from olivepost.proxy.upstream.errors import LineProtocolError
 
 MAX_LINE_BYTES = 1_024  # longest line including CR LF; the protocol sets this limit
-MAX_LENGTH_DIGITS = 9  # most digits of a body's length in bytes; no endpoint sends a body of 1 GB
+# Maximum number of digits of a body's length in bytes; no endpoint sends a body of 1 GB.
+MAX_LENGTH_DIGITS = 9
 MAX_REPORTED_BYTES = 80  # largest number of bytes of a rejected line that an error quotes
 LINE_END = b"\r\n"
 LINE_FEED = 0x0A
 NO_FIELDS = "-"
 LIVENESS_STATUS = "PONG"  # status of the reply to a liveness check
-RESPONSE_WORDS = 4  # words of a response line: request id, status, fields, body length
-LIVENESS_RESPONSE_WORDS = 2  # words of the reply to a liveness check: request id, status
+RESPONSE_WORDS = 4  # number of words of a response line: request id, status, fields, body length
+LIVENESS_RESPONSE_WORDS = 2  # number of words of a reply to a liveness check: request id, status
 
 PRINTABLE_ASCII = re.compile(rb"[ -~]*")
 # Allowed text of a field's value and of an endpoint's id: printable ASCII without the separators of fields
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -24,8 +24,8 @@
     limits: ResourceLimits
     last_received_at: Instant = 0
     response_started_at: Instant | None = None  # start of the response in progress; None if there is none
-    # Time of the last liveness check; None before the first one and once a byte has been received after a
-    # check.
+    # Time of the last liveness check; None before the first check, and as soon as any byte has been received
+    # after a check.
     check_sent_at: Instant | None = None
 
     @property
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -47,7 +47,7 @@
                 self._remove_endpoint(endpoint_id)
 
     def withdraw(self, matches: RequestFilter) -> list[UpstreamRequest]:
-        """Removes and returns the requests that match and that no connection has begun to write."""
+        """Removes and returns the requests that `matches` selects and no connection has begun to write."""
         withdrawn: list[UpstreamRequest] = []
         for endpoint in self._endpoints.values():
             for connection in endpoint.connections:
--- a/olivepost/proxy/upstream/reader.py
+++ b/olivepost/proxy/upstream/reader.py
@@ -14,8 +14,8 @@
 from olivepost.proxy.upstream.request import UpstreamRequest
 from olivepost.units import Instant
 
-# Longest wait for free buffers. The wait is limited, because all other responses of the connection wait as
-# long.
+# Longest wait for free buffers. The wait is limited, because the thread receives no other response of the
+# connection during it.
 BUFFER_TIMEOUT_S = 0.05
 
 
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -38,12 +38,13 @@
     """
 
     exchange: Exchange
-    number: int  # number of the attempt within its exchange
+    number: int  # number of the attempt within its exchange; the first attempt has the number 0
     cache: str
     source: str | None
     forwarded_at: Instant  # time at which the event loop forwarded the request, in Unix nanoseconds
     fields: dict[str, str]
-    start_before: Instant | None = None  # latest start of writing, in Unix nanoseconds; None if unlimited
+    # Latest time at which the request's write may start, in Unix nanoseconds; None if there is no limit.
+    start_before: Instant | None = None
     stage: RequestStage = RequestStage.QUEUED
     is_started: bool = False  # whether the request's first byte has been, or may have been, written
     is_rerouted: bool = False  # whether an earlier connection was lost before the first byte was written
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -142,7 +142,9 @@
         If the request's `start_before` has passed, reports the request as not sent instead of writing it.
         """
         exchange = request.exchange
-        if exchange.is_client_disconnected():  # the event loop is about to abort the request
+        # If the client has disconnected, the request is not written, because the event loop is about to abort
+        # it.
+        if exchange.is_client_disconnected():
             self._resources.log.increment("requests_of_disconnected_clients")
             return
         now = self._resources.clock.now()
@@ -172,8 +174,8 @@
         """
         view = memoryview(data)
         if request is not None:
-            # The flag is set before the first byte is sent: if the connection ends during the call that sends
-            # it, the request must be treated as started.
+            # `is_started` is set before the first byte is sent. If the connection ends during the call that
+            # sends this byte, the request must be treated as started.
             request.is_started = True
         while view:
             try:
--- a/olivepost/proxy/wiring.py
+++ b/olivepost/proxy/wiring.py
@@ -1,6 +1,6 @@
 """Construction and wiring of a proxy's parts from its configuration.
 
-No part listens for connections or polls service discovery yet.
+The parts do not listen for connections or poll service discovery until they are started.
 """
 
 from __future__ import annotations
@@ -42,8 +42,8 @@
     clock: Clock
     log: EventLog
     events: EventQueue
-    # The two pools are separate so that bodies that are held for slow clients can't use up the buffers with
-    # which the proxy reads from sockets.
+    # Pool of buffers for bodies, and pool of buffers into which the proxy reads from sockets. They are
+    # separate so that bodies that are held for slow clients can't use up the read buffers.
     body_buffers: BufferPool
     read_buffers: BufferPool
 
