--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -160,7 +160,7 @@
     # Service discovery and the shared store
 
     def _subscribe(self) -> None:
-        """Confirms the router's subscription to endpoint updates by an update without changes.
+        """Confirms the router's subscription to endpoint updates with an update that contains no change.
 
         Nothing else has to be done, because the long poll of service discovery is always active.
         """
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -20,8 +20,8 @@
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
         """Requests a hint from the store.
 
-        A hint names a cache that is likely to have the object. The store's answer is posted to the event loop
-        as a `StoreEvent`.
+        A hint names a cache that has or fills the object, or no cache if the store knows none. The store's
+        answer is posted to the event loop as a `StoreEvent`.
         """
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None, /) -> None:
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -26,7 +26,7 @@
 
 
 def memory_account(parts: ProxyParts) -> dict[str, OwnerAccount]:
-    """Returns the accounts of all owners by name.
+    """Returns the account of each owner of memory, by the owner's name.
 
     Any thread may call this function, because it only reads counts.
     """
--- a/olivepost/proxy/upstream/connection_context.py
+++ b/olivepost/proxy/upstream/connection_context.py
@@ -44,7 +44,7 @@
     def confirm_abort(self, aborted: UpstreamAborted) -> None:
         """Reports to the event loop that an abort was written, or that this connection has ended.
 
-        Each abort is reported only once, and only if it is awaited.
+        Each abort is reported only once, and only if the event loop awaits the report.
         """
         if self.state.take_awaited_abort(aborted):
             self.resources.post(aborted)
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -71,6 +71,7 @@
     def is_check_due(self, now: Instant, waiting_since: Instant) -> bool:
         """Whether a liveness check is due for a request that has waited since `waiting_since`.
 
-        It is due if no byte was received for longer than `liveness_check_delay` while the request waited.
+        A check is due if no byte was received for longer than `liveness_check_delay` while the request
+        waited.
         """
         return now - max(waiting_since, self.last_received_at) > self.limits.liveness_check_delay
