--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -1,4 +1,4 @@
-"""The memory that each owner in the process uses, and that the memory budget allows it, for the metrics."""
+"""Accounts of memory for the metrics: the bytes that each owner uses, and those that its budget allows."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def memory_account(parts: ProxyParts) -> dict[str, OwnerAccount]:
-    """Returns the accounts of all owners by name.
+    """Returns the account of each owner of memory, by the owner's name.
 
     Any thread may call this function, because it only reads counts.
     """
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -24,8 +24,8 @@
     limits: ResourceLimits
     last_received_at: Instant = 0
     response_started_at: Instant | None = None  # start of the response in progress; None if there is none
-    # Time of the last liveness check; None before the first one and once a byte has been received after a
-    # check.
+    # Time of the last liveness check; None before the first check, and as soon as any byte has been received
+    # after a check.
     check_sent_at: Instant | None = None
 
     @property
@@ -71,6 +71,7 @@
     def is_check_due(self, now: Instant, waiting_since: Instant) -> bool:
         """Whether a liveness check is due for a request that has waited since `waiting_since`.
 
-        It is due if no byte was received for longer than `liveness_check_delay` while the request waited.
+        A check is due if no byte was received for longer than `liveness_check_delay` while the request
+        waited.
         """
         return now - max(waiting_since, self.last_received_at) > self.limits.liveness_check_delay
