--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of subsystems, which pair runs without and with a subsystem: `python -m benchmarks NAME`."""
+"""Benchmarks that compare runs without a subsystem to runs with it: `python -m benchmarks NAME`."""
--- a/benchmarks/branch/branch.py
+++ b/benchmarks/branch/branch.py
@@ -163,5 +163,8 @@
                 self.counts.quotas_exceeded += count_exceeded_quotas(self.now, self.proxies, name, cache)
 
     def slow_start_use(self, name: str) -> BudgetUse:
-        """Returns the use so far of a cache's slow start budget. The cache's start time must be known."""
+        """Returns how much of a cache's slow start budget is used so far, as transfer times in ns.
+
+        The cache's start time must be known.
+        """
         return slow_start_use(self.now, self.settings, self.caches[name])
--- a/benchmarks/branch/budget_audit.py
+++ b/benchmarks/branch/budget_audit.py
@@ -16,17 +16,19 @@
 
 RELATIVE_TOLERANCE = 1e-9  # rounding error of a sum of floating point numbers, as a share of the sum
 ABSOLUTE_TOLERANCE = 1e-6
-STEPS_PER_WINDOW = 4  # windows overlap; this number of windows begin within the length of one
+STEPS_PER_WINDOW = 4  # number of windows that begin within the length of one, so that windows overlap
 
 
 class QuotaSums(NamedTuple):
     """Sums over all proxies for one quota of an endpoint."""
 
-    usable: float = 0.0  # sum of the proxies' parts of the quota, including transfers between proxies
-    whole: float = 0.0  # sum of the proxies' parts of the quota, without transfers
+    # Sum of the amounts that the proxies may use. For each proxy this is its part, plus what transfers add to
+    # the part or take from it, but at least 0.
+    usable: float = 0.0
+    whole: float = 0.0  # sum of the proxies' parts, without transfers
 
     def add(self, part: float, transferred: float) -> QuotaSums:
-        """Returns the sums with the part of one more proxy added."""
+        """Returns the sums with one more proxy added: its part, and what transfers add to that part."""
         return QuotaSums(self.usable + max(0.0, part + transferred), self.whole + part)
 
     def is_exceeded(self) -> bool:
@@ -67,7 +69,10 @@
 
 
 def slow_start_use(now: Instant, settings: api.Settings, cache: Cache) -> BudgetUse:
-    """Returns the use so far of a cache's slow start budget. The cache's start time must be known."""
+    """Returns how much of a cache's slow start budget is used so far.
+
+    The cache's start time must be known.
+    """
     assert cache.started_at is not None
     window = settings.overload_window
     used = 0.0
--- a/benchmarks/branch/cache.py
+++ b/benchmarks/branch/cache.py
@@ -48,7 +48,8 @@
     started_at: Instant | None = None  # `None` if it started before the simulation and is warm
     # Storage time by name, least recently used first.
     stored: dict[str, Instant] = field(default_factory=dict)
-    filling: dict[str, Instant] = field(default_factory=dict)  # for each name in a fill, the fill's end
+    # End of each fill in flight, by the name that is being filled.
+    filling: dict[str, Instant] = field(default_factory=dict)
     work: list[ReceivedWork] = field(default_factory=list)  # work received since the cache's start
 
     def restart(self, now: Instant) -> None:
@@ -175,7 +176,7 @@
         return False
 
     def _check_age(self, request: api.Request, stored_at: Instant) -> None:
-        """Counts a response that is older than an invalidation which all proxies have received.
+        """Counts a response that is older than an invalidation that all proxies have received.
 
         This checks the invalidation invariant, by which no such response is served. A proxy limits the
         age of responses by its own clock, so the check allows for the largest drift of a proxy's clock.
--- a/benchmarks/branch/counts.py
+++ b/benchmarks/branch/counts.py
@@ -15,7 +15,8 @@
     fills: int = 0
     double_fills: int = 0  # fills of a name that another cache stored or was filling
     lookups: int = 0  # lookups of hints
-    served_invalidated: int = 0  # responses that were served although they are older than an invalidation
+    # Responses that were served although they are older than an invalidation that all proxies had received.
+    served_invalidated: int = 0
     leases: int = 0  # fill leases granted
     lease_conflicts: int = 0  # sum of the next three counters
     lease_numbers_shrunk: int = 0  # grants with a fencing number not above that of the name's last lease
--- a/benchmarks/branch/lease_audit.py
+++ b/benchmarks/branch/lease_audit.py
@@ -81,7 +81,7 @@
         """Checks that a name's fencing numbers increase and that no two leases of one generation overlap."""
         key = (store, lookup.name)
         last = self._grants.get(key)
-        # If the store restarted after the last grant, it may have forgotten that lease. Leases may
+        # If the store restarted after the last grant, the store may have forgotten that lease. Leases may
         # then overlap, and only their fencing numbers are compared.
         incarnation = self._stores[store].incarnation
         self._counts.leases += 1
--- a/benchmarks/branch/simulation.py
+++ b/benchmarks/branch/simulation.py
@@ -36,7 +36,7 @@
         self._last_number = 0
 
     def now_ms(self) -> int:
-        """Returns the current time in Unix milliseconds, the form in which stores use it."""
+        """Returns the current time in Unix milliseconds, the unit in which stores measure time."""
         return self.now // MILLISECOND
 
     def is_paused(self, process: Pausable) -> bool:
@@ -46,7 +46,7 @@
     def after(self, delay: Duration, process: Pausable | None, callback: Callable[[], None]) -> None:
         """Calls back after a delay.
 
-        If the process is paused at that time, calls back when the process resumes.
+        If `process` is paused when the delay is over, calls back when the process resumes.
         """
         self._last_number += 1
         due = self.now + max(0, delay)
--- a/benchmarks/branch/store_link.py
+++ b/benchmarks/branch/store_link.py
@@ -19,7 +19,7 @@
 from standins.redis.keyspace import Keyspace
 
 LOSS_TIMEOUT: Duration = 250 * MILLISECOND  # time after which a proxy treats a reply as lost
-SLOW_FACTOR = 100  # factor by which a slow command or reply multiplies its latency
+SLOW_FACTOR = 100  # factor by which the latency of a slow command or reply is multiplied
 KEY_PREFIX = "t"
 
 
--- a/benchmarks/branch_runs.py
+++ b/benchmarks/branch_runs.py
@@ -1,10 +1,10 @@
-"""Runs of the emulated branch, which measure budgets and double fills and look for violated invariants.
+"""Runs of the emulated branch. They measure budgets and double fills, and look for violated invariants.
 
-Budgets are the slow start budgets of restarted caches. Invariants are checked in long random histories of
-requests and faults of all kinds.
+The budgets are the slow start budgets of restarted caches. The invariants, such as that quotas are never
+exceeded, are checked in long random histories of requests and faults of all kinds.
 
-Each run has its own branch and depends only on its parameters, the job. Runs may therefore be made in several
-processes.
+Each run has its own branch and depends only on its parameters (the job). Runs may therefore be made in
+several processes.
 """
 
 from __future__ import annotations
@@ -32,8 +32,12 @@
 MAX_SNAPSHOT_AGE_MS = 3_000
 MAX_OPERATION_INTERVAL: Duration = 20 * MILLISECOND
 RARE_FAULT_CHANCE = 0.3
-LINK_FAULT_CHANCES = (0.0, 0.0, 0.3)  # a change of the store's link selects one of these for each fault
-OPERATION_KINDS = 40  # nine kinds are faults or other changes of the branch; the other kinds are requests
+# Chances of a fault on the link to the store. Each change of the link selects one of these chances for each
+# kind of fault.
+LINK_FAULT_CHANCES = (0.0, 0.0, 0.3)
+# Number of equally likely kinds of operations in a history. Nine kinds are faults or other changes of the
+# branch, and the other kinds are requests.
+OPERATION_KINDS = 40
 # Time from the last fault until each request must have its final response.
 RECOVERY_DURATION: Duration = 8 * SECOND
 
@@ -64,7 +68,7 @@
 def measure_budget_use(job: BudgetJob) -> BudgetRun:
     """Measures the use of slow start budgets in a branch of 12 proxies, one of which gets most requests.
 
-    The job says whether one cache or all caches are restarted under load.
+    The job determines whether one cache or all caches are restarted under load.
     """
     branch = Branch(
         settings(PROXIES), PROXIES, job.seed, has_store=job.has_store, names=4_000, size_kb=100.0, weight=4.0
@@ -130,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryRun:
-    """Size of one random history of requests and faults, and the violations of invariants in it."""
+    """Size of one random history of requests and faults, and the violations of invariants in the history."""
 
     steps: int  # events that routers and store coordinators handled
     leases: int
@@ -141,7 +145,7 @@
 
 
 class HostileHistory:
-    """A random history of requests and faults in a branch of four proxies; all faults may occur at once."""
+    """A random sequence of requests and faults in a branch of four proxies; all faults may occur at once."""
 
     def __init__(self, seed: int) -> None:
         self.branch = Branch(
@@ -206,7 +210,7 @@
 
 
 def run_hostile_history(job: HistoryJob) -> HistoryRun:
-    """Runs a history of random faults and requests, then lets the branch recover.
+    """Runs a history (a sequence) of random faults and requests, then lets the branch recover.
 
     Each request must have its final response when the recovery ends.
     """
--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -5,8 +5,8 @@
 There are COUNT caches, each for CAPACITY names and WEIGHT concurrent transfers. Caches evict the least
 recently used name, derive the duration of a fill from the name, collapse requests into fills in flight and
 respect the maximum age of an attempt. They count fills, double fills and hits that are older than an
-invalidation which proxies have received. A double fill is the fill of a name that another cache stores or is
-filling.
+invalidation that every proxy has received. A double fill is the fill of a name that another cache stores or
+is filling.
 
 Standard input has one command per line: `stats`, `restart CACHE` or `purge GROUP ...`. The response to each
 command is one line of JSON with the counts.
@@ -179,7 +179,7 @@
             self._start_fill(cache, command, name, now_ms)
 
     def _is_older_than_invalidation(self, now_ms: int, name: str, stored_ms: int) -> bool:
-        """Whether a response is older than an invalidation of its object that proxies have received."""
+        """Whether a response is older than an invalidation of its object that every proxy has received."""
         invalidated_ms = self._invalidated_ms.get(group_of(name))
         if invalidated_ms is None or now_ms <= invalidated_ms + INVALIDATION_GRACE_MS:
             return False
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -95,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """Numbers of proxies, of caches and of the names that a cache can store."""
+    """The number of proxies, the number of caches, and the number of names that each cache can store."""
 
     proxies: int
     caches: int
@@ -130,7 +130,7 @@
         self._logs.append(log)
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Returns the log entries of one event from all proxies, each entry with its proxy's number added."""
+        """Returns the log entries of all proxies that have this event name, with the proxy's number added."""
         rows = []
         for number, log in enumerate(self._logs):
             for line in log.read_bytes().splitlines():
--- a/benchmarks/fleet_runs.py
+++ b/benchmarks/fleet_runs.py
@@ -27,7 +27,8 @@
 CACHE_RESTART_SHARE = 0.4
 INVALIDATION_SHARE = 0.6
 FAULT_END_SHARE = 0.75
-# A log entry of a proxy's recovery may precede the planned end of the fault by this time.
+# A proxy's log entry that it uses the store again may precede the planned end of the fault by at most this
+# time to be taken as the proxy's recovery from the fault.
 RECOVERY_MARGIN_MS = 50
 
 Change = dict[str, Any]  # an entry of a stand-in store's fault schedule, without its time
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetRun:
-    """The metrics of one run. CPU times are averages per request."""
+    """The metrics of one run. CPU times are microseconds per request, on average."""
 
     service_share: float
     p99_ms: float
@@ -127,7 +128,7 @@
 
 
 def recovery_ms(fleet: Fleet, fault_end_ms: float) -> float:
-    """Returns the time from the fault's end until the last proxy uses the store again.
+    """Returns the milliseconds from the fault's end until the last proxy uses the store again.
 
     Returns 0 if no proxy logged that it uses the store again.
     """
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -1,4 +1,4 @@
-"""A load at a fixed mean rate with Zipf-distributed names on persistent connections, and the latencies.
+"""A load at a fixed mean rate with Zipf-distributed names on persistent connections, and its latencies.
 
 The calling thread queues each request as a job when the request is due. Worker threads send the requests, so
 that a slow response delays no other request. A latency is measured from the time at which the job was due.
@@ -46,7 +46,7 @@
 
 
 class Step(NamedTuple):
-    """An action, and the time after the load's start at which it is due."""
+    """A timed action of a run, such as a cache's restart, due `at_s` seconds after the load's start."""
 
     at_s: float
     action: Callable[[], object]
@@ -154,7 +154,7 @@
 
 
 def run_load(addresses: Sequence[Address], options: LoadOptions, steps: Sequence[Step]) -> LoadResult:
-    """Sends requests to random proxies with equal chances, and runs each step when it is due."""
+    """Sends requests to random proxies with equal chances, and runs each step (timed action) when due."""
     result = LoadResult()
     jobs = queue.SimpleQueue[Job | None]()
     ids = itertools.count(options.seed << FIRST_ID_BITS)
@@ -181,7 +181,10 @@
 def put_jobs(
     jobs: queue.SimpleQueue[Job | None], proxies: int, options: LoadOptions, steps: Sequence[Step]
 ) -> int:
-    """Queues each job and runs each step when it is due; returns the number of jobs."""
+    """Queues a job for each request when the request is due, and returns the number of jobs.
+
+    Between two jobs, runs the steps (timed actions) that have become due.
+    """
     draw = random.Random(options.seed)
     ranks = range(options.names)
     weights = list(itertools.accumulate(1 / (rank + 1) ** ZIPF_EXPONENT for rank in ranks))
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -1,4 +1,4 @@
-"""Benchmark of the shared store: a run without a store, paired with one whose store works or has a fault.
+"""Benchmark of the shared store: pairs of a run without a store and a run with a healthy or faulty store.
 
 Runs of real proxies with stand-in caches show what clients see (`fleet_runs`). An emulated branch of 12
 proxies shows the use of slow start budgets. Long histories of a branch of four proxies, with seeded random
@@ -39,15 +39,16 @@
 class Plan:
     """The numbers and sizes of the runs."""
 
-    pairs: int  # number of pairs of runs of the real fleet for each scenario
+    pairs: int  # number of runs of the real fleet for each scenario; runs of two scenarios form a pair
     duration_s: float  # duration of each run of the real fleet
     rate: float  # requests per second in each run of the real fleet
     jobs: int  # number of runs of the emulated branch for each metric
-    budget_rate: int  # requests per second in runs that measure budgets
+    budget_rate: int  # requests per second in runs that measure slow start budgets
     double_fill_rate: int  # requests per second in runs that measure double fills
     histories: int
     operations: int  # number of faults and requests in each history
-    restarts_all_caches: bool  # whether budgets are also measured in runs that restart all caches
+    # Whether slow start budgets are also measured in runs that restart all caches.
+    restarts_all_caches: bool
 
 
 FULL_PLAN = Plan(
@@ -102,14 +103,19 @@
         return statistics.median(value for value in values if value is not None)
 
     def added_p99_ms(self, scenario: str) -> list[float]:
-        """Returns, for each pair, a scenario's 99th percentile of latency minus that without a store."""
+        """Returns by how many ms a scenario's 99th percentile of latency exceeds that without a store.
+
+        There is one difference for each run of the scenario. The run is compared with the run without a store
+        that has the same index.
+        """
         pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
         return [with_store.p99_ms - without.p99_ms for without, with_store in pairs]
 
     def service_ratio(self, scenario: str) -> float:
-        """Returns the ratio of the share of requests served in a scenario to that without a store.
+        """Returns a scenario's share of requests served in time, divided by that share without a store.
 
-        The ratio is the median of the pairs' ratios.
+        Each run of the scenario is compared with the run without a store that has the same index. The result
+        is the median of these ratios.
         """
         pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
         return statistics.median(
@@ -119,7 +125,7 @@
 
 
 def run(is_quick: bool, seed: int) -> dict[str, Any]:
-    """Makes all runs; returns the metrics by name: medians of pairs, and counts of violated invariants."""
+    """Makes all runs; returns the metrics by name: medians over runs, and counts of violated invariants."""
     plan = QUICK_PLAN if is_quick else FULL_PLAN
     fleet_runs = run_fleets(plan, seed)
     report_progress("running the emulated branch")
@@ -139,7 +145,7 @@
 
 
 def run_fleets(plan: Plan, seed: int) -> FleetRuns:
-    """Runs all scenarios on the real fleet one after another, as often as the plan has pairs."""
+    """Runs all scenarios on the real fleet one after another, `plan.pairs` times."""
     by_scenario: dict[str, list[FleetRun]] = {name: [] for name in (NO_STORE, *FAULTS)}
     for pair in range(plan.pairs):
         load = LoadOptions(seed + pair, plan.rate, plan.duration_s, NAMES)
@@ -263,7 +269,7 @@
 
 
 def cost_metrics(fleet_runs: FleetRuns) -> dict[str, Any]:
-    """Returns the ms to recover from the store's faults, and the microseconds of CPU time per request."""
+    """Returns the time to recover from faults in ms, and the CPU time per request in microseconds."""
     recoveries_ms = [fleet_runs.median(name, lambda run: run.recovery_ms) for name in ("silent", "dead")]
     cpu_off_us = fleet_runs.median(NO_STORE, lambda run: run.proxy_cpu_us)
     cpu_healthy_us = fleet_runs.median("healthy", lambda run: run.proxy_cpu_us)
--- a/examples/toy_server.py
+++ b/examples/toy_server.py
@@ -24,7 +24,7 @@
 CONFIG = Path(__file__).with_name("config.json")
 LOOPBACK = "127.0.0.1"
 LINE_END = b"\r\n"
-BACKLOG = 64  # most connections that may wait to be accepted
+BACKLOG = 64  # largest number of connections that may wait to be accepted
 MAX_POLL_WAIT_S = 5.0
 NO_FIELDS = "-"
 NANOSECONDS_PER_MS = 1_000_000
--- a/olivepost/shared_store/__init__.py
+++ b/olivepost/shared_store/__init__.py
@@ -10,6 +10,6 @@
 define the types, and `records` defines the form in which a store keeps its records.
 
 The other modules do the I/O. `host` owns the threads, `store_worker` owns a connection, `client` wraps the
-client library, and `scripts` and `lua` contain the scripts. `settings` defines the operator's keys, and
-`inspect` implements the commands of `olivepost sharing`.
+client library, and `scripts` and `lua` contain the scripts. `settings` defines the keys of the
+operator's file, and `inspect` implements the commands of `olivepost sharing`.
 """
--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -15,14 +15,14 @@
 RECENT_REPLIES = 20  # number of latest replies from which the failure rate is computed
 MAX_FAILURE_RATE = 0.5  # share of failures among the recent replies; a higher share opens the breaker
 SUCCESSES_TO_CLOSE = 2  # number of consecutive successes that closes a half-open breaker
-MIN_JITTER_SHARE = 0.5  # share of a backoff that always passes; a random part of the rest is added to it
+MIN_JITTER_SHARE = 0.5  # a trial waits for this share of the backoff, and for a random part of the rest
 
 
 class BreakerState(Enum):
     """The state of a circuit breaker.
 
-    The store is used while its breaker is closed, and not used while it is open. While the breaker is
-    half-open, syncs try the store and requests don't wait for it.
+    The store is used while its breaker is closed, and not used while the breaker is open. While the breaker
+    is half-open, the periodic syncs try the store, and requests don't wait for the store.
     """
 
     CLOSED = "closed"
@@ -56,8 +56,8 @@
         if self.state is BreakerState.HALF_OPEN:
             self._record_trial_success()
         else:
-            # The failure rate is computed only when there are enough recent replies, and this reply may be
-            # the one that was missing.
+            # A success can open the breaker, too, because the failure rate is only computed from
+            # `RECENT_REPLIES` replies, and this reply may be the last one that was missing.
             self._open_if_failing(now)
 
     def record_failure(self, now: Instant) -> None:
--- a/olivepost/shared_store/client.py
+++ b/olivepost/shared_store/client.py
@@ -53,8 +53,8 @@
 ) -> redis.Redis:
     """Returns a client that has its own connection pool and connects when it sends its first command.
 
-    The client never repeats a command. A command whose reply was lost may have run. If it granted quota,
-    repeating it would grant the quota twice.
+    The client never repeats a command. A command whose reply was lost may have run. If that command
+    granted quota, a repetition would grant the quota twice.
     """
     host, port = store.address
     return redis.Redis(
--- a/olivepost/shared_store/commands.py
+++ b/olivepost/shared_store/commands.py
@@ -15,8 +15,8 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-# Largest number of pending commands, of all stores together. Further commands are dropped. The dropped ones
-# cost hints, but never a request.
+# Largest number of pending commands, of all stores together. Further commands are dropped, so that requests
+# go without hints, but no request fails.
 MAX_PENDING_COMMANDS = 4_096
 
 ReplyValues = tuple[object, ...]
@@ -29,7 +29,8 @@
 class PendingCommand:
     """A command whose reply is pending.
 
-    `generation` and `confirmed_serial` are the store's values from the time when the command was sent.
+    `generation` is the store's generation when the command was sent. `confirmed_serial` is the number of the
+    last heartbeat that the store had confirmed by then.
     """
 
     store: StoreHealth
@@ -38,7 +39,7 @@
     generation: int
     confirmed_serial: int
     on_reply: ReplyHandler
-    has_failed: bool = False  # whether the circuit breaker has recorded its failure
+    has_failed: bool = False  # whether the circuit breaker has recorded a failure of this command
 
 
 class CommandTracker:
@@ -101,7 +102,7 @@
     def record_overdue(self, now: Instant) -> None:
         """Records a failure for each command whose reply is overdue.
 
-        The reply itself, or the news that it is lost, may come much later.
+        The failure is recorded early, because the reply, or the news of its loss, may come much later.
         """
         for command in self._pending.values():
             if self._is_late(now, command):
--- a/olivepost/shared_store/context.py
+++ b/olivepost/shared_store/context.py
@@ -1,4 +1,5 @@
-"""State that all parts of the store coordinator share: terms, stores, endpoints, counters and actions.
+"""State that all parts of the store coordinator share: terms (this proxy's parameters), stores,
+endpoints, counters and actions.
 
 The actions are commands for stores, events for the router and events for the log. The coordinator emits them
 only through this module.
--- a/olivepost/shared_store/coordinator.py
+++ b/olivepost/shared_store/coordinator.py
@@ -76,7 +76,7 @@
         return actions
 
     def _event_handlers(self) -> dict[type, Callable[[Instant, Any], None]]:
-        """Returns the handler of each event type; handlers are called with the time and the event."""
+        """Returns the handler of each event type. A handler is called with the time and the event."""
         return {
             LookupRequested: self._lookups.look_up,
             LeaseReleased: self._lookups.end_request,
--- a/olivepost/shared_store/endpoints.py
+++ b/olivepost/shared_store/endpoints.py
@@ -12,7 +12,7 @@
 
 
 class EndpointDirectory:
-    """The endpoints that updates have listed, by id. Only the coordinator's thread uses this class."""
+    """Endpoints that endpoint updates have listed, by id. Only the coordinator's thread uses this class."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, api.EndpointMetadata] = {}
@@ -39,14 +39,14 @@
         return UNKNOWN_START if endpoint is None else _stored_start(endpoint)
 
     def is_usable(self, endpoint_id: str, started_at: Instant) -> bool:
-        """Whether an endpoint is ready and has not restarted since a record named it."""
+        """Whether an endpoint is ready and has not restarted since a record named the endpoint."""
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None:
             return False
         return endpoint.state is api.EndpointState.READY and _stored_start(endpoint) == started_at
 
     def is_removed(self, endpoint_id: str, started_at: Instant) -> bool:
-        """Whether an endpoint is no longer listed, or has restarted since a record named it."""
+        """Whether an endpoint is no longer listed, or has restarted since a record named the endpoint."""
         endpoint = self._by_id.get(endpoint_id)
         return endpoint is None or _stored_start(endpoint) > started_at
 
--- a/olivepost/shared_store/fault_log.py
+++ b/olivepost/shared_store/fault_log.py
@@ -10,7 +10,7 @@
 
 LOG_INTERVAL: Duration = 10 * SECOND  # shortest time between two lines about faults of one kind
 MAX_REASON_LENGTH = 160  # characters of a reason in the log
-KIND_LENGTH = 40  # leading characters of a reason that identify its kind; the others differ between faults
+KIND_LENGTH = 40  # leading characters of a reason that identify its kind; later ones may differ
 # Number of kinds of faults that are remembered. If there are more, all are forgotten, and each kind may be
 # logged again at once.
 MAX_KINDS = 64
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -1,8 +1,8 @@
 """The fill leases of this proxy, which requests them with lookups and releases them when the fills end.
 
-A release publishes the location of the filled cache. It publishes nothing if the lease has expired by its
-owner's clock, or if the lease's fencing number is not the one that the store has for the name. This module
-has no clock and does no I/O.
+A release publishes the filled cache as the name's location. The release publishes nothing if the lease has
+expired by the clock of the proxy that owns the lease, or if the lease's fencing number is not the one that
+the store has for the name. This module has no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     store: StoreHealth
     generation: int
     requested_at: Instant
-    # The end of the request that the lease is for, if the request ends before the store's reply comes.
+    # The event that ends the request, if the request ends before the store's reply comes, else `None`.
     release: LeaseReleased | None = None
 
 
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -1,6 +1,7 @@
 """The adoption of a store's later generation, and the advance to a new one after a store has lost state.
 
-After each of them, all invalidations are published to the store again before the store is trusted.
+A store loses state if it restarts empty or from an old snapshot. After an adoption or an advance, this proxy
+publishes all invalidations that it knows to the store again. It trusts the store only after that.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
     def handle_verdict(
         self, now: Instant, store: StoreHealth, verdict: ReplyVerdict, generation: int
     ) -> None:
-        """Handles a reply whose values are not used; `generation` is the generation in the reply."""
+        """Acts on the verdict on a reply whose values are not used; the reply has `generation`."""
         self._context.counts[f"replies_{verdict.value}"] += 1
         if verdict is ReplyVerdict.MOVED:
             self._adopt(now, store, generation)
@@ -75,9 +76,11 @@
         self.publish_next_chunk(now, store)
 
     def publish_next_chunk(self, now: Instant, store: StoreHealth) -> None:
-        """Publishes the next chunk of the invalidations that must be published again.
+        """Publishes the next chunk of invalidations to a store that is being restored.
 
-        If no chunk is left, an empty chunk is published, so that the store still confirms its generation.
+        All known invalidations must be published to the store again after it has got another generation, or
+        after a publication to it was not confirmed. If no chunk is left, an empty chunk is published, so that
+        the store still confirms its generation.
         """
         chunk = store.unpublished[0] if store.unpublished else ()
         operation = PublishInvalidations(store.generation, chunk)
@@ -87,7 +90,7 @@
         self, store: StoreHealth, chunk: InvalidationChunk, now: Instant, values: ReplyValues | None
     ) -> None:
         if values is None:
-            return  # the next sync publishes the chunk again
+            return  # the reply to the next sync makes this proxy publish the chunk again
         if store.trust is not TrustLevel.RESTORING:
             return
         store.confirm_published(chunk)
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -30,7 +30,8 @@
 # Largest number of events in the queue. While the queue is full, new lookups, reports and all other events
 # except `UNDROPPABLE_EVENTS` are dropped.
 MAX_QUEUED_EVENTS = 20_000
-# Random bits of a process's id, enough that no two processes of a branch get the same id.
+# Number of random bits in the id (incarnation) of a process, enough that no two processes of a branch get the
+# same id.
 INCARNATION_BITS = 64
 SEED_BITS = 64
 # Time within which all threads together must end. A thread that waits for an unresponsive store is left
@@ -68,7 +69,8 @@
         self._context = WorkerContext(
             settings, incarnation, clock, log, FaultLog(clock, log), self._queue_event
         )
-        self._events: queue.SimpleQueue[messages.Event | None] = queue.SimpleQueue()  # `None` ends the thread
+        # The coordinator's events. A queued `None` ends the coordinator's thread.
+        self._events: queue.SimpleQueue[messages.Event | None] = queue.SimpleQueue()
         self._workers: dict[tuple[str, Lane], StoreWorker] = {}
         self._thread: threading.Thread | None = None  # `None` before `start`
 
@@ -99,7 +101,7 @@
             worker.join(max(0.0, until - time.monotonic()))
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None) -> None:
-        """Requests a hint; the router receives the hint as a `CacheHint`."""
+        """Asks a store which cache has or fills a name; the router gets the answer as a `CacheHint`."""
         self._queue_event(messages.LookupRequested(lookup, object_name, group))
 
     def release_lease(self, release: api.ReleaseLease, generated_at: Instant | None) -> None:
@@ -171,11 +173,12 @@
         try:
             actions = self.coordinator.handle(self._clock.now(), event)
         except Exception:
-            # No caller catches exceptions, and a fault in one event must not stop the handling of others.
+            # Every exception is caught here, because no caller catches exceptions, and a fault in the
+            # handling of one event must not stop the handling of other events.
             log = self._log
             log.exception("store_coordinator_error", kind=type(event).__name__)
             if isinstance(event, messages.LookupRequested):
-                # The request waits for a hint, so the router gets one that names no cache.
+                # The router gets a hint that names no cache, because a request waits for a hint.
                 self._post(api.CacheHint(event.lookup.request_id))
             return
         for action in actions:
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -34,7 +34,7 @@
 
 MAX_KEYS = 100_000  # largest number of keys that one command reads from a store
 SCAN_COUNT = 1_000  # keys that the server examines in one step of a scan
-# What these commands send to the scripts in place of a proxy process's incarnation.
+# Text that these commands send to the scripts in place of the incarnation (id) of a proxy's process.
 OPERATOR_INCARNATION = "operator"
 ENVELOPE_FIELDS = ("type", "v")  # stored names of the tag and the version, which every record has
 
@@ -57,7 +57,7 @@
 
 
 class StoreContentError(Exception):
-    """An error about a value that no proxy writes, which a store has under `key`."""
+    """Error for a value that a store has under `key` and that no proxy writes."""
 
     def __init__(self, key: str, value: bytes) -> None:
         super().__init__(f"{key} must be a whole number, not {value[:40]!r}")
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class Report:
-    """The result of a command, with its rows and the stores that could not be used."""
+    """The result of a command: the rows that it prints, and the stores that could not be used."""
 
     verb: Verb
     rows: list[Row] = field(default_factory=list)
@@ -113,7 +113,10 @@
 
 
 class StoreInspector:
-    """The commands on one store, which use the generation that the store has at the inspector's creation."""
+    """The commands on one store.
+
+    They use the records of the generation that the store had when the inspector was created.
+    """
 
     def __init__(self, settings: SharedStoreSettings, store: StoreSettings, connection: Any) -> None:
         self._settings = settings
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -20,7 +20,8 @@
 from olivepost.units import MILLISECOND, Instant
 
 MAX_INVALIDATIONS = 4_096  # largest number of invalidations that this proxy remembers
-CHUNK_SIZE = 256  # most invalidations in one operation; a larger operation would keep the store busy
+# Largest number of invalidations in one operation, because a larger operation would keep the store busy.
+CHUNK_SIZE = 256
 MAX_CLOCK_LEAD_MS = 10_000  # largest accepted lead of another proxy's clock over this proxy's
 ROW_LENGTH = 3  # values in one row of a reply: number, key and Unix millisecond of an invalidation
 EPOCH_MS = 0  # the start of Unix time, which is before any response was generated
@@ -111,7 +112,8 @@
     ) -> None:
         """Marks all invalidations to be published again if the store has not confirmed a publication.
 
-        The store may lack an invalidation, so it is not trusted until it has confirmed all of them.
+        The store may lack the invalidations of that publication. It is therefore not trusted until it has
+        confirmed all invalidations.
         """
         if values is None and store.trust is TrustLevel.TRUSTED and generation == store.generation:
             self._context.counts["invalidations_unconfirmed"] += 1
--- a/olivepost/shared_store/lease_table.py
+++ b/olivepost/shared_store/lease_table.py
@@ -25,8 +25,8 @@
     stored: bytes  # fencing number and record, as the store keeps them
     fencing_number: int
     cache: str
-    # The start of the lease's duration in this proxy. It is earlier than the store's grant, so that the lease
-    # expires here before it does in the store.
+    # The time from which this proxy measures the lease's duration. The store grants the lease later, so the
+    # lease expires in this proxy before it expires in the store.
     requested_at: Instant
     expires_at: Instant
 
--- a/olivepost/shared_store/location_hints.py
+++ b/olivepost/shared_store/location_hints.py
@@ -17,7 +17,7 @@
 # Number of reports that the store adds to a location's count if the hinted cache did not have the object.
 STALE_HINT_REPORTS = 1
 # Number of reports that the store adds to a location's count if no proxy can use the location. The store
-# deletes a location at a count of two, and therefore deletes this one at once.
+# deletes a location at a count of two, so that one report deletes an unusable location at once.
 UNUSABLE_LOCATION_REPORTS = 2
 
 
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -70,8 +70,9 @@
     def look_up(self, now: Instant, event: LookupRequested) -> None:
         """Sends a lookup to the store, unless the reply would come too late or contain nothing useful.
 
-        If this proxy already owns the fill lease on the name, nothing is sent, and the hint names the cache
-        that is being filled under that lease.
+        If nothing is sent, the router gets a hint that names no cache at once. If this proxy already owns the
+        fill lease on the name, nothing is sent either, and the hint names the cache that is being filled
+        under that lease.
         """
         request = event.lookup
         store = self._context.store_of(request.name)
@@ -129,7 +130,10 @@
         self._give_no_hint(lookup)
 
     def _read_reply(self, now: Instant, lookup: PendingLookup, values: ReplyValues) -> None:
-        """Gives the hint that a reply leads to, if any; raises `RecordError` if the reply is malformed."""
+        """Sends the router the hint that follows from a reply, if there is one.
+
+        Raises `RecordError` if the reply is malformed.
+        """
         match values[0]:
             case ReplyType.LEASE_GRANTED if lookup.lease is not None:
                 self._acquire_lease(now, lookup.lease, fencing_number=parse_integer(_value(values, 1)))
@@ -146,17 +150,17 @@
     def _acquire_lease(self, now: Instant, lease: PendingLease, fencing_number: int) -> None:
         """Adds the lease that the store granted to this proxy.
 
-        This proxy is to fill the name itself, so the lookup gets no hint at another cache. The lease is
-        released immediately if the request that it is for has ended in the meantime.
+        This proxy is to fill the name itself, so the router gets a hint that names no cache. If the request
+        for which the lease was requested has ended in the meantime, the lease is released immediately.
         """
         is_acquired = self._leases.acquire(lease, fencing_number)
         if is_acquired and lease.release is not None:
             self.end_request(now, lease.release)
 
     def _follow_lease(self, lookup: PendingLookup, stored: object, remaining_ms: object) -> None:
-        """Gives a hint at the cache that the owner of the lease, another proxy, is filling.
+        """Sends the router a hint that names the cache which the owner of the lease, another proxy, fills.
 
-        Gives no hint if that cache is not usable.
+        Sends no such hint if that cache is not usable.
         """
         _, _, record = (stored if isinstance(stored, bytes) else b"").partition(b" ")
         lease = decode_record(FillLease, record)
@@ -168,9 +172,9 @@
         self._hint_at_fill(lookup, lease.cache, ready_in_ms * MILLISECOND)
 
     def _use_location(self, now: Instant, lookup: PendingLookup, stored: object) -> None:
-        """Gives a hint at the cache that a stored location names, if the cache is usable.
+        """Sends the router a hint that names the cache of a stored location, if the cache is usable.
 
-        Gives no hint if the location is stale, but reports that to the store.
+        If the location is stale, sends no such hint, and reports the stale location to the store.
         """
         record = stored if isinstance(stored, bytes) else b""
         location = decode_record(CacheLocation, record)
--- a/olivepost/shared_store/malformed_records.py
+++ b/olivepost/shared_store/malformed_records.py
@@ -10,7 +10,9 @@
 from olivepost.units import SECOND, Duration, Instant
 
 REPORT_INTERVAL: Duration = 60 * SECOND  # shortest time between two summaries in the log
-MAX_REASONS = 16  # most reasons in one summary; a record with a further reason is only counted as a metric
+# Largest number of different reasons in one summary. A record with a further reason is not in the summary,
+# but the metric `records_malformed` still counts the record.
+MAX_REASONS = 16
 MAX_REASON_LENGTH = 120  # characters of a reason in the log
 
 
@@ -26,7 +28,7 @@
         self._reported_at: Instant | None = None
 
     def skip_errors(self, read: Callable[..., None], *arguments: object) -> None:
-        """Calls `read` for one row of a reply; if it raises `RecordError`, counts that and skips the row."""
+        """Calls `read` for one row of a reply; if `read` raises `RecordError`, counts and skips the row."""
         try:
             read(*arguments)
         except RecordError as error:
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -1,7 +1,7 @@
 """The events that the store coordinator handles, and the actions that it returns.
 
-This module contains only types. Fields whose names end in `_ms` are Unix milliseconds by other clocks, those
-of the platform's coordinator and of the origin.
+This module contains only types. Fields whose names end in `_ms` are Unix milliseconds by the clocks of other
+machines: the platform's coordinator and the origin.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupRequested:
-    """The event that the router has requested a lookup.
+    """The event that the router asks for a lookup of a name.
 
     `object` is the requested object. `group` is the object's group, or `None` if the group is unknown.
     """
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """The end of a request that requested a fill lease.
+    """The event that a request has ended, so that its fill lease must be released.
 
     `generated_at_ms` is when the request's response was generated, or `None` if that time is unknown.
     """
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreReply:
-    """A store's reply to the command with this ticket.
+    """A store's reply to the command that has the same ticket.
 
     `generation` is the store's generation. `serial` is the number of this process's last heartbeat that the
     store had received before the command. Heartbeats are numbered from 1; 0 means that the reply has no
--- a/olivepost/shared_store/operations.py
+++ b/olivepost/shared_store/operations.py
@@ -26,7 +26,7 @@
 
 
 class QuotaRequestRow(NamedTuple):
-    """A quota request as a store keeps it, with the field of the hash and the request's record."""
+    """A quota request as a store keeps it: a field of the hash of quota requests, and the record there."""
 
     field: str
     record: bytes
@@ -36,8 +36,8 @@
 class SyncOperation:
     """The periodic exchange, which sends a heartbeat and reads what other proxies have sent.
 
-    The heartbeat carries this proxy's quota requests and outlier reports. The reply contains those of other
-    proxies.
+    The heartbeat carries this proxy's quota requests and outlier reports. The reply contains the requests and
+    reports of other proxies.
     `serial` is the heartbeat's number. `last_invalidation` is the number of the last invalidation that this
     proxy has read. `outliers` are the ids of endpoints that this proxy has ejected.
     """
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -14,8 +14,8 @@
 # Lifetime of a report that is not renewed. The store keeps a report for the same time.
 REPORT_LIFETIME: Duration = 3 * SECOND
 NOTIFY_INTERVAL: Duration = 1 * SECOND  # shortest time between two events for the router about one endpoint
-MIN_REPORTERS = 2  # number of other proxies that must report an endpoint before the router gets an event
-MAX_REPORTS = 1_024  # limit for this proxy's reports, and for the reporters of one endpoint
+MIN_REPORTERS = 2  # number of processes that must report an endpoint before the router gets an event
+MAX_REPORTS = 1_024  # largest number of this proxy's reports, and of the processes that report one endpoint
 
 
 class OutlierReport(NamedTuple):
@@ -44,8 +44,8 @@
     """
 
     def __init__(self) -> None:
-        self._own: dict[str, Instant] = {}  # endpoint -> when the report expires
-        self._others: dict[str, dict[str, Instant]] = {}  # endpoint -> incarnation -> when the report expires
+        self._own: dict[str, Instant] = {}  # expiry of each report, by endpoint
+        self._others: dict[str, dict[str, Instant]] = {}  # expiry by endpoint and process
         self._next_notification: dict[str, Instant] = {}  # earliest time of the next event, by endpoint
 
     def add_own(self, now: Instant, endpoint_id: str) -> None:
@@ -70,7 +70,9 @@
     def notify_if_due(self, now: Instant, endpoint_id: str) -> bool:
         """Returns whether the router must be notified now about an endpoint.
 
-        If so, starts the interval in which the router is not notified about this endpoint again.
+        The router is notified if at least `MIN_REPORTERS` other processes report the endpoint, and
+        if the last event about the endpoint is at least `NOTIFY_INTERVAL` old. If the result is True, a new
+        interval starts.
         """
         next_notification = self._next_notification.get(endpoint_id)
         if next_notification is not None and now < next_notification:
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -1,4 +1,8 @@
-"""Quota requests of other proxies that this proxy answers, and its donations to those proxies.
+"""This proxy's donations, with which its router answers the quota requests of other proxies.
+
+A request of another proxy is first offered to this proxy's router: the router is asked to donate to the
+request. If the router donates, this proxy sends the store a grant of the amount. `quota_exchange` describes
+the whole transfer.
 
 This module has no clock and does no I/O.
 """
@@ -13,28 +17,28 @@
 from olivepost.units import Duration, Instant
 
 MAX_CLOCK_DRIFT = 0.01  # largest relative difference between the rates of two proxies' clocks
-MAX_DONATIONS = 64  # largest number of donations that are offered to the router at once
+MAX_DONATIONS = 64  # largest number of requests that are offered to the router at once
 
 
 @dataclass(slots=True)
 class Donation:
-    """A transfer to another proxy, first offered to the router and then granted through the store."""
+    """A donation for another proxy's request. The router is asked for it before the store gets the grant."""
 
     request: QuotaRequest
-    field: str  # the request's field in the store
+    field: str  # the field under which the store has the request
     expires_at: Instant  # the time from which this proxy may use the amount again
     amount: float = 0.0
 
 
 class GrantedDonation(NamedTuple):
-    """A donation that the router has made, and the grant to send to its recipient."""
+    """A donation that the router has made, and the grant that the store gets for the recipient."""
 
     donation: Donation
     grant: QuotaGrant
 
 
 class QuotaDonations:
-    """Requests of other proxies that this proxy is answering.
+    """Requests of other proxies that this proxy has offered to its router or is answering with a grant.
 
     Only the coordinator's thread uses this class.
     """
@@ -43,37 +47,40 @@
         self._own_requests = own_requests
         self._ids = ids
         self._duration = duration
-        self._donations: dict[int, Donation] = {}  # donations offered to the router, by transfer id
-        # The time until which a request is not answered again, by the nonce of the request.
+        self._donations: dict[int, Donation] = {}  # open offers to the router, by transfer id
+        # The time until which a request is not offered to the router again, by the nonce of the request.
         self._answered_until: dict[str, Instant] = {}
 
     def __contains__(self, transfer_id: int) -> bool:
-        """Whether a transfer is offered to the router and the router has not answered yet."""
+        """Whether the offer with this transfer id is open, so that the router may still answer it."""
         return transfer_id in self._donations
 
     def offer(self, now: Instant, transfer_id: int, field: str, request: QuotaRequest) -> Donation | None:
-        """Returns the donation to offer to the router, or `None` if the request may not be answered."""
+        """Returns the donation that the router is to be asked for.
+
+        Returns `None` if this proxy may not answer the request.
+        """
         self._drop_expired(now)
         if not self._may_answer(now, request):
             return None
         self._answered_until[request.nonce] = now + self._duration
-        # The recipient's clock may be slower than this proxy's, so the donation lasts longer here by the
-        # drift. The recipient also measures the duration from its request, which is earlier than now.
+        # This proxy adds the largest drift to the duration, because the recipient's clock may be slower than
+        # its own. The recipient also measures the duration from its request, which is earlier than now.
         expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
         donation = Donation(request, field, expires_at)
         self._donations[transfer_id] = donation
         return donation
 
     def donate(self, transfer_id: int, amount: float, expires_at: Instant) -> GrantedDonation | None:
-        """Returns the grant of an amount that the router has given up.
+        """Returns a donation of an amount that the router has given up, and the grant for the recipient.
 
-        Returns `None` if the offer is no longer open or the router gave up nothing.
+        Returns `None` if the offer with this transfer id has expired, or if the router gave up nothing.
         """
         donation = self._donations.pop(transfer_id, None)
         if donation is None:
             return None
         request = donation.request
-        if amount <= MIN_AMOUNT:  # the router can spare nothing now; the next sync may ask it again
+        if amount <= MIN_AMOUNT:  # the router can spare nothing now; a later sync may offer the request again
             self._answered_until.pop(request.nonce, None)
             return None
         donation.amount = amount
@@ -82,9 +89,9 @@
         return GrantedDonation(donation, grant)
 
     def _drop_expired(self, now: Instant) -> None:
-        """Drops the entries of answered requests and the offers that have expired.
+        """Drops the offers that have expired, and forgets answered requests that may be answered again.
 
-        The dropped offers include those that the router never answered because it failed to handle them.
+        An offer expires if the router never answers it, for example because the router failed to handle it.
         """
         self._answered_until = {nonce: until for nonce, until in self._answered_until.items() if until > now}
         self._donations = {
@@ -94,11 +101,14 @@
         }
 
     def close(self, nonce: str) -> None:
-        """Allows a request to be answered again, after the store has replied to a grant for it."""
+        """Allows a request to be answered again, after the store has replied to a grant for it.
+
+        The request may not be met yet, and after the reply it is known whether the grant was made.
+        """
         self._answered_until.pop(nonce, None)
 
     def _may_answer(self, now: Instant, request: QuotaRequest) -> bool:
-        """Whether a request may be answered.
+        """Whether this proxy may answer another proxy's request.
 
         A proxy does not donate any quota of which the proxy is short itself. If all proxies are short of a
         quota, transfers would only keep some of it unused until they expire.
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -1,11 +1,14 @@
 """Quota transfers through the stores.
 
-The exchange reads the requests and grants of other proxies, and grants the quota that the router donates.
-
 In the accounting of the routers, each of n proxies owns an n-th part of every quota, with or without a store.
-A transfer moves an amount of one proxy's part to one process of another proxy. The donor first gives the
-amount up, until the transfer has expired for both proxies. Only the process that requested the amount may use
-the amount, and only once. The time during which the process may do so starts at the instant of its request.
+A transfer moves an amount of one proxy's part (the donor's) to one process of another proxy (the recipient).
+
+A transfer has four steps. With a request, the recipient asks for the amount that it lacks, through a store.
+The donor reads the request with a sync, and offers the request to its own router: it asks the router to
+donate. With a donation, the router gives an amount up until the transfer has expired for both proxies. The
+donor then sends the store a grant of that amount, and the recipient reads the grant with its next sync. Only
+the process that made the request may use the amount, and only once. The time during which the process may do
+so starts at the instant of its request.
 
 Parts and transfers together never exceed the whole quota, even if a store loses, repeats, delays or restores
 messages. Such faults only leave quota unused. Each proxy measures the time by its own clock, and the
@@ -43,7 +46,7 @@
 
 
 class RequestedQuota(NamedTuple):
-    """A proxy's quota request, and the Unix millisecond since which the store has had it."""
+    """Another proxy's quota request, and the Unix millisecond at which the store first got it."""
 
     since_ms: int
     field: str
@@ -52,8 +55,8 @@
     def precedes(self, other: RequestedQuota) -> bool:
         """Whether this request is older than the other one.
 
-        Only the older of two requests for one quota is answered. Of two equally old ones, the one whose field
-        sorts first precedes.
+        Only the older of two requests for one quota is answered. If two requests are equally old, the request
+        whose field sorts first is treated as the older one.
         """
         return (self.since_ms, self.field) <= (other.since_ms, other.field)
 
@@ -74,7 +77,7 @@
 
 
 class QuotaExchange:
-    """Exchange of quota between this proxy's router and the stores.
+    """The transfers of quota between this proxy and others through the stores.
 
     Only the coordinator's thread uses this class.
     """
@@ -89,12 +92,12 @@
         ids = IdSequence(terms.incarnation)
         self._requests = QuotaRequests(ids, terms.quota_duration)
         self._donations = QuotaDonations(self._requests, ids, terms.quota_duration)
-        self._offered: dict[int, StoreHealth] = {}  # the store that has the request, by transfer id
+        self._offered: dict[int, StoreHealth] = {}  # store of each offered request, by transfer id
 
     # Own requests
 
     def record_shortage(self, now: Instant, event: api.RequestQuota) -> None:
-        """Records the amount by which the router was short of a quota."""
+        """Records a shortage: the amount of a quota that the router lacked for an attempt."""
         if self._context.terms.quota_transfers_enabled:
             self._requests.record_shortage(now, encode_quota_key(event.key), event.amount)
 
@@ -119,19 +122,19 @@
     # Donations
 
     def receive_requests(self, now: Instant, store: StoreHealth, rows: Sequence[object]) -> None:
-        """Answers the oldest request for each quota, so that all proxies donate to the same request."""
+        """Offers the oldest request for each quota to the router, so that all proxies donate to that one."""
         oldest: dict[str, RequestedQuota] = {}
         for row in rows:
             self._malformed.skip_errors(_keep_oldest, oldest, row)
         for requested in oldest.values():
             key = parse_quota_key(requested.request.key)
-            # An unknown key comes from a proxy whose version shares more quotas. This proxy has nothing to
-            # donate for the key, and ignores the request.
+            # A request with an unknown key is ignored. The request comes from a proxy whose version shares
+            # more quotas, and this proxy has nothing to donate for the key.
             if key is not None:
                 self._offer(now, store, key, requested)
 
     def _offer(self, now: Instant, store: StoreHealth, key: api.QuotaKey, requested: RequestedQuota) -> None:
-        """Asks the router to donate to a request, if this proxy may answer the request."""
+        """Offers a request to the router, if this proxy may answer the request."""
         request = requested.request
         transfer_id = self._context.issue_ticket()
         donation = self._donations.offer(now, transfer_id, requested.field, request)
@@ -147,10 +150,11 @@
         self._context.notify_router(event)
 
     def donate(self, now: Instant, event: api.DonateQuota) -> None:
-        """Grants an amount that the router has given up.
+        """Sends the store a grant of the amount that the router has given up for a request.
 
-        The amount then belongs to the other proxy, even if the command to the store is lost or never sent.
-        The router gets the amount back only if the store certainly has not granted it.
+        The router gets the amount back early only if the store replies that it has not made the grant.
+        Otherwise the amount stays given up until the transfer expires, even if the command that carries the
+        grant is lost or never sent.
         """
         store = self._offered.pop(event.transfer_id, None)
         granted = self._donations.donate(event.transfer_id, event.amount, event.expires_at)
@@ -172,10 +176,10 @@
         self._commands.send(now, store, operation, partial(self._on_granted, donation))
 
     def _on_granted(self, donation: Donation, now: Instant, values: ReplyValues | None) -> None:
-        """Gives an amount back to the router if the store certainly has not granted the amount.
+        """Gives an amount back to the router if the store replies that it has not made the grant.
 
-        If the reply is lost, the store may have granted the amount, so the amount stays donated until the
-        donation expires.
+        If the reply is lost, the store may have made the grant, so the amount stays given up until the
+        transfer expires.
         """
         if not values:
             self._context.counts["quota_grants_unconfirmed"] += 1
--- a/olivepost/shared_store/quota_requests.py
+++ b/olivepost/shared_store/quota_requests.py
@@ -1,4 +1,7 @@
-"""Quota that this proxy requests from other proxies, and the grants that it accepts from them.
+"""This proxy's requests for quota of other proxies, and the grants with which those proxies answer.
+
+A shortage is an amount of a quota that the router lacked for an attempt. `quota_exchange` describes the whole
+transfer of an amount.
 
 This module has no clock and does no I/O.
 """
@@ -11,13 +14,14 @@
 from olivepost.shared_store.records import QuotaGrant, QuotaRequest, RecordError, encode_record
 from olivepost.units import MILLISECOND, Duration, Instant
 
-MAX_SHORTAGES = 64  # largest number of quotas requested at once
+MAX_SHORTAGES = 64  # largest number of quotas that this proxy requests at once
 # Largest number of grants that are remembered. A grant is remembered until it expires, so that it is not
 # accepted twice.
 MAX_GRANTS = 1_024
-MIN_AMOUNT = 1e-6  # only larger amounts of quota are transferred
-# Number of times that a request is renewed within its duration. The validity of a grant starts at the
-# instant of its request. The renewals keep the latest request young, so that a grant has more time left.
+MIN_AMOUNT = 1e-6  # only larger amounts are transferred; each is in the unit of its quota
+# Number of times that a request is renewed within its duration. A renewal puts a new request with a later
+# start into the store in place of the earlier one. A grant is valid from the start of its request, so a grant
+# for a young request has more time left.
 RENEWALS_PER_DURATION = 8
 SHORTAGE_MEMORY: Duration = 500 * MILLISECOND  # time in which a recorded shortage decays to zero
 
@@ -59,7 +63,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request of this proxy. Grants that carry its nonce are accepted until the request expires."""
+    """A request of this proxy. Grants that carry the request's nonce are accepted until it expires."""
 
     nonce: str
     key: str
@@ -91,7 +95,7 @@
         self._grants: dict[str, Instant] = {}  # expiry of each received grant, by grant id
 
     def record_shortage(self, now: Instant, key: str, amount: float) -> None:
-        """Records the amount by which the router was short of a quota."""
+        """Records a shortage: the amount of a quota that the router lacked for an attempt."""
         if amount > 0 and (key in self._shortages or len(self._shortages) < MAX_SHORTAGES):
             self._shortages.setdefault(key, Shortage(now)).add(now, amount)
 
@@ -100,9 +104,9 @@
         return key in self._shortages
 
     def renew(self, now: Instant) -> dict[str, bytes]:
-        """Drops expired requests and renews those that are due.
+        """Drops expired requests and renews the requests whose renewal is due.
 
-        Returns the records of the requests that are not met yet, by key.
+        Returns the records of the requests that are not yet fully met by grants, by key.
         """
         self._drop_expired(now)
         records: dict[str, bytes] = {}
@@ -144,7 +148,7 @@
         }
 
     def _current_request(self, now: Instant, key: str, shortage: Shortage) -> OpenRequest:
-        """Returns the latest request for a key, or a new one if there is none or it must be renewed."""
+        """Returns the latest request for a key, or a new request if there is none or a renewal is due."""
         latest = self._latest.get(key)
         if latest is not None and now < latest.requested_at + self._duration // RENEWALS_PER_DURATION:
             return latest
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -16,7 +16,7 @@
 
 from olivepost.units import Duration, Instant
 
-RECORD_VERSION = 1  # to be increased when a field changes its meaning; records of other versions are skipped
+RECORD_VERSION = 1  # must grow when a field changes its meaning; records of other versions are skipped
 MAX_RECORD_BYTES = 1_024
 MAX_INTEGER_DIGITS = 18  # every decimal number of this length fits into 64 bits
 MAX_OBJECT_LENGTH = 256  # characters of an object's name in an invalidation
@@ -43,7 +43,7 @@
 
 
 class FillLease(StoredRecord, frozen=True, tag="claim", kw_only=True):
-    """The lease to fill a name into a cache.
+    """The lease under which a proxy fills a name into a cache.
 
     `proxy` and `incarnation` identify the lease's owner. `source` is the endpoint that the cache fills from.
     """
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -15,7 +15,7 @@
 
 MAX_EXCERPT_LENGTH = 60  # characters of a malformed reply in the reason of its `ReplyLost`
 NO_LEASE = (0, b"")  # the lease's duration and record in a lookup that requests no lease
-NO_LOCATION = operations.LocationPublication(b"", 0)  # what a lease's release without a location sends
+NO_LOCATION = operations.LocationPublication(b"", 0)  # sent with a release that publishes no location
 HEADER_LENGTH = 2  # number of values that begin every reply: the generation and the serial
 
 
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -63,7 +63,7 @@
 
 
 class FillLeaseSettings(SettingsSection):
-    """Settings of leases on fills, with which one proxy of a branch fills an object for the others too."""
+    """Settings of fill leases. The proxy that has the lease on an object fills it for the whole branch."""
 
     enabled: bool = True
     most: Annotated[Duration, DurationRange("100ms", "60s")] = Field(
@@ -73,7 +73,7 @@
 
 
 class CacheLocationSettings(SettingsSection):
-    """Settings of published locations, which tell the other proxies which cache has an object."""
+    """Settings of the cache locations with which proxies tell each other which cache has an object."""
 
     enabled: bool = True
     keep: Annotated[Duration, DurationRange("1s", "24h")] = Field(
@@ -175,7 +175,7 @@
 
     @property
     def key_prefix(self) -> str:
-        """The prefix of all of the branch's keys in its stores."""
+        """Returns the prefix that all keys of the branch have in its stores."""
         return f"olivepost:{self.branch}"
 
     def terms(self, proxy_name: str, incarnation: str) -> SharingTerms:
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -34,7 +34,7 @@
 
 
 class ReplyVerdict(Enum):
-    """The conclusion about a store from one of its replies."""
+    """The conclusion that one reply allows about the store that sent it."""
 
     CURRENT = "current"  # the reply's values are used
     STALE = "stale"  # the command was sent before this proxy adopted the present generation
@@ -86,7 +86,8 @@
             return ReplyVerdict.MOVED
         if generation != self.generation:
             return ReplyVerdict.STALE
-        # The trust is NONE after a store has lost state. A later serial then proves nothing until a new
+        # The verdict stays ROLLED_BACK while the trust is NONE, which is the case after a store has lost
+        # state. The serial may have grown again since then, so a later serial proves nothing until a new
         # generation is adopted.
         has_lost_state = reply.serial < confirmed_serial or self.trust is TrustLevel.NONE
         return ReplyVerdict.ROLLED_BACK if has_lost_state else ReplyVerdict.CURRENT
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -1,4 +1,4 @@
-"""A thread with one connection that runs commands in one store, in batches."""
+"""A worker: a thread with its own connection to one store, in which it runs commands in batches."""
 
 from __future__ import annotations
 
@@ -20,7 +20,9 @@
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 from olivepost.units import Instant
 
-MAX_BATCH = 64  # most commands in one round trip; the first command's reply waits for the last one's
+# Largest number of commands in one round trip. The number is limited, because the reply to the first command
+# of a round trip is passed on only after the reply to the last command has come.
+MAX_BATCH = 64
 MAX_REASON_LENGTH = 120  # characters of a store's error that the coordinator receives
 
 ReplyEvent = messages.StoreReply | messages.ReplyLost
@@ -148,7 +150,8 @@
             self._fail(commands, error)
             return
         except Exception as error:
-            # No caller catches exceptions, and every command must get its `StoreReply` or `ReplyLost`.
+            # Every exception is caught here, because no caller catches exceptions, and every command must get
+            # its `StoreReply` or `ReplyLost`.
             log = context.log
             log.exception("store_worker_error")
             self._fail(commands, error)
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -1,7 +1,7 @@
 """Periodic sync with each store.
 
-A sync sends a heartbeat with this proxy's quota requests and outlier reports. Its reply contains those of
-other proxies, the grants for this proxy, and new invalidations.
+A sync sends a heartbeat with this proxy's quota requests and outlier reports. The reply contains the requests
+and reports of other proxies, the quota grants for this proxy, and new invalidations.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class Exchanges(NamedTuple):
-    """The objects that supply what a sync sends and receive what it reads, by topic."""
+    """The objects that supply the content of a sync and receive the content of its reply, by topic."""
 
     invalidations: InvalidationExchange
     quotas: QuotaExchange
@@ -74,7 +74,10 @@
         self._next_sync: dict[str, Instant] = {}
 
     def sync_if_due(self, now: Instant) -> None:
-        """Sends a sync to each store that is due for one, unless the store's circuit breaker stays open."""
+        """Sends a sync to each store that is due for one.
+
+        Sends none to a store whose circuit breaker is open and whose backoff is not over yet.
+        """
         for store in self._context.stores.values():
             if not self._is_due(now, store):
                 continue
--- a/standins/redis/commands/table.py
+++ b/standins/redis/commands/table.py
@@ -26,8 +26,8 @@
     """
 
     READ = "read"
-    SHRINK = "shrink"  # may write but needs no memory
-    GROW = "grow"  # may write and may need memory
+    SHRINK = "shrink"  # can change data, but needs no memory
+    GROW = "grow"  # can change data, and can need memory
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
 
 
 def parse_integer(text: bytes) -> int:
-    """Parses an integer of 64 bits; raises NotIntegerError if the text is not one."""
+    """Parses an integer of 64 bits; raises NotIntegerError if the text is not such an integer."""
     try:
         value = int(text)
     except ValueError:
--- a/standins/redis/errors.py
+++ b/standins/redis/errors.py
@@ -78,14 +78,14 @@
 
 
 class OutOfMemoryError(CommandError):
-    """Error for a command that may need memory; a full store rejects such commands."""
+    """Error for a command that could need memory and that a full store therefore rejects."""
 
     def __init__(self) -> None:
         super().__init__("OOM", "command not allowed when used memory > 'maxmemory'.")
 
 
 class ReadOnlyError(CommandError):
-    """Error for a command that may write; a store that is a read-only replica rejects such commands."""
+    """Error for a command that could change data and that a read-only replica therefore rejects."""
 
     def __init__(self) -> None:
         super().__init__("READONLY", "You can't write against a read only replica.")
--- a/standins/redis/faults.py
+++ b/standins/redis/faults.py
@@ -1,4 +1,7 @@
-"""Faults of a stand-in store, which a test sets directly, and fault schedules, which the server runs."""
+"""Faults of a stand-in store, and fault schedules.
+
+A test can set the faults directly, or the server can change them at the times of a schedule.
+"""
 
 from __future__ import annotations
 
@@ -34,8 +37,8 @@
     cut: float = 0.0  # chance from 0 to 1 that a connection ends within a reply, after the command has run
     garble: float = 0.0  # chance from 0 to 1 that one bit of a reply is flipped
     refuse: bool = False  # open connections are closed, and new connections are closed at once
-    full: bool = False  # commands that may need memory are rejected
-    read_only: bool = False  # commands that may write are rejected
+    full: bool = False  # commands that could need memory are rejected
+    read_only: bool = False  # commands that could change data are rejected
 
     def delay_s(self, draw: random.Random) -> float:
         """Returns the random delay of the next reply in seconds; 0 if `slow_ms` is 0."""
@@ -71,8 +74,8 @@
 
 
 # Type of the value of each event. A schedule's entry may contain events in addition to fields of `Faults`.
-# `lose` restarts the store empty, `back_s` restarts it from a snapshot that is at least so many seconds old,
-# `cut_all` closes all connections, and `password` changes the password of all users.
+# `lose` restarts the store empty, `back_s` restarts the store from a snapshot that is at least so many
+# seconds old, `cut_all` closes all connections, and `password` changes the password of all users.
 EVENT_TYPES = {"lose": bool, "back_s": (int, float), "cut_all": bool, "password": str}
 
 
--- a/standins/redis/keyspace.py
+++ b/standins/redis/keyspace.py
@@ -28,8 +28,8 @@
 
     def __init__(self, now_ms: Callable[[], int]) -> None:
         super().__init__(now_ms)
-        self.is_full = False  # whether commands that may need memory are rejected
-        self.is_read_only = False  # whether commands that may write are rejected
+        self.is_full = False  # whether commands that could need memory are rejected
+        self.is_read_only = False  # whether commands that could change data are rejected
         self.scripts = ScriptEngine(self.call)
         script_handlers: dict[str, Callable[..., Reply]] = {
             "SCRIPT": self._script,
@@ -94,6 +94,7 @@
         count = parse_integer(key_count)
         if not 0 <= count <= len(arguments):
             raise GenericError("Number of keys can't be greater than number of args")
-        # Any script may write. Redis rejects such a script as a whole, before any part of the script runs.
+        # Any script could change data and need memory. Redis therefore rejects a script as a whole, before
+        # any part of the script runs.
         self._check_writable(Effect.GROW)
         return self.scripts.run(script, arguments[:count], arguments[count:])
--- a/standins/redis/resp.py
+++ b/standins/redis/resp.py
@@ -7,9 +7,9 @@
 
 from standins.redis.errors import CommandError, ProtocolError
 
-MAX_COMMAND_ITEMS = 1_048_576  # most items of one command (name and arguments); Redis has the same default
-MAX_BULK_BYTES = 512 * 1_048_576  # longest bulk string; the default of Redis's setting proto-max-bulk-len
-MAX_LENGTH_DIGITS = 10  # most digits of a length; limited, since converting many digits is slow
+MAX_COMMAND_ITEMS = 1_048_576  # largest number of items (name and arguments) of a command; Redis's default
+MAX_BULK_BYTES = 512 * 1_048_576  # length of the longest bulk string; default of proto-max-bulk-len
+MAX_LENGTH_DIGITS = 10  # largest number of digits of a length, since converting many is slow
 
 # A reply has one of the types bytes, int, float, None, Status, list and dict. EXEC replies with a list, which
 # may contain CommandError.
