--- a/benchmarks/branch/branch.py
+++ b/benchmarks/branch/branch.py
@@ -28,7 +28,7 @@
 
 
 class Branch(Simulation):
-    """A simulated branch: proxies that share caches and stores. Not thread-safe."""
+    """An emulated branch: proxies that share caches and stores. Not thread-safe."""
 
     def __init__(self, settings: api.Settings, proxies: int, seed: int, **options: Any) -> None:
         """Starts the proxies; `options` are fields of `BranchOptions`."""
--- a/benchmarks/branch/counts.py
+++ b/benchmarks/branch/counts.py
@@ -14,7 +14,7 @@
     served: int = 0
     fills: int = 0
     double_fills: int = 0  # fills of a name that another cache stored or was filling
-    lookups: int = 0  # lookups of hints
+    lookups: int = 0  # lookups that routers requested
     # Responses that were served although they are older than an invalidation that all proxies had received.
     served_invalidated: int = 0
     leases: int = 0  # fill leases granted
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -130,7 +130,7 @@
         self._logs.append(log)
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        """Returns the log entries of all proxies that have this event name, with the proxy's number added."""
+        """Returns all proxies' log entries with this event name, each with its proxy's number added."""
         rows = []
         for number, log in enumerate(self._logs):
             for line in log.read_bytes().splitlines():
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -39,7 +39,9 @@
 class Plan:
     """The numbers and sizes of the runs."""
 
-    pairs: int  # number of runs of the real fleet for each scenario; runs of two scenarios form a pair
+    # Number of runs of the real fleet for each scenario. Each run forms a pair with the run without a store
+    # that has the same index.
+    pairs: int
     duration_s: float  # duration of each run of the real fleet
     rate: float  # requests per second in each run of the real fleet
     jobs: int  # number of runs of the emulated branch for each metric
--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -31,7 +31,7 @@
 
 
 class CircuitBreaker:
-    """A counter of one store's timely replies and failures, which decides whether the store is used.
+    """A counter of one store's timely replies and failures. It decides whether the store is used.
 
     Only the coordinator's thread uses this class. `random_source` is shared by all stores of the proxy. A new
     breaker is half-open.
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -1,7 +1,8 @@
 """The adoption of a store's later generation, and the advance to a new one after a store has lost state.
 
 A store loses state if it restarts empty or from an old snapshot. After an adoption or an advance, this proxy
-publishes all invalidations that it knows to the store again. It trusts the store only after that.
+publishes all invalidations that it knows to the store again, and trusts the store only after the store has
+confirmed them.
 """
 
 from __future__ import annotations
--- a/olivepost/shared_store/lease_table.py
+++ b/olivepost/shared_store/lease_table.py
@@ -53,7 +53,8 @@
     def add(self, lease: OwnedLease) -> bool:
         """Adds a lease and returns True.
 
-        Adds nothing and returns False if the name's fencing number did not grow or if the table is full.
+        Adds nothing and returns False if the table is full, or if the lease's fencing number is not above
+        that of the name's latest lease.
         """
         latest = self._by_name.get(lease.name)
         if latest is not None and lease.fencing_number <= latest.fencing_number:
--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -31,7 +31,9 @@
 
 # These numbers are part of the scripts' text, so changing one changes the scripts' digests.
 MAX_INVALIDATIONS = 8_192  # largest number of invalidations that one store keeps
-MAX_SYNC_ROWS = 256  # largest number of rows of each kind in one reply; bounds the reply's size and run time
+# Largest number of rows of each kind in the reply to a sync. It bounds the reply's size and the time that the
+# script keeps the server busy.
+MAX_SYNC_ROWS = 256
 QUOTA_REQUEST_TTL_MS = 2_500  # time to live of a quota request since a sync last renewed it
 OUTLIER_REPORT_TTL_MS = 3_000  # time to live of an outlier report since a sync last renewed it
 QUOTA_GRANT_TTL_MS = 5_000  # time to live of the grants for a process that no longer reads them
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -22,7 +22,10 @@
 
 @dataclass(slots=True)
 class Donation:
-    """A donation for another proxy's request. The router is asked for it before the store gets the grant."""
+    """A donation to another proxy's request.
+
+    The request is offered to the router first. If the router donates, the store gets a grant of the amount.
+    """
 
     request: QuotaRequest
     field: str  # the field under which the store has the request
@@ -103,7 +106,7 @@
     def close(self, nonce: str) -> None:
         """Allows a request to be answered again, after the store has replied to a grant for it.
 
-        The request may not be met yet, and after the reply it is known whether the grant was made.
+        The reply shows whether the grant was made. A request that is not fully met may then get more.
         """
         self._answered_until.pop(nonce, None)
 
--- a/olivepost/shared_store/quota_requests.py
+++ b/olivepost/shared_store/quota_requests.py
@@ -63,7 +63,7 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """A request of this proxy. Grants that carry the request's nonce are accepted until it expires."""
+    """An unexpired request of this proxy, whose nonce each grant for the request must carry."""
 
     nonce: str
     key: str
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -31,7 +31,8 @@
 class Lane(Enum):
     """The kind of commands that a worker runs.
 
-    Upkeep commands have their own lane, so that they never delay a command that a request waits for.
+    A request waits for each urgent command. The other commands (upkeep) have their own lane, so that they
+    never delay an urgent command.
     """
 
     URGENT = "urgent"
--- a/standins/redis/database.py
+++ b/standins/redis/database.py
@@ -35,7 +35,7 @@
     data: dict[bytes, Any] = field(default_factory=dict)  # values are bytes, dict, list or SortedSet
     expiries: dict[bytes, int] = field(default_factory=dict)  # expiry times in Unix ms
     versions: dict[bytes, int] = field(default_factory=dict)  # versions that WATCH records and EXEC compares
-    incarnation: int = 1  # number of starts so far; a start is empty or from a snapshot
+    incarnation: int = 1  # number of times that the store was started, empty or from a snapshot
     _last_version: int = 0
     _snapshots: list[Snapshot] = field(default_factory=list)
 
--- a/standins/redis/faults.py
+++ b/standins/redis/faults.py
@@ -74,8 +74,8 @@
 
 
 # Type of the value of each event. A schedule's entry may contain events in addition to fields of `Faults`.
-# `lose` restarts the store empty, `back_s` restarts the store from a snapshot that is at least so many
-# seconds old, `cut_all` closes all connections, and `password` changes the password of all users.
+# `lose` restarts the store empty, `back_s` restarts the store from a snapshot that is at least the given
+# number of seconds old, `cut_all` closes all connections, and `password` changes the password of all users.
 EVENT_TYPES = {"lose": bool, "back_s": (int, float), "cut_all": bool, "password": str}
 
 
