--- a/olivepost/__main__.py
+++ b/olivepost/__main__.py
@@ -9,5 +9,6 @@
     exit_code = main()
     sys.stdout.flush()
     sys.stderr.flush()
-    # Exits without joining threads, since these may wait for unresponsive clients, endpoints or stores.
+    # Ends the process without joining its threads, because a thread may still wait for an unresponsive
+    # client, endpoint or store.
     os._exit(exit_code)
--- a/olivepost/action_emitter.py
+++ b/olivepost/action_emitter.py
@@ -29,7 +29,8 @@
         self._state = state
         self._timers = timers
         self._actions: list[api.Action] = []
-        # The bound method is kept here, so that the several calls for each request don't bind it anew.
+        # Keeps the list's bound method `append`, because each request emits several actions and each access
+        # to `append` would bind the method anew.
         self.emit: Callable[[api.Action], None] = self._actions.append
 
     def start_event(self) -> None:
@@ -41,21 +42,21 @@
         return self._actions.copy()
 
     def set_timer(self, delay: Duration, callback: TimerCallback) -> int:
-        """Emits a timer that calls `callback` when it fires; returns the timer's id."""
+        """Emits a `SetTimer` whose timer calls `callback` when it fires; returns the timer's id."""
         timer_id = self._timers.add(callback)
         self.emit(api.SetTimer(delay, timer_id))
         return timer_id
 
     def set_request_timer(self, delay: Duration, callback: TimerCallback, pending: PendingRequest) -> None:
-        """Emits a timer that belongs to a pending request and is discarded when the request is over."""
+        """Emits a `SetTimer` for a pending request; the timer is discarded when the request is over."""
         pending.timer_ids.append(self.set_timer(delay, callback))
 
     def request_quotas(self, shortages: tuple[QuotaShortage, ...]) -> None:
-        """Asks other proxies for quota, once for each shortage."""
+        """Asks other proxies for the missing amount of each quota that was short."""
         for shortage in shortages:
             self.emit(api.RequestQuota(shortage.key, shortage.amount))
 
     def report_outlier(self, ejection: Ejection | None) -> None:
-        """Reports an ejection to other proxies, if there is one and the shared store is available."""
+        """Reports `ejection` to other proxies, unless it is None or the shared store is unavailable."""
         if ejection is not None and self._state.is_store_available:
             self.emit(api.ReportOutlier(ejection.endpoint_id))
--- a/olivepost/attempt_lifecycle.py
+++ b/olivepost/attempt_lifecycle.py
@@ -1,8 +1,10 @@
-"""The life cycle of an attempt: it is sent, checked for silence, and abandoned or closed.
+"""The life cycle of an attempt: it is sent, checked while it has no response, and abandoned or closed.
+
+An attempt is silent if it has had no response for its silence timeout.
 
 It calls the decision functions of olivepost/routing and emits the actions for attempts. router.py lists which
-decision leads to which action. The life cycle makes no decision itself and holds none of the values that
-decisions are tuned with. It reads no clock and does no I/O.
+decision leads to which action. The life cycle makes no decision itself and has none of the decisions' tuning
+parameters. It reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -18,7 +20,7 @@
 
 
 class AttemptLifecycle:
-    """The attempts in flight of one router's requests. Not thread-safe: only the router's owner calls it.
+    """The attempts that one router has in flight. Not thread-safe: only the router's owner calls it.
 
     `retry` is called for a request whose attempt was abandoned.
     """
@@ -70,7 +72,11 @@
         self._state.endpoints.close_attempt(attempt)
 
     def close_all(self, pending: PendingRequest) -> None:
-        """Closes all attempts of a request that is over, and cancels them if attempts can be cancelled."""
+        """Closes all attempts of a request that is over, and cancels them if `can_cancel_attempts` is set.
+
+        Closing an attempt only stops counting it as in flight. Cancelling it also ends the wait for its
+        response.
+        """
         for attempt in list(pending.in_flight.values()):
             if self._settings.can_cancel_attempts:
                 self._actions.emit(api.CancelAttempt(pending.request.id, attempt.number))
@@ -81,7 +87,7 @@
         self._actions.set_request_timer(attempt.silence_timeout, check, pending)
 
     def _check_silence(self, now: Instant, pending: PendingRequest, attempt: Attempt) -> None:
-        """Checks an attempt that has been in flight for its silence timeout, and may abandon the attempt.
+        """Checks an attempt that has had no response for its silence timeout, and may abandon the attempt.
 
         The attempt is abandoned for a retry if its cache is ejected and the request may be retried. Otherwise
         the attempt is checked again after another silence timeout.
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -34,7 +34,7 @@
 """
 
 # The docstring above is also the grammar that docopt parses. Subsystems of the operator's file are imported
-# only if such a file is named, so that a proxy without one saves their memory and their start-up time.
+# only if such a file is named. A proxy without such a file thus saves their memory and their start-up time.
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 class ExitCode(IntEnum):
-    """Exit codes of the process, which scripts rely on."""
+    """Exit codes of the process. Scripts rely on these codes."""
 
     DONE = 0
     FAILED = 1
@@ -72,7 +72,7 @@
 
 
 class MissingPackageError(CommandError):
-    """A missing package, which a proxy needs only if it has an operator's file."""
+    """A missing package that a proxy needs only if it has an operator's file."""
 
     def __init__(self, package: str | None) -> None:
         super().__init__(f"an operator's file needs the package '{package}': pip install .[all]")
@@ -80,7 +80,7 @@
 
 
 class MissingSectionError(CommandError):
-    """A missing section `sharing`: the operator's file has none, or no such file is named."""
+    """A missing section `sharing`: the operator's file lacks the section, or no such file is named."""
 
     def __init__(self) -> None:
         super().__init__(
--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -78,35 +78,38 @@
         self.data: dict[str, Any] = data
 
     def integer(self, key: str, default: int | None = None) -> int:
-        """Returns a whole number, which may be written with a decimal point, like `2.0`."""
+        """Returns the value of a field that is a whole number; `2.0` is a whole number, too."""
         value = self._get(key, (int, float), "a whole number", default)
         if isinstance(value, float) and not value.is_integer():
             raise self.error(key, f"must be a whole number, not {value:g}")
         return int(value)
 
     def number(self, key: str, default: float | None = None) -> float:
-        """Returns a finite number."""
+        """Returns the value of a field that is a finite number."""
         value = self._get(key, (int, float), "a number", default)
         if not -MAX_NUMBER <= value <= MAX_NUMBER:
             raise self.error(key, f"must be a finite number, not {_shorten(str(value))}")
         return float(value)
 
     def text(self, key: str, default: str | None = None) -> str:
-        """Returns a string."""
+        """Returns the value of a field that is a string."""
         return str(self._get(key, (str,), "a string", default))
 
     def boolean(self, key: str) -> bool:
-        """Returns a boolean; false if the field is missing."""
+        """Returns the value of a field that is a boolean; False if the field is missing."""
         return bool(self._get(key, (bool,), "true or false", False))
 
     def items(self, key: str) -> list[Any]:
-        """Returns the elements of a list without checking them; an empty list if the field is missing."""
+        """Returns the unchecked elements of a field that is a list; an empty list if the field is missing."""
         return list(self._get(key, (list,), "a list", []))
 
     def element(self, key: str, index: int | None) -> FieldReader:
-        """Returns one element of a list, as a reader of an object whose only field has the list's name.
+        """Returns a reader of one element of a field that is a list.
 
-        The object is empty if `index` is None or outside the list, so that the field's default applies.
+        The element is read as an object that has only this element, in a field with the list's name.
+
+        The object is empty if `index` is None or outside the list, so that the default applies when the
+        element is read.
         """
         values = self.items(key)
         where = f"{self.where}.{key}[{index}]"
@@ -115,32 +118,35 @@
         return FieldReader(where, {key: values[index]})
 
     def section(self, key: str) -> FieldReader:
-        """Returns a reader of a nested object; the object is empty if the field is missing."""
+        """Returns a reader of a field that is an object; the object is empty if the field is missing."""
         return FieldReader(f"{self.where}.{key}", self._get(key, (dict,), "an object", {}))
 
     def one_of(self, key: str, choices: Mapping[str, ChoiceT], default: str | None = None) -> ChoiceT:
-        """Returns the value of `choices` that the field's string selects."""
+        """Returns the value that `choices` has for the string in the field."""
         value = self.text(key, default)
         if value not in choices:
             raise self.error(key, f"must be one of {', '.join(choices)}, not {_shorten(value)}")
         return choices[value]
 
     def number_within(self, key: str, minimum: float, maximum: float, default: float | None = None) -> float:
-        """Returns a number from `minimum` to `maximum`, both included."""
+        """Returns the value of a field that is a number from `minimum` to `maximum`, both included."""
         value = self.number(key, default)
         if not minimum <= value <= maximum:
             raise self.error(key, f"must be from {minimum:g} to {maximum:g}, not {value:g}")
         return value
 
     def duration(self, key: str, default: Duration | None = None, minimum: Duration = 0) -> Duration:
-        """Returns a duration in whole nanoseconds, from `minimum` to `MAX_DURATION`."""
+        """Returns the value of a field that is a duration in whole nanoseconds.
+
+        The duration must be from `minimum` to `MAX_DURATION`, both included.
+        """
         value = self.integer(key, default)
         if not minimum <= value <= MAX_DURATION:
             raise self.error(key, f"must be from {minimum} to {MAX_DURATION} ns, not {value}")
         return value
 
     def address(self, key: str, default: str | None = None) -> Address:
-        """Returns an IPv4 address and a port."""
+        """Returns the value of a field that is an IPv4 address and a port."""
         text = self.text(key, default)
         try:
             return read_address(text)
@@ -148,7 +154,7 @@
             raise self.error(key, str(error)) from error
 
     def error(self, key: str, reason: str) -> ConfigError:
-        """Returns the error to raise for a field of this object."""
+        """Returns a ConfigError, which the caller raises, for a field of this object."""
         return ConfigError(reason, where=self.where, key=key)
 
     def _get(self, key: str, types: tuple[type, ...], expected: str, default: Any) -> Any:
@@ -157,7 +163,8 @@
             if default is None:
                 raise self.error(key, f"is missing; it must be {expected}")
             return default
-        is_unexpected_boolean = isinstance(value, bool) and bool not in types  # bool is a subclass of int
+        # For `isinstance`, a bool is an int, because bool is a subclass of int.
+        is_unexpected_boolean = isinstance(value, bool) and bool not in types
         if is_unexpected_boolean or not isinstance(value, types):
             raise self.error(key, f"must be {expected}, not {_shorten(value)}")
         return value
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -31,16 +31,17 @@
 SMALL_BODY_BYTES = 16_384  # size of the largest request body that needs no memory reservation
 
 # Buffers.
-# Full size of one buffer. Buffers are smaller if the memory limit is low, since each connection holds one.
+# Full size of one buffer. Buffers are smaller if the memory limit is low, because each connection holds a
+# buffer.
 BUFFER_BYTES = 16_384
 FULL_BUFFER_MEMORY_MB = 128  # smallest memory limit at which buffers have their full size
 # Smallest memory limit at which buffers have half their full size. Below this limit, they have a quarter.
 HALF_BUFFER_MEMORY_MB = 48
 
 # Connections.
-# Memory of a thread, the parser and a request, without the read buffer.
+# Memory of one client connection: its thread, parser and request, without the read buffer.
 CLIENT_CONNECTION_BYTES = 36 * BYTES_PER_KB
-# Memory of two threads and of pending requests, without the read buffer.
+# Memory of one upstream connection: its two threads and pending requests, without the read buffer.
 UPSTREAM_CONNECTION_BYTES = 64 * BYTES_PER_KB
 # The memory for connections is divided so that there are this many client connections for each upstream
 # connection.
@@ -52,12 +53,13 @@
 ENDPOINT_SOCKETS_SHARE = Share(1, 16)  # share of the descriptors that the connections to one endpoint may use
 MAX_CLIENT_CONNECTIONS = 4_096
 MIN_CONNECTIONS_PER_ENDPOINT = 3
-# Connections to an endpoint beyond those that carry one request of each client connection.
+# Connections to an endpoint that are allowed in addition to the number that can carry one request of each
+# client connection.
 SPARE_CONNECTIONS_PER_ENDPOINT = 2
 
 # Bodies.
-# Share of the memory for bodies that large request bodies may use, without their second copies, if a class
-# writes.
+# Share of the memory for bodies that large request bodies may use, without their second copies, if some class
+# of requests allows writes.
 LARGE_BODY_MEMORY_SHARE = Share(1, 5)
 MIN_LARGE_BODY_BYTES = 2 * MAX_OBJECT_BYTES
 # Number of copies of a large body that may be in memory. There are two while the body is taken out of the
@@ -81,41 +83,48 @@
     # Maximum number of open client connections. At this number, the connection that has been idle longest is
     # closed to admit a new one.
     max_client_connections: int
-    # Enough to carry one request of each client connection, if descriptors suffice.
+    # Maximum number of connections to one endpoint. They can carry one request of each client connection, if
+    # descriptors suffice.
     max_connections_per_endpoint: int
-    # This limit also covers connections that are still closing, so that descriptors are left for clients.
+    # Maximum number of upstream connections. It includes connections that are still closing, so that
+    # descriptors are left for clients.
     max_upstream_connections: int
 
     # Buffers
     read_buffers: int  # receive buffers, one for each client and upstream connection
-    # Separate from the read buffers, so that the proxy can read even if clients hold all body buffers.
+    # Buffers for bodies. They are separate from the read buffers, so that the proxy can read even if clients
+    # hold all body buffers.
     body_buffers: int
     cache_buffers: int  # the part of the body buffers that the response cache may hold
     buffer_bytes: int
 
     # Messages
-    large_body_bytes: int  # total bytes of all request bodies that are not small; 0 if no class writes
-    max_request_body_bytes: int  # `MAX_OBJECT_BYTES` if a class writes, else `SMALL_BODY_BYTES`
-    max_head_bytes: int = 8_192  # size in bytes of the request line and the headers together
-    small_body_bytes: int = SMALL_BODY_BYTES  # body size that any connection may hold without a reservation
+    # Maximum total bytes of all request bodies that are not small; 0 if no class of requests allows writes.
+    large_body_bytes: int
+    # `MAX_OBJECT_BYTES` if some class of requests allows writes, else `SMALL_BODY_BYTES`.
+    max_request_body_bytes: int
+    max_head_bytes: int = 8_192  # maximum size in bytes of the request line and the headers together
+    # Size of a request body that any connection may hold without reserving memory.
+    small_body_bytes: int = SMALL_BODY_BYTES
     max_response_body_bytes: int = MAX_OBJECT_BYTES
 
     # Client connections
-    # Time from connecting, or from the first byte of a later request, to the complete request.
+    # Longest time from connecting, or from the first byte of a later request, to the complete request.
     first_request_timeout: Duration = 2 * SECOND
-    keepalive_timeout: Duration = 5 * SECOND  # time between a response and the next request's first byte
+    # Longest time between a response and the next request's first byte.
+    keepalive_timeout: Duration = 5 * SECOND
     # Longest time during which a client or an endpoint may accept no byte.
     write_stall_timeout: Duration = 2 * SECOND
     slow_client_timeout: Duration = 10 * SECOND  # upper bound on the time to write a complete response
 
     # Upstream connections
-    # Requests in flight on one upstream connection.
+    # Maximum number of requests in flight on one upstream connection.
     max_requests_per_connection: int = DEFAULT_REQUESTS_PER_CONNECTION
     connect_timeout: Duration = DEFAULT_CONNECT_TIMEOUT
     upstream_idle_timeout: Duration = DEFAULT_UPSTREAM_IDLE_TIMEOUT
-    # A longer pause within a response is treated as a stall.
+    # If no byte of a response arrives for longer than this, the response is treated as stalled.
     response_pause_timeout: Duration = 200 * MILLISECOND
-    response_timeout: Duration = 2 * SECOND  # time between a response's first and last byte
+    response_timeout: Duration = 2 * SECOND  # longest time between a response's first and last byte
     # A liveness check is sent if no byte arrives for this long while requests are pending.
     liveness_check_delay: Duration = 200 * MILLISECOND
     # The connection is closed if the endpoint does not reply to a liveness check within this time.
@@ -138,7 +147,7 @@
     upstream_idle_timeout: Duration
     requests_per_connection: int
     connect_timeout: Duration
-    has_writes: bool  # whether requests of some class may write
+    has_writes: bool  # whether some class of requests allows writes
 
 
 class ConnectionPlan(NamedTuple):
@@ -149,7 +158,7 @@
 
     @property
     def total(self) -> int:
-        """Returns the number of all connections, each of which has a read buffer."""
+        """Returns the maximum number of all connections, each of which has a read buffer."""
         return self.client + self.upstream
 
 
--- a/olivepost/config/loader.py
+++ b/olivepost/config/loader.py
@@ -55,7 +55,7 @@
     known_events: object | None  # the coordinator's events before the start, decoded but not validated
     settings: api.Settings
     limits: ResourceLimits
-    # Bytes per second of one transfer on the proxy's own link; None if unknown.
+    # Rate of one transfer on the proxy's own link in bytes per second, or None if it is unknown.
     transfer_bytes_per_s: float | None
 
 
--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -1,8 +1,10 @@
 """Memory budget: the number of bytes that each owner of memory in the process may use.
 
+An owner is a group of objects that has its own bound, such as the connections, the names or the log.
+
 The platform ends a process that exceeds its memory limit. Every owner therefore has a bound that is derived
 from the limit. The sum of all bounds and the program's own memory stays below the usable part of the limit.
-At the smallest limits the minimums take precedence, and the sum may exceed that part.
+At the smallest limits, minimums such as `MIN_SPARE_BYTES` take precedence, and the sum may exceed that part.
 
 `olivepost/proxy/memory_account.py` estimates each owner's use, and `docs/capacity.md` explains how each value
 is sized.
@@ -34,10 +36,10 @@
 USABLE_SHARE = Share(9, 10)
 # Memory that the program itself uses before the first connection, including the interpreter's mapped files.
 PROGRAM_BYTES = 22 * BYTES_PER_MB
-# Minimum of the memory that all owners share, even if the total then exceeds the limit.
+# Minimum of the memory that is divided among all owners, even if the total then exceeds the limit.
 MIN_SPARE_BYTES = 4 * BYTES_PER_MB
 
-# Memory of one entry or message.
+# Memory of one name, one invalidation, one body buffer and one discovery response.
 NAME_BYTES = 360
 INVALIDATION_BYTES = 320
 # Overhead of each body buffer, for its memoryview and for the body and the cache entry that hold it.
@@ -74,12 +76,12 @@
 
     @property
     def max_names(self) -> int:
-        """Returns the number of names that the router may keep."""
+        """Returns the maximum number of names that the router may keep."""
         return max(1, self.names // NAME_BYTES)
 
     @property
     def max_invalidations(self) -> int:
-        """Returns the number of invalidations that the router may keep."""
+        """Returns the maximum number of invalidations that the router may keep."""
         return max(1, self.invalidations // INVALIDATION_BYTES)
 
     @property
--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -38,7 +38,7 @@
 
 
 class TierKinds(NamedTuple):
-    """Kinds of the endpoints that form the upper tiers; each is None if there is no such tier."""
+    """Kinds of the endpoints that form the tiers above the caches. The kind of a missing tier is None."""
 
     parent: str | None
     origin: str | None
--- a/olivepost/interface/actions.py
+++ b/olivepost/interface/actions.py
@@ -30,7 +30,8 @@
     cache: str
     # The endpoint from which the cache fills a miss, or None if a miss is not filled.
     source: str | None
-    # The rank of the cached response. Lower ranks are evicted earlier, and 0 means that it is not cached.
+    # The rank of the cached response. Lower ranks are evicted earlier, and 0 means that the response is not
+    # cached.
     rank: int
     timeout: Duration
     # The age limit of the response, or None if only the class's freshness lifetime applies.
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class StoreResponse:
-    """Instruction to store the response that the event reports in the proxy's own cache, if it has room."""
+    """Instruction to put the response that the event reports into the proxy's own cache, if there is room."""
 
     request_id: str
 
@@ -134,7 +135,7 @@
 
 @dataclass(slots=True)
 class RequestQuota:
-    """Request that asks other proxies for the amount of a quota that this proxy lacked for an attempt."""
+    """Request to other proxies to donate the amount of a quota that this proxy lacked for an attempt."""
 
     key: QuotaKey
     amount: float
@@ -142,10 +143,10 @@
 
 @dataclass(slots=True)
 class DonateQuota:
-    """Quota that this proxy gives up immediately, in answer to a `QuotaRequested`, until `expires_at`.
+    """Donation of quota in answer to a `QuotaRequested`. This proxy gives it up until `expires_at`.
 
-    The amount is 0 if this proxy can spare none. A `QuotaReceived` with the same amount and expiry time gives
-    the quota back to this proxy.
+    The proxy gives the amount up immediately. The amount is 0 if the proxy can spare none. A `QuotaReceived`
+    with the same amount and expiry time gives the amount back to this proxy.
     """
 
     transfer_id: int
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """Update of the endpoint list, which has either the full list or its changes."""
+    """Update of the endpoint list. It has either the full list or only the changed entries."""
 
     kind: EndpointUpdateKind
     endpoints: tuple[EndpointMetadata, ...]
@@ -193,7 +193,10 @@
 
 @dataclass(slots=True)
 class QuotaRequested:
-    """Request of another proxy for a donation of up to `max_amount` of quota until the transfer expires."""
+    """Request of another proxy that this proxy donate up to `max_amount` of a quota to it.
+
+    The other proxy may use a donated amount until `expires_at` at the latest.
+    """
 
     transfer_id: int
     key: QuotaKey
@@ -203,9 +206,10 @@
 
 @dataclass(slots=True)
 class QuotaReceived:
-    """Quota that another proxy donates to this proxy, or gives back to it as the donor.
+    """Quota that another proxy donates to this proxy, or a donation of this proxy that comes back to it.
 
-    The transfer lasts until `expires_at`.
+    A donation to this proxy can be used until `expires_at`. A donation comes back if the shared store has not
+    granted it to the proxy that requested it; `expires_at` is then the expiry time with which it was donated.
     """
 
     key: QuotaKey
@@ -215,7 +219,7 @@
 
 @dataclass(slots=True)
 class OutlierReported:
-    """Report that several other proxies have ejected an endpoint. This alone does not eject it here."""
+    """Report that several other proxies have ejected an endpoint. The report alone does not eject it here."""
 
     endpoint_id: str
 
--- a/olivepost/interface/quota.py
+++ b/olivepost/interface/quota.py
@@ -1,4 +1,8 @@
-"""Keys of the quotas that proxies share and can transfer to each other."""
+"""Keys of the quotas that proxies share and can transfer to each other.
+
+Each proxy has its own part of a quota. A proxy that is short of a quota requests an amount, and another
+proxy, the donor, donates it from its own part. The transfer lasts until an expiry time.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +21,10 @@
 
 
 class QuotaKey(NamedTuple):
-    """Key of a quota. Except for the retry budget, each quota belongs to one process of an endpoint.
+    """Key of a quota, which limits either the use of one process of an endpoint or a proxy's retries.
 
-    The key of the retry budget names no endpoint, because that budget belongs to the proxy as a whole.
+    The key of the retry budget names no endpoint, because that budget is for all retries of a proxy, at any
+    endpoint.
     """
 
     kind: QuotaKind
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -12,7 +12,8 @@
     """Idempotency of a class, which determines whether a repeated request has a second effect."""
 
     IDEMPOTENT = "safe"
-    # Idempotent within the caches of the deduplication scope, for the duration of the idempotency window.
+    # A repeat has no second effect within the caches of the deduplication scope, for the duration of the
+    # idempotency window.
     WITH_KEY = "keyed"
     NOT_IDEMPOTENT = "unsafe"
 
--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -23,9 +23,9 @@
 STRING_TAG = "tag:yaml.org,2002:str"
 # YAML's tag of the key `<<`, which merges another mapping into this one.
 MERGE_TAG = "tag:yaml.org,2002:merge"
-# Pydantic puts these before a validator's own text.
+# Prefixes that Pydantic puts before the text of an error that a validator raises.
 MESSAGE_PREFIXES = ("Value error, ", "Assertion failed, ")
-MAX_INPUT_LENGTH = 60  # number of characters of a faulty value that a message shows at most
+MAX_INPUT_LENGTH = 60  # maximum number of characters of a faulty value that a message shows
 MESSAGE_BY_ERROR_TYPE = {"extra_forbidden": "no such key", "missing": "is missing"}
 
 KeyPath = tuple[str, ...]
@@ -35,8 +35,8 @@
 class FileFault:
     """One fault of a file.
 
-    Lines are numbered from 1. `line` is None if the fault is not in one line, and `key` is None if it is not
-    in one key.
+    Lines are numbered from 1. `line` is None if the fault is not in one line, and `key` is None if the fault
+    is not in one key.
     """
 
     path: str
--- a/olivepost/operator_config/units.py
+++ b/olivepost/operator_config/units.py
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DurationRange:
-    """Annotation of a `Duration` field, whose value the file has in a written form, like `250ms`.
+    """Annotation of a `Duration` field. The file has the field's value in a written form, like `250ms`.
 
     Both bounds are allowed values. The field has the written form in JSON and in the JSON Schema, too.
     """
@@ -81,7 +81,10 @@
 
 
 def parse_address(value: object) -> object:
-    """Parses `store.example:6379` or `[::1]:6379` to host and port; returns a list or tuple unchanged."""
+    """Parses `store.example:6379` or `[::1]:6379` into a tuple of host and port.
+
+    A value that is a list or a tuple already is returned unchanged.
+    """
     if isinstance(value, (list, tuple)):
         return value
     host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -1,8 +1,8 @@
 """The life cycle of a request, from its arrival through its attempts to its final response.
 
 It calls the decision functions of olivepost/routing, carries out their results and emits the actions.
-router.py lists which decision leads to which action. The life cycle makes no decision itself and holds none
-of the values that decisions are tuned with. It reads no clock and does no I/O.
+router.py lists which decision leads to which action. The life cycle makes no decision itself and has none of
+the decisions' tuning parameters. It reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
         if request.size_kb is not None:
             state.class_work.add(request_class.name, state.own_work(request))
         retries.earn_retries(state)
-        # The timeout is capped, since a request may state a longer one than clients of its class ever wait.
+        # The timeout is capped: a request may state a longer timeout than clients of its class ever wait.
         timeout = min(request.timeout, request_class.deadline)
         pending = PendingRequest(
             request, request_class, name, now + timeout, ranked.rank, ranked.name_remaining
@@ -74,7 +74,8 @@
 
     def _set_deadline_timer(self, pending: PendingRequest, timeout: Duration) -> None:
         """Sets the timer that gives a request up shortly before its deadline."""
-        # This upholds the deadline invariant: the final response is sent before the client's timeout is over.
+        # The timer fires `deadline_margin` before the deadline. This upholds the deadline invariant: the
+        # final response is sent before the client's timeout is over.
         delay = max(0, timeout - self._settings.deadline_margin)
         give_up = partial(self.give_up, pending=pending, reason=api.GiveUpReason.DEADLINE)
         self._actions.set_request_timer(delay, give_up, pending)
@@ -88,9 +89,9 @@
         retry_cost: int = 0,
         overload: OverloadLevel | None = None,
     ) -> None:
-        """Forwards the next attempt, or gives up at once if none can be made or the request is too expensive.
+        """Forwards the next attempt, or gives up at once if none can be made or the cost is too high.
 
-        The request's cost is checked only if `overload` is given, against the level of that overload.
+        The request's cost is checked against the level of `overload`, or not checked if that is None.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
@@ -139,7 +140,7 @@
         retry_cost: int,
         default: api.CacheHint,
     ) -> None:
-        """Makes the attempt wait for a hint; after the timeout, it continues with the hint `default`."""
+        """Makes the attempt wait for a hint; after the timeout, it goes on as if the hint were `default`."""
         wait = HintWait(now, retry_cost)
         pending.hint_wait = wait
         resume = partial(self.resume, pending=pending, hint=default, wait=wait)
@@ -167,7 +168,7 @@
     # Outcomes
 
     def complete_attempt(self, now: Instant, outcome: api.AttemptOutcome) -> None:
-        """Records an attempt's outcome; forwards a request without a response again, or gives it up."""
+        """Records an attempt's outcome; after a failure, forwards the request again or gives it up."""
         pending = self.pending.get(outcome.request_id)
         attempt = pending.in_flight.get(outcome.attempt) if pending is not None else None
         if pending is None or attempt is None:
@@ -189,7 +190,7 @@
     def _retry(
         self, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
     ) -> None:
-        """Forwards a request again; a cache that missed at a lookup-only attempt is now asked to fill."""
+        """Forwards a request again; after a lookup-only attempt that missed, its cache is asked to fill."""
         is_lookup_miss = outcome.status is api.AttemptStatus.NOT_CACHED and attempt.source is None
         if is_lookup_miss and attempt.cache != pending.missed_cache:
             pending.missed_cache = attempt.cache
@@ -203,7 +204,7 @@
             self._forward(now, pending, retry_cost=retries.cost_of(pending, outcome))
 
     def start_response(self, request_id: str) -> None:
-        """Records that a streamed response has begun; the request is no longer retried or given up."""
+        """Records that a streamed response has begun; the request is now neither retried nor given up."""
         pending = self.pending.get(request_id)
         if pending is not None:
             pending.is_response_started = True
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -1,7 +1,7 @@
 """The router of one proxy, which turns each event into actions.
 
 It calls the decision functions of olivepost/routing and carries out their results. It makes no decision
-itself and holds none of the values that decisions are tuned with. Settings, events and actions are defined in
+itself and has none of the decisions' tuning parameters. Settings, events and actions are defined in
 olivepost/interface. It reads no clock and does no I/O.
 
 The table lists which decision leads to which action. Actions are emitted by `Router`, by `RequestLifecycle`
@@ -95,7 +95,10 @@
         self._actions.emit(donation)
 
     def _receive_quota(self, now: Instant, event: api.QuotaReceived) -> None:
-        """Records quota that another proxy has donated to this proxy, or has returned to it as the donor."""
+        """Records quota that another proxy has donated, or a donation of this proxy that comes back to it.
+
+        A donation comes back if the store has not granted it to the proxy that requested it.
+        """
         if event.key == api.RETRY_QUOTA:
             self.state.retry_balance += event.amount
         self.state.quotas.record(now, QuotaTransfer(event.expires_at, event.key, event.amount))
@@ -103,9 +106,8 @@
     def _update_endpoints(self, now: Instant, event: api.EndpointUpdate) -> None:
         """Applies an endpoint update, and may set a timer after which the router subscribes.
 
-        The timer is set after a restored list or a failed subscription, if the settings make the router
-        subscribe. The update upholds the draining invariant: no later attempt goes to a draining or removed
-        endpoint.
+        The timer is set after a restored list or a failed subscription, if `subscribes_to_endpoints` is set.
+        The update upholds the draining invariant: no later attempt goes to a draining or removed endpoint.
         """
         self.state.endpoints.update(now, event, self.settings)
         if not self.settings.subscribes_to_endpoints:
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -1,6 +1,10 @@
 """TTLs and ranks of names, computed by the algorithm f-TTL.
 
 The paper on it is "Adaptive TTL-Based Caching for Content Delivery"; docs/design.md says how it is applied.
+Each class of requests has two levels. The lifetime of a name is L·ϑ: the level ϑ adapts to the hit ratio. In
+the paper, a name that was seen once has the lifetime L·ϑ·Γ. Here, its response gets the middle rank with the
+probability Γ, and otherwise the low rank. The factor Γ rises with ϑ from the first-seen level ϑs, which
+adapts to the mean time for which names are cached, to 1.
 """
 
 from olivepost import interface as api
@@ -9,9 +13,10 @@
 from olivepost.units import SECOND, Duration, Instant
 
 MAX_LIFETIME: Duration = 60 * SECOND  # longest lifetime of a name (L in the paper)
-LEVEL_STEP = 0.01  # step size for changes of the level ϑ (η in the paper)
-SIZE_STEP = 0.0001  # step size for changes of the first-seen level ϑs (ηs in the paper)
-SMOOTHING_WIDTH = 0.1  # width of the range of ϑ in which the factor Γ rises from ϑs to 1 (ε in the paper)
+LEVEL_STEP = 0.01  # step size η of the paper, by which a response changes the level ϑ
+SIZE_STEP = 0.0001  # step size ηs of the paper, by which a response changes the first-seen level ϑs
+# Width ε in the paper: the width of the range of ϑ in which the factor Γ rises from ϑs to 1.
+SMOOTHING_WIDTH = 0.1
 # Target hit ratio (h* in the paper). It is higher than the ratio that caches reach. The lifetime θ therefore
 # stays long enough for repeated requests to be seen.
 HIT_TARGET = 0.8
@@ -23,7 +28,9 @@
 RANK_LOW = 1  # rank of the responses that caches evict first
 RANK_MIDDLE = 2
 RANK_TOP = 3  # rank of the responses that caches evict last
-TOP_RANK_SHARE = 0.1  # share of all known names' bytes up to which names are given the top rank
+# A known name gets the top rank if the other names of that rank have less than this share of all names'
+# bytes.
+TOP_RANK_SHARE = 0.1
 MAX_NAMES = 40_000
 
 
@@ -41,7 +48,11 @@
 
 
 def move_levels(levels: ClassLevels, is_hit: bool, sample: float, size: float) -> None:
-    """Adapts a class's levels ϑ and ϑs to one response (algorithm 2 of the paper)."""
+    """Adapts a class's levels ϑ and ϑs to one response (algorithm 2 of the paper).
+
+    `sample` is the time in nanoseconds for which the name is cached owing to the request. `size` is the
+    response's size in KB.
+    """
     levels.mean_size += (size - levels.mean_size) * (LEVEL_STEP if levels.mean_size else 1.0)
     first_seen_step = SIZE_STEP * (size / levels.mean_size) * (SIZE_TARGET - sample) / SIZE_TARGET
     levels.level = min(1.0, max(0.0, levels.level + LEVEL_STEP * (HIT_TARGET - is_hit)))
@@ -49,9 +60,10 @@
 
 
 def rank_and_renew_name(state: RoutingState, now: Instant, name: str, request: api.Request) -> RankedName:
-    """Renews the lifetime of a request's name.
+    """Renews the lifetime of a request's name, unless the response can't be cached.
 
-    Returns the request's rank and the lifetime that the name had left before.
+    Returns the request's rank and the lifetime that the name had left when the request arrived. That lifetime
+    is None if the name was unknown or the response can't be cached.
     """
     if state.settings.classes[request.class_name].is_uncacheable or request.is_write:
         return RankedName(UNRANKED, None)
@@ -78,8 +90,9 @@
 def learn_from_response(state: RoutingState, pending: PendingRequest, is_hit: bool) -> None:
     """Adapts the levels of a request's class to a hit or a fill.
 
-    The sample is the time for which the name is cached owing to the request: after a hit, the time by which
-    the request extended the name's lifetime; after a fill, the lifetime that the name got.
+    The levels adapt to the time for which the name is cached owing to the request. After a hit, this is the
+    time by which the request extended the name's lifetime. After a fill, it is the lifetime that the name
+    got.
     """
     levels = state.levels[pending.request_class.name]
     if is_hit:
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -1,7 +1,7 @@
 """Endpoint capacity: slow start budgets and concurrency limits.
 
-The configuration gives each proxy its part of every such budget and limit. A proxy can transfer some of its
-part to another proxy, as quota, through a shared store.
+The configuration gives each proxy its part of every such budget and limit. A proxy can donate some of its
+part, as quota, to another proxy that requests it through a shared store.
 """
 
 import math
@@ -11,11 +11,11 @@
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 from olivepost.units import SECOND, Duration, Instant
 
-WORK_STEP = 0.05  # weight of a new sample in a class's mean work
-# Time over which past work fades from the rates of endpoints without a slow start.
+WORK_STEP = 0.05  # weight of a new sample in a class's mean work, the mean transfer time of a response
+# Time over which past work fades from the mean rate of work of the endpoints that have no slow start.
 RATE_MEMORY: Duration = 10 * SECOND
-MIN_LINK_TRANSFERS = 2.0  # concurrent transfers that every endpoint can carry for all proxies together
-# Concurrent transfers that an endpoint's link carries, if endpoints have no weights.
+MIN_LINK_TRANSFERS = 2.0  # concurrent transfers that every endpoint's link can carry for all proxies together
+# Concurrent transfers that an endpoint's link carries, if the settings give endpoints no weights.
 DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}
 # Attempts that may be in flight for each concurrent transfer of an endpoint's link.
 IN_FLIGHT_PER_TRANSFER = {Role.CACHE: 1.5, Role.PARENT: 3.0}
@@ -23,14 +23,15 @@
 # flight. If many proxies share an endpoint, the attempts of one of them come in bursts, so its limit must be
 # above its mean.
 LIMIT_DEVIATIONS = 3.0
-MIN_LIMIT_FACTOR = 0.5  # factor of the concurrency limit if the endpoint's late share is high
-MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit if the endpoint's late share is 0
-LIMIT_FACTOR_SLOPE = 2.5  # decrease of that factor for each unit of the late share
+# Lowest factor of the concurrency limit, reached if many of an endpoint's responses are late.
+MIN_LIMIT_FACTOR = 0.5
+MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit if none of an endpoint's responses is late
+LIMIT_FACTOR_SLOPE = 2.5  # decrease of that factor for each unit of the share of late responses
 # Longest plausible time from an endpoint's start to its first listing. An endpoint that is listed later is
 # treated as if it had started when it was listed.
 MAX_LISTING_DELAY: Duration = 20 * SECOND
 DONATED_SHARE = 0.75  # largest share of its own part of a quota that a proxy donates
-MAX_TRANSFER_DURATION: Duration = 2 * SECOND  # longest duration of a quota transfer that a proxy agrees to
+MAX_TRANSFER_DURATION: Duration = 2 * SECOND  # longest duration for which a proxy donates quota
 
 
 def slow_start_share(now: Instant, endpoint: Endpoint) -> float:
@@ -44,7 +45,7 @@
 
 
 def has_slow_start_budget(state: RoutingState, now: Instant, endpoint: Endpoint, work: float) -> bool:
-    """Whether an endpoint's slow start budget allows this proxy one more attempt.
+    """Whether an endpoint's slow start budget allows this proxy one more attempt with the given work.
 
     This upholds the slow start invariant: the work that the proxy sends to an endpoint in slow start within
     an overload window stays within that budget.
@@ -70,7 +71,7 @@
 def concurrency_limit(state: RoutingState, now: Instant, endpoint: Endpoint) -> float:
     """Returns how many attempts this proxy may have in flight to an endpoint.
 
-    The limit is lower during slow start, and it falls as the endpoint's late share rises.
+    The limit is lower during slow start, and it falls as the endpoint's share of late responses rises.
     """
     part = concurrency_part(state, now, endpoint)
     mean = max(MIN_LIMIT_FACTOR, MAX_LIMIT_FACTOR - LIMIT_FACTOR_SLOPE * endpoint.late_share) * part
@@ -103,15 +104,15 @@
 def transferred(state: RoutingState, now: Instant, key: api.QuotaKey, part: float) -> float:
     """Returns the amount that quota transfers add to this proxy's part of a quota.
 
-    The amount is below 0 if the transfers reduce the part. An amount that an earlier process of this proxy
-    may have donated is subtracted, too.
+    The amount is below 0 if the transfers reduce the part. As long as donations of an earlier process of this
+    proxy may still be in use, the largest amount that it may have donated is subtracted, too.
     """
     balance = state.quotas.balance(now, key)
     return balance - DONATED_SHARE * part if _may_have_forgotten_donations(state, now) else balance
 
 
 def _may_have_forgotten_donations(state: RoutingState, now: Instant) -> bool:
-    """Whether a donation that only an earlier process of this proxy knows may still be in use."""
+    """Whether a donation that an earlier process made, unknown to this one, may still be in use."""
     first_listed_at = state.endpoints.first_listed_at
     if first_listed_at is None:
         return False
@@ -121,11 +122,11 @@
 def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey) -> QuotaPart:
     """Returns this proxy's part of an endpoint's quota.
 
-    The part depends on the configuration alone, and not on observed rates, since those may fall.
+    The part depends on the configuration alone. It does not depend on observed rates, because these may fall.
 
     The origin has neither a concurrency limit nor a slow start. This proxy has no quota of the origin to
-    donate, so its part is 0. The part is also 0 if the key's endpoint, or that process of it, is no longer
-    listed.
+    donate, so its part is 0. The part is also 0 if the key's endpoint is not listed, or if the listed
+    endpoint is now another process than the one in the key.
     """
     endpoint = None if key.endpoint_id is None else state.endpoints.by_id.get(key.endpoint_id)
     if endpoint is None or endpoint.role is Role.ORIGIN:
@@ -146,9 +147,11 @@
 def donate_quota(
     state: RoutingState, now: Instant, request: api.QuotaRequested, part: QuotaPart
 ) -> api.DonateQuota:
-    """Donates what this proxy can spare of its part of a quota, until the transfer expires.
+    """Donates what this proxy can spare of its part of a quota, up to the requested amount.
 
-    The donated amount returns to this proxy when the part's return delay after that expiry is over.
+    The donated amount belongs to the other proxy until the requested expiry time. It returns to this proxy
+    after the part's return delay from then on. Nothing is donated if the expiry time is past or is more than
+    `MAX_TRANSFER_DURATION` ahead.
     """
     amount = 0.0
     is_timely = now < request.expires_at <= now + MAX_TRANSFER_DURATION
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -9,9 +9,10 @@
 EJECTION_SCORE = 1.0  # failure score at which an endpoint is ejected
 FIRST_EJECTION: Duration = 1 * SECOND
 MAX_EJECTION: Duration = 4 * SECOND
-# Silences alone eject an endpoint if the odds against all of them being chance are this high.
+# Odds at which silences alone eject an endpoint. A silence is an attempt without a response for its silence
+# timeout. An endpoint is ejected if the odds against all of its silences being chance are this high.
 SILENCE_EJECTION_ODDS = 200.0
-MIN_SLOW_SHARE = 0.02  # lowest share of slow successful responses with which a silence is scored
+MIN_SLOW_SHARE = 0.02  # lowest share of slow successful responses from which a silence's score is computed
 REPORTED_SCORE = 0.4  # lowest failure score after outlier reports of other proxies; too low for an ejection
 LATE_STEP = 0.1  # weight of a new sample in an endpoint's late share
 INITIAL_LATE_SHARE = 0.2
@@ -28,7 +29,7 @@
 
 
 def record_failure(endpoint: Endpoint, now: Instant, score: float) -> None:
-    """Adds to the failure score; ejects the endpoint at the ejection score or on a failed trial."""
+    """Adds `score` to the failure score; ejects the endpoint at `EJECTION_SCORE` or on a failed trial."""
     endpoint.failure_score += score
     if endpoint.has_trial_in_flight:
         eject_endpoint(endpoint, now)
@@ -70,11 +71,12 @@
 def silence_score(slow_share: float) -> float:
     """Returns the amount that one silence adds to a failure score.
 
-    The amount is smaller if a larger share of the successful responses is as slow, too.
+    `slow_share` is the share of successful responses that took longer than their silence timeout. The larger
+    this share, the more likely a silence is chance, and the smaller the amount.
     """
     return -math.log(max(MIN_SLOW_SHARE, slow_share)) / math.log(SILENCE_EJECTION_ODDS)
 
 
 def record_lateness(endpoint: Endpoint, is_late: bool) -> None:
-    """Updates the endpoint's late share, a moving average, with one response."""
+    """Updates the endpoint's share of late responses, a moving average, with one response."""
     endpoint.late_share += LATE_STEP * (is_late - endpoint.late_share)
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -1,6 +1,7 @@
 """Hints of the shared store, an extension of f-TTL.
 
-If the store knows that a cache has an object or fills it, no other cache fills it again.
+If the store knows that a cache has an object or is filling it, the attempt goes to that cache, so that no
+other cache fills the object again.
 """
 
 from olivepost import interface as api
@@ -12,7 +13,11 @@
 
 
 def should_look_up(state: RoutingState, pending: PendingRequest, source: str | None) -> bool:
-    """Whether the shared store is asked before the attempt, for a new name's location or before a fill."""
+    """Whether the shared store is asked for a hint before the attempt is forwarded.
+
+    The store is asked for the cache that has a name, if the name is new to this proxy. Before a fill, it is
+    also asked for the fill lease.
+    """
     if not state.is_store_available or not pending.rank or pending.hint is not None:
         return False
     is_new = pending.name_remaining is None and not pending.attempt_count
@@ -35,7 +40,7 @@
 
 
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
-    """Returns the time that an attempt waits for a fill that it can't join; 0 if there is no such fill.
+    """Returns how long an attempt waits for another request's fill that it can't join; 0 if there is none.
 
     The attempt waits until the fill ends, but at most half of the time that remains until the deadline.
     """
--- a/olivepost/routing/initial_state.py
+++ b/olivepost/routing/initial_state.py
@@ -27,5 +27,5 @@
 
 
 def _bounded(own_maximum: int, host_maximum: int | None) -> int:
-    """Returns the router's own maximum, or the host's if that is lower."""
+    """Returns the router's own maximum, or the host's maximum if there is one and it is lower."""
     return own_maximum if host_maximum is None else min(own_maximum, host_maximum)
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -1,4 +1,4 @@
-"""Age bounds of responses, which follow from invalidations and freshness; use of the proxy's own cache."""
+"""Age limits of responses due to invalidations and freshness, and the use of the proxy's own cache."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
@@ -24,7 +24,7 @@
 
 
 def max_age(state: RoutingState, now: Instant, pending: PendingRequest, source: str) -> Duration | None:
-    """Returns the age bound of an attempt's response, or None if every age is allowed.
+    """Returns the highest age that an attempt's response may have, or None if every age is allowed.
 
     During a fault, the class's grace for stale responses is added to the class's freshness lifetime. A fault
     is assumed from a request's second attempt on, and while the source is ejected.
@@ -66,8 +66,9 @@
 def should_store(state: RoutingState, pending: PendingRequest, sent_at: Instant) -> bool:
     """Whether a response is stored in the proxy's own cache.
 
-    The response's name must be ranked and must have been seen before. The response is not stored if an
-    invalidation came after the attempt was sent, since the response may be older than the invalidation.
+    The response must be a hit or a fill. Its name must have a rank above 0 and must have been seen before.
+    The response is not stored if an invalidation came after the attempt was sent, since the response may be
+    older than the invalidation.
     """
     if not pending.rank or state.settings.local_transfer_capacity <= 0:
         return False
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -8,8 +8,8 @@
 from olivepost import interface as api
 from olivepost.routing_state import RoutingState
 
-# Share of the memory limit at which each level begins. The rest of the limit is for data that arrives until
-# the next check.
+# Share of the memory limit at which each level of memory pressure begins. The rest of the limit is for data
+# that arrives until the next check.
 LEVEL_SHARES = {
     api.MemoryPressureLevel.EVICT_CACHE: 0.80,
     api.MemoryPressureLevel.CLOSE_IDLE: 0.84,
@@ -17,9 +17,10 @@
     api.MemoryPressureLevel.LIMIT_CONNECTIONS: 0.90,
     api.MemoryPressureLevel.REJECT: 0.93,
 }
-RELEASE_MARGIN = 0.02  # a level ends when the use has fallen this far below its share of the limit
+RELEASE_MARGIN = 0.02  # a level ends when memory use is this share of the limit below the level's start
 KEPT_NAMES_SHARE = 0.5  # share of the name table's capacity to which the table is cut at FREEZE_NAMES
-CONNECTION_SHARE = 0.5  # share of the largest number of client connections that LIMIT_CONNECTIONS allows
+# Share of the usual maximum of client connections that may be open from LIMIT_CONNECTIONS on.
+CONNECTION_SHARE = 0.5
 
 
 def level_for(used: int, limit: int, previous: api.MemoryPressureLevel) -> api.MemoryPressureLevel:
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -1,4 +1,9 @@
-"""Effects of attempts' outcomes on endpoint health, late shares, mean work, f-TTL levels and faults."""
+"""Effects of attempts' outcomes on the state from which later decisions are made.
+
+An outcome changes the health and the share of late responses of an attempt's endpoints. It also changes the
+levels of f-TTL and the mean work, which is the mean transfer time of a response, of the request's class. A
+failure is attributed to an endpoint or to the request itself.
+"""
 
 from olivepost import interface as api
 from olivepost.routing import adaptive_ttl, admission, health
@@ -16,7 +21,7 @@
 OBJECTIVE_TIMEOUT_FACTOR = 0.5  # factor of the latency objective in the silence timeout
 WORK_TIMEOUT_FACTOR = 1.5  # factor of the request's work in the silence timeout
 MIN_SILENCE_TIMEOUT: Duration = SECOND // 100
-SHARE_STEP = 0.05  # weight of a new sample in the slow share and the request fault share
+SHARE_STEP = 0.05  # weight of a new sample in the moving averages `slow_share` and `request_fault_share`
 INITIAL_SLOW_SHARE = 0.1
 # Amounts that the kinds of failure add to the failure score of the endpoint at fault.
 CACHE_REJECTED_SCORE = 0.2
@@ -26,7 +31,7 @@
 
 
 def silence_timeout(state: RoutingState, pending: PendingRequest) -> Duration:
-    """Returns how long an attempt is in flight before it is checked for silence."""
+    """Returns how long an attempt may be without a response until it is called silent and is checked."""
     work = state.work_of(pending.request, pending.request_class)
     objective = pending.request_class.latency_objective
     return max(MIN_SILENCE_TIMEOUT, int(OBJECTIVE_TIMEOUT_FACTOR * objective + WORK_TIMEOUT_FACTOR * work))
@@ -35,7 +40,7 @@
 def record_response(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
 ) -> None:
-    """Records a response in the endpoints' health and late shares, the mean work and the class's levels."""
+    """Records a response for its endpoints (health, share of late responses) and its class (work, levels)."""
     request_class = pending.request_class
     is_hit = outcome.cache_status in api.CACHE_HITS
     is_filled = outcome.cache_status in api.CACHE_FILLS
@@ -50,7 +55,9 @@
     pending.storing_cache = attempt.cache if is_hit or is_filled else None
     if pending.storing_cache is None:
         return
-    if outcome.elapsed < 2 * timeout:  # otherwise `record_silence` has recorded it as late
+    # `record_silence` records an attempt as late when it has been silent for 2 * timeout. Only earlier
+    # responses are recorded here, so that no attempt is recorded twice.
+    if outcome.elapsed < 2 * timeout:
         endpoint_id = attempt.cache if is_hit else attempt.source_or_cache
         record_lateness(state, endpoint_id, _is_late(state, pending, outcome))
     if pending.rank:
@@ -155,7 +162,8 @@
     """Attributes a rejection to the source, the cache or, if the origin failed, no endpoint.
 
     The source is at fault if the cache reports so. If caches don't report causes of failures, the source is
-    also at fault if the cache has responded, either since the attempt was sent or to an earlier attempt.
+    also at fault if the cache has responded, either since the attempt was sent or to an earlier attempt of
+    the same request.
     """
     is_source_fault = outcome.cache_status in api.SOURCE_FAILURES
     if not state.settings.reports_failure_causes:
@@ -172,7 +180,7 @@
 def record_failure(
     state: RoutingState, now: Instant, pending: PendingRequest, endpoint_id: str, score: float
 ) -> Ejection | None:
-    """Adds to an endpoint's failure score; the request avoids the endpoint from now on.
+    """Adds `score` to an endpoint's failure score; the request avoids the endpoint from now on.
 
     Returns the endpoint's ejection, or None if the endpoint is not ejected.
     """
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -1,14 +1,16 @@
-"""Retries: the proxy's retry budget, idempotency, deadlines, and the final response of requests given up."""
+"""Retries: their budget, idempotency and deadlines, and the final response if a request is given up."""
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, QuotaPart, QuotaShortage, RoutingState
 from olivepost.units import SECOND, Duration, Instant
 
-RETRIES_PER_REQUEST = 0.2  # retries that each request adds to the retry budget
+# Retries that each arriving request adds to the retry budget if there is no overload.
+RETRIES_PER_REQUEST = 0.2
 MAX_RETRIES = 10.0  # highest number of retries that the retry budget holds
-DONATION_FLOOR = 0.5  # share of MAX_RETRIES that is never donated
+DONATION_FLOOR = 0.5  # share of MAX_RETRIES that this proxy never donates to other proxies
 MEAN_RETRY_AFTER: Duration = SECOND // 2
-SUBSCRIPTIONS_PER_TIMEOUT = 4  # number of subscriptions that are tried within `subscription_timeout`
+# Number of tries to subscribe to the endpoint list within `subscription_timeout`.
+SUBSCRIPTIONS_PER_TIMEOUT = 4
 
 
 def subscription_delay(settings: api.Settings) -> Duration:
@@ -23,7 +25,10 @@
 
 
 def budget_shortage(state: RoutingState, cost: int) -> tuple[QuotaShortage, ...]:
-    """Returns the quota to request from other proxies if the retry budget doesn't cover an attempt's cost."""
+    """Returns the quota to request from other proxies if the retry budget is below an attempt's cost.
+
+    The result is empty if the budget covers the cost or the shared store is unavailable.
+    """
     if state.is_store_available and state.retry_balance < cost:
         return (QuotaShortage(api.RETRY_QUOTA, 1.0),)
     return ()
@@ -32,7 +37,8 @@
 def quota_part(state: RoutingState) -> QuotaPart:
     """Returns the retry budget as this proxy's part of a quota.
 
-    The used amount includes the floor, which is the part of the budget that is never donated.
+    The used amount is what the retry budget lacks to `MAX_RETRIES`, plus the amount that is never donated
+    (see `DONATION_FLOOR`).
     """
     return QuotaPart(MAX_RETRIES, (1 + DONATION_FLOOR) * MAX_RETRIES - state.retry_balance)
 
@@ -49,7 +55,7 @@
 def allows_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, target: str, cost: int
 ) -> bool:
-    """Whether one more attempt at endpoint `target` is in time, within the retry budget and idempotent."""
+    """Whether deadline, attempt limit, retry budget and idempotency allow one more attempt at `target`."""
     is_late = pending.deadline - now <= state.settings.deadline_margin
     if is_late or not has_attempts_left(state, pending) or state.retry_balance < cost:
         return False
@@ -122,7 +128,7 @@
 
 
 def is_client_retry_harmless(pending: PendingRequest) -> bool:
-    """Whether the client may repeat the request, since no endpoint has it or the repeat has no effect."""
+    """Whether the client may repeat the request: no endpoint has it, or the repeat has no second effect."""
     request_class = pending.request_class
     if request_class.idempotency is api.Idempotency.IDEMPOTENT or not (pending.executed or pending.in_flight):
         return True
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -1,4 +1,4 @@
-"""Endpoint selection: rendezvous hashing over the ready endpoints, which skips those that are at a limit."""
+"""Endpoint selection: rendezvous hashing over the ready endpoints, skipping endpoints that are at a limit."""
 
 from hashlib import blake2b
 from zlib import crc32
@@ -16,11 +16,12 @@
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 from olivepost.units import Instant
 
-MAX_ORDER_BYTES = 8_388_608  # bytes of cached rendezvous orders, if the host sets no bound
+MAX_ORDER_BYTES = 8_388_608  # maximum size of all cached rendezvous orders, unless the host's is lower
 ORDER_ENTRY_BYTES = 320  # bytes of one order without its references
 ORDER_REFERENCE_BYTES = 8  # bytes of one reference, of which an order has one for each endpoint
-# An endpoint sheds no names if its late share exceeds the candidates' lowest late share by at most this
-# amount.
+# An endpoint sheds names, which means that other endpoints get their requests, if its late share (its share
+# of late responses) is too high. It sheds no names if its late share exceeds the candidates' lowest late
+# share by at most this amount.
 LATE_SHARE_TOLERANCE = 0.2
 # An endpoint whose late share exceeds the tolerated one by this amount would shed every name, if
 # MAX_SHED_SHARE did not limit it.
@@ -63,7 +64,10 @@
 
 
 def select_route(state: RoutingState, now: Instant, pending: PendingRequest) -> Route:
-    """Returns the next attempt's cache, the source from which it fills a miss, and the quota shortages."""
+    """Returns the next attempt's cache, the source from which it fills a miss, and the quota shortages.
+
+    A shortage is an amount of quota that this proxy lacked at the name's home.
+    """
     cache, shortages = _select_cache(state, now, pending)
     if cache is not None and _is_lookup_only(state, now, pending, cache):
         return Route(cache, None, shortages)
@@ -78,7 +82,7 @@
 
 
 def _select_cache(state: RoutingState, now: Instant, pending: PendingRequest) -> Selection:
-    """Returns the hinted cache if it may be used, and otherwise the cache that the limits select.
+    """Returns the hinted cache if it may be used, and otherwise the first cache that is within the limits.
 
     The hinted cache is used even above its concurrency limit. It already has the object or is filling it, so
     the attempt causes no further fill.
@@ -102,7 +106,7 @@
     """
     hint = pending.hint
     if hint is not None and hint.is_filling and hint.cache == cache:
-        return not state.settings.can_collapse_fills  # otherwise this attempt joins the fill
+        return not state.settings.can_collapse_fills  # if fills can be collapsed, this attempt joins the fill
     is_always_fresh = pending.request_class.freshness_lifetime is None
     if not pending.rank or not is_always_fresh or pending.missed_cache == cache:
         return False
@@ -114,9 +118,9 @@
 def _select_endpoint(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> Selection:
     """Returns the first endpoint, in a tier's order for a name, that is within all limits.
 
-    If there is no such endpoint, limits are dropped one after another: first the late share, then the
-    concurrency limit, then ejection, then the earlier failures of this request. The slow start budget is
-    never dropped.
+    If there is no such endpoint, limits are dropped one after another: first the limit on the share of late
+    responses, then the concurrency limit, then ejection, then the earlier failures of this request. The slow
+    start budget is never dropped.
     """
     order = _cached_order(state, pending.name, role)
     if not order:
--- a/olivepost/routing_state/averages.py
+++ b/olivepost/routing_state/averages.py
@@ -20,7 +20,7 @@
 
 
 class MovingAverages:
-    """Moving averages by name. The first sample of a name is its initial average."""
+    """Moving averages, each of which has a name. The first sample of a name is its initial average."""
 
     __slots__ = ("_averages", "_step")
 
--- a/olivepost/routing_state/endpoint.py
+++ b/olivepost/routing_state/endpoint.py
@@ -21,7 +21,7 @@
 
 
 class Ejection(NamedTuple):
-    """Ejection of an endpoint, as it was found after a failure of that endpoint was recorded."""
+    """Ejection of an endpoint that is in effect after a failure of that endpoint was recorded."""
 
     endpoint_id: str
 
@@ -34,7 +34,8 @@
     role: Role
     # The settings of the endpoint's slow start, and the number of proxies that share the endpoint.
     tier: api.TierSettings
-    # The work of the attempts that were sent to the endpoint within the overload window.
+    # The work, in nanoseconds of transfer time, of the attempts that were sent to the endpoint within the
+    # overload window.
     work: SlidingWindowSum
     # The share of late responses, as a moving average. A cache's responses are its hits, and a source's are
     # its fills.
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -40,9 +40,9 @@
     first_listed_at: Instant | None = None  # the time at which this proxy first had an endpoint list
 
     def update(self, now: Instant, update: api.EndpointUpdate, settings: api.Settings) -> None:
-        """Applies a full list or changes.
+        """Applies an update, which has either the full endpoint list or changes to it.
 
-        Draining endpoints are no longer ready; removed ones are dropped.
+        A draining endpoint is no longer ready, and a removed endpoint is dropped.
         """
         if self.first_listed_at is None:
             self.first_listed_at = now
@@ -86,9 +86,10 @@
         return Endpoint(metadata, role, tier, work, self.initial_late_share)
 
     def _plausible_start(self, now: Instant, listed_start: Instant | None, is_live: bool) -> Instant | None:
-        """Returns the start of an endpoint that is listed now.
+        """Returns the start of an endpoint that is listed now, or None if it is listed without a start.
 
-        The result is not later than now. In a live update, an implausibly early start is replaced by now.
+        The result is not later than now. In a live update, which is any but the restored list, an implausibly
+        early start is replaced by now.
         """
         if listed_start is None:
             return None
--- a/olivepost/routing_state/invalidation_table.py
+++ b/olivepost/routing_state/invalidation_table.py
@@ -7,8 +7,8 @@
 from olivepost import interface as api
 from olivepost.units import Instant
 
-# A key is a plain tuple, which is cheap to create, because three keys are created for each request. Requests
-# and invalidations that name no group have the group None.
+# A key is a plain tuple, because three keys are created for each request and a tuple is cheap to create.
+# Requests and invalidations that name no group have the group None.
 InvalidationKey = tuple[Literal["object", "group"], str | int | None]
 
 
--- a/olivepost/routing_state/levels.py
+++ b/olivepost/routing_state/levels.py
@@ -9,15 +9,17 @@
 class ClassLevels:
     """Levels of f-TTL for one class, and the mean size of its responses."""
 
-    level: float  # the level ϑ in the paper on f-TTL that `adaptive_ttl` names
-    first_seen_level: float  # the level ϑs in the same paper
+    # The level ϑ of the paper that `adaptive_ttl` names: a name's lifetime as a share of the longest.
+    level: float
+    first_seen_level: float  # the level ϑs of that paper: the lower end of the factor Γ for names seen once
     mean_size: float = 0.0  # mean size of a response in KB; a mean of 0 is replaced by the next sample
 
 
 @dataclass(slots=True)
 class OverloadLevel:
-    """Level of the overload of caches by arriving requests or of sources by fills, and the mean cost."""
+    """Level of overload, of caches by arrivals or of sources by fills, and the mean cost of requests."""
 
     level: float = 0.0  # 0 or more; a higher level admits fewer expensive requests
-    # Mean cost of the requests that were checked; a mean of 0 is replaced by the next sample.
+    # Mean cost of the requests whose cost was checked against the level; a mean of 0 is replaced by the next
+    # sample.
     mean_cost: float = 0.0
--- a/olivepost/routing_state/name_table.py
+++ b/olivepost/routing_state/name_table.py
@@ -48,7 +48,7 @@
         return len(self._queue)
 
     def remaining(self, now: Instant, name: str) -> Duration | None:
-        """Returns the time until the name expires; None if it is not in the table."""
+        """Returns the time until the name expires, or None if the name is not in the table."""
         self._evict(now)
         entry = self._entries.get(name)
         return None if entry is None else entry.expires_at - now
--- a/olivepost/routing_state/order_cache.py
+++ b/olivepost/routing_state/order_cache.py
@@ -49,7 +49,7 @@
         return order
 
     def put(self, role: Role, name: str, order: EndpointOrder) -> None:
-        """Stores an order that was computed for the endpoints of the last `get`."""
+        """Stores an order that was computed for the endpoints of the role's last `get`."""
         tier = self._tiers[role]
         tier.by_name[name] = order
         while tier.by_name and self.used_bytes > self._max_bytes:
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -11,7 +11,10 @@
 
 
 class RankedName(NamedTuple):
-    """Rank of a request, and the lifetime that its name had left, which is None if the name was unknown."""
+    """A requested name's rank, and the lifetime that it had left when the request arrived.
+
+    The lifetime is None if the name was unknown or the response can't be cached.
+    """
 
     rank: int
     name_remaining: Duration | None
@@ -50,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedAttempt:
-    """Attempt that has ended and may have been executed."""
+    """Attempt that has ended and that its endpoint may have executed."""
 
     sent_at: Instant
     endpoint_id: str
@@ -58,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PossibleFault:
-    """Endpoint to which a request's only error is attributed, unless another endpoint errs, too."""
+    """Endpoint to which a request's only error is attributed, unless another endpoint sends an error, too."""
 
     endpoint_id: str
     score: float
@@ -85,17 +88,17 @@
     name_remaining: Duration | None
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     attempt_count: int = 0
-    is_retryable: bool = True  # False if an error is attributed to the request itself
+    is_retryable: bool = True  # True until an error is attributed to the request itself
     is_response_started: bool = False
-    missed_cache: str | None = None  # the last cache that was found not to have the object, if any
+    missed_cache: str | None = None  # the last cache that was found not to have the object, or None
     possible_fault: PossibleFault | None = None
     timer_ids: list[int] = field(default_factory=list)
     avoided: set[str] = field(default_factory=set)  # the endpoints at which this request failed
     executed: list[ExecutedAttempt] = field(default_factory=list)
-    hint_time: Duration = 0  # the total time spent waiting for the shared store
+    hint_time: Duration = 0  # total time for which the request has waited for the shared store
     has_looked_up_location: bool = False
     has_looked_up_fill: bool = False
     hint_wait: HintWait | None = None
     hint: api.CacheHint | None = None
-    hinted_cache: str | None = None  # the last attempt's cache if a hint named it
+    hinted_cache: str | None = None  # the last attempt's cache if a hint named that cache, or None
     storing_cache: str | None = None  # the cache whose response shows that it has the object, if any
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -1,4 +1,9 @@
-"""A ledger of the quota that was transferred between this proxy and others."""
+"""A ledger of the quota that was transferred between this proxy and others.
+
+A proxy that is short of a quota requests an amount from the other proxies. A proxy that can spare some of its
+own part donates an amount. This transfer gives the amount to the proxy that requested it, until an expiry
+time. Donor and recipient each record the transfer in their own ledger.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaTransfer:
-    """Transfer of quota until it expires.
+    """Amount of a quota that one proxy has donated to another until an expiry time.
 
     The amount is above 0 if this proxy received the quota, and below 0 if this proxy donated it.
     """
@@ -28,7 +33,7 @@
 
     amount: float
     used: float
-    # The time after a donation's end during which the donor may not yet use the amount again.
+    # The time after the expiry of a donation during which the donor may not yet use the donated amount again.
     return_delay: Duration = 0
 
 
@@ -40,7 +45,7 @@
 
 
 class QuotaLedger:
-    """Quota transfers in the order in which they were made. Each call of `record` drops the expired ones."""
+    """Quota transfers in the order in which they were made. Each call of `record` drops expired transfers."""
 
     def __init__(self) -> None:
         self._transfers: list[QuotaTransfer] = []
@@ -49,14 +54,17 @@
         return len(self._transfers)
 
     def balance(self, now: Instant, key: QuotaKey, max_amount: float = math.inf) -> float:
-        """Returns the sum of a quota's unexpired transfers, each of which adds at most `max_amount`."""
+        """Returns the sum of a quota's unexpired transfers, each of which adds at most `max_amount`.
+
+        Donations are below 0. With a `max_amount` of 0, the sum therefore contains only donations.
+        """
         current = (item for item in self._transfers if item.key == key and item.expires_at > now)
         return sum(min(item.amount, max_amount) for item in current)
 
     def record(self, now: Instant, transfer: QuotaTransfer) -> None:
-        """Adds a transfer. If it returns an earlier transfer, the earlier transfer is removed instead.
+        """Adds a transfer, or removes an earlier transfer whose amount this transfer gives back.
 
-        A transfer returns another one if it has the same key and expiry time and the opposite amount.
+        A transfer gives an earlier one back if both have the same key and expiry time and opposite amounts.
         """
         reversed_transfer = QuotaTransfer(transfer.expires_at, transfer.key, -transfer.amount)
         is_return = reversed_transfer in self._transfers
--- a/olivepost/routing_state/route.py
+++ b/olivepost/routing_state/route.py
@@ -8,7 +8,7 @@
 
 
 class Selection(NamedTuple):
-    """Endpoint of one tier that was selected for an attempt. Its id is None if no endpoint may be used."""
+    """Endpoint of one tier that was selected for an attempt. The id is None if no endpoint may be used."""
 
     endpoint_id: str | None
     # The quotas that were short at the name's home, its first endpoint by rendezvous hash. The tuple is empty
@@ -17,10 +17,10 @@
 
 
 class Route(NamedTuple):
-    """Cache of an attempt, and the source from which the cache fills a miss.
+    """Endpoint to which an attempt is sent, and the source from which that endpoint fills a miss.
 
-    The cache is None if no endpoint may be used. If there is no source, nothing is filled, and the
-    attempt only looks up the name in the cache.
+    `cache` is a cache, or a parent or the origin if no cache may be used. It is None if no endpoint may be
+    used. If `source` is None, nothing is filled, and an attempt at a cache only looks the name up there.
     """
 
     cache: str | None
--- a/olivepost/routing_state/routing_state.py
+++ b/olivepost/routing_state/routing_state.py
@@ -73,15 +73,16 @@
             tuning.max_order_bytes, tuning.order_entry_bytes, tuning.order_reference_bytes
         )
         self.memory_pressure = api.MemoryPressureLevel.NONE
-        self.arrivals = OverloadLevel()  # overload level that rises when requests find all caches full
+        # Overload level that rises when requests find all caches at their concurrency limits.
+        self.arrivals = OverloadLevel()
         self.fills = OverloadLevel()  # overload level that rises when fills are late or rejected
         self.quotas = QuotaLedger()
         self.is_store_available = False
-        self.retry_balance = tuning.initial_retries  # the retries that are left in the budget
+        self.retry_balance = tuning.initial_retries  # the number of retries that are left in the retry budget
         # The end times of the transfers of responses that are served from the proxy's own cache.
         self.transfer_ends: list[Instant] = []
         self.class_work = MovingAverages(tuning.work_step)  # the mean transfer time of a response, by class
-        # The mean rate of work of one endpoint that has no slow start, by role.
+        # The mean rate at which work (transfer time) is sent to one endpoint that has no slow start, by role.
         self.warm_rates = {role: DecayingRate(tuning.rate_memory) for role in LISTED_ROLES}
         # The share of successful responses that took longer than their silence timeout.
         self.slow_share = MovingAverage(tuning.share_step, tuning.initial_slow_share)
@@ -90,7 +91,7 @@
         self.request_fault_share = MovingAverage(tuning.share_step, 0.0)
 
     def own_work(self, request: api.Request) -> float:
-        """Returns the time in nanoseconds to send a response at full rate.
+        """Returns the time in nanoseconds to send a request's response at the settings' transfer rate.
 
         Returns 0 if the response's size or the rate is unknown.
         """
@@ -100,7 +101,7 @@
         return request.size_kb * SECOND / rate
 
     def mean_work(self, request_class: api.ClassSettings) -> float:
-        """Returns a class's mean work, in nanoseconds of transfer time.
+        """Returns a class's mean work, which is the mean transfer time of its responses in nanoseconds.
 
         Before the first sample, the result is the class's latency objective.
         """
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -139,7 +139,8 @@
             return {"kind": "Timer", "delay": action.delay, "ref": action.timer_id}
         case api.Subscribe():
             return {"kind": "Watch", "want": True}
-        # These are actions for the response cache and the shared store. A simulated proxy has neither.
+        # Rejects all other actions, because they are for the response cache and the shared store, and a
+        # simulated proxy has neither.
         case _:
             raise ValueError(f"the simulator's protocol has no message for {type(action).__name__}")
 
