--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -1,14 +1,15 @@
 """Hints of the shared store, an extension of f-TTL.
 
-If the store knows that a cache has an object or is filling it, the attempt goes to that cache, so that no
-other cache fills the object again.
+If the store knows that a cache has an object or is filling it, an attempt goes to that cache if the cache may
+be used. No other cache then fills the object again.
 """
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
 from olivepost.units import Duration, Instant
 
-# Largest share of the time until its deadline that a request waits for lookups in the shared store.
+# Largest share of the time that is left until a request's deadline for which the request waits for lookups in
+# the shared store.
 MAX_TIME_SHARE = 0.02
 
 
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -100,7 +100,7 @@
     """Records that an attempt is past its silence timeout.
 
     The silence is a failure of the attempt's cache if that cache has responded to no attempt since this
-    attempt was sent.
+    attempt was sent. An attempt that has been silent for two timeouts is also recorded as late.
     """
     if 2 * attempt.silence_timeout <= now - attempt.sent_at < 3 * attempt.silence_timeout:
         record_lateness(state, attempt.source_or_cache, True)
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -84,7 +84,8 @@
     name: str  # the name under which caches store the requested part of the object
     deadline: Instant
     rank: int  # the rank with which caches store the response; 0 means that they do not
-    # The lifetime that the name had left when the request arrived, or None if the name was unknown.
+    # The lifetime that the name had left when the request arrived, or None if the name was unknown or the
+    # response can't be cached.
     name_remaining: Duration | None
     in_flight: dict[int, Attempt] = field(default_factory=dict)
     attempt_count: int = 0
--- a/olivepost/routing_state/route.py
+++ b/olivepost/routing_state/route.py
@@ -25,5 +25,5 @@
 
     cache: str | None
     source: str | None
-    # Shortages in the tier of caches come before those in the tier of parents.
+    # The quotas that were short. Those of caches come before those of parents.
     shortages: tuple[QuotaShortage, ...] = ()
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -111,7 +111,7 @@
 
 
 def write_reply(turn: int, actions: Iterable[dict[str, object]]) -> bytes:
-    """Returns the reply to a batch as one line."""
+    """Returns the reply to a batch as one line of JSON with its line break."""
     reply = {"turn": turn, "output": list(actions)}
     return json.dumps(reply, separators=(",", ":")).encode() + b"\n"
 
