--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -16,7 +16,7 @@
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 from olivepost.units import Instant
 
-MAX_ORDER_BYTES = 8_388_608  # maximum size of all cached rendezvous orders, unless the host's is lower
+MAX_ORDER_BYTES = 8_388_608  # maximum total size of cached rendezvous orders, if the host sets none
 ORDER_ENTRY_BYTES = 320  # bytes of one order without its references
 ORDER_REFERENCE_BYTES = 8  # bytes of one reference, of which an order has one for each endpoint
 # An endpoint sheds names, which means that other endpoints get their requests, if its late share (its share
