--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -1,18 +1,24 @@
 """Hints of the shared store, an extension of f-TTL.
 
-If the store knows that a cache has an object or fills it, no other cache fills it again.
+If the store knows that a cache has an object or is filling it, an attempt goes to that cache if the cache may
+be used. No other cache then fills the object again.
 """
 
 from olivepost import interface as api
 from olivepost.routing_state import PendingRequest, RoutingState
 from olivepost.units import Duration, Instant
 
-# Largest share of the time until its deadline that a request waits for lookups in the shared store.
+# Largest share of the time that is left until a request's deadline for which the request waits for lookups in
+# the shared store.
 MAX_TIME_SHARE = 0.02
 
 
 def should_look_up(state: RoutingState, pending: PendingRequest, source: str | None) -> bool:
-    """Whether the shared store is asked before the attempt, for a new name's location or before a fill."""
+    """Whether the shared store is asked for a hint before the attempt is forwarded.
+
+    The store is asked for the cache that has a name, if the name is new to this proxy. Before a fill, it is
+    also asked for the fill lease.
+    """
     if not state.is_store_available or not pending.rank or pending.hint is not None:
         return False
     is_new = pending.name_remaining is None and not pending.attempt_count
@@ -35,7 +41,7 @@
 
 
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
-    """Returns the time that an attempt waits for a fill that it can't join; 0 if there is no such fill.
+    """Returns how long an attempt waits for another request's fill that it can't join; 0 if there is none.
 
     The attempt waits until the fill ends, but at most half of the time that remains until the deadline.
     """
