--- a/tests/config/test_config.py
+++ b/tests/config/test_config.py
@@ -186,7 +186,11 @@
     "limits", [{"attempts-cap": 0, "max-streams": 0, "connect-timeout": 0, "conn-idle": 0}, {}]
 )
 def test_zero_and_missing_limits_mean_their_defaults(limits: dict[str, int]) -> None:
-    """Checks settings with 30 classes, one of weight 0, and with a whole number written as a float."""
+    """Checks that limits of 0 and missing limits mean the default limits.
+
+    The settings also have 30 classes, one of them with weight 0, and a whole number that is written as a
+    float.
+    """
     classes = [{**READ_CLASS, "name": f"c{number}", "gain": number, "aim": 0} for number in range(30)]
     settings = {"zone": "x", "classes": classes, "limits": limits, "contract": {"fall": 2e9}}
 
--- a/tests/proxy/test_connection_limit.py
+++ b/tests/proxy/test_connection_limit.py
@@ -43,7 +43,8 @@
         clients = [proxy.connect() for _ in range(cap)]
         for client in clients:
             assert client.request().status == 200
-        assert clients[0].request().status == 200  # the first client is no longer the longest idle
+        # After this request, the first client is no longer the one that has been idle longest.
+        assert clients[0].request().status == 200
         with proxy.connect() as late:
             assert late.request().status == 200
         assert clients[1].is_closed_by_proxy()
--- a/tests/proxy/test_error_isolation.py
+++ b/tests/proxy/test_error_isolation.py
@@ -35,7 +35,10 @@
 
 
 def test_error_in_a_response_writer_releases_the_body(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against buffers that stay in use: `running_proxy` checks at its end that none is in use."""
+    """Guards against body buffers that stay in use after an error in a response writer.
+
+    `running_proxy` checks at its end that no buffer is in use.
+    """
     with running_proxy() as proxy, proxy.connect() as client, proxy.connect() as other:
         with monkeypatch.context() as patched:
             patched.setattr("olivepost.proxy.downstream.response_delivery.encode_response", None)
--- a/tests/proxy/test_memory_monitor.py
+++ b/tests/proxy/test_memory_monitor.py
@@ -34,7 +34,7 @@
         self.monitor = MemoryMonitor(LIMIT, self.log, self.levels.append, lambda: self.used)
 
     def level_at(self, share: float) -> Level:
-        """Sets the memory in use to a share of the limit and checks it; returns the level of pressure."""
+        """Sets the memory in use to a share of the limit; returns the resulting memory pressure level."""
         self.used = int(share * LIMIT)
         self.monitor.check()
         return self.monitor.level
--- a/tests/proxy/test_shutdown_exit.py
+++ b/tests/proxy/test_shutdown_exit.py
@@ -52,7 +52,8 @@
 ) -> None:
     """Regression test: the platform could kill the process before the process exited.
 
-    Each step of the shutdown waited for its own timeout, one after another, and the sum of the timeouts
+    Here the log can't be written, because nobody reads it, and a client does not read its response. Each
+    step of the shutdown waited for its own timeout, one step after another, and the sum of the timeouts
     could exceed the time until the kill.
     """
     with proxy_with_slow_reader() as proxy:
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -325,7 +325,7 @@
             proxy.server.reload()
             assert time.monotonic() < began_at + 1
         assert other.coordinator.polls == polls
-        # While it waits, the main thread repeats the failed reload, as it does in `run`.
+        # The main thread repeats the failed reload while it waits, here as well as in `run`.
         proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)
         assert other.coordinator.wait_for_poll(polls + 2)
 
--- a/tests/proxy/test_timers.py
+++ b/tests/proxy/test_timers.py
@@ -6,7 +6,7 @@
 
 
 def queue_of(live: set[int] | None = None) -> TimerQueue:
-    """Returns a queue whose timers are all live, or only those with the given ids."""
+    """Returns a queue of timers: all are live (still needed), or only those whose ids are in `live`."""
     return TimerQueue(lambda timer: live is None or timer.timer_id in live)
 
 
--- a/tests/proxy/upstream/test_single_attempt.py
+++ b/tests/proxy/upstream/test_single_attempt.py
@@ -32,7 +32,10 @@
 
 
 class SlowFirstCache:
-    """A reply function of caches: the first cache that receives a fetch replies to liveness checks only."""
+    """A reply function with which one cache, the first that receives a fetch, never responds to a fetch.
+
+    That cache still replies to liveness checks, and the other caches reply normally.
+    """
 
     def __init__(self) -> None:
         self.first_id: str | None = None
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -113,7 +113,7 @@
         return self.router.state.endpoints.by_id[endpoint_id]
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Passes one event to the router at the current time, and records the timers that it sets."""
+        """Passes one event to the router at the current time, and records the timers that the router sets."""
         actions = self.router.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.SetTimer):
@@ -138,7 +138,7 @@
         return self.handle(dataclasses.replace(request, **changes))
 
     def request_missed_by_cache(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
-        """Passes a new request to the router, then the outcome that its cache does not have the object."""
+        """Passes a new request to the router, then the outcome that the cache lacks the object."""
         lookups = forwarded_attempts(self.request(request_id, name, **changes))
         assert lookups
         assert lookups[0].source is None
--- a/tests/routing/event_histories.py
+++ b/tests/routing/event_histories.py
@@ -14,7 +14,7 @@
 
 ENDPOINT_IDS = ("a:1", "b:1", "p:1", "q:1", "o:1")
 OTHER_IDS = ("", "unknown:1")
-ENDPOINT_KINDS = {"p": "parent", "q": "parent", "o": "origin"}  # kinds by the first letter of the id
+ENDPOINT_KINDS = {"p": "parent", "q": "parent", "o": "origin"}  # endpoint kinds by the first letter of the id
 REQUEST_IDS = ("r1", "r2", "r3", "")
 OBJECTS = ("x", "y", "")
 GROUPS = (None, 0, 1)
@@ -38,7 +38,7 @@
         super().__init__(settings, endpoints)
 
     def handle(self, event: api.Event) -> list[api.Action]:
-        """Passes one event to the router and checks its actions and pending requests."""
+        """Passes one event to the router and checks the router's actions and pending requests."""
         if isinstance(event, api.Request):
             self.open_requests.add(event.id)
             self.started_responses.discard(event.id)
@@ -49,7 +49,8 @@
             self._check(action)
         pending = set(self.router.requests.pending)
         if isinstance(event, (api.AttemptOutcome, api.ClientDisconnected)):
-            self.open_requests &= pending  # such an event may end its request without an action
+            # An outcome or a disconnect may end its request without an action.
+            self.open_requests &= pending
         assert pending == self.open_requests
         return actions
 
@@ -64,7 +65,10 @@
 
 
 class EventHistory:
-    """Random events that a host may send, from one seeded source, including some that it should not send."""
+    """Random events for a router, from one seeded source.
+
+    Some of them are events that the program around the router should not send.
+    """
 
     def __init__(self, seed: int, class_names: tuple[str, ...]) -> None:
         self._random_source = random.Random(seed)
--- a/tests/routing/invariant_checker.py
+++ b/tests/routing/invariant_checker.py
@@ -214,7 +214,7 @@
             assert 0 < attempt.max_age <= request_class.freshness_lifetime + request_class.stale_grace
 
     def _check_slow_start(self, endpoint_id: str, request: api.Request) -> None:
-        """Checks the slow start invariant for the smallest link that an endpoint may have.
+        """Checks the slow start invariant against the budget of the smallest link that an endpoint may have.
 
         This proxy is one of `PROXIES` proxies and may use only its part of that link's budget.
         """
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -33,7 +33,8 @@
 def test_late_fills_reject_the_most_expensive_fills_and_no_hits(driver: RouterDriver) -> None:
     """Guards against the additional load of retried fills on a link that is already saturated.
 
-    A saturated incoming link made every fill of a location late, and every late fill was retried.
+    A saturated incoming link made the fills of all caches at one location late, and every late fill was
+    retried.
     """
     for number in range(40):
         driver.request_missed_by_cache(f"slow{number}", size_kb=20.0)
@@ -56,8 +57,9 @@
 
 
 def test_rejected_fills_raise_the_fill_level_as_late_ones_do(driver: RouterDriver) -> None:
-    """Guards against rejected fills that do not raise the fill level, which measures the overload by fills.
+    """Guards against rejected fills that do not raise the fill level.
 
+    The fill level is the router's measure of how overloaded fills are: late and rejected fills raise it.
     In incident i114a12, thousands of fills were rejected, and were then retried at the next parent of one
     origin.
     """
--- a/tests/routing/test_failed_events.py
+++ b/tests/routing/test_failed_events.py
@@ -1,4 +1,4 @@
-"""Tests of a router after an exception, and of events that the program around it should not send."""
+"""Tests of a router after an exception, and of events that its host program should not send."""
 
 from __future__ import annotations
 
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -1,6 +1,7 @@
-"""Tests of the slow start invariant for up to 250 proxies with shared endpoints.
+"""Tests of the slow start invariant for proxies with shared endpoints.
 
-The invariant: all proxies together send an endpoint that is warming up no more work than its budget.
+What holds for 4 proxies must hold for 250. The invariant: all proxies together send an endpoint that is
+warming up no more work than its budget.
 """
 
 from __future__ import annotations
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -120,9 +120,9 @@
 
 
 def test_one_silence_is_waited_for_where_many_good_responses_take_as_long() -> None:
-    """Guards against the ejection of caches because their fills are slow.
+    """Guards against taking one slow fill for the silence of a cache that has failed.
 
-    Proxies with few requests ejected such caches.
+    Proxies with few requests ejected caches because the caches' fills were slow.
     """
     fast = RouterDriver(make_settings())
     slow = RouterDriver(make_settings())
@@ -197,7 +197,7 @@
     driver.state.request_fault_share.value = 1.0
     driver.request("first", "known")
     driver.complete_attempt("first", 0, AttemptStatus.OK, cache_status=CacheStatus.HIT)
-    # A request for a known name is retried, even if all recent errors were the requests' own.
+    # A request for a known name is retried, even if requests themselves caused all recent errors.
     driver.request("second", "known")
     assert forwarded_attempts(driver.complete_attempt("second", 0, AttemptStatus.ERROR))
 
--- a/tests/routing/test_invalidation.py
+++ b/tests/routing/test_invalidation.py
@@ -123,7 +123,7 @@
 
 
 def stored_responses(driver: RouterDriver, request_ids: tuple[str, ...]) -> list[api.StoreResponse]:
-    """Passes requests for one name to the router, all of them hits; returns the actions that store one."""
+    """Passes requests for one name, all of them hits, to the router; returns its `StoreResponse` actions."""
     stored = []
     for request_id in request_ids:
         driver.request(request_id)
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -22,10 +22,12 @@
 @pytest.mark.parametrize(
     ("level", "gamma"),
     [
-        (0.5, 0.4),  # the threshold function Γ is ϑs if the level ϑ is far below 1
-        (0.85, 0.4),  # Γ is still ϑs at ϑ = 1 - 3ε/2, where its rise begins
-        (0.9, 0.7),  # Γ = ϑs + (1 - ϑs)/2 at ϑ = 1 - ε, halfway through its rise
-        (0.95, 1.0),  # Γ = 1 at ϑ = 1 - ε/2, where its rise ends
+        # Each pair is the level ϑ and the expected factor Γ (the threshold function of the paper). The
+        # first-seen level ϑs is 0.4, and the width ε of the range in which Γ rises from ϑs to 1 is 0.1.
+        (0.5, 0.4),  # Γ is the first-seen level ϑs if the level ϑ is far below 1
+        (0.85, 0.4),  # Γ is still ϑs at ϑ = 1 - 3ε/2, where the rise of Γ begins
+        (0.9, 0.7),  # Γ = ϑs + (1 - ϑs)/2 at ϑ = 1 - ε, halfway through the rise
+        (0.95, 1.0),  # Γ = 1 at ϑ = 1 - ε/2, where the rise ends
         (1.0, 1.0),
     ],
 )
@@ -92,7 +94,8 @@
     state.names.put("big", NameEntry(10, RANK_LOW, 89.0))
     assert adaptive_ttl.top_rank_has_capacity(state, "new")
     state.names.put("one", NameEntry(10, RANK_TOP, 11.0))
-    assert not adaptive_ttl.top_rank_has_capacity(state, "new")  # 11 of 100 KB exceed its share of 0.1
+    # The top rank's names have 11 of 100 KB, and 11 KB exceed that rank's share of 0.1.
+    assert not adaptive_ttl.top_rank_has_capacity(state, "new")
     assert adaptive_ttl.top_rank_has_capacity(state, "one")  # the bytes of `one` itself are not counted
 
 
@@ -100,7 +103,9 @@
     driver = RouterDriver(make_settings())
     driver.state.levels["image"].first_seen_level = 0.0
     ranks = [first_attempt(driver.request(str(i), f"n{i}")).rank for i in range(5)]
-    assert ranks == [RANK_LOW] * 5  # at ϑs = 0, new names have the lowest rank that is cached
+    # The level ϑ is 0.5 and the first-seen level ϑs is 0, so Γ = 0. The lifetime of a name that was seen once
+    # is therefore θs = L·ϑ·Γ = 0. At θs = 0, no new name ranks higher than the low rank, and all are cached.
+    assert ranks == [RANK_LOW] * 5
     assert first_attempt(driver.request("again", "n1")).rank == RANK_TOP
 
 
--- a/tests/routing/test_lifecycle.py
+++ b/tests/routing/test_lifecycle.py
@@ -80,8 +80,9 @@
 def test_class_without_objective_or_weight_is_served(changes: dict[str, Any]) -> None:
     """Guards against silence checks without a pause between them, and against a division by 0.
 
-    The checks follow each other at once if the latency objective is 0. The
-    cost of a request is divided by the priority weight of its class.
+    A silence check looks whether an attempt has been silent for too long. Without a
+    minimum pause, the checks follow each other at once if the latency objective is 0. The cost of a request
+    is divided by the priority weight of its class, and this weight may be 0.
     """
     driver = RouterDriver(make_settings(make_class(**changes), transfer_rate_kb_per_s=None))
 
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -42,7 +42,7 @@
     assert forwarded_attempts(not_executed)
 
     driver.request("3")
-    # A silent attempt of a non-idempotent request is not abandoned for a retry.
+    # The silent attempt may have been executed, so this non-idempotent request is not retried.
     assert not forwarded_attempts(driver.advance(2 * SECOND))
 
 
--- a/tests/routing/test_selection.py
+++ b/tests/routing/test_selection.py
@@ -132,7 +132,8 @@
 def test_endpoint_late_more_often_than_the_best_sheds_names_by_degrees() -> None:
     """Guards against the rejection of many misses after a parent has slowed down.
 
-    On a day at full size, half of all misses were rejected after two parents had slowed down.
+    The more often a parent's responses are late, the more names are filled from another parent. On a day at
+    full size, half of all misses were rejected after two parents had slowed down.
     """
     names_at_parent = []
     for late_share in (0.0, 0.4, 0.9):
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -256,7 +256,10 @@
 
 
 def test_release_after_the_lease_expired_sends_nothing() -> None:
-    """Checks a lease that has expired by its owner's clock and that no periodic tick has dropped yet."""
+    """Checks that the release of an expired lease publishes no cache location.
+
+    The lease has expired by its owner's clock, but no periodic tick has dropped it yet.
+    """
     branch = make_branch(fill_durations=(900 * MS, 901 * MS))
     branch.request(branch.proxies[0], UNCACHED_NAME)
     branch.run(30 * MS)
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -70,7 +70,7 @@
 
     @property
     def stores(self) -> list[StoreHealth]:
-        """Returns the state of the store in each proxy."""
+        """Returns the state of the store as each proxy knows it."""
         return [host.coordinator.stores[STORE] for host in self.hosts]
 
     def wait_for_availability(self, is_available: bool = True, timeout_s: float = 10.0) -> bool:
@@ -86,8 +86,9 @@
     def have_synced(self) -> bool:
         """Whether the store has confirmed the first sync of each proxy under the store's current generation.
 
-        That sync writes the key of the process to the store. A proxy may use the store even before the sync:
-        as soon as the store has confirmed the proxy's invalidations.
+        A sync is a proxy's heartbeat to the store. The first sync writes the key of the process to the
+        store. A proxy may use the store even before its first sync: as soon as the store has confirmed the
+        proxy's invalidations.
         """
         generations = {store.generation for store in self.stores}
         return len(generations) == 1 and all(store.confirmed_serial > 0 for store in self.stores)
--- a/tests/shared_store/test_reply_shapes.py
+++ b/tests/shared_store/test_reply_shapes.py
@@ -22,7 +22,7 @@
 
 
 class FaultyStore:
-    """A coordinator with one store, whose replies have the right generation and then arbitrary values."""
+    """A coordinator with one store; the store's replies have the right generation but arbitrary values."""
 
     def __init__(self, seed: int) -> None:
         stores = [{"name": "s", "address": "127.0.0.1:1"}]
--- a/tests/shared_store/test_router.py
+++ b/tests/shared_store/test_router.py
@@ -146,7 +146,10 @@
 
 
 def test_invalidation_bounds_the_age_at_a_cache_location_too() -> None:
-    """Checks that a hint never permits a response that is older than this proxy's own age bound."""
+    """Checks that a hint never permits a response that is older than this proxy's own age bound.
+
+    Here an invalidation sets that bound.
+    """
     proxy = proxy_with_store()
     proxy.handle(api.Invalidation(None, 1, 100 * MS))
     proxy.request("1")
--- a/tests/shared_store/test_store_faults.py
+++ b/tests/shared_store/test_store_faults.py
@@ -52,9 +52,10 @@
 
 
 def test_store_restored_from_before_an_invalidation_gives_no_hint_from_that_time() -> None:
-    """Guards against hints from before an invalidation.
+    """Guards against hints that predate an invalidation and come back with a restored snapshot.
 
-    The keys of the snapshot's cache locations contain a generation that no proxy uses any more.
+    The keys of the snapshot's cache locations contain a generation that no proxy uses any more, so no proxy
+    finds these locations.
     """
     branch = make_branch()
     branch.request(branch.proxies[0], UNCACHED_NAME)
@@ -134,7 +135,8 @@
 def test_reply_three_seconds_late_publishes_nothing() -> None:
     """Checks a fill whose proxy does not know whether the store granted the lease.
 
-    The fill continues as without a store, and its cache location is not published.
+    The store's reply takes 3 s. The fill continues as without a store, and its cache location is not
+    published.
     """
     branch = make_branch()
     branch.links["s0"].latency_range = (1500 * MS, 1500 * MS + 1)
--- a/tests/shared_store/test_store_worker.py
+++ b/tests/shared_store/test_store_worker.py
@@ -35,7 +35,10 @@
 
 
 class WorkerHarness:
-    """A worker of one lane that uses a stand-in store; `replies` contains the events the worker posts."""
+    """A worker of the urgent lane, for the commands that requests wait for, with a stand-in store.
+
+    `replies` contains the events that the worker posts.
+    """
 
     def __init__(self, server: Server, **sharing: Any) -> None:
         store = {"name": "s", "address": "{}:{}".format(*server.address)}
