--- a/olivepost/shared_store/circuit_breaker.py
+++ b/olivepost/shared_store/circuit_breaker.py
@@ -56,14 +56,14 @@
         if self.state is BreakerState.HALF_OPEN:
             self._record_trial_success()
         else:
-            # A success can open the breaker, too, because the failure rate is only computed from
-            # `RECENT_REPLIES` replies, and this reply may be the last one that was missing.
+            # The failure rate is not computed until `RECENT_REPLIES` replies are known. This success may
+            # complete that number, so a success can open the breaker, too.
             self._open_if_failing(now)
 
     def record_failure(self, now: Instant) -> None:
-        """Records that a reply was late or lost, regardless of the cause.
+        """Records that a reply was late or lost.
 
-        The store may be slow, silent or full, or may reject commands.
+        The cause makes no difference: the store may be slow, silent or full, or may reject commands.
         """
         self._recent_failures.append(True)
         self._consecutive_failures += 1
--- a/olivepost/shared_store/commands.py
+++ b/olivepost/shared_store/commands.py
@@ -15,8 +15,8 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-# Largest number of pending commands, of all stores together. Further commands are dropped, so that requests
-# go without hints, but no request fails.
+# Largest number of pending commands, of all stores together. Further commands are dropped. A request whose
+# lookup is dropped gets no hint, but does not fail.
 MAX_PENDING_COMMANDS = 4_096
 
 ReplyValues = tuple[object, ...]
@@ -29,8 +29,8 @@
 class PendingCommand:
     """A command whose reply is pending.
 
-    `generation` is the store's generation when the command was sent. `confirmed_serial` is the number of the
-    last heartbeat that the store had confirmed by then.
+    `generation` is the store's generation when the command was sent. `confirmed_serial` is the serial (the
+    number) of the last sync that the store had confirmed when the command was sent.
     """
 
     store: StoreHealth
@@ -76,9 +76,9 @@
         return True
 
     def complete(self, now: Instant, ticket: int) -> PendingCommand | None:
-        """Removes and returns the command that a reply belongs to.
+        """Removes and returns the pending command that has `ticket`, the ticket of a reply.
 
-        Returns `None` if that command is not pending, for example if this is its second reply.
+        Returns `None` if no pending command has the ticket, for example if the reply is a second one.
         """
         command = self._pending.pop(ticket, None)
         if command is None:
@@ -91,7 +91,11 @@
         return command
 
     def fail(self, now: Instant, ticket: int) -> None:
-        """Ends a command whose reply is lost, records the failure and calls `on_reply` with `None`."""
+        """Ends the command that has `ticket`, because the command's reply is lost.
+
+        Records the failure in the store's circuit breaker, and calls `on_reply` with `None`. Does nothing if
+        no pending command has the ticket.
+        """
         command = self._pending.pop(ticket, None)
         if command is None:
             return
--- a/olivepost/shared_store/context.py
+++ b/olivepost/shared_store/context.py
@@ -48,12 +48,13 @@
     def store_of(self, name: str) -> StoreHealth:
         """Returns the store that is responsible for a name or a quota key.
 
-        Rendezvous hashing selects it, so that the loss of one store affects only its own names and keys.
+        Rendezvous hashing selects the store, so that the loss of one store affects only the names and keys
+        for which that store is responsible.
         """
         return self.stores[rendezvous_order(name, self.terms.stores)[0]]
 
     def issue_ticket(self) -> int:
-        """Returns a number that no earlier command or quota transfer has used."""
+        """Returns a new ticket, a number that no earlier command or quota transfer has used."""
         self._last_ticket += 1
         return self._last_ticket
 
--- a/olivepost/shared_store/endpoints.py
+++ b/olivepost/shared_store/endpoints.py
@@ -39,14 +39,20 @@
         return UNKNOWN_START if endpoint is None else _stored_start(endpoint)
 
     def is_usable(self, endpoint_id: str, started_at: Instant) -> bool:
-        """Whether an endpoint is ready and has not restarted since a record named the endpoint."""
+        """Whether an endpoint is ready and still has the start time `started_at`, which a record contains.
+
+        An endpoint with another start time is regarded as restarted since the record was written.
+        """
         endpoint = self._by_id.get(endpoint_id)
         if endpoint is None:
             return False
         return endpoint.state is api.EndpointState.READY and _stored_start(endpoint) == started_at
 
     def is_removed(self, endpoint_id: str, started_at: Instant) -> bool:
-        """Whether an endpoint is no longer listed, or has restarted since a record named the endpoint."""
+        """Whether an endpoint is no longer listed, or has restarted since a record was written.
+
+        The endpoint has restarted if its start time is later than `started_at`, which the record contains.
+        """
         endpoint = self._by_id.get(endpoint_id)
         return endpoint is None or _stored_start(endpoint) > started_at
 
--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -30,7 +30,8 @@
     store: StoreHealth
     generation: int
     requested_at: Instant
-    # The event that ends the request, if the request ends before the store's reply comes, else `None`.
+    # The event that the client's request has ended. It is `None` unless that request ends before the store
+    # replies to the lease request.
     release: LeaseReleased | None = None
 
 
@@ -44,10 +45,11 @@
         self._context = context
         self._commands = commands
         self._table = table
-        self._pending: dict[str, PendingLease] = {}  # latest pending lease of each request, by request id
+        # The latest pending lease of each client's request, by the id of the client's request.
+        self._pending: dict[str, PendingLease] = {}
 
     def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
-        """Returns the lease on a name if this proxy still owns it, else `None`."""
+        """Returns this proxy's unexpired lease on a name in a generation, or `None` if there is none."""
         return self._table.find_active(now, name, generation)
 
     def create_request(self, lookup: api.LookUpHint, source: str) -> LeaseRequest:
@@ -100,7 +102,7 @@
         return False
 
     def release(self, now: Instant, event: LeaseReleased) -> None:
-        """Releases the lease of a request that has ended.
+        """Releases the lease of a client's request that has ended.
 
         If the store has not yet replied to the lease request, the lease is released when the reply comes.
         """
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -38,7 +38,10 @@
     def handle_verdict(
         self, now: Instant, store: StoreHealth, verdict: ReplyVerdict, generation: int
     ) -> None:
-        """Acts on the verdict on a reply whose values are not used; the reply has `generation`."""
+        """Acts on the verdict on a reply whose values are not used.
+
+        `generation` is the generation that the store had when it sent the reply.
+        """
         self._context.counts[f"replies_{verdict.value}"] += 1
         if verdict is ReplyVerdict.MOVED:
             self._adopt(now, store, generation)
@@ -46,7 +49,11 @@
             self._advance(now, store, generation)
 
     def _advance(self, now: Instant, store: StoreHealth, found: int) -> None:
-        """Requests a new generation, which makes all existing records of the store unreachable."""
+        """Ends the trust in a store, and requests a new generation, unless one has been requested already.
+
+        `found` is the generation that the store has now. A new generation makes all existing records of the
+        store unreachable.
+        """
         store.trust = TrustLevel.NONE
         if store.is_advancing:
             return
@@ -79,9 +86,9 @@
     def publish_next_chunk(self, now: Instant, store: StoreHealth) -> None:
         """Publishes the next chunk of invalidations to a store that is being restored.
 
-        All known invalidations must be published to the store again after it has got another generation, or
-        after a publication to it was not confirmed. If no chunk is left, an empty chunk is published, so that
-        the store still confirms its generation.
+        All known invalidations must be published to the store again, in chunks, after the store has got
+        another generation, or after the store has not confirmed a publication. If no chunk is left, an empty
+        chunk is published, so that the store still confirms its generation.
         """
         chunk = store.unpublished[0] if store.unpublished else ()
         operation = PublishInvalidations(store.generation, chunk)
--- a/olivepost/shared_store/host.py
+++ b/olivepost/shared_store/host.py
@@ -27,15 +27,15 @@
 # Interval between ticks. It equals the smallest value of the setting `sync`. Each tick checks the timeouts of
 # replies, so the interval is also their resolution.
 TICK_INTERVAL: Duration = 10 * MILLISECOND
-# Largest number of events in the queue. While the queue is full, new lookups, reports and all other events
-# except `UNDROPPABLE_EVENTS` are dropped.
+# Largest number of events in the coordinator's queue. While the queue is full, new lookups, reports and all
+# other events except `UNDROPPABLE_EVENTS` are dropped.
 MAX_QUEUED_EVENTS = 20_000
 # Number of random bits in the id (incarnation) of a process, enough that no two processes of a branch get the
 # same id.
 INCARNATION_BITS = 64
 SEED_BITS = 64
-# Time within which all threads together must end. A thread that waits for an unresponsive store is left
-# running.
+# Time for which `close` waits for all threads together. A thread that has not ended by then, because it waits
+# for an unresponsive store, is left running.
 CLOSE_TIMEOUT_S = 1.0
 
 # Events that are never dropped. Without its reply event, a command would stay pending forever. Without its
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -36,7 +36,7 @@
 SCAN_COUNT = 1_000  # keys that the server examines in one step of a scan
 # Text that these commands send to the scripts in place of the incarnation (id) of a proxy's process.
 OPERATOR_INCARNATION = "operator"
-ENVELOPE_FIELDS = ("type", "v")  # stored names of the tag and the version, which every record has
+ENVELOPE_FIELDS = ("type", "v")  # stored names of the type's tag and the version, which every record has
 
 LEASE_KIND = "c"  # first part of a fill lease's key, after the generation's prefix
 LOCATION_KIND = "h"  # first part of a cache location's key
@@ -113,9 +113,9 @@
 
 
 class StoreInspector:
-    """The commands on one store.
+    """The commands of `olivepost sharing`, as they run on one store.
 
-    They use the records of the generation that the store had when the inspector was created.
+    The commands use the records of the generation that the store had when the inspector was created.
     """
 
     def __init__(self, settings: SharedStoreSettings, store: StoreSettings, connection: Any) -> None:
@@ -163,7 +163,7 @@
         }
 
     def _describe_name(self, key: bytes) -> Row:
-        """Returns the row of a fill lease or a cache location.
+        """Returns the printed row about the fill lease or the cache location that is stored under `key`.
 
         If the record is malformed, the row's field `odd` has the reason.
         """
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -23,7 +23,7 @@
 # Largest number of invalidations in one operation, because a larger operation would keep the store busy.
 CHUNK_SIZE = 256
 MAX_CLOCK_LEAD_MS = 10_000  # largest accepted lead of another proxy's clock over this proxy's
-ROW_LENGTH = 3  # values in one row of a reply: number, key and Unix millisecond of an invalidation
+ROW_LENGTH = 3  # values in one row of a sync's reply: an invalidation's number, key and Unix millisecond
 EPOCH_MS = 0  # the start of Unix time, which is before any response was generated
 
 
--- a/olivepost/shared_store/location_hints.py
+++ b/olivepost/shared_store/location_hints.py
@@ -31,7 +31,7 @@
 
 
 class LocationHints:
-    """The latest hints, by request id.
+    """The latest cache locations that requests were given as hints, by request id.
 
     Only the coordinator's thread uses this class.
     """
@@ -39,7 +39,7 @@
     def __init__(self, context: CoordinatorContext, commands: CommandTracker) -> None:
         self._context = context
         self._commands = commands
-        self._hints: dict[str, LocationHint] = {}  # oldest first
+        self._hints: dict[str, LocationHint] = {}  # by request id, the oldest hint first
 
     def add(self, request_id: str, hint: LocationHint) -> None:
         """Remembers the hint of a request, and forgets the oldest hints beyond the limit."""
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -70,9 +70,9 @@
     def look_up(self, now: Instant, event: LookupRequested) -> None:
         """Sends a lookup to the store, unless the reply would come too late or contain nothing useful.
 
-        If nothing is sent, the router gets a hint that names no cache at once. If this proxy already owns the
-        fill lease on the name, nothing is sent either, and the hint names the cache that is being filled
-        under that lease.
+        If nothing is sent, the router gets a hint at once. The hint names no cache, unless nothing is sent
+        because this proxy already owns the fill lease on the name. In that case, the hint names the cache
+        that is being filled under that lease.
         """
         request = event.lookup
         store = self._context.store_of(request.name)
@@ -114,9 +114,10 @@
     # Replies
 
     def _on_reply(self, lookup: PendingLookup, now: Instant, values: ReplyValues | None) -> None:
-        """Handles a store's reply, or the loss of the reply if `values` is `None`.
+        """Handles a store's reply to a lookup; `values` is `None` if the reply is lost or not current.
 
-        After a loss, this proxy can't know whether the store granted it the lease, and doesn't use the lease.
+        If there are no values, this proxy can't know whether the store granted it the lease, and doesn't use
+        the lease.
         """
         if now - lookup.sent_at > lookup.request.timeout:
             lookup.is_answered = True  # the router no longer waits for a hint
@@ -160,7 +161,7 @@
     def _follow_lease(self, lookup: PendingLookup, stored: object, remaining_ms: object) -> None:
         """Sends the router a hint that names the cache which the owner of the lease, another proxy, fills.
 
-        Sends no such hint if that cache is not usable.
+        Sends no such hint if that cache is not usable. `remaining_ms` is the time until the lease expires.
         """
         _, _, record = (stored if isinstance(stored, bytes) else b"").partition(b" ")
         lease = decode_record(FillLease, record)
--- a/olivepost/shared_store/malformed_records.py
+++ b/olivepost/shared_store/malformed_records.py
@@ -17,7 +17,7 @@
 
 
 class MalformedRecords:
-    """Malformed records since the last report, by reason.
+    """Counts of the malformed records since the last summary in the log, by reason.
 
     Only the coordinator's thread uses this class.
     """
@@ -42,7 +42,7 @@
             self._reasons[reason] += 1
 
     def report_if_due(self, now: Instant) -> None:
-        """Writes the reasons since the last report to the log, at most once per `REPORT_INTERVAL`."""
+        """Writes the counts since the last summary to the log, at most once per `REPORT_INTERVAL`."""
         if not self._reasons:
             return
         if self._reported_at is not None and now - self._reported_at < REPORT_INTERVAL:
--- a/olivepost/shared_store/messages.py
+++ b/olivepost/shared_store/messages.py
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LookupRequested:
-    """The event that the router asks for a lookup of a name.
+    """The event with which the router asks for a lookup of a name.
 
     `object` is the requested object. `group` is the object's group, or `None` if the group is unknown.
     """
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseReleased:
-    """The event that a request has ended, so that its fill lease must be released.
+    """The notice that a client's request has ended, so that the request's fill lease must be released.
 
     `generated_at_ms` is when the request's response was generated, or `None` if that time is unknown.
     """
@@ -41,9 +41,9 @@
 class StoreReply:
     """A store's reply to the command that has the same ticket.
 
-    `generation` is the store's generation. `serial` is the number of this process's last heartbeat that the
-    store had received before the command. Heartbeats are numbered from 1; 0 means that the reply has no
-    serial.
+    `generation` is the store's generation. `serial` is the number of this process's last heartbeat (sync)
+    that the store had received before the command. Heartbeats are numbered from 1; 0 means that the reply has
+    no serial.
     """
 
     ticket: int
--- a/olivepost/shared_store/operations.py
+++ b/olivepost/shared_store/operations.py
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncOperation:
-    """The periodic exchange, which sends a heartbeat and reads what other proxies have sent.
+    """A sync: the periodic exchange that sends a heartbeat and reads what other proxies have sent.
 
     The heartbeat carries this proxy's quota requests and outlier reports. The reply contains the requests and
     reports of other proxies.
@@ -96,7 +96,7 @@
 class ReportStaleLocation:
     """One or more reports that a cache location is stale.
 
-    `reports` is their number. The store deletes the location when it has counted two reports.
+    `reports` is the number of reports. The store deletes the location when it has counted two reports.
     """
 
     generation: int
@@ -131,7 +131,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdvanceGeneration:
-    """The change to a new generation above `minimum`, made only if the store is still at `expected`.
+    """The change to a new generation above `minimum`, made only if the store still has the one `expected`.
 
     `expected` is `NO_GENERATION` if the store has no generation.
     """
--- a/olivepost/shared_store/outlier_reports.py
+++ b/olivepost/shared_store/outlier_reports.py
@@ -26,9 +26,9 @@
 
 
 def parse_outlier_report(row: object) -> OutlierReport:
-    """Returns the outlier report that a row of a sync's reply contains.
+    """Returns the outlier report in `row`, an item of a list in a store's reply to a sync.
 
-    Raises `RecordError` if the row is malformed.
+    A sync is the periodic exchange with a store. Raises `RecordError` if the row is malformed.
     """
     text = row.decode(errors="replace") if isinstance(row, bytes) else ""
     incarnation, _, endpoint_id = text.partition("|")
@@ -44,9 +44,11 @@
     """
 
     def __init__(self) -> None:
-        self._own: dict[str, Instant] = {}  # expiry of each report, by endpoint
-        self._others: dict[str, dict[str, Instant]] = {}  # expiry by endpoint and process
-        self._next_notification: dict[str, Instant] = {}  # earliest time of the next event, by endpoint
+        self._own: dict[str, Instant] = {}  # expiry of each of this proxy's reports, by endpoint
+        # The expiry of each report of another proxy, by endpoint and process.
+        self._others: dict[str, dict[str, Instant]] = {}
+        # The earliest time of the next event for the router, by endpoint.
+        self._next_notification: dict[str, Instant] = {}
 
     def add_own(self, now: Instant, endpoint_id: str) -> None:
         """Records that this proxy has ejected an endpoint."""
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -17,7 +17,7 @@
 from olivepost.units import Duration, Instant
 
 MAX_CLOCK_DRIFT = 0.01  # largest relative difference between the rates of two proxies' clocks
-MAX_DONATIONS = 64  # largest number of requests that are offered to the router at once
+MAX_DONATIONS = 64  # largest number of requests whose offers to the router are open at the same time
 
 
 @dataclass(slots=True)
@@ -59,16 +59,18 @@
         return transfer_id in self._donations
 
     def offer(self, now: Instant, transfer_id: int, field: str, request: QuotaRequest) -> Donation | None:
-        """Returns the donation that the router is to be asked for.
+        """Opens an offer with a transfer id, and returns the donation that the router is to be asked for.
 
-        Returns `None` if this proxy may not answer the request.
+        `field` is the field under which the store has the request. Returns `None` if this proxy may not
+        answer the request.
         """
         self._drop_expired(now)
         if not self._may_answer(now, request):
             return None
         self._answered_until[request.nonce] = now + self._duration
         # This proxy adds the largest drift to the duration, because the recipient's clock may be slower than
-        # its own. The recipient also measures the duration from its request, which is earlier than now.
+        # this proxy's. Also, the recipient measures the duration from the time of its request, which is before
+        # now.
         expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
         donation = Donation(request, field, expires_at)
         self._donations[transfer_id] = donation
@@ -77,7 +79,8 @@
     def donate(self, transfer_id: int, amount: float, expires_at: Instant) -> GrantedDonation | None:
         """Returns a donation of an amount that the router has given up, and the grant for the recipient.
 
-        Returns `None` if the offer with this transfer id has expired, or if the router gave up nothing.
+        The router may use the amount again from `expires_at`. Returns `None` if the offer with this transfer
+        id has expired, or if the router gave up nothing.
         """
         donation = self._donations.pop(transfer_id, None)
         if donation is None:
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -42,7 +42,7 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-ROW_LENGTH = 3  # values in one row of a reply: field, Unix millisecond and record of a quota request
+ROW_LENGTH = 3  # values in one row of a sync's reply: a quota request's field, Unix millisecond and record
 
 
 class RequestedQuota(NamedTuple):
@@ -62,7 +62,7 @@
 
 
 def parse_requested_quota(row: object) -> RequestedQuota:
-    """Returns the quota request that a row of a sync's reply contains.
+    """Returns the quota request in `row`, an item of a list in a store's reply to a sync.
 
     Raises `RecordError` if the row is malformed.
     """
@@ -176,7 +176,7 @@
         self._commands.send(now, store, operation, partial(self._on_granted, donation))
 
     def _on_granted(self, donation: Donation, now: Instant, values: ReplyValues | None) -> None:
-        """Gives an amount back to the router if the store replies that it has not made the grant.
+        """Gives a donated amount back to the router if the store replies that it has not made the grant.
 
         If the reply is lost, the store may have made the grant, so the amount stays given up until the
         transfer expires.
--- a/olivepost/shared_store/quota_keys.py
+++ b/olivepost/shared_store/quota_keys.py
@@ -1,7 +1,7 @@
 """Texts of quota keys in records: `cold:ENDPOINT@START`, `open:ENDPOINT@START` and `retry`.
 
-`cold` is the slow start budget of an endpoint's process, `open` is its limit on concurrent attempts, and
-`retry` is the retry budget. START is the time at which the process started, in nanoseconds.
+`cold` is the slow start budget of an endpoint's process, `open` is the limit on concurrent attempts to that
+process, and `retry` is the retry budget. START is the time at which the process started, in nanoseconds.
 
 This module does no I/O.
 """
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -16,7 +16,9 @@
 MAX_EXCERPT_LENGTH = 60  # characters of a malformed reply in the reason of its `ReplyLost`
 NO_LEASE = (0, b"")  # the lease's duration and record in a lookup that requests no lease
 NO_LOCATION = operations.LocationPublication(b"", 0)  # sent with a release that publishes no location
-HEADER_LENGTH = 2  # number of values that begin every reply: the generation and the serial
+# Number of values that begin every reply: the store's generation, and the serial (the number of the last sync
+# that the store had received from the process before the command).
+HEADER_LENGTH = 2
 
 
 class ScriptName(Enum):
@@ -96,7 +98,10 @@
 
 
 def read_reply(ticket: int, reply: object) -> messages.StoreReply | messages.ReplyLost:
-    """Returns the event for a script's reply, which is a `ReplyLost` if the reply is malformed."""
+    """Returns the event about a script's reply to the command that has `ticket`.
+
+    The event is a `ReplyLost` if the reply is malformed.
+    """
     if not isinstance(reply, Sequence) or isinstance(reply, (str, bytes)) or len(reply) < HEADER_LENGTH:
         return messages.ReplyLost(
             ticket, f"a reply must be a list of at least {HEADER_LENGTH} values, not {_excerpt(reply)}"
--- a/olivepost/shared_store/settings.py
+++ b/olivepost/shared_store/settings.py
@@ -23,7 +23,7 @@
 
 
 class StoreTls(SettingsSection):
-    """The encryption of a store's connections.
+    """Settings of the encryption of the connections to a store.
 
     The store's certificate is always verified, also against the host name of the address.
     """
@@ -40,7 +40,10 @@
 
 
 class StoreSettings(SettingsSection):
-    """One Redis server, or a compatible one, of version 6.2 or later; a cluster is not supported."""
+    """Settings of one store.
+
+    A store is a Redis server, or a compatible one, of version 6.2 or later. A cluster is not supported.
+    """
 
     name: str = Field(
         pattern=NAME_PATTERN,
@@ -132,7 +135,7 @@
 
 
 class SharedStoreSettings(SettingsSection):
-    """The stores that the proxies of one branch use, and what the proxies share through them."""
+    """Settings of the stores of one branch, and of what the branch's proxies share through the stores."""
 
     branch: str = Field(
         pattern=NAME_PATTERN,
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -45,13 +45,13 @@
 
 @dataclass(slots=True)
 class StoreHealth:
-    """One store as this proxy sees it. Only the coordinator's thread uses this class."""
+    """The state of one store as this proxy knows it. Only the coordinator's thread uses this class."""
 
     name: str
     breaker: CircuitBreaker
     trust: TrustLevel = TrustLevel.NONE
     generation: int = NO_GENERATION  # generation that this proxy has adopted
-    last_serial: int = 0  # number of the last heartbeat sent; heartbeats are numbered from 1
+    last_serial: int = 0  # number of the last heartbeat (sync) sent; heartbeats are numbered from 1
     confirmed_serial: int = 0  # number of the last heartbeat that the store has confirmed in this generation
     last_invalidation: int = 0  # number of the last invalidation read; the store numbers invalidations from 1
     # Chunks of invalidations that must still be published again, in this order.
--- a/olivepost/shared_store/store_worker.py
+++ b/olivepost/shared_store/store_worker.py
@@ -1,4 +1,7 @@
-"""A worker: a thread with its own connection to one store, in which it runs commands in batches."""
+"""A worker: a thread that runs commands in one store, through a connection of its own.
+
+The worker runs the commands in batches. A batch is the commands that are sent in one round trip.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 class Lane(Enum):
-    """The kind of commands that a worker runs.
+    """A lane: one of the two kinds of commands to a store, each of which has its own worker and queue.
 
     A request waits for each urgent command. The other commands (upkeep) have their own lane, so that they
     never delay an urgent command.
@@ -48,7 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerContext:
-    """The state that all workers of a process share. `post` accepts replies from any thread."""
+    """The state that all workers of a process share.
+
+    `post` passes the event about a reply to the coordinator; any thread may call it.
+    """
 
     settings: SharedStoreSettings
     incarnation: str
@@ -59,11 +65,12 @@
 
 
 class StoreWorker:
-    """A worker that runs the commands of one lane in one store.
+    """A worker that runs the commands of one lane (either the urgent ones or all others) in one store.
 
     Each command gets exactly one `StoreReply` or `ReplyLost`, unless it is still queued when the worker is
-    closed. The queue is bounded. A command that doesn't fit into it, or whose reply would be too late to be
-    used, is never sent. Any thread may call the public methods; `_changed` guards `_queue` and `_is_closed`.
+    closed. The queue is bounded. A command that doesn't fit into the queue, or whose reply would be too late
+    to be used, is never sent. Any thread may call the public methods; `_changed` guards `_queue` and
+    `_is_closed`.
     """
 
     def __init__(self, context: WorkerContext, store: StoreSettings, lane: Lane) -> None:
@@ -126,7 +133,10 @@
             return [self._queue.popleft() for _ in range(min(MAX_BATCH, len(self._queue)))]
 
     def _drop_expired(self, batch: list[QueuedCommand]) -> list[messages.StoreCommand]:
-        """Returns the commands that have not waited too long, and reports the other ones as lost."""
+        """Returns the commands of a batch that have not waited too long in the queue.
+
+        Reports the replies to the other commands as lost.
+        """
         commands: list[messages.StoreCommand] = []
         for command, queued_at in batch:
             if self._context.clock.now() - queued_at <= self._max_wait:
@@ -165,7 +175,10 @@
                 context.post(read_reply(command.ticket, reply))
 
     def _fail(self, commands: list[messages.StoreCommand], error: Exception) -> None:
-        """Closes the connection, which may hold part of a reply, and reports all commands as lost."""
+        """Closes the connection, and reports the replies to all given commands as lost.
+
+        The connection is closed because it may still contain part of a reply.
+        """
         self._client.connection_pool.disconnect()
         self._context.faults.record(error)
         for command in commands:
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -1,4 +1,4 @@
-"""Periodic sync with each store.
+"""Periodic exchanges (syncs) with each store.
 
 A sync sends a heartbeat with this proxy's quota requests and outlier reports. The reply contains the requests
 and reports of other proxies, the quota grants for this proxy, and new invalidations.
