--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -69,8 +69,7 @@
             return None
         self._answered_until[request.nonce] = now + self._duration
         # This proxy adds the largest drift to the duration, because the recipient's clock may be slower than
-        # this proxy's. Also, the recipient measures the duration from the time of its request, which is before
-        # now.
+        # this proxy's. The recipient also measures the duration from an earlier time, that of its request.
         expires_at = now + int(request.duration * (1 + MAX_CLOCK_DRIFT))
         donation = Donation(request, field, expires_at)
         self._donations[transfer_id] = donation
