--- a/benchmarks/caches.py
+++ b/benchmarks/caches.py
@@ -229,7 +229,7 @@
         self.coordinator.add(endpoints={"version": 2, "full": False, "servers": [row]})
 
     def purge(self, groups: list[int]) -> None:
-        """Publishes invalidations of groups at once; caches drop their names INVALIDATION_LIFETIME_S later."""
+        """Publishes invalidations of groups at once. Caches drop the names INVALIDATION_LIFETIME_S later."""
         now_ms = unix_ms()
         with self._scheduler.condition:
             self._invalidated_ms |= dict.fromkeys(groups, now_ms)
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -150,7 +150,7 @@
 
 
 def proxy_config(number: int, proxies: int, upstream: dict[str, Any]) -> dict[str, Any]:
-    """Returns the configuration of one proxy; `upstream` is the part that the caches' process provides."""
+    """Returns the configuration of one proxy, with the part `upstream` that the caches' process provides."""
     config: dict[str, Any] = json.loads(CONFIG.read_text())
     config |= {"name": f"n{number}", "seed": f"{number + FIRST_SEED:x}", **upstream}
     config["settings"] |= {"siblings": proxies}
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -107,7 +107,7 @@
     def added_p99_ms(self, scenario: str) -> list[float]:
         """Returns by how many ms a scenario's 99th percentile of latency exceeds the one without a store.
 
-        The list has one difference for each run of the scenario, which is compared with the run without a
+        The list has one difference for each run of the scenario: that run is compared with the run without a
         store that has the same index.
         """
         pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
@@ -116,8 +116,8 @@
     def service_ratio(self, scenario: str) -> float:
         """Returns a scenario's share of requests served in time, divided by the same share without a store.
 
-        There is one such ratio for each run of the scenario, which is compared with the run without a store
-        that has the same index. Returns the median of the ratios.
+        There is one such ratio for each run of the scenario: that run is compared with the run without a
+        store that has the same index. Returns the median of the ratios.
         """
         pairs = zip(self.by_scenario[NO_STORE], self.by_scenario[scenario], strict=True)
         return statistics.median(
--- a/tests/soak/options.py
+++ b/tests/soak/options.py
@@ -31,7 +31,7 @@
 # until the exit.
 LASTING_SHORTAGE_SHARE = 0.25
 UNRESPONSIVE_STORES = (0, 0, 4)
-MIN_STORE_MEMORY_MB = 96  # lowest memory limit with shared stores; their client libraries need memory
+MIN_STORE_MEMORY_MB = 96  # lowest memory limit with shared stores, because their client libraries need memory
 SHUTDOWN_SIGNALS = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
 
 
@@ -84,7 +84,7 @@
     slow_readers: int = 0
     persistent_clients: int = 0  # clients that send a request even after `Connection: close`
     has_stalled_log: bool = False  # whether the test stops reading the log shortly before SIGTERM
-    has_lasting_shortage: bool = False  # whether all peeks at sockets fail from some time on
+    has_lasting_shortage: bool = False  # whether all peeks at sockets fail from a time until the exit
     unresponsive_stores: int = 0
     has_signal_series: bool = False  # whether SIGTERM, SIGHUP and SIGINT are sent until the process ends
 
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -16,7 +16,8 @@
 DISCONNECT_SLACK_S = 0.1  # attempts may reach endpoints this long after the client disconnected
 SOCKET_SLACK_S = 0.05  # added to the two grace times below, because sockets delay what they carry
 DRAIN_GRACE_S = 0.5  # attempts may reach an endpoint this long after the proxy must know that it drains
-INVALIDATION_GRACE_S = 0.3  # a response may be served this long after the proxy must know its invalidation
+# An invalidated response may be served this long after the proxy must know of the invalidation.
+INVALIDATION_GRACE_S = 0.3
 DISCOVERY_RECOVERY_S = 2.0  # the proxy must know all updates this long after an outage of discovery
 # Clients open connections for this long after SIGTERM. They send requests on open connections until the
 # proxy exits or is killed.
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -273,7 +273,7 @@
 
 
 def run_seed(seed: int) -> SoakResult:
-    """Runs one seed."""
+    """Makes the soak run of one seed and returns the result."""
     with tempfile.TemporaryDirectory() as folder:
         soak = SoakRun(seed, Path(folder))
         found = soak.run()
--- a/tests/soak/test_connection_cap.py
+++ b/tests/soak/test_connection_cap.py
@@ -20,7 +20,8 @@
 LOAD_S = 4.0
 THINK_TIME_S = 0.02
 MAX_FIRST_WAIT_S = 1.0
-# Lowest allowed throughput of twice as many clients as the cap, as a share of the throughput at the cap.
+# Lowest allowed throughput of twice as many clients as the cap, as a share of the throughput of as many
+# clients as the cap.
 MIN_THROUGHPUT_SHARE = 0.8
 
 
