--- a/olivepost/proxy/action_executor.py
+++ b/olivepost/proxy/action_executor.py
@@ -75,7 +75,7 @@
             case api.ServeCachedResponse():
                 self._serve_cached(action)
             case api.StoreResponse():
-                pass  # `ExchangeLifecycle` executes StoreResponse, because it has the response
+                pass  # `ExchangeLifecycle` executes this action, because that class has the response
             case api.Subscribe():
                 self._subscribe()
             case _ if self._shared_store is not None:
--- a/olivepost/proxy/clock.py
+++ b/olivepost/proxy/clock.py
@@ -12,26 +12,30 @@
 
 
 class Clock:
-    """Unix time that is read at the start and then advanced by the monotonic clock. Any thread may use it.
+    """A clock that reads Unix time at its creation and then advances that time by the monotonic clock.
+
+    Any thread may use the clock.
 
     All parts of a proxy share one clock, so that the times of the endpoint list, of invalidations and of the
     router can be compared. While the proxy runs, this clock ignores steps of the system clock. If the system
-    clock was wrong at the start, durations are still correct. `from_unix` converts Unix times that other
-    machines have sent, and corrects them by the error of this clock that `observe` has recorded.
+    clock was wrong at the start, durations are still correct. The error of this clock is the longest duration
+    by which another machine's clock was observed to be ahead of this clock. `observe` records that error, and
+    `from_unix` subtracts the error from the Unix times that other machines have sent.
     """
 
     def __init__(self) -> None:
         # The longest duration by which another machine's clock was observed to be ahead of this clock so far.
         self._known_error: Duration = 0
-        # The system clock is read before the monotonic clock. A pause between these two reads makes the
-        # difference too small, and invalidations and cached responses would then seem younger than they are.
-        # The largest of several differences is used, because its pause was the shortest.
+        # The system clock is read before the monotonic clock. A pause of this thread between the two reads
+        # makes the difference between the two clocks too small, and invalidations and cached responses would
+        # then seem younger than they are. The shortest pause leads to the largest difference, so the largest
+        # of several differences is used.
         self._offset = max(time.time_ns() - time.monotonic_ns() for _ in range(OFFSET_READINGS))
 
     def observe(self, unix_ns: int) -> None:
         """Records how far this clock is behind `unix_ns`, a past Unix time that another machine has sent.
 
-        Only the longest duration that was ever found is kept.
+        Only the longest such duration is kept.
         """
         error = unix_ns - self.now()
         if error > self._known_error:
--- a/olivepost/proxy/delay_histogram.py
+++ b/olivepost/proxy/delay_histogram.py
@@ -31,7 +31,8 @@
     def record(self, duration: Duration) -> None:
         """Adds one duration.
 
-        A negative duration is recorded as 0. It can result from two times of clocks that differ.
+        A negative duration is recorded as 0. A duration can be negative if its start and its end were read
+        from two different clocks.
         """
         duration = max(0, duration)
         self.count += 1
--- a/olivepost/proxy/discovery/watch_state.py
+++ b/olivepost/proxy/discovery/watch_state.py
@@ -118,7 +118,7 @@
         return first.index != self.last_index + 1 and not first.is_full_update
 
     def _begin_resync(self, response_index: int) -> None:
-        """Makes the next poll request all events from the first one."""
+        """Makes the next poll request all events from the first one; logs the gap with `response_index`."""
         self._log.event("event_gap", last_index=self.last_index, response_index=response_index)
         self._is_resyncing = True
         if self.lagging_responses:
--- a/olivepost/proxy/downstream/connection.py
+++ b/olivepost/proxy/downstream/connection.py
@@ -26,8 +26,8 @@
 
     `lifecycle` is the part that other threads use: the connection's state, the lock of that state, and the
     operations that close the connection. `RequestReader` reads requests on the reader thread, and
-    `ResponseDelivery` writes responses on writer threads. `queue_delay` is an estimate of the time for which
-    the connection has waited for its slot.
+    `ResponseDelivery` writes responses on writer threads. `queue_delay` is an estimate of the time that the
+    client has waited before the connection got its slot, the permit to be open.
     """
 
     def __init__(
--- a/olivepost/proxy/downstream/connection_admission.py
+++ b/olivepost/proxy/downstream/connection_admission.py
@@ -108,10 +108,11 @@
     def _wait_for_slot(self, waiting_count: int) -> bool:
         """Waits for a slot at the connection cap; returns False if none becomes free or `stopped` is set.
 
-        Evicts an idle connection. If all connections are in use, each response ends its connection during the
-        wait, so that clients take turns. During a flood (at least a quarter of the cap is taken by
-        connections without any request), responses don't end their connections, because the connections of
-        the flood are evicted soon.
+        `waiting_count` is the number of clients that wait to be accepted behind this one. Evicts an idle
+        connection. If all connections are in use, each response ends its connection during the wait, so that
+        clients take turns. During a flood (at least a quarter of the cap is taken by connections without any
+        request), responses don't end their connections, because the connections of the flood are evicted
+        soon.
         """
         context = self._context
         context.log.increment("connection_cap_reached")
--- a/olivepost/proxy/downstream/deadline_watch.py
+++ b/olivepost/proxy/downstream/deadline_watch.py
@@ -9,7 +9,8 @@
 from olivepost.proxy.downstream.context import DownstreamContext
 from olivepost.proxy.threads import START_TIMEOUT_S, start_thread
 
-DEADLINE_CHECK_INTERVAL_S = 0.1  # time between two checks; a connection may outlive its deadline by as much
+# Time between two checks of all deadlines. A connection may stay open for this time after its deadline.
+DEADLINE_CHECK_INTERVAL_S = 0.1
 
 
 class DeadlineWatch:
--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -63,7 +63,8 @@
         self._deadline_watch.start()
         return bound
 
-    # `MemoryShedder` calls the next two methods on the main thread, as the memory pressure level requires.
+    # `MemoryShedder` calls the next two methods on the main thread. The memory pressure level determines the
+    # limit on connections, and whether idle connections are evicted.
 
     def limit_connections(self, limit: int) -> None:
         """Sets the number of open connections at which no further connection is admitted."""
--- a/olivepost/proxy/downstream/routes.py
+++ b/olivepost/proxy/downstream/routes.py
@@ -37,6 +37,7 @@
 ) -> Exchange:
     """Builds the exchange of a request that was read completely at `received_at`.
 
+    The exchange keeps `deliver` and `is_client_disconnected`, its callbacks to the client's connection.
     Raises HttpError 405 for a method that is not allowed, 404 for an unknown target or class, and 400 for
     a field that is missing or malformed.
     """
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -20,7 +20,7 @@
 # Maximum number of lines per second for each name of a sampled event; further events are only counted.
 MAX_SAMPLES_PER_S = 10
 DEFAULT_MAX_BYTES = 1_048_576  # limit of the total size of the lines that wait to be written
-LINE_OVERHEAD_BYTES = 64  # memory in bytes that the queue needs for each line in addition to its text
+LINE_OVERHEAD_BYTES = 64  # memory in bytes that a queued line needs in addition to the line's text
 # Number of times that the write of a line to a full non-blocking pipe is tried again, and the pause in
 # seconds before each of these attempts.
 FULL_PIPE_ATTEMPTS = 100
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class SampleWindow:
-    """Number of sampled events that had one name and occurred within one second, logged or not."""
+    """Counter of the sampled events that had one name and occurred within one second, logged or not."""
 
     second: int  # Unix time on the proxy's clock, in whole seconds
     lines: int = 0
--- a/olivepost/proxy/exchange_lifecycle.py
+++ b/olivepost/proxy/exchange_lifecycle.py
@@ -24,10 +24,10 @@
 
 
 class ExchangeLifecycle:
-    """Handler of the events of requests and of their attempts. `PendingExchanges` records both.
+    """Handler of the events of requests and of attempts. `PendingExchanges` records requests and attempts.
 
-    Only the event loop's thread uses it. The handler also owns two times that affect how an arriving request
-    is handled: `discovery_received_at` and `shutdown_at`.
+    Only the event loop's thread uses the handler, which also owns two times that affect how an arriving
+    request is handled: `discovery_received_at` and `shutdown_at`.
     """
 
     def __init__(
@@ -77,8 +77,8 @@
     def _cache_entry(self, now: Instant, exchange: Exchange) -> CacheEntry | None:
         """Returns the response cache's entry for a request.
 
-        Returns None if the proxy uses no response cache, if the cache has no entry for the request, or if the
-        last response of service discovery is too old.
+        Returns None if the proxy uses no response cache, if the cache has no entry for the request, or if
+        service discovery has not responded within `DISCOVERY_VALID_FOR`.
         """
         if self._transfer_bytes_per_s is None or not self._is_discovery_current(now):
             return None
@@ -205,8 +205,9 @@
     ) -> list[api.Action]:
         """Closes the request if the attempt has a response; returns the router's actions on the outcome.
 
-        Until this method returns, it is one of the holders of the response's body. Otherwise the client's
-        connection could release the body before the router has decided whether to store the response.
+        Until this method returns, the method is one holder of the response's body, and the client's
+        connection is another. Otherwise that connection could release the body before the router has decided
+        whether to store the response.
         """
         response = event.response
         outcome = _outcome(event)
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -8,14 +8,15 @@
 from olivepost.config.memory_budget import INVALIDATION_BYTES, NAME_BYTES
 from olivepost.proxy.parts import ProxyParts
 
-PENDING_REQUEST_BYTES = 3_072  # estimate for one request with its exchange, its attempts and their records
-TIMER_BYTES = 220  # estimate for one timer
-ENDPOINT_BYTES = 1_536  # estimate for one endpoint in the router and in the connection pool
+# Estimated memory in bytes of one request, with its exchange, its attempts and the records of both.
+PENDING_REQUEST_BYTES = 3_072
+TIMER_BYTES = 220  # estimated memory in bytes of one timer
+ENDPOINT_BYTES = 1_536  # estimated bytes of one endpoint in the router and in the connection pool
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerAccount:
-    """Number of bytes that one owner of memory, such as the log, uses and may use.
+    """Account of one owner of memory, such as the log: the bytes that the owner uses and may use.
 
     The used bytes are estimated from the number of the owner's entries, unless the owner counts its bytes
     itself.
--- a/olivepost/proxy/memory_monitor.py
+++ b/olivepost/proxy/memory_monitor.py
@@ -18,7 +18,7 @@
 STATM_READ_BYTES = 128  # bytes to read; the file's only line is shorter
 RESIDENT_FIELD = 1  # index of the resident set size, which includes mapped files, in that line
 CHECK_INTERVAL: Duration = 100 * MILLISECOND
-PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # time between checks at each level except `NONE`
+PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # time between checks under memory pressure
 BYTES_PER_KB = 1_024
 
 
@@ -42,7 +42,9 @@
 
 
 class MemoryMonitor:
-    """Monitor that derives the level of memory pressure from the memory in use.
+    """Monitor that derives the memory pressure level from the memory in use.
+
+    A higher level requires that more memory is freed. The level is `NONE` if there is no memory pressure.
 
     The main thread calls `check`, which calls the callback `on_level` on the same thread. Any thread may read
     `level` and `used_bytes`, which only `check` writes.
@@ -64,13 +66,13 @@
 
     @property
     def interval(self) -> Duration:
-        """Time between one check and the next at the current level."""
+        """Time between one check and the next at the current memory pressure level."""
         if self.level is api.MemoryPressureLevel.NONE:
             return CHECK_INTERVAL
         return PRESSURE_CHECK_INTERVAL
 
     def check(self) -> None:
-        """Reads the memory in use and updates the level.
+        """Reads the memory in use and updates the memory pressure level.
 
         Logs each change of the level. Calls the callback `on_level` at each change, and at each check at
         which the level is not `NONE`.
--- a/olivepost/proxy/memory_shedding.py
+++ b/olivepost/proxy/memory_shedding.py
@@ -15,11 +15,12 @@
 
 
 class MemoryShedder:
-    """Component that frees as much memory as the level of memory pressure requires.
+    """Component that frees as much memory as the memory pressure level requires.
 
-    `routing.memory_pressure` decides the level. Only the main thread calls this component, through the memory
-    monitor. The event loop's thread owns the response cache, the upstream connections and the router's names.
-    It frees their memory itself when it handles the `MemoryPressureReport` that `shed` posts.
+    `routing.memory_pressure` decides the level: a higher one requires that more memory is freed. Only the
+    main thread calls this component, through the memory monitor. The event loop's thread owns the response
+    cache, the upstream connections and the router's name table. That thread frees the memory of these three
+    itself when it handles the `MemoryPressureReport` that `shed` posts.
     """
 
     def __init__(
@@ -35,7 +36,7 @@
         self._buffer_pools = buffer_pools
 
     def shed(self, level: api.MemoryPressureLevel) -> None:
-        """Frees as much memory as the level requires.
+        """Frees as much memory as the memory pressure level requires.
 
         The memory monitor calls this method at each check under memory pressure, and once with the level
         `NONE` when the pressure ends.
--- a/olivepost/proxy/messages.py
+++ b/olivepost/proxy/messages.py
@@ -32,9 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryPressureReport:
-    """Event: a check found memory pressure at `level`, or found that the pressure has ended.
+    """Event: a check of the memory found memory pressure at `level`, or found that the pressure has ended.
 
-    It is posted at each check under memory pressure, and once with the level `NONE` when the pressure ends.
+    The event is posted at each check under memory pressure, and once with the level `NONE` when the pressure
+    ends.
     """
 
     level: api.MemoryPressureLevel
--- a/olivepost/proxy/parts.py
+++ b/olivepost/proxy/parts.py
@@ -27,8 +27,9 @@
     Any thread may read the fields. Each part's class documents which threads may call its methods.
     """
 
-    # The configuration. Its field `known_events` is None, because `ProxyServer` holds these events until it
-    # has started, and then drops them.
+    # The configuration. Its field `known_events`, the endpoint list and other events of service discovery
+    # that the configuration contains, is None here. `ProxyServer` holds these events instead, and drops them
+    # when it has applied them at its start, so that their memory is freed.
     config: ProxyConfig
     clock: Clock
     log: EventLog
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -82,7 +82,10 @@
         return pending
 
     def add(self, exchange: Exchange, cache_entry: CacheEntry | None) -> None:
-        """Adds a request that has arrived."""
+        """Adds a request that has arrived.
+
+        `cache_entry` is the request's entry in the response cache, or None if there is none.
+        """
         self.by_id[exchange.id] = PendingExchange(exchange, cache_entry)
 
     def close(self, pending: PendingExchange, response: Response | None) -> None:
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -33,7 +33,7 @@
 
 
 def cache_key(exchange: Exchange) -> CacheKey:
-    """Returns the key of the response that an exchange requests."""
+    """Returns the key under which the cache stores the response to an exchange's request."""
     return CacheKey(exchange.class_name, exchange.object, exchange.part)
 
 
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -28,8 +28,9 @@
 STDOUT = 1
 EXIT_OK = 0
 EXIT_CANNOT_START = 1
-# The garbage collector searches for reference cycles when this number of objects have been allocated and not
-# freed. The number is high, because requests create hardly any cycles.
+# The garbage collector searches for reference cycles when, since its last search, the number of allocated
+# objects exceeds the number of freed objects by this number. The number is high, because requests create
+# hardly any cycles.
 GC_THRESHOLD = 20_000
 # Number of garbage collections of one generation of objects before the next older generation is collected.
 GC_GENERATION_THRESHOLD = 20
@@ -58,15 +59,16 @@
         wait_for_signal: WaitForSignal = wait_without_signals,
     ) -> None:
         self.parts = build_parts(config, operator, log_descriptor)
-        self._known_events = config.known_events  # `start` uses and then drops these events
+        # Events of service discovery in the configuration, or None. `start` applies and then drops them.
+        self._known_events = config.known_events
         self._operator = operator
         self._source = source or ConfigurationSource(lambda: config, lambda: operator)
         self._wait_for_signal = wait_for_signal
         # Whether the last reload has to be repeated, because no thread could be started for discovery.
         self._is_reload_due = False
-        # Time from which reloads are ignored; None if no shutdown has begun. Late in a shutdown, the proxy no
-        # longer depends on a coordinator, and the read of a file could last until the platform kills the
-        # process.
+        # Time from which reloads are ignored; None if no shutdown has begun. Reloads are ignored late in a
+        # shutdown for two reasons: the proxy no longer depends on a coordinator then, and the read of the
+        # configuration file could last until the platform kills the process.
         self._reloads_until: Instant | None = None
         self._activity = ThreadActivity("main")
         stall_watch = StallWatch(
@@ -75,7 +77,7 @@
         self.parts.downstream.on_deadline_check = stall_watch.check
 
     def start(self) -> Address:
-        """Starts the parts, applies the known endpoint list and then listens.
+        """Starts the parts, applies the endpoint list in the configuration and then listens.
 
         The list is applied first, so that no request is answered without it. Returns the address to which the
         listener is bound. Raises `OSError` if the address cannot be bound, and `RuntimeError` if the system
@@ -170,7 +172,7 @@
         self._run_guarded(lambda: log.event("metrics", **collect_metrics(self.parts)), "metrics_error")
 
     def _run_guarded(self, step: Callable[[], None], error_event: str) -> None:
-        """Calls `step` on the main thread; if the call raises an exception, logs the exception."""
+        """Calls the function `step`; if it raises an exception, logs that as the event `error_event`."""
         try:
             step()
         except Exception:  # if the main thread ended, all pending requests would stay unanswered
@@ -196,7 +198,9 @@
     except RuntimeError as error:
         print(f"olivepost: can't start: {error}", file=sys.stderr)
         return EXIT_CANNOT_START
-    del config  # frees the known events, because `ProxyServer.start` has dropped its reference to them
+    # This frees the memory of `config.known_events`, because `ProxyServer.start` has dropped its reference to
+    # these events, which are the endpoint list and other events of service discovery.
+    del config
     _tune_garbage_collection()
     proxy.run()
     return EXIT_OK
@@ -214,7 +218,7 @@
 
 
 def _tune_garbage_collection() -> None:
-    """Collects the garbage of the start, and reduces the work of later garbage collections.
+    """Frees the unreachable objects that the start has left, and reduces the work of later collections.
 
     Collections become rarer, and they no longer examine the objects that exist now.
     """
--- a/olivepost/proxy/shutdown.py
+++ b/olivepost/proxy/shutdown.py
@@ -1,8 +1,8 @@
 """Graceful shutdown: requests that arrive after SIGTERM are accepted and answered, then everything closes.
 
-After SIGTERM, the platform waits before it kills the process: for the longest deadline of a request class,
-three seconds at most, plus the time in which clients may still connect. Every pending request gets its final
-response before the kill, and the process exits before the kill.
+After SIGTERM, the platform waits before it kills the process. The wait is the longest deadline of a request
+class, limited to three seconds, plus the time in which clients may still connect. Every pending request gets
+its final response before the kill, and the process exits before the kill.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 # Time after SIGTERM during which clients still connect and send requests. A busy proxy has to read all of
 # these requests.
 ACCEPT_FOR: Duration = 700 * MILLISECOND
-# After SIGTERM, the platform waits for the longest deadline of a request class, but no longer than this.
+# The platform waits for the longest deadline of a request class before the kill, but no longer than this.
 MAX_DEADLINE: Duration = 3 * SECOND
 # Interval before the platform kills the process. When it begins, every final response has been given to the
 # connection of its client. The connection writes the response during the interval.
@@ -149,7 +149,8 @@
     def _stop_parts(self) -> None:
         """Stops the parts that are still running, and waits for them until `end_by` at the latest.
 
-        The shared store gets at most half of that time, so that the other half remains for the log.
+        The shared store gets at most half of the time that remains until `end_by`, so that the other half
+        remains for the log.
         """
         parts = self._parts
         end_by = self._schedule.end_by
--- a/olivepost/proxy/stall_watch.py
+++ b/olivepost/proxy/stall_watch.py
@@ -30,18 +30,18 @@
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.thread_id: int | None = None  # None until the thread begins its first step
-        # Start of the current step; None while the thread waits for its next step.
+        self.thread_id: int | None = None  # None before the first call of `begin_step`
+        # Start of the thread's current step; None while the thread waits for its next one.
         self.busy_since: Instant | None = None
 
     def begin_step(self, now: Instant) -> None:
-        """Records that the thread begins a step."""
+        """Records that the thread has ended a wait and begins a step, its work until the next wait."""
         if self.thread_id is None:
             self.thread_id = threading.get_ident()
         self.busy_since = now
 
     def end_step(self) -> None:
-        """Records that the thread waits for its next step."""
+        """Records that the thread has ended its step, the work since its last wait, and waits again."""
         self.busy_since = None
 
 
@@ -55,10 +55,14 @@
         self._clock = clock
         self._log = log
         self._activities = activities
-        self._reported_steps: dict[str, Instant] = {}  # start of the last logged step, by thread name
+        # Start of the last step that was logged as stalled, by the name of the step's thread.
+        self._reported_steps: dict[str, Instant] = {}
 
     def check(self) -> None:
-        """Logs `thread_stalled` for each thread whose current step has lasted `STALLED_AFTER` or longer."""
+        """Logs `thread_stalled` for each thread whose current step has lasted `STALLED_AFTER` or longer.
+
+        A step is the thread's work between two waits. The event is logged only once for each step.
+        """
         now = self._clock.now()
         for activity in self._activities:
             busy_since = activity.busy_since  # read once, because the thread may end its step meanwhile
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -53,7 +53,11 @@
         return self._sequence
 
     def schedule(self, due_at: Instant, timer_id: int, *, is_attempt_timeout: bool = False) -> None:
-        """Sets a timer. A timer of the router and the timeout of an attempt may have the same id."""
+        """Sets a timer.
+
+        `is_attempt_timeout` is true if the timer is the timeout of an attempt, and false if the router set
+        the timer. A timer of the router and the timeout of an attempt may have the same id.
+        """
         self._sequence += 1
         heappush(self._heap, Timer(due_at, self._sequence, timer_id, is_attempt_timeout))
         if len(self._heap) > self._cleaning_length:
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -58,8 +58,10 @@
 ) -> Iterator[UpstreamEvent]:
     """Yields the outcomes of the requests that were pending on a connection when it ended.
 
-    If the connection was established, a request whose first byte was not written is forwarded again, but only
-    once. All other requests end. Only the first of their outcomes reports the loss of the connection; the
+    If the connection was established (`was_connected`), a request whose first byte was not written is
+    forwarded again, but only once. All other requests end. If the first byte of such a request was not
+    written, its outcome is NOT_SENT if `is_local_failure` is true, because the endpoint is then not at fault,
+    and CONNECT_FAILED otherwise. Only the first of the outcomes reports the loss of the connection; the
     others have `is_repeated_loss` set.
     """
     is_repeated_loss = False
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -92,9 +92,10 @@
         )
 
     def add(self, request: UpstreamRequest, connection: AbortableConnection) -> bool:
-        """Makes a request pending and hands it to the writer thread.
+        """Makes a request pending and hands it to the writer thread; returns whether that was done.
 
-        Returns False if the connection is closing.
+        Returns False if the connection is closing. `connection` is the connection on which the event loop
+        can abort the request.
         """
         with self._lock:
             if self.is_closing:
--- a/olivepost/proxy/upstream/endpoint_address.py
+++ b/olivepost/proxy/upstream/endpoint_address.py
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointAddress:
-    """Address of one process of an endpoint. After a restart, the endpoint is another process."""
+    """Address of one process of an endpoint. A restart of the endpoint replaces its process by another."""
 
     id: str
     socket_address: Address | None  # None if not given; only a removed endpoint may have none
--- a/olivepost/proxy/upstream/errors.py
+++ b/olivepost/proxy/upstream/errors.py
@@ -10,7 +10,7 @@
 
 
 class LineProtocolError(UpstreamError):
-    """Bytes that the published line protocol does not allow.
+    """Error: an endpoint has sent bytes that the published line protocol does not allow.
 
     `received` is the start of the rejected input. It is empty if the input was only too long.
     """
@@ -22,7 +22,10 @@
 
 
 class EndpointUnresponsiveError(UpstreamError):
-    """Failure of an endpoint to continue or end a response, or reply to a liveness check, within `limit`."""
+    """Error: an endpoint has not done within `limit` what the proxy waited for.
+
+    The proxy waited for the next bytes or the end of a response, or for the reply to a liveness check.
+    """
 
     def __init__(self, problem: str, limit: Duration) -> None:
         super().__init__(f"{problem} within {limit // MILLISECOND} ms")
@@ -31,7 +34,7 @@
 
 
 class ReadBufferUnavailableError(UpstreamError):
-    """Shortage of read buffers: none became free for a new connection within `timeout_s`."""
+    """Error: no read buffer became free for a new connection within `timeout_s`."""
 
     def __init__(self, timeout_s: float) -> None:
         super().__init__(f"no read buffer became free within {timeout_s} s")
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -46,7 +46,10 @@
         self.check_sent_at = None
 
     def record_progress(self, *, is_between_responses: bool) -> None:
-        """Records, after received bytes were parsed, whether a response is in progress."""
+        """Records, after received bytes were parsed, whether a response is in progress.
+
+        `is_between_responses` is true if no response is in progress.
+        """
         if is_between_responses:
             self.response_started_at = None
         elif self.response_started_at is None:
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -49,7 +49,9 @@
     is_started: bool = False  # whether the request's first byte has been, or may have been, written
     is_rerouted: bool = False  # whether an earlier connection was lost before the first byte was written
     connection: AbortableConnection | None = None
-    body: PooledBody | None = None  # body of the response
+    # Body of the response. None before buffers are reserved for it, if the response has no body, and after
+    # `discard_body`.
+    body: PooledBody | None = None
     is_missing_buffers: bool = False  # whether no buffers became free for the response's body
     timer_id: int = 0  # id of the event loop's timer for the attempt's timeout
 
@@ -76,7 +78,10 @@
 
 @dataclass(slots=True)
 class UpstreamAborted:
-    """Event: the abort of an upstream request has been written, or the request's connection has ended."""
+    """Event: the abort of an upstream request is complete.
+
+    Either the abort command has been written to the endpoint, or the request's connection has ended.
+    """
 
     request: UpstreamRequest
 
