--- a/olivepost/proxy/discovery/client.py
+++ b/olivepost/proxy/discovery/client.py
@@ -1,6 +1,7 @@
 """Entry point of service discovery.
 
-The client owns the watch state, which knows the applied events, and the only long poll that may change it.
+The client owns the watch state, which knows the applied events, and the only long poll whose responses may
+change that state.
 """
 
 from __future__ import annotations
--- a/olivepost/proxy/discovery/watch_state.py
+++ b/olivepost/proxy/discovery/watch_state.py
@@ -67,9 +67,10 @@
     def _apply(self, data: object) -> list[DiscoveryEvent]:
         """Applies a response and returns its new events, in order; advances to the response's index.
 
-        If earlier events are missing, or the coordinator has restarted its numbering, begins a resync instead
-        (the next poll requests all events) and returns no events, unless the response already belongs to a
-        resync. Raises ConfigError if the response has no valid indices; none of its events is applied then.
+        If earlier events are missing, or the coordinator has restarted its numbering, returns no events and
+        begins a resync: the next poll requests all events. A response that already belongs to a resync is
+        applied in any case. Raises ConfigError if the response has no valid indices; none of its events is
+        applied then.
         """
         response = FieldReader("discovery response", data)
         response_index = response.integer("index", INDEX_BEFORE_ALL_EVENTS)
--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -29,7 +29,8 @@
         self._evictor = ConnectionEvictor(context, self.connections)
         self.admission = ConnectionAdmission(context, self.connections, self._evictor, self._stopped)
         self._listener = Listener(context.log, context.limits.backlog, self.admission.admit)
-        self.on_deadline_check: Callable[[], object] = lambda: None  # the owner may set it before `listen`
+        # Function that the deadline thread calls at each check. The owner may set this field before `listen`.
+        self.on_deadline_check: Callable[[], object] = lambda: None
         self._deadline_watch = DeadlineWatch(
             context, self.connections, self._stopped, lambda: self.on_deadline_check()
         )
--- a/olivepost/proxy/downstream/response_delivery.py
+++ b/olivepost/proxy/downstream/response_delivery.py
@@ -16,8 +16,9 @@
     """Delivery of one connection's responses; `ResponseWriters` calls it on a writer or slow-writer thread.
 
     A slow-writer thread writes the rest of a response that a socket did not take at once. A response is
-    released after it is written, after the write fails, or if its exchange was abandoned before. The lock of
-    the connection's lifecycle also guards `_closes_after_response`.
+    released after it is written or after the write fails. If the connection is closed or the response's
+    exchange is no longer in flight, the response is released without a further write. The lock of the
+    connection's lifecycle also guards `_closes_after_response`.
     """
 
     def __init__(self, context: DownstreamContext, lifecycle: ConnectionLifecycle) -> None:
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -110,7 +110,11 @@
         self._attempts_by_timer.pop(attempt.timer_id, None)
 
     def withdraw_deferred(self, matches: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
-        """Withdraws and returns the deferred attempts that `matches` selects; they have no connection yet."""
+        """Withdraws and returns the deferred attempts that `matches` selects.
+
+        A deferred attempt has no connection yet. It waits until the aborts of its request's earlier attempts
+        are written.
+        """
         withdrawn = []
         for pending in self.by_id.values():
             attempt = pending.deferred_attempt
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -8,8 +8,8 @@
 
 from olivepost.units import Instant
 
-# Stale timers no longer have an effect. All of them are removed when the number of timers exceeds this number
-# plus twice the number of timers that remained after the last removal.
+# Stale timers no longer have an effect. All stale timers are removed when the number of timers exceeds this
+# number plus twice the number of timers that remained after the last removal.
 MAX_STALE_TIMERS = 1_024
 
 
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -33,7 +33,7 @@
         self._connections: list[UpstreamConnection] = []
 
     def update(self, addresses: list[EndpointAddress], is_full: bool) -> None:
-        """Applies a full or incremental endpoint list.
+        """Applies an endpoint list, which is full if `is_full` is true and incremental otherwise.
 
         A connection belongs to one process of one endpoint. The connection is not used for another process or
         endpoint with the same socket address.
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -25,7 +25,10 @@
     """Interface of the connection that a request was given to, as the event loop uses it."""
 
     def abort(self, request: UpstreamRequest, is_awaited: bool = False, /) -> bool:
-        """Gives the request up; returns whether an awaited `UpstreamAborted` event will follow."""
+        """Gives the request up; returns whether an `UpstreamAborted` event will follow.
+
+        Returns False if `is_awaited` is false, because the event loop does not wait for that event then.
+        """
 
 
 @dataclass(slots=True, eq=False)
