--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -29,7 +29,8 @@
         self._evictor = ConnectionEvictor(context, self.connections)
         self.admission = ConnectionAdmission(context, self.connections, self._evictor, self._stopped)
         self._listener = Listener(context.log, context.limits.backlog, self.admission.admit)
-        self.on_deadline_check: Callable[[], object] = lambda: None  # the owner may set it before `listen`
+        # Function that the deadline thread calls at each check. The owner may set this field before `listen`.
+        self.on_deadline_check: Callable[[], object] = lambda: None
         self._deadline_watch = DeadlineWatch(
             context, self.connections, self._stopped, lambda: self.on_deadline_check()
         )
@@ -63,7 +64,8 @@
         self._deadline_watch.start()
         return bound
 
-    # `MemoryShedder` calls the next two methods on the main thread, as the memory pressure level requires.
+    # `MemoryShedder` calls the next two methods on the main thread. The memory pressure level determines the
+    # limit on connections, and whether idle connections are evicted.
 
     def limit_connections(self, limit: int) -> None:
         """Sets the number of open connections at which no further connection is admitted."""
--- a/olivepost/proxy/pending_exchanges.py
+++ b/olivepost/proxy/pending_exchanges.py
@@ -82,7 +82,10 @@
         return pending
 
     def add(self, exchange: Exchange, cache_entry: CacheEntry | None) -> None:
-        """Adds a request that has arrived."""
+        """Adds a request that has arrived.
+
+        `cache_entry` is the request's entry in the response cache, or None if there is none.
+        """
         self.by_id[exchange.id] = PendingExchange(exchange, cache_entry)
 
     def close(self, pending: PendingExchange, response: Response | None) -> None:
@@ -107,7 +110,11 @@
         self._attempts_by_timer.pop(attempt.timer_id, None)
 
     def withdraw_deferred(self, matches: Callable[[UpstreamRequest], bool]) -> list[UpstreamRequest]:
-        """Withdraws and returns the deferred attempts that `matches` selects; they have no connection yet."""
+        """Withdraws and returns the deferred attempts that `matches` selects.
+
+        A deferred attempt has no connection yet. It waits until the aborts of its request's earlier attempts
+        are written.
+        """
         withdrawn = []
         for pending in self.by_id.values():
             attempt = pending.deferred_attempt
