--- a/olivepost/action_emitter.py
+++ b/olivepost/action_emitter.py
@@ -34,7 +34,7 @@
         self.emit: Callable[[api.Action], None] = self._actions.append
 
     def start_event(self) -> None:
-        """Drops actions that are left over from an earlier event whose handling failed."""
+        """Drops the actions that are left over from an earlier event if its handling failed."""
         self._actions.clear()
 
     def take(self) -> list[api.Action]:
--- a/olivepost/attempt_lifecycle.py
+++ b/olivepost/attempt_lifecycle.py
@@ -2,9 +2,9 @@
 
 An attempt is silent if it has had no response for its silence timeout.
 
-It calls the decision functions of olivepost/routing and emits the actions for attempts. router.py lists which
-decision leads to which action. The life cycle makes no decision itself and has none of the decisions' tuning
-parameters. It reads no clock and does no I/O.
+The life cycle calls the decision functions of olivepost/routing and emits the actions for attempts. router.py
+lists which decision leads to which action. The life cycle makes no decision itself and has none of the
+decisions' tuning parameters. It reads no clock and does no I/O.
 """
 
 from __future__ import annotations
@@ -22,7 +22,8 @@
 class AttemptLifecycle:
     """The attempts that one router has in flight. Not thread-safe: only the router's owner calls it.
 
-    `retry` is called for a request whose attempt was abandoned.
+    This class abandons a silent attempt if the attempt's cache is ejected and the request may be retried. It
+    then calls `retry` for the request.
     """
 
     def __init__(
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -68,11 +68,11 @@
 
 
 class CommandError(Exception):
-    """A command that can't be run as given; the message says what is missing or allowed."""
+    """Error: the command can't be run as given; the message says what is missing or allowed."""
 
 
 class MissingPackageError(CommandError):
-    """A missing package that a proxy needs only if it has an operator's file."""
+    """Error: a package that is needed only for an operator's file is not installed."""
 
     def __init__(self, package: str | None) -> None:
         super().__init__(f"an operator's file needs the package '{package}': pip install .[all]")
@@ -80,7 +80,7 @@
 
 
 class MissingSectionError(CommandError):
-    """A missing section `sharing`: the operator's file lacks the section, or no such file is named."""
+    """Error: the section `sharing` is missing; the operator's file lacks it, or no such file is named."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -89,7 +89,7 @@
 
 
 class UnknownStoreError(CommandError):
-    """A store that `--store` names and that the operator's file doesn't have."""
+    """Error: `--store` names a store that the operator's file doesn't have."""
 
     def __init__(self, name: str, known: list[str]) -> None:
         super().__init__(f"no store '{name}'; known stores: {', '.join(known)}")
--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -23,7 +23,7 @@
 
 
 class ConfigError(Exception):
-    """Fault that makes a configuration unusable.
+    """Error: a fault makes a configuration unusable.
 
     `where` names the object that holds the fault; it is None if the fault is not in an object. `key` names
     the faulty field; it is None if the fault is not in one field. `reason` says what is wrong and what is
@@ -106,10 +106,8 @@
     def element(self, key: str, index: int | None) -> FieldReader:
         """Returns a reader of one element of a field that is a list.
 
-        The element is read as an object that has only this element, in a field with the list's name.
-
-        The object is empty if `index` is None or outside the list, so that the default applies when the
-        element is read.
+        The reader's object has only this element, in a field with the list's name. The object is empty if
+        `index` is None or outside the list, so that the default applies when the element is read.
         """
         values = self.items(key)
         where = f"{self.where}.{key}[{index}]"
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -101,7 +101,8 @@
     # Messages
     # Maximum total bytes of all request bodies that are not small; 0 if no class of requests allows writes.
     large_body_bytes: int
-    # `MAX_OBJECT_BYTES` if some class of requests allows writes, else `SMALL_BODY_BYTES`.
+    # Maximum size of one request body: `MAX_OBJECT_BYTES` if some class of requests allows writes, else
+    # `SMALL_BODY_BYTES`.
     max_request_body_bytes: int
     max_head_bytes: int = 8_192  # maximum size in bytes of the request line and the headers together
     # Size of a request body that any connection may hold without reserving memory.
--- a/olivepost/config/loader.py
+++ b/olivepost/config/loader.py
@@ -26,7 +26,7 @@
 # Largest margin that is computed for the time between the router's final response and a request's deadline.
 # With this margin, a proxy whose CPU core is fully loaded can still deliver the response in time.
 MAX_DEADLINE_MARGIN: Duration = 100 * MILLISECOND
-DEADLINES_PER_MARGIN = 8  # the computed margin is at most the shortest deadline divided by this
+DEADLINES_PER_MARGIN = 8  # the computed deadline margin is at most the shortest deadline divided by this
 
 MAX_BYTES_PER_S = 1e15
 # Pattern of class names. Such names can be written in a request's target and in a field of the line protocol
@@ -52,7 +52,8 @@
     listen: Address
     seed: int
     coordinator: Address
-    known_events: object | None  # the coordinator's events before the start, decoded but not validated
+    # The coordinator's events before the start, decoded but not validated, or None if there are none.
+    known_events: object | None
     settings: api.Settings
     limits: ResourceLimits
     # Rate of one transfer on the proxy's own link in bytes per second, or None if it is unknown.
--- a/olivepost/interface/__init__.py
+++ b/olivepost/interface/__init__.py
@@ -1,7 +1,7 @@
 """The router's interface: its settings, events and actions. The package holds types only and decides nothing.
 
 Times are whole nanoseconds of one monotonic clock. The events and actions of requests are not frozen, because
-several are created for each request.
+several are created for each request and a frozen dataclass takes longer to create.
 """
 
 from olivepost.interface.actions import (
--- a/olivepost/interface/actions.py
+++ b/olivepost/interface/actions.py
@@ -79,7 +79,10 @@
 
 @dataclass(slots=True)
 class StoreResponse:
-    """Instruction to put the response that the event reports into the proxy's own cache, if there is room."""
+    """Instruction to put the response of an attempt into the proxy's own cache, if there is room.
+
+    It is the response that the handled event, an `AttemptOutcome`, reports.
+    """
 
     request_id: str
 
@@ -143,10 +146,10 @@
 
 @dataclass(slots=True)
 class DonateQuota:
-    """Donation of quota in answer to a `QuotaRequested`. This proxy gives it up until `expires_at`.
+    """Donation of quota in answer to a `QuotaRequested`.
 
-    The proxy gives the amount up immediately. The amount is 0 if the proxy can spare none. A `QuotaReceived`
-    with the same amount and expiry time gives the amount back to this proxy.
+    This proxy gives the amount up immediately, until `expires_at`. The amount is 0 if the proxy can spare
+    none. A `QuotaReceived` with the same amount and expiry time gives the amount back to this proxy.
     """
 
     transfer_id: int
--- a/olivepost/interface/events.py
+++ b/olivepost/interface/events.py
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True)
 class ResponseStarted:
-    """Start of a streamed response. After it, the request is neither retried nor given up."""
+    """Start of a streamed response. After this event, the request is neither retried nor given up."""
 
     request_id: str
     attempt: int
@@ -219,7 +219,10 @@
 
 @dataclass(slots=True)
 class OutlierReported:
-    """Report that several other proxies have ejected an endpoint. The report alone does not eject it here."""
+    """Report that several other proxies have ejected an endpoint.
+
+    The report alone does not eject the endpoint in this proxy.
+    """
 
     endpoint_id: str
 
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -42,7 +42,7 @@
     priority_weight: float
     late_priority_weight: float
     freshness_lifetime: Duration | None  # None if responses of the class stay fresh for ever
-    stale_grace: Duration  # the time during which a stale response may still be used
+    stale_grace: Duration  # the time for which a stale response may still be used during a fault
     stale_priority_weight: float
     is_uncacheable: bool
 
--- a/olivepost/operator_config/loader.py
+++ b/olivepost/operator_config/loader.py
@@ -50,7 +50,7 @@
 
 
 class OperatorConfigError(ConfigError):
-    """An operator's file that can't be used; the message has one line for each distinct fault in `faults`."""
+    """Error: an operator's file can't be used; the message has one line per distinct fault in `faults`."""
 
     def __init__(self, *faults: FileFault) -> None:
         super().__init__("\n".join(dict.fromkeys(map(str, faults))))
@@ -134,7 +134,7 @@
 
 
 def _line(mark: Any) -> int:
-    """Returns the line of a mark, counted from 1.
+    """Returns the line of a mark, which is PyYAML's position in a file, counted from 1.
 
     The parameter is `Any` because the type in PyYAML's stubs is a union that includes None.
     """
@@ -193,7 +193,11 @@
 
 
 def _line_of(root: yaml.Node | None, key_path: KeyPath) -> int:
-    """Returns the line of the innermost key of `key_path` that the file has, or else the first line."""
+    """Returns the line of a value in the document `root`, or of the nearest enclosing value that exists.
+
+    `key_path` has the keys that lead from the document to the value. If the document lacks even the first of
+    them, the result is the first line of the file.
+    """
     line = FIRST_LINE
     node = root
     for key in key_path:
@@ -206,7 +210,7 @@
 
 
 def _child(node: yaml.Node | None, key: str) -> ChildNode | None:
-    """Returns the value of a mapping's key or of a sequence's index; None if the node has no such value."""
+    """Returns the value at `key` of a mapping, or at that index of a sequence; None if there is none."""
     if isinstance(node, yaml.MappingNode):
         for name, value in node.value:
             if str(name.value) == key:
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -91,7 +91,7 @@
     ) -> None:
         """Forwards the next attempt, or gives up at once if none can be made or the cost is too high.
 
-        The request's cost is checked against the level of `overload`, or not checked if that is None.
+        The request's cost is checked against the overload level of `overload`, unless `overload` is None.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
@@ -140,7 +140,7 @@
         retry_cost: int,
         default: api.CacheHint,
     ) -> None:
-        """Makes the attempt wait for a hint; after the timeout, it goes on as if the hint were `default`."""
+        """Makes the attempt wait for a hint; after `timeout`, the attempt continues with `default`."""
         wait = HintWait(now, retry_cost)
         pending.hint_wait = wait
         resume = partial(self.resume, pending=pending, hint=default, wait=wait)
@@ -149,7 +149,7 @@
     def resume(
         self, now: Instant, pending: PendingRequest, hint: api.CacheHint, wait: HintWait | None
     ) -> None:
-        """Continues an attempt that waited for a hint; does nothing if that wait is already over.
+        """Continues the attempt that waits for a hint; does nothing if `wait` is None or already over.
 
         The attempt is forwarded, unless it first waits for the end of a fill that it can't join.
         """
--- a/olivepost/router.py
+++ b/olivepost/router.py
@@ -104,10 +104,11 @@
         self.state.quotas.record(now, QuotaTransfer(event.expires_at, event.key, event.amount))
 
     def _update_endpoints(self, now: Instant, event: api.EndpointUpdate) -> None:
-        """Applies an endpoint update, and may set a timer after which the router subscribes.
+        """Applies an endpoint update, and may set a timer after which the router subscribes to the list.
 
-        The timer is set after a restored list or a failed subscription, if `subscribes_to_endpoints` is set.
-        The update upholds the draining invariant: no later attempt goes to a draining or removed endpoint.
+        The timer is set after a restored list or a failed subscription, if the setting
+        `subscribes_to_endpoints` is on. The update upholds the draining invariant: no later attempt goes to a
+        draining or removed endpoint.
         """
         self.state.endpoints.update(now, event, self.settings)
         if not self.settings.subscribes_to_endpoints:
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -1,10 +1,11 @@
 """TTLs and ranks of names, computed by the algorithm f-TTL.
 
 The paper on it is "Adaptive TTL-Based Caching for Content Delivery"; docs/design.md says how it is applied.
-Each class of requests has two levels. The lifetime of a name is L·ϑ: the level ϑ adapts to the hit ratio. In
-the paper, a name that was seen once has the lifetime L·ϑ·Γ. Here, its response gets the middle rank with the
-probability Γ, and otherwise the low rank. The factor Γ rises with ϑ from the first-seen level ϑs, which
-adapts to the mean time for which names are cached, to 1.
+Each class of requests has two levels, numbers from 0 to 1: the lifetime level ϑ and the first-seen level ϑs.
+The lifetime of a name is L·ϑ, the longest lifetime L times the lifetime level ϑ, which adapts to the hit
+ratio. In the paper, a name that was seen once has the lifetime L·ϑ·Γ. Here, the response of such a name gets
+the middle rank with the probability Γ, and otherwise the low rank. The factor Γ rises with ϑ from the
+first-seen level ϑs to 1. The first-seen level adapts to the mean time for which names are cached.
 """
 
 from olivepost import interface as api
@@ -13,16 +14,17 @@
 from olivepost.units import SECOND, Duration, Instant
 
 MAX_LIFETIME: Duration = 60 * SECOND  # longest lifetime of a name (L in the paper)
-LEVEL_STEP = 0.01  # step size η of the paper, by which a response changes the level ϑ
+LEVEL_STEP = 0.01  # step size η of the paper, by which a response changes the lifetime level ϑ
 SIZE_STEP = 0.0001  # step size ηs of the paper, by which a response changes the first-seen level ϑs
-# Width ε in the paper: the width of the range of ϑ in which the factor Γ rises from ϑs to 1.
+# Width ε in the paper: the width of the range of the lifetime level ϑ in which the factor Γ, for names that
+# were seen once, rises from the first-seen level ϑs to 1.
 SMOOTHING_WIDTH = 0.1
-# Target hit ratio (h* in the paper). It is higher than the ratio that caches reach. The lifetime θ therefore
-# stays long enough for repeated requests to be seen.
+# Target hit ratio (h* in the paper). It is higher than the ratio that caches reach. The lifetime θ of a
+# name therefore stays long enough for repeated requests to be seen.
 HIT_TARGET = 0.8
 # Target of the mean time for which names are cached, weighted by the names' sizes (s* in the paper).
 SIZE_TARGET: Duration = 5 * SECOND
-INITIAL_LEVEL = 0.5  # level ϑ of a class before its first response
+INITIAL_LEVEL = 0.5  # lifetime level ϑ of a class before its first response
 INITIAL_FIRST_SEEN_LEVEL = 0.0  # first-seen level ϑs of a class before its first response
 UNRANKED = 0  # rank of a response that is not cached
 RANK_LOW = 1  # rank of the responses that caches evict first
@@ -35,7 +37,7 @@
 
 
 def lifetime(levels: ClassLevels) -> float:
-    """Returns θ = L·ϑ, the lifetime of a name in nanoseconds."""
+    """Returns θ = L·ϑ, the lifetime of a name in nanoseconds, from the lifetime level ϑ."""
     return MAX_LIFETIME * levels.level
 
 
@@ -48,7 +50,7 @@
 
 
 def move_levels(levels: ClassLevels, is_hit: bool, sample: float, size: float) -> None:
-    """Adapts a class's levels ϑ and ϑs to one response (algorithm 2 of the paper).
+    """Adapts a class's lifetime level ϑ and first-seen level ϑs to one response (paper, algorithm 2).
 
     `sample` is the time in nanoseconds for which the name is cached owing to the request. `size` is the
     response's size in KB.
@@ -88,7 +90,7 @@
 
 
 def learn_from_response(state: RoutingState, pending: PendingRequest, is_hit: bool) -> None:
-    """Adapts the levels of a request's class to a hit or a fill.
+    """Adapts the f-TTL levels of a request's class to a hit or a fill.
 
     The levels adapt to the time for which the name is cached owing to the request. After a hit, this is the
     time by which the request extended the name's lifetime. After a fill, it is the lifetime that the name
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -12,9 +12,11 @@
 from olivepost.units import SECOND, Duration, Instant
 
 WORK_STEP = 0.05  # weight of a new sample in a class's mean work, the mean transfer time of a response
-# Time over which past work fades from the mean rate of work of the endpoints that have no slow start.
+# Time over which past work (transfer time) fades from the mean rate of work of the endpoints that have no
+# slow start.
 RATE_MEMORY: Duration = 10 * SECOND
-MIN_LINK_TRANSFERS = 2.0  # concurrent transfers that every endpoint's link can carry for all proxies together
+# Least number of concurrent transfers that any endpoint's link can carry, for all proxies together.
+MIN_LINK_TRANSFERS = 2.0
 # Concurrent transfers that an endpoint's link carries, if the settings give endpoints no weights.
 DEFAULT_LINK_TRANSFERS = {Role.CACHE: 6.5, Role.PARENT: 32.0}
 # Attempts that may be in flight for each concurrent transfer of an endpoint's link.
@@ -26,7 +28,8 @@
 # Lowest factor of the concurrency limit, reached if many of an endpoint's responses are late.
 MIN_LIMIT_FACTOR = 0.5
 MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit if none of an endpoint's responses is late
-LIMIT_FACTOR_SLOPE = 2.5  # decrease of that factor for each unit of the share of late responses
+# Decrease of the concurrency limit's factor for each unit of the share of late responses.
+LIMIT_FACTOR_SLOPE = 2.5
 # Longest plausible time from an endpoint's start to its first listing. An endpoint that is listed later is
 # treated as if it had started when it was listed.
 MAX_LISTING_DELAY: Duration = 20 * SECOND
@@ -48,7 +51,7 @@
     """Whether an endpoint's slow start budget allows this proxy one more attempt with the given work.
 
     This upholds the slow start invariant: the work that the proxy sends to an endpoint in slow start within
-    an overload window stays within that budget.
+    an overload window (a duration in the settings) stays within that budget.
     """
     if endpoint.started_at is None:
         return True
@@ -105,14 +108,18 @@
     """Returns the amount that quota transfers add to this proxy's part of a quota.
 
     The amount is below 0 if the transfers reduce the part. As long as donations of an earlier process of this
-    proxy may still be in use, the largest amount that it may have donated is subtracted, too.
+    proxy may still be in use, the largest amount that the earlier process may have donated is subtracted,
+    too. This amount is `DONATED_SHARE` of `part`.
     """
     balance = state.quotas.balance(now, key)
     return balance - DONATED_SHARE * part if _may_have_forgotten_donations(state, now) else balance
 
 
 def _may_have_forgotten_donations(state: RoutingState, now: Instant) -> bool:
-    """Whether a donation that an earlier process made, unknown to this one, may still be in use."""
+    """Whether a donation that an earlier process of this proxy made may still be in use.
+
+    This process doesn't know of such donations.
+    """
     first_listed_at = state.endpoints.first_listed_at
     if first_listed_at is None:
         return False
@@ -149,9 +156,9 @@
 ) -> api.DonateQuota:
     """Donates what this proxy can spare of its part of a quota, up to the requested amount.
 
-    The donated amount belongs to the other proxy until the requested expiry time. It returns to this proxy
-    after the part's return delay from then on. Nothing is donated if the expiry time is past or is more than
-    `MAX_TRANSFER_DURATION` ahead.
+    The donated amount belongs to the other proxy until the requested expiry time. The amount returns to this
+    proxy `part.return_delay` after the expiry time. Nothing is donated if the expiry time is past or is more
+    than `MAX_TRANSFER_DURATION` ahead.
     """
     amount = 0.0
     is_timely = now < request.expires_at <= now + MAX_TRANSFER_DURATION
--- a/olivepost/routing/health.py
+++ b/olivepost/routing/health.py
@@ -12,14 +12,16 @@
 # Odds at which silences alone eject an endpoint. A silence is an attempt without a response for its silence
 # timeout. An endpoint is ejected if the odds against all of its silences being chance are this high.
 SILENCE_EJECTION_ODDS = 200.0
-MIN_SLOW_SHARE = 0.02  # lowest share of slow successful responses from which a silence's score is computed
+# Lowest share of slow successful responses from which the score of a silence is computed. A response is slow
+# if it took longer than its silence timeout.
+MIN_SLOW_SHARE = 0.02
 REPORTED_SCORE = 0.4  # lowest failure score after outlier reports of other proxies; too low for an ejection
-LATE_STEP = 0.1  # weight of a new sample in an endpoint's late share
+LATE_STEP = 0.1  # weight of a new sample in an endpoint's share of late responses
 INITIAL_LATE_SHARE = 0.2
 
 
 def record_success(endpoint: Endpoint, now: Instant) -> None:
-    """Ends any ejection and lowers the failure score."""
+    """Records a success of an endpoint: ends any ejection and lowers the endpoint's failure score."""
     factor = SUCCESS_FACTOR if endpoint.ejected_until is None else 0.0
     endpoint.failure_score *= factor
     endpoint.last_success_at = now
@@ -29,7 +31,7 @@
 
 
 def record_failure(endpoint: Endpoint, now: Instant, score: float) -> None:
-    """Adds `score` to the failure score; ejects the endpoint at `EJECTION_SCORE` or on a failed trial."""
+    """Adds `score` to an endpoint's failure score; ejects it at `EJECTION_SCORE` or after a failed trial."""
     endpoint.failure_score += score
     if endpoint.has_trial_in_flight:
         eject_endpoint(endpoint, now)
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -43,7 +43,8 @@
 def fill_delay(state: RoutingState, now: Instant, pending: PendingRequest, hint: api.CacheHint) -> Duration:
     """Returns how long an attempt waits for another request's fill that it can't join; 0 if there is none.
 
-    The attempt waits until the fill ends, but at most half of the time that remains until the deadline.
+    `hint` says whether there is such a fill and when it ends. The attempt waits until then, but at most half
+    of the time that remains until the deadline.
     """
     if not hint.is_filling or state.settings.can_collapse_fills:
         return 0
--- a/olivepost/routing/invalidation.py
+++ b/olivepost/routing/invalidation.py
@@ -5,7 +5,8 @@
 from olivepost.units import SECOND, Duration, Instant
 
 MAX_INVALIDATIONS = 4_096
-# Time after `invalidation_lifetime` in which caches may still be late to carry out an invalidation.
+# Time after the setting `invalidation_lifetime` in which caches may still be late to carry out an
+# invalidation.
 PROPAGATION_MARGIN: Duration = 1 * SECOND
 
 
@@ -67,8 +68,8 @@
     """Whether a response is stored in the proxy's own cache.
 
     The response must be a hit or a fill. Its name must have a rank above 0 and must have been seen before.
-    The response is not stored if an invalidation came after the attempt was sent, since the response may be
-    older than the invalidation.
+    The response is not stored if an invalidation came after `sent_at`, when the attempt was sent, because the
+    response may be older than the invalidation.
     """
     if not pending.rank or state.settings.local_transfer_capacity <= 0:
         return False
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -17,14 +17,18 @@
     api.MemoryPressureLevel.LIMIT_CONNECTIONS: 0.90,
     api.MemoryPressureLevel.REJECT: 0.93,
 }
-RELEASE_MARGIN = 0.02  # a level ends when memory use is this share of the limit below the level's start
-KEPT_NAMES_SHARE = 0.5  # share of the name table's capacity to which the table is cut at FREEZE_NAMES
-# Share of the usual maximum of client connections that may be open from LIMIT_CONNECTIONS on.
+# Margin, as a share of the memory limit. A memory pressure level ends when memory use is this far below the
+# level's start.
+RELEASE_MARGIN = 0.02
+# Share of the name table's capacity to which the table is cut at the memory pressure level FREEZE_NAMES.
+KEPT_NAMES_SHARE = 0.5
+# Share of the usual maximum of client connections that may be open from the memory pressure level
+# LIMIT_CONNECTIONS on.
 CONNECTION_SHARE = 0.5
 
 
 def level_for(used: int, limit: int, previous: api.MemoryPressureLevel) -> api.MemoryPressureLevel:
-    """Returns the level of a process that uses `used` of its `limit` bytes and whose level was `previous`."""
+    """Returns the memory pressure level for `used` of `limit` bytes; `previous` is the level so far."""
     level = api.MemoryPressureLevel.NONE
     for candidate, share in LEVEL_SHARES.items():
         margin = RELEASE_MARGIN if candidate <= previous else 0.0
@@ -34,14 +38,17 @@
 
 
 def connection_limit(level: api.MemoryPressureLevel, max_connections: int) -> int:
-    """Returns how many client connections may be open at a level."""
+    """Returns how many client connections may be open at a memory pressure level."""
     if level < api.MemoryPressureLevel.LIMIT_CONNECTIONS:
         return max_connections
     return max(1, int(CONNECTION_SHARE * max_connections))
 
 
 def apply_level(state: RoutingState, level: api.MemoryPressureLevel) -> None:
-    """Sets the level; when it reaches FREEZE_NAMES, evicts names and drops all cached rendezvous orders."""
+    """Sets the memory pressure level.
+
+    When the level reaches FREEZE_NAMES, names are evicted and all cached rendezvous orders are dropped.
+    """
     previous = state.memory_pressure
     state.memory_pressure = level
     if previous < api.MemoryPressureLevel.FREEZE_NAMES <= level:
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -71,10 +71,10 @@
 
 
 def _record_success(state: RoutingState, now: Instant, endpoint_id: str, role: Role, work: float) -> None:
-    """Records an endpoint's success, and adds the work to its role's rate if the endpoint is long-running.
+    """Records an endpoint's success; adds `work` to the rate of `role` if the endpoint is long-running.
 
-    That rate is the mean rate of work of one ready long-running endpoint of the role. Endpoints are
-    long-running if they are listed without a start.
+    The rate of a role is the mean rate of work of one ready long-running endpoint of that role. Endpoints are
+    long-running if they are listed without a start. The rate is unchanged if the endpoint has another role.
     """
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
@@ -85,7 +85,10 @@
 
 
 def record_lateness(state: RoutingState, endpoint_id: str, is_late: bool) -> None:
-    """Records whether a response was late. A hit is recorded at its cache, and a fill at its source."""
+    """Records whether a response was late. A hit is recorded at its cache, and a fill at its source.
+
+    If that endpoint is a parent or the origin, the response also changes the overload level of fills.
+    """
     endpoint = state.endpoints.by_id.get(endpoint_id)
     if endpoint is None:
         return
@@ -115,7 +118,10 @@
 def record_failed_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, attempt: Attempt, outcome: api.AttemptOutcome
 ) -> Ejection | None:
-    """Attributes a failure to the cache, its source or no endpoint, and records it."""
+    """Attributes a failure to the cache, its source or no endpoint, and records the failure.
+
+    Returns the ejection of the endpoint at fault, or None if there is no ejection to report.
+    """
     source = attempt.source_or_cache
     has_responded = _has_cache_responded(state, pending, attempt)
     match outcome.status:
@@ -129,6 +135,7 @@
             fault = PossibleFault(attempt.cache, ATTEMPT_FAILED_SCORE)
             _record_possible_fault(state, pending, attempt, fault)
         # The loss of a connection is recorded as one failure, even if several attempts were in flight on it.
+        # A repeated report of the same loss therefore has the score 0.
         case api.AttemptStatus.TIMED_OUT if has_responded:
             score = 0.0 if outcome.is_repeated_loss else FILL_FAILED_SCORE
             return record_failure(state, now, pending, source, score)
@@ -163,7 +170,7 @@
 
     The source is at fault if the cache reports so. If caches don't report causes of failures, the source is
     also at fault if the cache has responded, either since the attempt was sent or to an earlier attempt of
-    the same request.
+    the same request. Returns the ejection of the endpoint at fault, or None if there is none to report.
     """
     is_source_fault = outcome.cache_status in api.SOURCE_FAILURES
     if not state.settings.reports_failure_causes:
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -25,9 +25,10 @@
 
 
 def budget_shortage(state: RoutingState, cost: int) -> tuple[QuotaShortage, ...]:
-    """Returns the quota to request from other proxies if the retry budget is below an attempt's cost.
+    """Returns the quota to request from other proxies if the retry budget is below `cost`.
 
-    The result is empty if the budget covers the cost or the shared store is unavailable.
+    `cost` is the number of retries that an attempt takes from the budget. The result is empty if the budget
+    covers the cost or the shared store is unavailable.
     """
     if state.is_store_available and state.retry_balance < cost:
         return (QuotaShortage(api.RETRY_QUOTA, 1.0),)
@@ -55,7 +56,10 @@
 def allows_attempt(
     state: RoutingState, now: Instant, pending: PendingRequest, target: str, cost: int
 ) -> bool:
-    """Whether deadline, attempt limit, retry budget and idempotency allow one more attempt at `target`."""
+    """Whether deadline, attempt limit, retry budget and idempotency allow one more attempt at `target`.
+
+    The retry budget must cover `cost`, the number of retries that the attempt takes from it.
+    """
     is_late = pending.deadline - now <= state.settings.deadline_margin
     if is_late or not has_attempts_left(state, pending) or state.retry_balance < cost:
         return False
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -39,7 +39,7 @@
 
 
 def _cached_order(state: RoutingState, name: str, role: Role) -> tuple[str, ...]:
-    """Returns the order of a tier's ready endpoints for a name; computes it if it is not cached."""
+    """Returns the rendezvous order of a tier's ready endpoints for a name; computes an uncached order."""
     endpoint_ids = state.endpoints.caches if role is Role.CACHE else state.endpoints.parents
     order = state.orders.get(role, endpoint_ids, name)
     if order is None:
@@ -116,7 +116,7 @@
 
 
 def _select_endpoint(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> Selection:
-    """Returns the first endpoint, in a tier's order for a name, that is within all limits.
+    """Returns the first endpoint, in a tier's rendezvous order for a name, that is within all limits.
 
     If there is no such endpoint, limits are dropped one after another: first the limit on the share of late
     responses, then the concurrency limit, then ejection, then the earlier failures of this request. The slow
@@ -164,8 +164,8 @@
     """Returns the endpoints without those that shed this name.
 
     An endpoint sheds names if its late share exceeds the lowest late share of the endpoints by more than the
-    tolerance. The higher the late share, the more names the endpoint sheds. The hash of a name decides
-    whether the name is among them.
+    tolerance. The higher the late share, the more names the endpoint sheds. The hash of `name`
+    decides whether the endpoint sheds it.
     """
     late_shares = [endpoint.late_share for endpoint in endpoints]
     tolerated = min(late_shares, default=0.0) + LATE_SHARE_TOLERANCE
--- a/olivepost/routing_state/endpoint_table.py
+++ b/olivepost/routing_state/endpoint_table.py
@@ -76,8 +76,8 @@
     ) -> Endpoint:
         """Returns the state of a listed endpoint.
 
-        If the endpoint's id now belongs to another process, the health and the slow start are reset, but the
-        work is kept.
+        `known` is the state that the table has for the endpoint's id, or None if the id is new. If the id now
+        belongs to another process, the health and the slow start are reset, but the work is kept.
         """
         if known is not None and known.metadata.started_at == metadata.started_at:
             known.metadata = metadata
@@ -88,8 +88,8 @@
     def _plausible_start(self, now: Instant, listed_start: Instant | None, is_live: bool) -> Instant | None:
         """Returns the start of an endpoint that is listed now, or None if it is listed without a start.
 
-        The result is not later than now. In a live update, which is any but the restored list, an implausibly
-        early start is replaced by now.
+        The result is not later than `now`. In a live update, which is any but the restored list, `now`
+        replaces a start that is more than `max_listing_delay` ago, since so early a start is implausible.
         """
         if listed_start is None:
             return None
--- a/olivepost/routing_state/invalidation_table.py
+++ b/olivepost/routing_state/invalidation_table.py
@@ -41,7 +41,7 @@
                 self._evicted_at = evicted_at
 
     def latest(self, request: api.Request) -> Instant | None:
-        """Returns when the object or its group was last invalidated; None if it never was.
+        """Returns when a request's object or the object's group was last invalidated; None if neither was.
 
         If the request does not name its group, the invalidations of all groups apply.
         """
--- a/olivepost/routing_state/name_table.py
+++ b/olivepost/routing_state/name_table.py
@@ -12,8 +12,8 @@
 class NameEntry:
     """Expiry time of a name, with the rank and the size in KB of its last request.
 
-    The table maintains `queued_at`. It is the time of the name's current entry in the queue by which the
-    table expires names.
+    The table maintains `queued_at`. It is the expiry time under which the name's current entry stands in the
+    queue by which the table expires names.
     """
 
     expires_at: Instant
--- a/olivepost/routing_state/order_cache.py
+++ b/olivepost/routing_state/order_cache.py
@@ -19,7 +19,7 @@
 
 
 class OrderCache:
-    """Endpoint orders by tier and name, up to a total size in bytes.
+    """Rendezvous orders of endpoints by tier and name, up to a total size of `max_bytes`.
 
     A tier's orders are dropped when the tier's endpoints change. `entry_bytes` is the size of an order
     without its references to endpoint ids, and `reference_bytes` is the size of one such reference.
@@ -37,7 +37,7 @@
         return sum(len(tier.by_name) * self._order_bytes(tier.endpoint_ids) for tier in self._tiers.values())
 
     def get(self, role: Role, endpoint_ids: EndpointOrder, name: str) -> EndpointOrder | None:
-        """Returns the order of these endpoints for a name; None if the order is not cached."""
+        """Returns the cached order of `endpoint_ids` for a name, or None if the order is not cached."""
         tier = self._tiers[role]
         if tier.endpoint_ids is not endpoint_ids:
             if tier.endpoint_ids != endpoint_ids:
--- a/olivepost/routing_state/pending_request.py
+++ b/olivepost/routing_state/pending_request.py
@@ -23,7 +23,7 @@
 class SilenceCheck(NamedTuple):
     """Result of checking the cache of an attempt that is past its silence timeout."""
 
-    is_cache_ejected: bool  # also true while the cache's half-open trial is due
+    is_cache_ejected: bool  # whether the cache is ejected; also true while its half-open trial is due
     # The ejection to report to other proxies, or None if there is none. It is reported even if an earlier
     # check ejected the cache.
     ejection: Ejection | None = None
@@ -83,7 +83,7 @@
     request_class: api.ClassSettings
     name: str  # the name under which caches store the requested part of the object
     deadline: Instant
-    rank: int  # the rank with which caches store the response; 0 means that they do not
+    rank: int  # the rank with which caches store the response; caches don't store one of rank 0
     # The lifetime that the name had left when the request arrived, or None if the name was unknown or the
     # response can't be cached.
     name_remaining: Duration | None
--- a/olivepost/simulator_adapter/codec.py
+++ b/olivepost/simulator_adapter/codec.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """Message of a batch. It is addressed to one proxy."""
+    """Message of a batch, which is one line of input. The message is addressed to one proxy."""
 
     kind: str
     proxy_id: int
@@ -53,7 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """One line of input: messages that arrive at the same time, in order."""
+    """One line of input: messages that arrive at the same time, in order.
+
+    `turn` identifies the batch, and the reply repeats it.
+    """
 
     now: Instant
     turn: int
@@ -111,7 +114,10 @@
 
 
 def write_reply(turn: int, actions: Iterable[dict[str, object]]) -> bytes:
-    """Returns the reply to a batch as one line of JSON with its line break."""
+    """Returns the reply to a batch, which is one line of input, as one line of JSON with its line break.
+
+    `turn` identifies the batch. `actions` holds the actions of all routers that the batch addresses.
+    """
     reply = {"turn": turn, "output": list(actions)}
     return json.dumps(reply, separators=(",", ":")).encode() + b"\n"
 
--- a/olivepost/simulator_adapter/host.py
+++ b/olivepost/simulator_adapter/host.py
@@ -1,4 +1,4 @@
-"""Host of the simulator's proxies: reads batches, passes them to the proxies' routers, and replies."""
+"""Host of the simulator's proxies: passes each message of a batch to its proxy's router, and replies."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
         self._routers: dict[int, Router] = {}
 
     def reply(self, line: bytes) -> bytes:
-        """Handles one batch and returns its reply line; raises a ConfigError that says what is malformed."""
+        """Handles one batch of messages and returns its reply line.
+
+        Raises a ConfigError that says what is malformed.
+        """
         batch = codec.read_batch(line)
         actions: list[dict[str, object]] = []
         for message in batch.messages:
@@ -46,7 +49,7 @@
 
 
 def run(source: IO[bytes], sink: IO[bytes], errors: IO[str]) -> int:
-    """Serves batches until the input ends or a batch is malformed; returns the exit code."""
+    """Replies to batches of messages until the input ends or a line is malformed; returns the exit code."""
     host = RouterHost()
     for number, line in enumerate(source, 1):
         try:
