--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -212,7 +212,8 @@
 def _serve(command_line: CommandLine) -> int:
     from olivepost.proxy.signals import SignalListener
 
-    signals = SignalListener()  # created first, so that a signal during the start does not end the process
+    # The listener is created first, so that a signal during the start does not end the process.
+    signals = SignalListener()
     operator = command_line.load_operator()
     from olivepost.proxy.server import ConfigurationSource, serve
 
--- a/olivepost/routing/retries.py
+++ b/olivepost/routing/retries.py
@@ -19,7 +19,10 @@
 
 
 def earn_retries(state: RoutingState) -> None:
-    """Adds what an arriving request earns to the retry budget; a request earns less under overload."""
+    """Adds what an arriving request earns to the retry budget.
+
+    A request earns less the higher the overload level of arrivals is.
+    """
     earned = RETRIES_PER_REQUEST * (1 - state.arrivals.level)
     state.retry_balance = min(MAX_RETRIES, state.retry_balance + earned)
 
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -66,7 +66,8 @@
 def select_route(state: RoutingState, now: Instant, pending: PendingRequest) -> Route:
     """Returns the next attempt's cache, the source from which it fills a miss, and the quota shortages.
 
-    A shortage is an amount of quota that this proxy lacked at the name's home.
+    A shortage is an amount of quota that this proxy lacked at the name's home, the first endpoint of a tier
+    in the name's rendezvous order.
     """
     cache, shortages = _select_cache(state, now, pending)
     if cache is not None and _is_lookup_only(state, now, pending, cache):
@@ -154,7 +155,10 @@
 
 
 def _is_unrestricted(state: RoutingState, now: Instant, pending: PendingRequest, home: Endpoint) -> bool:
-    """Whether a name's home sheds no names and is within its limits; the slow start budget is not checked."""
+    """Whether `home` sheds no names and is within its limits; the slow start budget is not checked.
+
+    The home of a name is the first endpoint in the name's rendezvous order.
+    """
     if home.late_share > LATE_SHARE_TOLERANCE or home.metadata.id in pending.avoided:
         return False
     return health.is_available(home, now) and _is_below_limit(state, now, home)
