--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -39,7 +39,7 @@
 
 
 def _cached_order(state: RoutingState, name: str, role: Role) -> tuple[str, ...]:
-    """Returns the order of a tier's ready endpoints for a name; computes it if it is not cached."""
+    """Returns the rendezvous order of a tier's ready endpoints for a name; computes an uncached order."""
     endpoint_ids = state.endpoints.caches if role is Role.CACHE else state.endpoints.parents
     order = state.orders.get(role, endpoint_ids, name)
     if order is None:
@@ -66,7 +66,8 @@
 def select_route(state: RoutingState, now: Instant, pending: PendingRequest) -> Route:
     """Returns the next attempt's cache, the source from which it fills a miss, and the quota shortages.
 
-    A shortage is an amount of quota that this proxy lacked at the name's home.
+    A shortage is an amount of quota that this proxy lacked at the name's home, the first endpoint of a tier
+    in the name's rendezvous order.
     """
     cache, shortages = _select_cache(state, now, pending)
     if cache is not None and _is_lookup_only(state, now, pending, cache):
@@ -116,7 +117,7 @@
 
 
 def _select_endpoint(state: RoutingState, now: Instant, role: Role, pending: PendingRequest) -> Selection:
-    """Returns the first endpoint, in a tier's order for a name, that is within all limits.
+    """Returns the first endpoint, in a tier's rendezvous order for a name, that is within all limits.
 
     If there is no such endpoint, limits are dropped one after another: first the limit on the share of late
     responses, then the concurrency limit, then ejection, then the earlier failures of this request. The slow
@@ -154,7 +155,10 @@
 
 
 def _is_unrestricted(state: RoutingState, now: Instant, pending: PendingRequest, home: Endpoint) -> bool:
-    """Whether a name's home sheds no names and is within its limits; the slow start budget is not checked."""
+    """Whether `home` sheds no names and is within its limits; the slow start budget is not checked.
+
+    The home of a name is the first endpoint in the name's rendezvous order.
+    """
     if home.late_share > LATE_SHARE_TOLERANCE or home.metadata.id in pending.avoided:
         return False
     return health.is_available(home, now) and _is_below_limit(state, now, home)
@@ -164,8 +168,8 @@
     """Returns the endpoints without those that shed this name.
 
     An endpoint sheds names if its late share exceeds the lowest late share of the endpoints by more than the
-    tolerance. The higher the late share, the more names the endpoint sheds. The hash of a name decides
-    whether the name is among them.
+    tolerance. The higher the late share, the more names the endpoint sheds. The hash of `name`
+    decides whether the endpoint sheds it.
     """
     late_shares = [endpoint.late_share for endpoint in endpoints]
     tolerated = min(late_shares, default=0.0) + LATE_SHARE_TOLERANCE
