--- a/olivepost/config/fields.py
+++ b/olivepost/config/fields.py
@@ -120,7 +120,11 @@
         return FieldReader(f"{self.where}.{key}", self._get(key, (dict,), "an object", {}))
 
     def one_of(self, key: str, choices: Mapping[str, ChoiceT], default: str | None = None) -> ChoiceT:
-        """Returns the value that `choices` has for the string in the field."""
+        """Returns the value that `choices` has for the string in the field.
+
+        If the field is missing, `default` is used as the string. Raises a ConfigError if `choices` does not
+        have the string.
+        """
         value = self.text(key, default)
         if value not in choices:
             raise self.error(key, f"must be one of {', '.join(choices)}, not {_shorten(value)}")
--- a/olivepost/config/limits.py
+++ b/olivepost/config/limits.py
@@ -91,11 +91,11 @@
     max_upstream_connections: int
 
     # Buffers
-    read_buffers: int  # receive buffers, one for each client and upstream connection
-    # Buffers for bodies. They are separate from the read buffers, so that the proxy can read even if clients
-    # hold all body buffers.
+    read_buffers: int  # number of receive buffers, one for each client and upstream connection
+    # Number of buffers for bodies. They are separate from the read buffers, so that the proxy can read even
+    # if clients hold all body buffers.
     body_buffers: int
-    cache_buffers: int  # the part of the body buffers that the response cache may hold
+    cache_buffers: int  # number of the body buffers that the response cache may hold
     buffer_bytes: int
 
     # Messages
--- a/olivepost/config/memory_budget.py
+++ b/olivepost/config/memory_budget.py
@@ -17,7 +17,7 @@
 
 
 class Share(NamedTuple):
-    """A fraction of a whole amount."""
+    """A fraction, such as 9/10, of an amount of bytes, descriptors or other units."""
 
     numerator: int
     denominator: int
--- a/olivepost/config/router_settings.py
+++ b/olivepost/config/router_settings.py
@@ -11,7 +11,7 @@
 from olivepost import interface as api
 from olivepost.config.fields import FieldReader
 
-MAX_MULTIPLE = 1e6  # largest overload multiple or stretch of a latency objective
+MAX_MULTIPLE = 1e6  # largest allowed `overload_multiple` of a tier or `latency_objective_stretch` of a class
 MAX_WEIGHT = 1e12  # largest priority weight of a class
 MAX_TRANSFER_RATE_KB_PER_S = 1e12
 NO_KIND_INDEX = -1  # the index that the platform writes for the kind of a tier that does not exist
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -90,7 +90,8 @@
     max_retry_after: Duration
     # The final response is sent at least this long before a request's deadline.
     deadline_margin: Duration
-    # The number of cached responses that the proxy can transfer at once. 0 means that it caches nothing.
+    # The number of cached responses that the proxy can transfer concurrently. If it is 0, the proxy stores no
+    # responses.
     local_transfer_capacity: float = 0.0
     # The longest time that a request waits for the shared store, or None if there is no shared store.
     shared_store_timeout: Duration | None = None
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -92,6 +92,7 @@
         """Forwards the next attempt, or gives up at once if none can be made or the cost is too high.
 
         The request's cost is checked against the overload level of `overload`, unless `overload` is None.
+        `retry_cost` is the number of retries that the attempt takes from the retry budget.
         """
         state = self._state
         route = selection.select_route(state, now, pending)
--- a/olivepost/routing/adaptive_ttl.py
+++ b/olivepost/routing/adaptive_ttl.py
@@ -22,10 +22,14 @@
 # Target hit ratio (h* in the paper). It is higher than the ratio that caches reach. The lifetime θ of a
 # name therefore stays long enough for repeated requests to be seen.
 HIT_TARGET = 0.8
-# Target of the mean time for which names are cached, weighted by the names' sizes (s* in the paper).
+# Target of the mean time for which names are cached owing to a request, weighted by the responses' sizes (s*
+# in the paper). A shorter time raises the first-seen level ϑs, and a longer time lowers it.
 SIZE_TARGET: Duration = 5 * SECOND
-INITIAL_LEVEL = 0.5  # lifetime level ϑ of a class before its first response
-INITIAL_FIRST_SEEN_LEVEL = 0.0  # first-seen level ϑs of a class before its first response
+# Start of the lifetime level ϑ of a class: names then live for half of MAX_LIFETIME.
+INITIAL_LEVEL = 0.5
+# Start of the first-seen level ϑs of a class: names that were seen once then get the low rank, because the
+# factor Γ, the probability of the middle rank, is 0 at these two initial levels.
+INITIAL_FIRST_SEEN_LEVEL = 0.0
 UNRANKED = 0  # rank of a response that is not cached
 RANK_LOW = 1  # rank of the responses that caches evict first
 RANK_MIDDLE = 2
--- a/olivepost/routing/hints.py
+++ b/olivepost/routing/hints.py
@@ -16,8 +16,9 @@
 def should_look_up(state: RoutingState, pending: PendingRequest, source: str | None) -> bool:
     """Whether the shared store is asked for a hint before the attempt is forwarded.
 
-    The store is asked for the cache that has a name, if the name is new to this proxy. Before a fill
-    from `source`, the store is also asked for the fill lease. If `source` is None, the attempt fills nothing.
+    The store is asked which cache has or fills the name's object, if the name is new to this proxy. Before a
+    fill from `source`, the store is also asked for the fill lease. If `source` is None, the attempt fills
+    nothing.
     """
     if not state.is_store_available or not pending.rank or pending.hint is not None:
         return False
--- a/olivepost/routing/memory_pressure.py
+++ b/olivepost/routing/memory_pressure.py
@@ -1,8 +1,9 @@
-"""Memory pressure, and the order in which the process sheds memory as it comes close to its limit.
+"""Memory pressure, and the order of the measures that save memory as the process comes close to its limit.
 
 The platform kills a process that exceeds its limit, and all its pending requests are lost. Therefore the
-resources whose loss costs least are shed first: the proxy's own cached responses, idle connections, new names
-and new client connections. Requests are rejected last.
+measures that cost least are taken first. The proxy's own cached responses are evicted, then idle connections
+are closed, then no new names are added and the name table is cut, then fewer client connections are admitted.
+Requests are rejected last.
 """
 
 from olivepost import interface as api
@@ -28,7 +29,10 @@
 
 
 def level_for(used: int, limit: int, previous: api.MemoryPressureLevel) -> api.MemoryPressureLevel:
-    """Returns the memory pressure level for `used` of `limit` bytes; `previous` is the level so far."""
+    """Returns the memory pressure level for `used` of `limit` bytes.
+
+    `previous` is the level so far. It and the levels below it end only `RELEASE_MARGIN` below their start.
+    """
     level = api.MemoryPressureLevel.NONE
     for candidate, share in LEVEL_SHARES.items():
         margin = RELEASE_MARGIN if candidate <= previous else 0.0
--- a/olivepost/routing/outcomes.py
+++ b/olivepost/routing/outcomes.py
@@ -168,9 +168,11 @@
 ) -> Ejection | None:
     """Attributes a rejection to the source, the cache or, if the origin failed, no endpoint.
 
-    The source is at fault if the cache reports so. If caches don't report causes of failures, the source is
-    also at fault if the cache has responded, either since the attempt was sent or to an earlier attempt of
-    the same request. Returns the ejection of the endpoint at fault, or None if there is none to report.
+    The source is the endpoint from which the cache fills a miss. It is at fault if the cache reports so. If
+    caches don't report causes of failures, the source is also presumed to be at fault if the cache has
+    responded, either since the attempt was sent or to an earlier attempt of the same request, because such a
+    response shows that the cache works. Returns the ejection of the endpoint at fault, or None if there is
+    none to report.
     """
     is_source_fault = outcome.cache_status in api.SOURCE_FAILURES
     if not state.settings.reports_failure_causes:
--- a/olivepost/routing/selection.py
+++ b/olivepost/routing/selection.py
@@ -16,9 +16,13 @@
 from olivepost.routing_state.quota_keys import concurrency_key, slow_start_key
 from olivepost.units import Instant
 
-MAX_ORDER_BYTES = 8_388_608  # maximum total size of cached rendezvous orders, if the host sets none
-ORDER_ENTRY_BYTES = 320  # bytes of one order without its references
-ORDER_REFERENCE_BYTES = 8  # bytes of one reference, of which an order has one for each endpoint
+# A rendezvous order is the list of a tier's endpoints, ranked by their hashes for a name. It is cached.
+# Maximum total size of the cached orders in bytes, unless the process that hosts the router sets another.
+MAX_ORDER_BYTES = 8_388_608
+ORDER_ENTRY_BYTES = 320  # bytes of one cached rendezvous order, without its references to endpoint ids
+# Bytes of one reference to an endpoint id. A rendezvous order, the ranked list of a tier's endpoints for a
+# name, holds one reference for each endpoint.
+ORDER_REFERENCE_BYTES = 8
 # An endpoint sheds names, which means that other endpoints get their requests, if its late share (its share
 # of late responses) is too high. It sheds no names if its late share exceeds the candidates' lowest late
 # share by at most this amount.
@@ -107,7 +111,9 @@
     """
     hint = pending.hint
     if hint is not None and hint.is_filling and hint.cache == cache:
-        return not state.settings.can_collapse_fills  # if fills can be collapsed, this attempt joins the fill
+        # If fills can be collapsed, the attempt joins the fill that the hint reports, instead of only looking
+        # the name up.
+        return not state.settings.can_collapse_fills
     is_always_fresh = pending.request_class.freshness_lifetime is None
     if not pending.rank or not is_always_fresh or pending.missed_cache == cache:
         return False
--- a/olivepost/routing_state/levels.py
+++ b/olivepost/routing_state/levels.py
@@ -1,4 +1,8 @@
-"""Levels that routing adapts to samples: the f-TTL levels of each class, and the levels of overload."""
+"""Numbers that routing raises or lowers a little with each sample and that steer its decisions.
+
+The two levels of f-TTL, kept for each class of requests, determine lifetimes and ranks of names. The two
+overload levels determine up to which cost requests are admitted.
+"""
 
 from __future__ import annotations
 
--- a/olivepost/routing_state/order_cache.py
+++ b/olivepost/routing_state/order_cache.py
@@ -1,4 +1,4 @@
-"""A bounded cache of the endpoint orders that were computed for each tier and name."""
+"""A bounded cache of rendezvous orders: a tier's endpoints, ranked by their hashes for a name."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class TierOrders:
-    """Orders of one tier's endpoints by name, with the least recently used order first."""
+    """Rendezvous orders of one tier's endpoints by name, with the least recently used order first."""
 
     endpoint_ids: EndpointOrder = ()
     by_name: OrderedDict[str, EndpointOrder] = field(default_factory=OrderedDict)
@@ -33,7 +33,7 @@
 
     @property
     def used_bytes(self) -> int:
-        """Total size of all orders in bytes."""
+        """Total size of all cached orders in bytes."""
         return sum(len(tier.by_name) * self._order_bytes(tier.endpoint_ids) for tier in self._tiers.values())
 
     def get(self, role: Role, endpoint_ids: EndpointOrder, name: str) -> EndpointOrder | None:
--- a/olivepost/routing_state/quota_ledger.py
+++ b/olivepost/routing_state/quota_ledger.py
@@ -62,9 +62,10 @@
         return sum(min(item.amount, max_amount) for item in current)
 
     def record(self, now: Instant, transfer: QuotaTransfer) -> None:
-        """Adds a transfer, or removes an earlier transfer whose amount this transfer gives back.
+        """Adds a transfer, unless it undoes an earlier one; in that case, removes the earlier one instead.
 
-        A transfer gives an earlier one back if both have the same key and expiry time and opposite amounts.
+        A transfer undoes an earlier one if both have the same key and expiry time and opposite amounts. A
+        donation that comes back to its donor is such a transfer.
         """
         reversed_transfer = QuotaTransfer(transfer.expires_at, transfer.key, -transfer.amount)
         is_return = reversed_transfer in self._transfers
