--- a/olivepost/proxy/buffers.py
+++ b/olivepost/proxy/buffers.py
@@ -122,7 +122,7 @@
 
 
 class PooledBody:
-    """A message body in the buffers of a pool. Its last holder releases the buffers, exactly once.
+    """A message body in the buffers of a pool. The body's last holder releases the buffers, exactly once.
 
     A holder is any code that still needs the body. Only one thread at a time may call `append` and `parts`;
     the thread of any holder may call `share` and `release`. `_lock` guards `_holders` and, when the last
--- a/olivepost/proxy/clock.py
+++ b/olivepost/proxy/clock.py
@@ -6,8 +6,8 @@
 
 from olivepost.units import Duration, Instant
 
-# Number of times that the system clock and the monotonic clock are both read when the clock is created. The
-# offset between the two clocks is the largest of the differences between the two values.
+# Number of times that a new `Clock` reads both the system clock and the monotonic clock. Each pair of values
+# has a difference, and the largest of these differences is used as the offset between the two clocks.
 OFFSET_READINGS = 20
 
 
@@ -35,7 +35,8 @@
     def observe(self, unix_ns: int) -> None:
         """Records how far this clock is behind `unix_ns`, a past Unix time that another machine has sent.
 
-        Only the longest such duration is kept.
+        `unix_ns` is in nanoseconds. If this clock is behind, another machine's clock is ahead by at least the
+        difference. Only the longest such duration is kept.
         """
         error = unix_ns - self.now()
         if error > self._known_error:
--- a/olivepost/proxy/discovery/event_parser.py
+++ b/olivepost/proxy/discovery/event_parser.py
@@ -96,7 +96,7 @@
 
 
 def _parse_address(fields: FieldReader, state: api.EndpointState) -> Address | None:
-    """Parses the endpoint's address; returns None if a removed endpoint is listed without one."""
+    """Parses the address in an endpoint's entry; returns None if a removed endpoint has no address there."""
     if state is api.EndpointState.REMOVED and "addr" not in fields.data:
         return None
     return fields.address("addr")
--- a/olivepost/proxy/discovery/long_poll.py
+++ b/olivepost/proxy/discovery/long_poll.py
@@ -55,7 +55,7 @@
 class LongPoll:
     """A thread that polls one coordinator from `start` until `stop`.
 
-    `stop` may be called from any thread. `_lock` guards `_connection`. Only the polling thread sets
+    Any thread may call `stop`. `_lock` guards `_connection`. Only the polling thread sets
     `_connection`, so that this thread may read the field and use the connection without the lock.
     """
 
--- a/olivepost/proxy/discovery/messages.py
+++ b/olivepost/proxy/discovery/messages.py
@@ -18,7 +18,7 @@
 
 
 class DiscoveryHeartbeat:
-    """Message that the coordinator has answered a poll. It is posted after the events of that answer.
+    """Message that the coordinator has answered a poll. The message is posted after that answer's events.
 
     The event loop sets `is_handled` when it handles the message. The long poll waits for this before it polls
     again, so that endpoint lists don't accumulate in the queue of a busy event loop.
--- a/olivepost/proxy/discovery/poll_backoff.py
+++ b/olivepost/proxy/discovery/poll_backoff.py
@@ -53,7 +53,7 @@
         self._consecutive_failures = 0
 
     def draw_backoff_s(self) -> float:
-        """Draws the random time until the next attempt, in seconds; requires at least one failure."""
+        """Returns a random time in seconds until the next poll; requires at least one recorded failure."""
         doublings = min(self._consecutive_failures - 1, MAX_BACKOFF_DOUBLINGS)
         longest_s = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * (1 << doublings))
         return longest_s * (MIN_BACKOFF_SHARE + self._random.random() * (1 - MIN_BACKOFF_SHARE))
--- a/olivepost/proxy/downstream/connection_lifecycle.py
+++ b/olivepost/proxy/downstream/connection_lifecycle.py
@@ -99,7 +99,7 @@
         return self.is_closed or sockets.is_closed_by_peer(self.sock)
 
     def is_overdue(self, now: Instant) -> bool:
-        """Whether the deadline has passed."""
+        """Whether the connection's current deadline has passed; False if it has none."""
         deadline = self.deadline  # read once, since another thread may set it to None
         return deadline is not None and deadline < now
 
@@ -129,7 +129,8 @@
         with self._try_lock() as is_locked:
             if is_locked:
                 self._expire_locked()
-            # If no writer waits, the reader holds the lock, because bytes arrived.
+            # Another thread holds the lock. Unless that thread is a writer that waits for the client, the
+            # connection is left open, since it is in use: for example, the reader thread has received bytes.
             elif self.is_write_blocked:
                 self.deadline = None
                 self.abort(CloseReason.WRITE_TIMEOUT)
@@ -156,7 +157,7 @@
 
     @contextmanager
     def _try_lock(self) -> Iterator[bool]:
-        """Takes the lock if it is free; yields whether it was taken."""
+        """Takes `lock` until the end of the `with` block, if it is free; yields whether it was taken."""
         is_locked = self.lock.acquire(blocking=False)
         try:
             yield is_locked
@@ -188,7 +189,7 @@
         return self.keeps_alive and not (context.is_draining or context.is_slot_wanted)
 
     def become_idle(self) -> None:
-        """Marks the connection as idle; the next request must be complete by the keep-alive deadline."""
+        """Marks the connection as idle, and sets its deadline to the end of the keep-alive timeout."""
         self.body_reservation.release()
         self.idle_since = self._context.clock.now()
         self.deadline = self.idle_since + self._context.limits.keepalive_timeout
@@ -199,7 +200,7 @@
             self.close_reason = reason
 
     def half_close(self, reason: CloseReason) -> None:
-        """Closes the proxy's side; the client has `LINGER_TIMEOUT` to close its own side."""
+        """Closes the direction to the client, who then has `LINGER_TIMEOUT` to close the other direction."""
         self.record_close_reason(reason)
         self.is_closing = True
         self.idle_since = self._context.clock.now()
--- a/olivepost/proxy/downstream/downstream_server.py
+++ b/olivepost/proxy/downstream/downstream_server.py
@@ -72,7 +72,10 @@
         self.admission.connection_limit = limit
 
     def evict_idle(self) -> None:
-        """Closes a few connections without a pending response, first those that have had no request."""
+        """Closes up to `MAX_EVICTIONS_AT_ONCE` connections without a pending response.
+
+        If connections that have had no request may be evicted, only these are closed.
+        """
         self._evictor.evict_idle()
 
     # The graceful shutdown calls the methods below, in this order.
@@ -86,7 +89,11 @@
         return [connection for connection in self.connections.snapshot() if not connection.close_if_idle()]
 
     def stop_accepting(self, timeout_s: float = ACCEPT_STOP_TIMEOUT_S) -> None:
-        """Closes the listener once its accept queue is empty; waits for the close, up to the timeout."""
+        """Closes the listener once its accept queue is empty, and waits for the close.
+
+        Returns after `timeout_s` seconds at the latest. The accept thread closes the listener later if its
+        accept queue is not empty by then.
+        """
         self._listener.stop(timeout_s)
 
     def stop_watching(self) -> None:
--- a/olivepost/proxy/downstream/eviction.py
+++ b/olivepost/proxy/downstream/eviction.py
@@ -33,7 +33,10 @@
 
     @property
     def has_unused_flood(self) -> bool:
-        """Whether there is a flood: connections without any request take at least a quarter of the cap."""
+        """Whether connections that have had no request take at least a quarter of the connection cap.
+
+        Such connections are called a flood.
+        """
         return self._is_flood(self._unused(self._connections.snapshot()))
 
     def evict_idle(self, excluded: ConnectionLifecycle | None = None) -> None:
--- a/olivepost/proxy/downstream/listener.py
+++ b/olivepost/proxy/downstream/listener.py
@@ -17,15 +17,16 @@
 
 ACCEPT_STOP_TIMEOUT_S = 1.0  # time for the accept thread to empty the accept queue
 ACCEPT_TIMEOUT: Duration = 50 * MILLISECOND  # interval between two checks of whether the listener must stop
-# Shortest and longest pause after a failed accept. The pause doubles with each consecutive failure, because a
-# process without free descriptors must close some before it can accept again.
+# Shortest and longest pause in seconds after a failed accept that may indicate a shortage, for example of
+# descriptors. The pause doubles with each consecutive failure, because a process without free descriptors
+# must close some before it can accept again.
 MIN_ACCEPT_PAUSE_S = 0.001
 MAX_ACCEPT_PAUSE_S = 0.05
 # Errors that indicate no shortage: a connection ended before it was accepted, or a signal arrived.
 TRANSIENT_ACCEPT_ERRORS = (errno.ECONNABORTED, errno.EINTR)
 # Longest wait for the address to become free, if the proxy starts immediately after another proxy was killed.
 BIND_TIMEOUT_S = 8.0
-BIND_RETRY_PAUSE_S = 0.05  # pause between two attempts to bind
+BIND_RETRY_PAUSE_S = 0.05  # pause between two attempts to bind the listener's address
 
 Admit = Callable[[socket.socket, Callable[[], int]], None]
 
@@ -44,7 +45,7 @@
         self._admit = admit
         self._thread: threading.Thread | None = None
         self._is_stopping = False
-        # Pause after the next failed accept. Only the accept thread uses this field.
+        # Pause in seconds after the next failed accept. Only the accept thread uses this field.
         self._accept_pause_s = MIN_ACCEPT_PAUSE_S
 
     def listen(self, address: Address) -> Address:
@@ -59,7 +60,11 @@
         return bound
 
     def stop(self, timeout_s: float) -> None:
-        """Closes the listener once its accept queue is empty; waits for the close, up to the timeout."""
+        """Closes the listener once its accept queue is empty, and waits for the close.
+
+        Returns after `timeout_s` seconds at the latest. The accept thread closes the listener later if its
+        accept queue is not empty by then.
+        """
         self._is_stopping = True
         if self._thread is not None:
             self._thread.join(timeout_s)
--- a/olivepost/proxy/downstream/response_delivery.py
+++ b/olivepost/proxy/downstream/response_delivery.py
@@ -27,7 +27,10 @@
         self._closes_after_response = False  # whether the current response announces a close
 
     def write(self, exchange: Exchange, response: Response) -> list[memoryview]:
-        """Writes the final response without waiting; returns the buffers that the socket did not take."""
+        """Writes the final response without waiting; returns the buffers that the socket did not take.
+
+        Returns an empty list if nothing remains to be written.
+        """
         lifecycle = self._lifecycle
         with lifecycle.lock:
             if self._release_if_abandoned(exchange, response):
@@ -49,7 +52,7 @@
             return unsent
 
     def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview]) -> None:
-        """Writes the remaining buffers; waits whenever the client has to read before more can be sent.
+        """Writes `unsent`, the buffers that `write` returned; waits when the client has to read first.
 
         The response is aborted if the client reads nothing for as long as the write stall timeout.
         """
@@ -100,7 +103,7 @@
         return min(max(request_deadline, now + limits.write_stall_timeout), now + limits.slow_client_timeout)
 
     def _complete(self, response: Response) -> None:
-        """Ends the exchange after its response; the connection becomes idle or closes."""
+        """Releases the response and ends its exchange; the connection then becomes idle or closes."""
         response.release()
         lifecycle = self._lifecycle
         self._context.log.increment(response.kind.value)
--- a/olivepost/proxy/downstream/response_writer.py
+++ b/olivepost/proxy/downstream/response_writer.py
@@ -19,10 +19,13 @@
     """
 
     def write(self, exchange: Exchange, response: Response, /) -> list[memoryview]:
-        """Writes the response without waiting; returns the buffers that the socket did not take."""
+        """Writes the response without waiting; returns the buffers that the socket did not take.
+
+        Returns an empty list if nothing remains to be written.
+        """
 
     def finish_writing(self, exchange: Exchange, response: Response, unsent: list[memoryview], /) -> None:
-        """Writes the remaining buffers; waits whenever the client has to read first."""
+        """Writes the buffers that `write` returned; waits when the client has to read first."""
 
     def abandon_response(self, exchange: Exchange, response: Response, /) -> None:
         """Aborts a partly written response, because no thread could be started to write the rest of it."""
--- a/olivepost/proxy/event_loop.py
+++ b/olivepost/proxy/event_loop.py
@@ -24,7 +24,7 @@
 from olivepost.router import Router
 from olivepost.units import MILLISECOND, SECOND, Duration, Instant
 
-# A timer is counted as late if it fires more than this time after it was due.
+# A timer is counted as late if it fires later than this duration after the time at which it was due.
 LATE_TIMER_AFTER: Duration = 5 * MILLISECOND
 
 
@@ -198,7 +198,7 @@
                 self._lifecycle.time_out_attempt(now, timer.timer_id)
             else:
                 self._executor.execute(self._router.handle(now, api.TimerFired(timer.timer_id)))
-        except Exception:  # a failed timer must not keep other timers from firing
+        except Exception:  # an error while one timer is handled must not keep other timers from firing
             self._logger.exception("event_loop_error", kind="timer")
 
     def _is_live(self, timer: Timer) -> bool:
--- a/olivepost/proxy/event_loop_resources.py
+++ b/olivepost/proxy/event_loop_resources.py
@@ -18,7 +18,7 @@
     """The event loop's interface to the shared store. No call waits for the store."""
 
     def look_up(self, lookup: api.LookUpHint, object_name: str, group: int | None, /) -> None:
-        """Requests a hint from the store.
+        """Requests a hint for an object from the store.
 
         A hint names a cache that has or fills the object, or no cache if the store knows none. The store's
         answer is posted to the event loop as a `StoreEvent`.
@@ -40,7 +40,7 @@
         | api.ReportOutlier,
         /,
     ) -> None:
-        """Passes an event on to the store. The event concerns other proxies or the store's own records."""
+        """Passes an event on to the store, because other proxies or the records in the store depend on it."""
 
     def invalidate(self, invalidation: api.Invalidation, now: Instant, /) -> None:
         """Passes an invalidation from service discovery on to the store.
--- a/olivepost/proxy/exchange.py
+++ b/olivepost/proxy/exchange.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """The final response to a request. The last owner of the response releases the body."""
+    """The final response to a request. The code that uses the response last releases the body."""
 
     kind: ResponseKind
     etag: str | None = None  # entity tag without quotes; None if the endpoint sent none
@@ -41,10 +41,10 @@
 class Exchange:
     """One request as the client sent it, and the callback that delivers its response.
 
-    It holds the data that the protocols of the downstream and the upstream connections need. Routing uses an
-    `api.Request` instead. The event loop creates that object when the exchange arrives, and stores in it the
-    time that remains for the request at that moment. The downstream connection's reader thread creates the
-    exchange, and the event loop closes it exactly once. `_lock` guards `is_closed`; no other field ever
+    An exchange holds the data that the protocols of the downstream and the upstream connections need. Routing
+    uses an `api.Request` instead. The event loop creates that object when the exchange arrives, and stores in
+    it the time that remains for the request at that moment. The downstream connection's reader thread creates
+    the exchange, and the event loop closes it exactly once. `_lock` guards `is_closed`; no other field ever
     changes.
     """
 
--- a/olivepost/proxy/memory_monitor.py
+++ b/olivepost/proxy/memory_monitor.py
@@ -15,8 +15,8 @@
 from olivepost.units import MILLISECOND, Duration
 
 STATM = "/proc/self/statm"  # file with the sizes of the process's memory, in pages
-STATM_READ_BYTES = 128  # bytes to read; the file's only line is shorter
-RESIDENT_FIELD = 1  # index of the resident set size, which includes mapped files, in that line
+STATM_READ_BYTES = 128  # number of bytes to read from `STATM`, whose only line is shorter
+RESIDENT_FIELD = 1  # index of the resident set size in the line of `STATM`; the size includes mapped files
 CHECK_INTERVAL: Duration = 100 * MILLISECOND
 PRESSURE_CHECK_INTERVAL: Duration = 25 * MILLISECOND  # time between checks under memory pressure
 BYTES_PER_KB = 1_024
--- a/olivepost/proxy/metrics.py
+++ b/olivepost/proxy/metrics.py
@@ -51,9 +51,9 @@
 
 
 def count_descriptors() -> int:
-    """Returns the number of open descriptors, or -1 if the system does not report it.
+    """Returns the number of open file descriptors of the process, or -1 if the system does not report it.
 
-    The metric `descriptors` then has the value -1 as well.
+    The metric `descriptors` has the value that this function returns.
     """
     try:
         return sum(1 for _ in DESCRIPTORS.iterdir())
--- a/olivepost/proxy/response_cache.py
+++ b/olivepost/proxy/response_cache.py
@@ -54,7 +54,10 @@
         return len(self._entries)
 
     def get(self, exchange: Exchange) -> CacheEntry | None:
-        """Returns the entry for a request and marks it as the most recently used; None if there is none."""
+        """Returns the cache entry for an exchange's request, and marks the entry as the most recently used.
+
+        Returns None if there is no such entry.
+        """
         key = cache_key(exchange)
         if key in self._entries:
             self._entries.move_to_end(key)
--- a/olivepost/proxy/server.py
+++ b/olivepost/proxy/server.py
@@ -32,7 +32,8 @@
 # objects exceeds the number of freed objects by this number. The number is high, because requests create
 # hardly any cycles.
 GC_THRESHOLD = 20_000
-# Number of garbage collections of one generation of objects before the next older generation is collected.
+# The garbage collector groups objects by age into generations. This is the number of collections of one
+# generation after which the next older generation is collected as well.
 GC_GENERATION_THRESHOLD = 20
 
 
--- a/olivepost/proxy/sockets.py
+++ b/olivepost/proxy/sockets.py
@@ -23,8 +23,9 @@
 
 # Errors that report a shortage of memory in the system. The same call may succeed if it is repeated.
 SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
-SHORTAGE_ATTEMPTS = 20  # number of attempts that may fail for lack of memory before the last one
-SHORTAGE_PAUSE_S = 0.005  # pause after each attempt that fails for lack of memory
+# Maximum number of times that a call is repeated if it fails for lack of memory.
+SHORTAGE_ATTEMPTS = 20
+SHORTAGE_PAUSE_S = 0.005  # pause in seconds after each call that fails for lack of memory
 PEEK_ATTEMPTS = 3  # number of attempts that `peek` makes, without a pause between them
 # Errors of a connection attempt that have their cause on this machine; they say nothing about the remote
 # side.
@@ -239,7 +240,7 @@
 
 
 def _remove_sent(remaining: list[memoryview], sent: int) -> None:
-    """Removes the first `sent` bytes from the buffers."""
+    """Removes the first `sent` bytes from the list of buffers `remaining`, which is changed in place."""
     while remaining and sent >= len(remaining[0]):
         sent -= len(remaining.pop(0))
     if remaining:
--- a/olivepost/proxy/timers.py
+++ b/olivepost/proxy/timers.py
@@ -17,7 +17,7 @@
     """One timer. Timers that are due at the same time fire in the order in which they were set."""
 
     due_at: Instant
-    sequence: int  # position in the order in which timers were set
+    sequence: int  # number that grows with each timer that is set; it orders timers with the same due time
     timer_id: int
     # True if the timer is the timeout of an attempt. False if the router set the timer; `timer_id` is then
     # the id that the router has chosen.
--- a/olivepost/proxy/upstream/completion.py
+++ b/olivepost/proxy/upstream/completion.py
@@ -58,11 +58,13 @@
 ) -> Iterator[UpstreamEvent]:
     """Yields the outcomes of the requests that were pending on a connection when it ended.
 
-    If the connection was established (`was_connected`), a request whose first byte was not written is
-    forwarded again, but only once. All other requests end. If the first byte of such a request was not
-    written, its outcome is NOT_SENT if `is_local_failure` is true, because the endpoint is then not at fault,
-    and CONNECT_FAILED otherwise. Only the first of the outcomes reports the loss of the connection; the
-    others have `is_repeated_loss` set.
+    `lost_at` is the time at which the connection ended. If the connection was established
+    (`was_connected`), a request whose first byte was not written is forwarded again, but only once: the
+    function yields `UpstreamUnsent` for it. All other requests end with one of three outcomes. If the first
+    byte may have been written, the outcome is CONNECTION_LOST. Otherwise, the outcome is NOT_SENT if
+    `is_local_failure` is true, because the endpoint is then not at fault, and CONNECT_FAILED if not. Only the
+    first `UpstreamCompleted` event reports the loss of the connection; the others have `is_repeated_loss`
+    set.
     """
     is_repeated_loss = False
     for request in requests:
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -49,7 +49,7 @@
     """Requests and aborts that were still pending on a connection when it ended."""
 
     requests: list[UpstreamRequest]
-    aborts: list[UpstreamAborted]  # aborts whose confirmation is awaited
+    aborts: list[UpstreamAborted]  # aborts whose confirmation the event loop awaits
 
 
 class ConnectionState:
@@ -139,7 +139,10 @@
     # The writer thread calls the methods below.
 
     def start_writing(self, request: UpstreamRequest, now: Instant) -> WriteStart:
-        """Marks a request as being written, unless it was withdrawn or its `start_before` has passed."""
+        """Decides whether a request is to be written at the time `now`; if so, marks it as being written.
+
+        A request is not written if it was withdrawn or if its `start_before` has passed.
+        """
         with self._lock:
             is_pending = self._pending.get(request.exchange.id) is request
             if not is_pending or request.stage is not RequestStage.QUEUED:
@@ -151,9 +154,10 @@
             return WriteStart.STARTED
 
     def take_awaited_abort(self, aborted: UpstreamAborted) -> bool:
-        """Removes an abort from the awaited ones; returns whether the caller is to report it.
+        """Removes an abort from those whose confirmation the event loop awaits.
 
-        The result is True only once for each awaited abort.
+        Returns whether the caller is to report the abort to the event loop. The result is True only once for
+        each awaited abort.
         """
         with self._lock:
             if aborted not in self._awaited_aborts:
@@ -181,7 +185,10 @@
         return min(started, default=now)
 
     def find_written(self, request_id: str) -> UpstreamRequest | UnmatchedResponse:
-        """Returns the pending request that a response belongs to, or the reason why there is none."""
+        """Returns the pending request with the id that a response carries.
+
+        Returns the reason, an `UnmatchedResponse`, if no pending request whose write has begun has that id.
+        """
         with self._lock:
             request = self._pending.get(request_id)
             if request is not None and request.stage is RequestStage.WRITING:
--- a/olivepost/proxy/upstream/line_protocol.py
+++ b/olivepost/proxy/upstream/line_protocol.py
@@ -166,16 +166,20 @@
         return parse_response_line(line[: -len(LINE_END)], self._max_body_bytes)
 
     def _check_line_end_byte(self, remaining: int, byte: int) -> None:
-        """Checks one byte of the CR LF that follows a body, and subtracts it from the remaining bytes."""
+        """Checks one byte of the CR LF that follows a body, and reduces `_remaining` by one byte.
+
+        `remaining` is the number of bytes of the CR LF that are not checked yet, including this one. Sets
+        `_remaining` to None after the last byte. Raises LineProtocolError if the byte is a wrong one.
+        """
         if byte != LINE_END[-remaining]:
             raise LineProtocolError("byte after a body is not part of CR LF", bytes((byte,)))
         self._remaining = remaining - 1 or None
 
 
 def _chunk_of_line(data: memoryview) -> memoryview:
-    """Returns the data up to and including the first line feed.
+    """Returns the bytes of `data` up to and including the first line feed.
 
-    Returns all of the data if its first `MAX_LINE_BYTES` bytes contain no line feed.
+    Returns all of `data` if its first `MAX_LINE_BYTES` bytes contain no line feed.
     """
     end = bytes(data[:MAX_LINE_BYTES]).find(b"\n")
     return data if end < 0 else data[: end + 1]
--- a/olivepost/proxy/upstream/liveness.py
+++ b/olivepost/proxy/upstream/liveness.py
@@ -36,7 +36,7 @@
     def is_idle(self, now: Instant) -> bool:
         """Whether no byte was received for longer than IDLE_CHECK_AFTER.
 
-        The endpoint may have closed such a connection.
+        The endpoint may have closed a connection that has been idle for that time.
         """
         return now - self.last_received_at > IDLE_CHECK_AFTER
 
--- a/olivepost/proxy/upstream/pool.py
+++ b/olivepost/proxy/upstream/pool.py
@@ -33,10 +33,11 @@
         self._connections: list[UpstreamConnection] = []
 
     def update(self, addresses: list[EndpointAddress], is_full: bool) -> None:
-        """Applies an endpoint list, which is full if `is_full` is true and incremental otherwise.
+        """Applies an endpoint list. If `is_full` is true, endpoints that are not listed are removed.
 
-        A connection belongs to one process of one endpoint. The connection is not used for another process or
-        endpoint with the same socket address.
+        Otherwise the list is incremental, and unlisted endpoints stay as they are. A connection belongs to
+        one process of one endpoint. The connection is not used for another process or endpoint with the same
+        socket address.
         """
         for address in addresses:
             self._update_endpoint(address)
--- a/olivepost/proxy/upstream/request.py
+++ b/olivepost/proxy/upstream/request.py
@@ -50,7 +50,9 @@
     start_before: Instant | None = None
     stage: RequestStage = RequestStage.QUEUED
     is_started: bool = False  # whether the request's first byte has been, or may have been, written
-    is_rerouted: bool = False  # whether an earlier connection was lost before the first byte was written
+    # Whether the request was forwarded again, because an earlier connection was lost before the request's
+    # first byte was written. A request is rerouted only once.
+    is_rerouted: bool = False
     connection: AbortableConnection | None = None
     # Body of the response. None before buffers are reserved for it, if the response has no body, and after
     # `discard_body`.
--- a/olivepost/proxy/upstream/writer.py
+++ b/olivepost/proxy/upstream/writer.py
@@ -22,7 +22,7 @@
 # The proxy closes an idle connection this long before its endpoint does.
 IDLE_MARGIN: Duration = 1 * SECOND
 READER_START_TIMEOUT_S = 0.2  # time limit for retries if the system can't start the reader thread at once
-LOCAL_FAILURE_PAUSE_S = 0.02  # pause before connecting again after a failure of this machine
+LOCAL_FAILURE_PAUSE_S = 0.02  # pause before connecting again after a failure that this machine caused
 DRAIN_POLL_S = 0.1  # interval at which a draining connection checks whether requests are pending
 
 
