--- a/olivepost/shared_store/fill_leases.py
+++ b/olivepost/shared_store/fill_leases.py
@@ -1,4 +1,4 @@
-"""The fill leases of this proxy, which requests them with lookups and releases them when the fills end.
+"""The fill leases of this proxy. It requests them with lookups, and releases them when the fills end.
 
 A release publishes the filled cache as the name's location. The release publishes nothing if the lease has
 expired by the clock of the proxy that owns the lease, or if the lease's fencing number is not the one that
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class PendingLease:
-    """A lease that was requested with a lookup, and for which the store's reply is pending."""
+    """A fill lease that a lookup has requested. The store's reply to the lookup is pending."""
 
     lookup: api.LookUpHint
     request: LeaseRequest
@@ -45,7 +45,8 @@
         self._context = context
         self._commands = commands
         self._table = table
-        # The latest pending lease of each client's request, by the id of the client's request.
+        # The latest lease that was requested for each client's request, until the store's reply comes or is
+        # lost. The key is the id of the client's request.
         self._pending: dict[str, PendingLease] = {}
 
     def find_active(self, now: Instant, name: str, generation: int) -> OwnedLease | None:
--- a/olivepost/shared_store/generations.py
+++ b/olivepost/shared_store/generations.py
@@ -38,7 +38,7 @@
     def handle_verdict(
         self, now: Instant, store: StoreHealth, verdict: ReplyVerdict, generation: int
     ) -> None:
-        """Acts on the verdict on a reply whose values are not used.
+        """Acts on the verdict (the conclusion about a store) from a reply whose values are not used.
 
         `generation` is the generation that the store had when it sent the reply.
         """
@@ -98,7 +98,10 @@
         self, store: StoreHealth, chunk: InvalidationChunk, now: Instant, values: ReplyValues | None
     ) -> None:
         if values is None:
-            return  # the reply to the next sync makes this proxy publish the chunk again
+            # The reply was lost or could not be used, so the chunk (a group of invalidations) is still listed
+            # as unpublished. If the store is still being restored, its next reply to a sync makes this proxy
+            # publish the chunk again.
+            return
         if store.trust is not TrustLevel.RESTORING:
             return
         store.confirm_published(chunk)
--- a/olivepost/shared_store/inspect.py
+++ b/olivepost/shared_store/inspect.py
@@ -33,7 +33,7 @@
 from olivepost.shared_store.settings import SharedStoreSettings, StoreSettings
 
 MAX_KEYS = 100_000  # largest number of keys that one command reads from a store
-SCAN_COUNT = 1_000  # keys that the server examines in one step of a scan
+SCAN_COUNT = 1_000  # approximate number of keys that the server examines in one SCAN command
 # Text that these commands send to the scripts in place of the incarnation (id) of a proxy's process.
 OPERATOR_INCARNATION = "operator"
 ENVELOPE_FIELDS = ("type", "v")  # stored names of the type's tag and the version, which every record has
--- a/olivepost/shared_store/invalidations.py
+++ b/olivepost/shared_store/invalidations.py
@@ -121,7 +121,12 @@
             store.unpublished.extend(self._known.chunks())
 
     def receive(self, now: Instant, store: StoreHealth, row: object) -> None:
-        """Adds an invalidation from another proxy; raises `RecordError` if the row is malformed."""
+        """Adds an invalidation from another proxy.
+
+        `row` describes the invalidation in a store's reply to a sync, the periodic exchange. Notifies
+        the router if the invalidation is new and the exchange of invalidations is enabled. Raises
+        `RecordError` if the row is malformed.
+        """
         if not isinstance(row, (list, tuple)) or len(row) != ROW_LENGTH or not isinstance(row[1], bytes):
             raise RecordError("a malformed invalidation", "number, key and Unix millisecond")
         number = parse_integer(row[0])
--- a/olivepost/shared_store/location_hints.py
+++ b/olivepost/shared_store/location_hints.py
@@ -39,7 +39,7 @@
     def __init__(self, context: CoordinatorContext, commands: CommandTracker) -> None:
         self._context = context
         self._commands = commands
-        self._hints: dict[str, LocationHint] = {}  # by request id, the oldest hint first
+        self._hints: dict[str, LocationHint] = {}  # hints by request id, the oldest first
 
     def add(self, request_id: str, hint: LocationHint) -> None:
         """Remembers the hint of a request, and forgets the oldest hints beyond the limit."""
@@ -52,7 +52,11 @@
         self._hints.pop(request_id, None)
 
     def report_stale_hint(self, now: Instant, event: api.ReportStaleHint) -> None:
-        """Reports to the store that the cache in a hint does not have the object."""
+        """Reports to the store that the cache in a request's hint does not have the object.
+
+        Sends nothing if the hint is no longer remembered, if the store's generation has changed since the
+        lookup, or if the store is not available.
+        """
         hint = self._hints.pop(event.request_id, None)
         if hint is None:
             return
--- a/olivepost/shared_store/lookups.py
+++ b/olivepost/shared_store/lookups.py
@@ -1,8 +1,8 @@
 """Lookups of names. A lookup asks a store which cache has or fills a name, and the reply becomes a hint.
 
 The router gets at most one hint for each lookup. The hint names no cache if none is known. If the store may
-not be asked, the router gets such a hint at once. The router waits no longer than the lookup's timeout,
-whether a hint comes or not.
+not be asked, the router gets such a hint at once. If no hint has come when the lookup's timeout ends, the
+router stops waiting, and a later reply leads to no hint.
 """
 
 from __future__ import annotations
@@ -87,7 +87,7 @@
             self._give_no_hint(lookup)
 
     def end_request(self, now: Instant, event: LeaseReleased) -> None:
-        """Forgets the hint and releases the lease of a request that has ended."""
+        """Forgets the hint and releases the fill lease, if any, of a client's request that has ended."""
         self.hints.forget(event.release.request_id)
         self._leases.release(now, event)
 
@@ -116,8 +116,8 @@
     def _on_reply(self, lookup: PendingLookup, now: Instant, values: ReplyValues | None) -> None:
         """Handles a store's reply to a lookup; `values` is `None` if the reply is lost or not current.
 
-        If there are no values, this proxy can't know whether the store granted it the lease, and doesn't use
-        the lease.
+        If there are no values, this proxy can't know whether the store granted the lease that the lookup may
+        have requested, and doesn't use the lease.
         """
         if now - lookup.sent_at > lookup.request.timeout:
             lookup.is_answered = True  # the router no longer waits for a hint
@@ -131,7 +131,7 @@
         self._give_no_hint(lookup)
 
     def _read_reply(self, now: Instant, lookup: PendingLookup, values: ReplyValues) -> None:
-        """Sends the router the hint that follows from a reply, if there is one.
+        """Acts on the values of a store's reply, and sends the router a hint if they lead to a usable cache.
 
         Raises `RecordError` if the reply is malformed.
         """
--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -31,15 +31,19 @@
 
 # These numbers are part of the scripts' text, so changing one changes the scripts' digests.
 MAX_INVALIDATIONS = 8_192  # largest number of invalidations that one store keeps
-# Largest number of rows of each kind in the reply to a sync. It bounds the reply's size and the time that the
-# script keeps the server busy.
+# Largest number of rows of each kind (such as invalidations or quota requests) in the reply to a sync, the
+# periodic exchange with a proxy process. The limit bounds the reply's size and the time for which the script
+# keeps the server busy.
 MAX_SYNC_ROWS = 256
 QUOTA_REQUEST_TTL_MS = 2_500  # time to live of a quota request since a sync last renewed it
 OUTLIER_REPORT_TTL_MS = 3_000  # time to live of an outlier report since a sync last renewed it
 QUOTA_GRANT_TTL_MS = 5_000  # time to live of the grants for a process that no longer reads them
-SERIAL_TTL_MS = 600_000  # time to live of the serial of a process that no longer syncs
-# Time to live of the keys that every sync renews, so that only the keys of an abandoned generation expire.
-# The key `fence` has the same time to live, which every granted lease renews.
+# Time to live of the key `seen:PROCESS`, which has the number (serial) of the last sync from a proxy process.
+# Each sync of the process sets the key again, so the key expires only if the process stops sending syncs.
+SERIAL_TTL_MS = 600_000
+# Time to live of the keys `purges`, `log`, `number`, `floor`, `needs` and `suspects`. Every sync renews it,
+# so that only the keys of an abandoned generation expire. The key `fence` has the same time to live, but
+# there every granted lease renews it.
 KEY_TTL_MS = 86_400_000
 
 # The beginning (prologue) of all scripts but the last. KEYS[1] is the generation's key in every script. ARGV
--- a/olivepost/shared_store/malformed_records.py
+++ b/olivepost/shared_store/malformed_records.py
@@ -10,8 +10,8 @@
 from olivepost.units import SECOND, Duration, Instant
 
 REPORT_INTERVAL: Duration = 60 * SECOND  # shortest time between two summaries in the log
-# Largest number of different reasons in one summary. A record with a further reason is not in the summary,
-# but the metric `records_malformed` still counts the record.
+# Largest number of different reasons (texts of errors) in one summary. A record with a further reason is
+# not in the summary, but the metric `records_malformed` still counts the record.
 MAX_REASONS = 16
 MAX_REASON_LENGTH = 120  # characters of a reason in the log
 
@@ -28,7 +28,7 @@
         self._reported_at: Instant | None = None
 
     def skip_errors(self, read: Callable[..., None], *arguments: object) -> None:
-        """Calls `read` for one row of a reply; if `read` raises `RecordError`, counts and skips the row."""
+        """Calls `read` with `arguments`, and counts a malformed record if `read` raises `RecordError`."""
         try:
             read(*arguments)
         except RecordError as error:
--- a/olivepost/shared_store/quota_donations.py
+++ b/olivepost/shared_store/quota_donations.py
@@ -51,7 +51,7 @@
         self._ids = ids
         self._duration = duration
         self._donations: dict[int, Donation] = {}  # open offers to the router, by transfer id
-        # The time until which a request is not offered to the router again, by the nonce of the request.
+        # The time until which a request is not offered to the router again, by the request's nonce (its id).
         self._answered_until: dict[str, Instant] = {}
 
     def __contains__(self, transfer_id: int) -> bool:
@@ -59,7 +59,7 @@
         return transfer_id in self._donations
 
     def offer(self, now: Instant, transfer_id: int, field: str, request: QuotaRequest) -> Donation | None:
-        """Opens an offer with a transfer id, and returns the donation that the router is to be asked for.
+        """Opens an offer with a transfer id, and returns the donation for which to ask the router.
 
         `field` is the field under which the store has the request. Returns `None` if this proxy may not
         answer the request.
@@ -76,10 +76,12 @@
         return donation
 
     def donate(self, transfer_id: int, amount: float, expires_at: Instant) -> GrantedDonation | None:
-        """Returns a donation of an amount that the router has given up, and the grant for the recipient.
+        """Closes an offer that the router has answered, and returns the donation and its grant.
 
-        The router may use the amount again from `expires_at`. Returns `None` if the offer with this transfer
-        id has expired, or if the router gave up nothing.
+        An offer is a question to the router whether it donates to another proxy's request. With the donation,
+        the router has given up `amount` until `expires_at`. The grant is the record that passes the amount
+        to the other proxy. Returns `None` if no offer with this transfer id is open, for example because the
+        offer has expired, or if the router gave up no more than `MIN_AMOUNT`.
         """
         donation = self._donations.pop(transfer_id, None)
         if donation is None:
@@ -94,7 +96,7 @@
         return GrantedDonation(donation, grant)
 
     def _drop_expired(self, now: Instant) -> None:
-        """Drops the offers that have expired, and forgets answered requests that may be answered again.
+        """Drops the expired offers, and forgets the answered requests that may be answered again.
 
         An offer expires if the router never answers it, for example because the router failed to handle it.
         """
@@ -106,7 +108,7 @@
         }
 
     def close(self, nonce: str) -> None:
-        """Allows a request to be answered again, after the store has replied to a grant for it.
+        """Allows the request with this nonce to be answered again, after the store's reply to a grant.
 
         The reply shows whether the grant was made. A request that is not fully met may then get more.
         """
--- a/olivepost/shared_store/quota_exchange.py
+++ b/olivepost/shared_store/quota_exchange.py
@@ -42,7 +42,9 @@
 from olivepost.shared_store.store_health import StoreHealth
 from olivepost.units import Instant
 
-ROW_LENGTH = 3  # values in one row of a sync's reply: a quota request's field, Unix millisecond and record
+# Number of values that describe one quota request in the reply to a sync: the request's field in the store's
+# hash of quota requests, the Unix millisecond at which the store first got the request, and its record.
+ROW_LENGTH = 3
 
 
 class RequestedQuota(NamedTuple):
@@ -102,7 +104,11 @@
             self._requests.record_shortage(now, encode_quota_key(event.key), event.amount)
 
     def renew_requests(self, now: Instant, store: StoreHealth) -> tuple[QuotaRequestRow, ...]:
-        """Renews this proxy's requests and returns those that the given store is responsible for."""
+        """Renews this proxy's requests that are due, and returns those to send to `store`.
+
+        They are the requests that are not fully met and for which `store` is responsible. There are none if
+        quota transfers are disabled.
+        """
         if not self._context.terms.quota_transfers_enabled:
             return ()
         incarnation = self._context.terms.incarnation
@@ -113,7 +119,7 @@
         )
 
     def receive_grant(self, now: Instant, row: object) -> None:
-        """Passes a grant on to the router; raises `RecordError` if the grant must not be used."""
+        """Passes the grant in `row` on to the router; raises `RecordError` if it must not be used."""
         grant = decode_record(QuotaGrant, row)
         received = self._requests.receive(now, grant)
         self._context.counts["quota_grants_received"] += 1
@@ -122,7 +128,11 @@
     # Donations
 
     def receive_requests(self, now: Instant, store: StoreHealth, rows: Sequence[object]) -> None:
-        """Offers the oldest request for each quota to the router, so that all proxies donate to that one."""
+        """Asks the router to donate to the oldest request for each quota.
+
+        All proxies choose the oldest request, so that they all donate to the same one. If the oldest request
+        is this proxy's own, the router is not asked.
+        """
         oldest: dict[str, RequestedQuota] = {}
         for row in rows:
             self._malformed.skip_errors(_keep_oldest, oldest, row)
@@ -134,7 +144,7 @@
                 self._offer(now, store, key, requested)
 
     def _offer(self, now: Instant, store: StoreHealth, key: api.QuotaKey, requested: RequestedQuota) -> None:
-        """Offers a request to the router, if this proxy may answer the request."""
+        """Asks the router to donate to another proxy's request, if this proxy may answer the request."""
         request = requested.request
         transfer_id = self._context.issue_ticket()
         donation = self._donations.offer(now, transfer_id, requested.field, request)
--- a/olivepost/shared_store/quota_requests.py
+++ b/olivepost/shared_store/quota_requests.py
@@ -51,7 +51,7 @@
     largest: float = 0.0
 
     def add(self, now: Instant, amount: float) -> None:
-        """Adds the amount of a further shortage to the decayed sum."""
+        """Adds a further shortage to the sum, which first decays until `now`."""
         self.total = self.remaining(now) + amount
         self.updated_at = now
         self.largest = max(self.largest, amount)
@@ -63,7 +63,11 @@
 
 @dataclass(slots=True)
 class OpenRequest:
-    """An unexpired request of this proxy, whose nonce each grant for the request must carry."""
+    """An unexpired request of this proxy for an amount of one quota.
+
+    `nonce` is the request's unique id. Each grant for the request must have the same nonce. `received` is the
+    sum of the amounts of the grants that have come for the request.
+    """
 
     nonce: str
     key: str
@@ -100,7 +104,10 @@
             self._shortages.setdefault(key, Shortage(now)).add(now, amount)
 
     def has_shortage(self, key: str) -> bool:
-        """Whether this proxy is short of a quota itself."""
+        """Whether this proxy itself has recently been short of the quota with this key.
+
+        A shortage ends at the first renewal after it has decayed to `MIN_AMOUNT` or less.
+        """
         return key in self._shortages
 
     def renew(self, now: Instant) -> dict[str, bytes]:
--- a/olivepost/shared_store/records.py
+++ b/olivepost/shared_store/records.py
@@ -58,8 +58,8 @@
 class CacheLocation(StoredRecord, frozen=True, tag="holder", kw_only=True):
     """The cache that has the response for a name.
 
-    `rank` is the cached response's rank. `generated_at_ms` is the Unix millisecond at which the response was
-    generated.
+    `rank` is the cached response's rank; lower ranks are evicted earlier. `generated_at_ms` is the Unix
+    millisecond at which the response was generated.
     """
 
     cache: str
@@ -72,7 +72,8 @@
 class QuotaRequest(StoredRecord, frozen=True, tag="need", kw_only=True):
     """A proxy's request for the amount of one quota that the proxy lacks.
 
-    A grant that names the nonce is valid for `duration` nanoseconds from the time of the request.
+    `nonce` is the request's unique id. A grant with the same nonce is valid for `duration` nanoseconds from
+    the time of the request.
     """
 
     incarnation: str = msgspec.field(name="process")
--- a/olivepost/shared_store/scripts.py
+++ b/olivepost/shared_store/scripts.py
@@ -16,8 +16,8 @@
 MAX_EXCERPT_LENGTH = 60  # characters of a malformed reply in the reason of its `ReplyLost`
 NO_LEASE = (0, b"")  # the lease's duration and record in a lookup that requests no lease
 NO_LOCATION = operations.LocationPublication(b"", 0)  # sent with a release that publishes no location
-# Number of values that begin every reply: the store's generation, and the serial (the number of the last sync
-# that the store had received from the process before the command).
+# Number of values that begin every reply. The first value is the store's generation. The second is the
+# serial: the number of the last sync that the store had received from this process before the command.
 HEADER_LENGTH = 2
 
 
--- a/olivepost/shared_store/store_health.py
+++ b/olivepost/shared_store/store_health.py
@@ -34,13 +34,13 @@
 
 
 class ReplyVerdict(Enum):
-    """The conclusion that one reply allows about the store that sent it."""
+    """The conclusion from one reply about the store that sent it."""
 
     CURRENT = "current"  # the reply's values are used
     STALE = "stale"  # the command was sent before this proxy adopted the present generation
     EMPTY = "empty"  # the store has no generation
     ROLLED_BACK = "rolled_back"  # the store has lost state
-    MOVED = "moved"  # the store has a later generation than this proxy has adopted
+    MOVED = "moved"  # the store has a later generation than the one that this proxy has adopted
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
     last_serial: int = 0  # number of the last heartbeat (sync) sent; heartbeats are numbered from 1
     confirmed_serial: int = 0  # number of the last heartbeat that the store has confirmed in this generation
     last_invalidation: int = 0  # number of the last invalidation read; the store numbers invalidations from 1
-    # Chunks of invalidations that must still be published again, in this order.
+    # Chunks (groups) of invalidations that must still be published to the store again, in this order.
     unpublished: deque[InvalidationChunk] = field(default_factory=deque)
     is_advancing: bool = False  # whether a new generation has been requested
 
@@ -74,7 +74,7 @@
         return self.last_serial
 
     def judge_reply(self, reply: StoreReply, generation: int, confirmed_serial: int) -> ReplyVerdict:
-        """Returns what a reply shows about the store.
+        """Returns the conclusion from a reply about the store.
 
         `generation` and `confirmed_serial` are the values of this object when the command was sent.
         """
@@ -101,7 +101,7 @@
         self.unpublished = deque(chunks)
 
     def confirm_published(self, chunk: InvalidationChunk) -> None:
-        """Removes a chunk that the store has confirmed; the store is trusted after the last chunk."""
+        """Removes a chunk of invalidations that the store has confirmed; trusts the store after the last."""
         if self.trust is not TrustLevel.RESTORING:
             return
         if self.unpublished and self.unpublished[0] is chunk:
--- a/olivepost/shared_store/sync.py
+++ b/olivepost/shared_store/sync.py
@@ -76,7 +76,7 @@
     def sync_if_due(self, now: Instant) -> None:
         """Sends a sync to each store that is due for one.
 
-        Sends none to a store whose circuit breaker is open and whose backoff is not over yet.
+        If a store's circuit breaker is open, the store gets no sync until the breaker's backoff is over.
         """
         for store in self._context.stores.values():
             if not self._is_due(now, store):
@@ -117,7 +117,10 @@
             self._read_parts(now, store, values)
 
     def _read_parts(self, now: Instant, store: StoreHealth, values: ReplyValues) -> None:
-        """Reads the rows that other proxies left in the store, one at a time, and skips malformed ones."""
+        """Reads a reply's rows one at a time, and skips malformed rows.
+
+        A row is one invalidation, quota request, quota grant or outlier report.
+        """
         reply = SyncReply.read(values)
         for row in reply.invalidations:
             self._malformed.skip_errors(self._invalidations.receive, now, store, row)
