--- a/benchmarks/branch/budget_audit.py
+++ b/benchmarks/branch/budget_audit.py
@@ -1,4 +1,6 @@
-"""Checks of a warming cache: whether proxies may exceed its quotas, and how much of its budget they use.
+"""Checks of a cache in slow start: its quotas, and how much of its slow start budget the proxies use.
+
+A quota is exceeded if all proxies together may use more than the whole quota.
 
 The functions read the proxies' routing state and change nothing.
 """
@@ -16,11 +18,16 @@
 
 RELATIVE_TOLERANCE = 1e-9  # rounding error of a sum of floating point numbers, as a share of the sum
 ABSOLUTE_TOLERANCE = 1e-6
-STEPS_PER_WINDOW = 4  # windows that begin within the length of one window; windows overlap
+# Number of windows that begin within the duration of one window, so that consecutive windows overlap.
+STEPS_PER_WINDOW = 4
 
 
 class QuotaSums(NamedTuple):
-    """Sums over all proxies for one quota of an endpoint."""
+    """One quota of an endpoint, as two sums over all proxies: what they may use, and the parts they have.
+
+    Both sums have the unit of the quota: transfer time in ns for the slow start budget, and attempts in
+    flight for the concurrency.
+    """
 
     # Sum of the amounts that the proxies may use. Each proxy has a part of the quota, and the proxies may
     # transfer some of their parts to each other. A proxy may use its part, plus what transfers add to the
@@ -64,17 +71,18 @@
 
 
 class BudgetUse(NamedTuple):
-    """Work that a cache was sent, and its slow start budget, both as transfer times at full rate.
+    """Work that was sent to a cache, and the cache's slow start budget, both as transfer times at full rate.
 
-    Each is the sum over overlapping windows since the cache's start.
+    Both are sums over the overlapping windows since the cache's start. Work that was sent within several
+    windows is therefore counted several times.
     """
 
-    used: float  # work that the cache was sent, in ns
+    used: float  # work that was sent to the cache, in ns
     whole: float  # budget of all proxies together, in ns
 
 
 def slow_start_use(now: Instant, settings: api.Settings, cache: Cache) -> BudgetUse:
-    """Returns how much of a cache's slow start budget is used so far.
+    """Returns the work that was sent to a cache so far and the slow start budget for the same windows.
 
     The cache's start time must be known.
     """
--- a/benchmarks/branch/cache.py
+++ b/benchmarks/branch/cache.py
@@ -45,7 +45,9 @@
 
     capacity: int  # number of names that the cache can store
     weight: float  # concurrent transfers that the cache can serve
-    started_at: Instant | None = None  # `None` if it started before the simulation and is warm
+    # Time of the cache's last restart. `None` if the cache has not restarted during the simulation. Such a
+    # cache started before the simulation and is warm.
+    started_at: Instant | None = None
     # Storage time by name, least recently used first.
     stored: dict[str, Instant] = field(default_factory=dict)
     # End of each fill in flight, by the name that is being filled.
--- a/benchmarks/branch/settings.py
+++ b/benchmarks/branch/settings.py
@@ -9,7 +9,7 @@
 
 
 def request_class() -> api.ClassSettings:
-    """Returns the only class of requests. Its requests are idempotent, and its responses stay fresh."""
+    """Returns the settings of the only request class: idempotent requests, responses that stay fresh."""
     return api.ClassSettings(
         name="image",
         latency_objective=300 * MILLISECOND,
--- a/benchmarks/load.py
+++ b/benchmarks/load.py
@@ -25,11 +25,12 @@
 WORKERS = 48  # number of threads; each has at most one connection to each proxy
 WORKER_JOIN_S = 10.0
 ZIPF_EXPONENT = 0.8
-# Multiplier of Knuth's multiplicative hash, which spreads names of all ranks over the groups.
+# Multiplier of Knuth's multiplicative hash. The hash spreads popular and unpopular names over all groups, the
+# sets of names that are invalidated together.
 NAME_MULTIPLIER = 2_654_435_761
 NAME_RANGE = 2**64
-# Number of low bits of a request's id that count the requests. The bits above them are the seed, so that two
-# loads with different seeds share no ids.
+# Number of low bits of a request's id that hold the request's number within the load. The bits above them
+# hold the load's seed, so that two loads with different seeds share no ids.
 FIRST_ID_BITS = 32
 ATTEMPTS = 2  # attempts of a request; the second is needed if the proxy closed the connection
 RECEIVE_BYTES = 65_536
--- a/standins/redis/faults.py
+++ b/standins/redis/faults.py
@@ -16,7 +16,10 @@
 
 
 class FaultyReply(NamedTuple):
-    """The bytes that the server sends for a reply after it has applied the faults `garble` and `cut`."""
+    """The bytes that the server sends for a reply, after the faults `garble` and `cut` may have changed it.
+
+    `garble` flips one bit of the reply, and `cut` drops its end.
+    """
 
     data: bytes
     is_cut: bool  # whether the connection is closed after these bytes
@@ -47,7 +50,7 @@
         return self.slow_ms / 1000 * draw.lognormvariate(0.0, self.slow_spread)
 
     def apply_to_reply(self, data: bytes, draw: random.Random) -> FaultyReply:
-        """Applies the faults `garble` and `cut` to an encoded reply."""
+        """Applies the faults `garble` (a flipped bit) and `cut` (a missing end) to an encoded reply."""
         if self.garble and draw.random() < self.garble and data:
             data = flip_bit(data, draw)
         if self.cut and draw.random() < self.cut:
--- a/standins/redis/server.py
+++ b/standins/redis/server.py
@@ -21,11 +21,13 @@
 from standins.redis.resp import encode, read_command
 from standins.redis.session import Session
 
-SNAPSHOT_INTERVAL_S = 0.2  # interval of the snapshots for a schedule that restarts the store from one
+# Time between two snapshots, which are taken only if the schedule restarts the store from a snapshot.
+SNAPSHOT_INTERVAL_S = 0.2
 PAUSE_POLL_S = 0.005
 CALL_TIMEOUT_S = 5.0  # longest wait for the server's thread to run a function of another thread, or to end
 MAX_LINE_BYTES = 1 << 20
-SELF_REPLYING = frozenset({b"SUBSCRIBE", b"UNSUBSCRIBE"})  # commands that write their replies themselves
+# Commands whose handlers write the replies themselves, so that the server must not write another reply.
+SELF_REPLYING = frozenset({b"SUBSCRIBE", b"UNSUBSCRIBE"})
 
 Result = TypeVar("Result")
 
@@ -198,7 +200,7 @@
                 is_open = await self._serve_command(session, command_line, writer)
 
     def _is_unresponsive_to(self, session: Session) -> bool:
-        """Whether a connection's commands neither run nor get a reply."""
+        """Whether a fault is active by which this connection's commands neither run nor get a reply."""
         return self.faults.silent or (self.faults.silent_half and session.number % 2 == 1)
 
     async def _serve_command(
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -21,8 +21,8 @@
 SOCKET_TIMEOUT_S = 8.0
 NAMES = 400  # number of objects that clients request
 MIN_TIMEOUT_S = 1.2
-TIMEOUT_RANGE_S = 1.3  # largest random addition to `MIN_TIMEOUT_S`
-CLASSES = ("segment", "image", "order")  # requests of the last class are not idempotent
+TIMEOUT_RANGE_S = 1.3  # a request's timeout is `MIN_TIMEOUT_S` plus a random time of up to this length
+CLASSES = ("segment", "image", "order")  # request classes; requests of the last one are not idempotent
 IDLE_CLIENTS = 30
 RECONNECT_PAUSE_S = 0.05
 SLOW_READ_BYTES = 3_000
@@ -257,7 +257,8 @@
         while len(body) < length:
             body += receive(sock)
     except TimeoutError:
-        return False  # the outcome stays PENDING, and the oracle reports it
+        # The outcome stays PENDING. The oracle reports this as a violation if it expects a response.
+        return False
     except OSError:
         request.ended_at = time.monotonic()
         # If part of a response has arrived, the client can tell that the response is incomplete. The oracle
--- a/tests/soak/fault_injector.py
+++ b/tests/soak/fault_injector.py
@@ -21,7 +21,7 @@
 MAX_INTERVAL_S = 0.4  # longest time between two faults
 MAX_PAUSE_S = 1.0  # longest time for which the proxy is stopped with SIGSTOP
 MAX_RELOAD_INTERVAL_S = 0.02
-INVALIDATIONS = 5  # number of objects that are invalidated one after another
+INVALIDATIONS = 5  # number of invalidations that one injected fault publishes, each of a random object
 MIN_READY_ENDPOINTS = 3  # at least this many caches and parents stay in service
 
 
--- a/tests/soak/load_process.py
+++ b/tests/soak/load_process.py
@@ -28,9 +28,10 @@
 RECEIVE_BYTES = 262_144
 END_OF_HEAD = b"\r\n\r\n"
 CONNECT_TIMEOUT_S = 5.0
-RECONNECT_PAUSE_S = 0.05  # time until the next attempt after a refused connection
+RECONNECT_PAUSE_S = 0.05  # time until a client whose connection was refused tries to connect again
 SELECT_TIMEOUT_S = 0.02
-REQUEST_NUMBER_BITS = 40  # low bits of a request id that number the requests; the rest is the seed
+# Number of low bits of a request id that hold the request's number; the bits above them hold the load's seed.
+REQUEST_NUMBER_BITS = 40
 LATE_SHARE = 0.5  # a request that takes longer than this share of its timeout is reported
 
 
@@ -253,7 +254,11 @@
         self._schedule(self._options.think_time_s, None)
 
     def _record(self, connection: LoadConnection, ended_at: float | None, *, is_closed: bool) -> None:
-        """Records the end of a request; `ended_at` is None if the request is still pending."""
+        """Records what became of the connection's request, and reports the request if it was late or failed.
+
+        `ended_at` is None if the request was still pending at the end of the load. `is_closed` is True if the
+        connection ended before a complete response.
+        """
         sent_at = connection.sent_at
         assert sent_at is not None
         connection.sent_at = None
--- a/tests/soak/misbehaving_clients_process.py
+++ b/tests/soak/misbehaving_clients_process.py
@@ -23,7 +23,7 @@
 
 CONNECTION_TIMEOUT_S = 5.0
 RECONNECT_PAUSE_S = 0.02  # pause of a client between two connections, or between two slow reads
-MAX_IDLE_S = 0.5  # longest wait of a client before it disconnects; twice as long for idle clients
+MAX_IDLE_S = 0.5  # longest wait of a client before it disconnects; clients that stay idle wait twice as long
 PIPELINED_REQUESTS = 200
 SLOW_READS = 40  # bytes that a slow reader reads one by one before it disconnects
 SMALL_BUFFER_BYTES = 4_096
@@ -66,14 +66,14 @@
 
 
 def request_and_disconnect(sock: socket.socket, random_source: random.Random) -> None:
-    """Sends a request and resets or closes the connection without waiting."""
+    """Sends a request and disconnects without waiting; about half of the connections are reset."""
     sock.sendall(request(random_source))
     if random_source.random() < 0.5:
         reset_on_close(sock)
 
 
 def send_endless_head(sock: socket.socket, random_source: random.Random) -> None:
-    """Sends a head longer than the proxy accepts."""
+    """Sends a head that is longer than the proxy accepts, then waits for the proxy's reaction."""
     sock.sendall(b"GET /api/v2/segment/0 HTTP/1.1\r\n" + b"X-Filler: y\r\n" * 4_000)
     sock.recv(SMALL_BUFFER_BYTES)
 
--- a/tests/soak/options.py
+++ b/tests/soak/options.py
@@ -122,7 +122,7 @@
 def soak_config(
     environment: SoakEnvironment, memory_mb: int, listen: str, max_sockets: int = MAX_SOCKETS
 ) -> dict[str, Any]:
-    """Returns the proxy's configuration with three classes, of which one is not idempotent."""
+    """Returns the proxy's configuration. Requests of one of its three request classes are not idempotent."""
     config = toy_config(
         name="soak",
         listen=listen,
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -14,11 +14,13 @@
 
 RESPONSE_SLACK_S = 0.5  # a response may arrive this long after its request's deadline
 DISCONNECT_SLACK_S = 0.1  # attempts may reach endpoints this long after the client disconnected
-SOCKET_SLACK_S = 0.05  # added to the two grace times below, because sockets delay what they carry
-DRAIN_GRACE_S = 0.5  # attempts may reach an endpoint this long after the proxy must know that it drains
+# Added to `DRAIN_GRACE_S` and `INVALIDATION_GRACE_S`, because data needs time to pass through sockets.
+SOCKET_SLACK_S = 0.05
+# Attempts may reach a draining endpoint this long after the proxy must know that the endpoint drains.
+DRAIN_GRACE_S = 0.5
 # An invalidated response may be served this long after the proxy must know of the invalidation.
 INVALIDATION_GRACE_S = 0.3
-DISCOVERY_RECOVERY_S = 2.0  # the proxy must know all updates this long after an outage of discovery
+DISCOVERY_RECOVERY_S = 2.0  # the proxy must know all updates this long after discovery's outage has ended
 # Clients open connections for this long after SIGTERM. They send requests on open connections until the
 # proxy exits or is killed.
 ACCEPT_AFTER_SIGTERM_S = 0.4
@@ -81,7 +83,7 @@
 
 @dataclass
 class Oracle:
-    """The records of a run's observations, and the checks that find violated invariants.
+    """The records of what a run observed, and the checks that find violated invariants in the records.
 
     `lock` guards the records. `pauses` are the spans of time in which the proxy or the test could not run.
     """
@@ -210,8 +212,8 @@
         for arrival in self.arrivals:
             found += self._violations_of_draining(arrival)
             if arrival.request_id.startswith(self.load_id_prefix):
-                # The load process records its requests itself and reports only late and unanswered ones, so
-                # the oracle does not know the others.
+                # The load process records its requests itself and reports only the late and unanswered ones.
+                # The oracle cannot check an attempt of a request that it does not know.
                 continue
             request = self.requests.get(arrival.request_id)
             if request is None or request.name != arrival.name:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -37,15 +37,17 @@
 FAULT_PHASE_S = 8.0  # time for which faults are injected before SIGTERM
 # Earliest time after SIGTERM at which the platform kills a process: the longest deadline plus a margin.
 KILL_AFTER_S = 3.0 + 0.7
-KILL_MARGIN_S = 0.04  # the proxy must end this long before the kill, so that the test sees the end in time
+# The proxy must have ended this long before `KILL_AFTER_S`, so that the test sees the end in time.
+KILL_MARGIN_S = 0.04
 SIGNAL_INTERVAL_S = 0.01
 IDLE_CLIENTS_BEFORE_SIGTERM = 100  # idle connections that are opened just before SIGTERM
-STACK_BEFORE_KILL_S = 0.5  # a proxy that still runs this long before the kill writes its main thread's stack
+# If the proxy still runs this long before `KILL_AFTER_S`, the run has it write its main thread's stack.
+STACK_BEFORE_KILL_S = 0.5
 LOG_STALL_BEFORE_SIGTERM_S = 1.0
 CROWD_THINK_TIME_S = 0.05
 CROWD_TIMEOUT_MS = 2_500
-# Added to the run's seed for the crowd, the clients in a separate process. The ids of the crowd's requests
-# then differ from those of the run's own clients.
+# Added to the run's seed to get the seed of the crowd, which is a load from a separate process. The crowd's
+# request ids then differ from those of the clients in the run's own process.
 CROWD_SEED_SHIFT = 1_000_000
 SAMPLE_INTERVAL_S = 0.05  # interval at which memory and descriptors are sampled
 MAX_SAMPLE_GAP_S = 0.15  # a longer time between two samples is recorded as a pause of the test
@@ -173,8 +175,9 @@
         self._proxy = self._start_proxy(f"{host}:{port}")
 
     def _terminate(self, crowd: LoadProcess | None) -> None:
-        """Sends SIGTERM and other signals, and waits until the process has ended or must be killed.
+        """Sends SIGTERM and other signals, and waits until the proxy has ended or its time is up.
 
+        The time is up `KILL_MARGIN_S` before `KILL_AFTER_S`. If the proxy still runs then, records a fault.
         The clients continue to send requests during this wait.
         """
         began_at = time.monotonic()
@@ -212,8 +215,8 @@
     def _sample_resources(self) -> None:
         """Checks the current proxy's memory peak and number of descriptors until the run is over.
 
-        Stops early if one of them exceeds its limit. Also records the pauses in which the test's process did
-        not run.
+        Stops early, with a recorded fault, if the peak or the number exceeds its limit. Also records the
+        pauses in which the test's process did not run.
         """
         last_at = time.monotonic()
         while not self._is_over.wait(SAMPLE_INTERVAL_S):
@@ -269,7 +272,9 @@
     """The result of one seed."""
 
     findings: list[str]  # the seed's options and all violations; empty if there is no violation
-    summary: str  # the proxy's exit time and the crowd's longest first wait
+    # Time from SIGTERM to the proxy's exit, or that the proxy was killed; then the crowd's longest wait for
+    # the first response on a connection.
+    summary: str
 
 
 def run_seed(seed: int) -> SoakResult:
--- a/tests/soak/test_connection_cap.py
+++ b/tests/soak/test_connection_cap.py
@@ -20,14 +20,14 @@
 LOAD_S = 4.0
 THINK_TIME_S = 0.02
 MAX_FIRST_WAIT_S = 1.0
-# Lowest allowed throughput of twice as many clients as the cap, as a share of the throughput of as many
-# clients as the cap.
+# Lowest allowed throughput with `2 * CONNECTION_CAP` clients, as a share of the throughput with
+# `CONNECTION_CAP` clients.
 MIN_THROUGHPUT_SHARE = 0.8
 
 
 @pytest.fixture(scope="module")
 def reports(tmp_path_factory: pytest.TempPathFactory) -> Iterator[dict[int, LoadReport]]:
-    """Yields the reports of two loads, by number of clients: as many as the cap, and twice as many.
+    """Yields the reports of two loads by number of clients: `CONNECTION_CAP`, and twice as many.
 
     The loads run at the same time on two proxies.
     """
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -12,8 +12,9 @@
 from tests.soak.options import FIRST_PRESSURE_SEED, PressureOptions, SoakOptions
 
 SEEDS = (3, 21, 38, 43)
-# The first seed has a crowd (more clients than connections), the second a slow reader and a log that is not
-# read, the third a lasting shortage, during which peeks at sockets fail until the exit.
+# The first seed's run has a crowd, which is a load with more clients than the proxy may have connections. The
+# second has a slow reader, and stops reading the proxy's log. The third has a lasting shortage, during which
+# all peeks at sockets fail until the proxy exits.
 PRESSURE_SEEDS = (1003, 1039, 1262)
 RUN_TIMEOUT_S = 90.0
 
