--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -21,7 +21,10 @@
 
 
 class KnownFailuresError(Exception):
-    """Error for an unusable list of known failures; it names the malformed line or the exceeded limit."""
+    """Error for an unusable list of known failures.
+
+    The message names the malformed line or the exceeded limit.
+    """
 
 
 def read_known_failures(path: Path = LIST) -> list[KnownFailure]:
--- a/tests/proxy/fakes.py
+++ b/tests/proxy/fakes.py
@@ -78,7 +78,7 @@
 
 
 def settings_with_idempotency(effect: str, **changes: Any) -> dict[str, Any]:
-    """Returns the example's settings with another `effect` of the first request class.
+    """Returns the example's settings; `effect` sets the idempotency of the first request class.
 
     `changes` replace further fields of that class.
     """
--- a/tests/proxy/test_client_disconnects.py
+++ b/tests/proxy/test_client_disconnects.py
@@ -76,7 +76,7 @@
 ) -> None:
     """Guards against an attempt that is sent although the client has already disconnected.
 
-    The event loop or the connection's reader thread has not handled the disconnect yet.
+    The disconnect has happened, but the event loop or the connection's reader thread has not handled it yet.
     """
     may_notice = threading.Event()
     if late_thread == "event loop":
--- a/tests/proxy/test_connection_limit.py
+++ b/tests/proxy/test_connection_limit.py
@@ -43,7 +43,7 @@
         clients = [proxy.connect() for _ in range(cap)]
         for client in clients:
             assert client.request().status == 200
-        # After this request, the first client is no longer the one that has been idle longest.
+        # After this request, another client has been idle longest, so the proxy does not evict the first one.
         assert clients[0].request().status == 200
         with proxy.connect() as late:
             assert late.request().status == 200
@@ -207,7 +207,7 @@
         with proxy.connect() as late:
             late.send(HttpClient.encode_request(timeout_ms=15_000))
             headers: dict[str, str] = {}
-            # The proxy may evict the busy client between two requests.
+            # The proxy may evict the busy client between two requests. The next one then raises this error.
             with contextlib.suppress(ConnectionError):
                 for _ in range(MAX_BUSY_CLIENT_REQUESTS):
                     if "connection" in headers:
--- a/tests/proxy/test_exchange.py
+++ b/tests/proxy/test_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of exchanges: each one delivers exactly one response to its request."""
+"""Tests of exchanges. An exchange, a client's request with its response, delivers exactly one response."""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_routes.py
+++ b/tests/proxy/test_routes.py
@@ -1,4 +1,7 @@
-"""Tests of the mapping of HTTP requests to exchanges, and of responses to HTTP."""
+"""Tests of the mapping of HTTP requests to exchanges, and of responses to HTTP.
+
+An exchange is a client's request with its response.
+"""
 
 from __future__ import annotations
 
--- a/tests/proxy/test_sockets.py
+++ b/tests/proxy/test_sockets.py
@@ -53,8 +53,8 @@
         assert not has_nothing_unread(near)
         far.close()
         assert is_closed_by_peer(near)
-        # Both checks must return False for a closed socket and raise no error, because the connection's own
-        # thread may close the socket while another thread checks it.
+        # `is_closed_by_peer` and `has_nothing_unread` must return False for a closed socket and raise no
+        # error, because the connection's own thread may close the socket while another thread checks it.
         near.close()
         assert not is_closed_by_peer(near)
         assert not has_nothing_unread(near)
--- a/tests/proxy/test_system_call_failures.py
+++ b/tests/proxy/test_system_call_failures.py
@@ -152,7 +152,8 @@
         for client in clients:
             assert client.request().status == 200
         connections = proxy.parts.downstream.connections.snapshot()
-        # A client may have its response before the thread that wrote the response has released the lock.
+        # A client may have its response before the thread that wrote the response has released the lock, so
+        # the test waits for the release.
         assert proxy.wait_until(lambda: all(c.is_idle and not c.lock.locked() for c in connections))
         monkeypatch.setattr(socket.socket, "recv", recv_with_failing_peeks)
         began_at = time.monotonic()
@@ -197,7 +198,8 @@
         monkeypatch.setattr(sockets, "configure", failing(sockets.configure, os_error(errno.EINVAL), 1))
         with proxy.connect() as client:
             assert client.request().status == 200
-            # Accepted sockets inherit the listener's receive timeout. The pause is longer than that timeout.
+            # Accepted sockets inherit the listener's receive timeout. The pause is longer than that timeout,
+            # and the idle connection must survive the pause.
             time.sleep(4 * ACCEPT_TIMEOUT / SECOND)
             assert client.request(part=4).status == 200
 
@@ -325,7 +327,7 @@
             proxy.server.reload()
             assert time.monotonic() < began_at + 1
         assert other.coordinator.polls == polls
-        # The main thread repeats the failed reload while it waits, here as well as in `run`.
+        # The main thread repeats the failed reload during this wait, as it does while `run` waits.
         proxy.server._wait_until(proxy.parts.clock.now() + 200 * MS)
         assert other.coordinator.wait_for_poll(polls + 2)
 
--- a/tests/proxy/upstream/test_connections.py
+++ b/tests/proxy/upstream/test_connections.py
@@ -183,7 +183,8 @@
 
         def forward_with_bound(request: UpstreamRequest) -> None:
             proxy.parts.upstream.forward = forward  # type: ignore[method-assign]
-            request.start_before = proxy.parts.clock.now() + 50 * MS  # the router sets this bound for retries
+            # For a retry, the router sets this latest time at which the attempt may be sent.
+            request.start_before = proxy.parts.clock.now() + 50 * MS
             forward(request)
 
         proxy.parts.upstream.forward = forward_with_bound  # type: ignore[method-assign]
@@ -193,7 +194,7 @@
         assert proxy.wait_until(lambda: proxy.parts.clock.now() > window_end)
         delayed_connects.may_connect.set()
         assert proxy.wait_for_outcomes("NOT_SENT", 1)
-        # The first attempt was not executed, so the request may be retried.
+        # The attempt that was not sent was not executed either, so the request may be retried.
         assert client.read_response().status == 200
         assert len(proxy.wait_for_fetches()) == 1
 
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -1,4 +1,4 @@
-"""A proxy in the test's process with toy endpoints and a toy coordinator, and a simple HTTP client."""
+"""A proxy in the test's process, an HTTP client, and stand-ins: toy endpoints and a toy coordinator."""
 
 from __future__ import annotations
 
@@ -110,7 +110,7 @@
         return self.read_response()
 
     def is_closed_by_proxy(self) -> bool:
-        """Waits until the proxy closes the connection; returns whether the proxy sent no data before."""
+        """Waits until the proxy closes the connection; returns False if data is unread or comes first."""
         try:
             return not self._data and not self.sock.recv(1)
         except ConnectionResetError:
@@ -171,7 +171,7 @@
         return HttpClient(self.address)
 
     def wait_for_fetches(self, count: int = 1) -> list[Any]:
-        """Returns all fetch commands that the caches have received, once there are at least `count`."""
+        """Waits until the caches have received at least `count` fetch commands; returns all of them."""
         if not self.wait_until(lambda: len(self._received_fetches()) >= count):
             raise AssertionError(f"the caches received fewer than {count} fetches")
         return self._received_fetches()
@@ -189,7 +189,7 @@
         return False
 
     def wait_for_outcomes(self, status: str, count: int) -> list[api.AttemptOutcome]:
-        """Returns the handled outcomes with the given status, once there are at least `count` of them."""
+        """Waits until the router has received `count` or more outcomes with a status; returns them all."""
         assert self.wait_until(lambda: len(self._outcomes_of(status)) >= count)
         return self._outcomes_of(status)
 
--- a/tests/router_harness.py
+++ b/tests/router_harness.py
@@ -17,7 +17,7 @@
 
 
 def make_class(name: str = "image", **changes: Any) -> api.ClassSettings:
-    """Returns an idempotent class whose responses do not expire, with the given changes."""
+    """Returns an idempotent request class whose responses do not expire, with the given changes."""
     request_class = api.ClassSettings(
         name=name,
         latency_objective=300 * MS,
@@ -105,7 +105,7 @@
 
     @property
     def state(self) -> RoutingState:
-        """Returns the router's state."""
+        """Returns the routing state of the router, for tests that read or change it."""
         return self.router.state
 
     def endpoint(self, endpoint_id: str) -> Endpoint:
@@ -133,12 +133,15 @@
         return actions
 
     def request(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
-        """Passes a new request to the router."""
+        """Passes a new request to the router; returns the resulting actions."""
         request = api.Request(request_id, "image", name, 3 * SECOND, group=1, size_kb=50.0)
         return self.handle(dataclasses.replace(request, **changes))
 
     def request_missed_by_cache(self, request_id: str, name: str = "x", **changes: Any) -> list[api.Action]:
-        """Passes a new request to the router, then the outcome that the cache lacks the object."""
+        """Passes a new request to the router, then a miss as the outcome of the first lookup.
+
+        Returns the actions that result from the miss.
+        """
         lookups = forwarded_attempts(self.request(request_id, name, **changes))
         assert lookups
         assert lookups[0].source is None
@@ -147,7 +150,7 @@
     def complete_attempt(
         self, request_id: str, attempt: int, status: api.AttemptStatus, **changes: Any
     ) -> list[api.Action]:
-        """Passes the outcome of an attempt to the router."""
+        """Passes the outcome of an attempt to the router; returns the resulting actions."""
         outcome = api.AttemptOutcome(request_id, attempt, status, 50 * MS, status is api.AttemptStatus.OK)
         return self.handle(dataclasses.replace(outcome, **changes))
 
@@ -163,13 +166,13 @@
 
 
 def source_of(attempt: api.ForwardAttempt) -> str:
-    """Returns the source of an attempt that fills a cache; fails if the attempt has no source."""
+    """Returns the endpoint from which an attempt fills a cache; fails if the attempt has no such source."""
     assert attempt.source is not None
     return attempt.source
 
 
 def final_responses(actions: list[api.Action]) -> list[api.Reject | api.Fail]:
-    """Returns the final responses among the actions."""
+    """Returns the actions that end a request by a rejection or a failure."""
     return [action for action in actions if isinstance(action, (api.Reject, api.Fail))]
 
 
--- a/tests/routing/event_histories.py
+++ b/tests/routing/event_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of typed events for one router, and a checker of the resulting actions."""
+"""Random sequences of input events for one router, and a checker of the router's resulting actions."""
 
 from __future__ import annotations
 
@@ -30,7 +30,10 @@
 
 
 class HistoryChecker(RouterDriver):
-    """A driver that compares the router's actions and pending requests with its own set of open requests."""
+    """A driver that checks the router's actions and pending requests.
+
+    The driver keeps its own set of open requests, and compares the router's pending requests with this set.
+    """
 
     def __init__(self, settings: api.Settings, endpoints: tuple[api.EndpointMetadata, ...]) -> None:
         self.open_requests: set[str] = set()
@@ -49,7 +52,8 @@
             self._check(action)
         pending = set(self.router.requests.pending)
         if isinstance(event, (api.AttemptOutcome, api.ClientDisconnected)):
-            # An outcome or a disconnect may end its request without an action.
+            # An outcome or a disconnect may end its request without an action, so the checker accepts that
+            # the router has dropped a request.
             self.open_requests &= pending
         assert pending == self.open_requests
         return actions
@@ -65,7 +69,7 @@
 
 
 class EventHistory:
-    """Random events for a router, from one seeded source.
+    """Random events for a router, drawn from one seeded random generator.
 
     Some of them are events that the program around the router should not send.
     """
--- a/tests/routing/invariant_checker.py
+++ b/tests/routing/invariant_checker.py
@@ -42,7 +42,7 @@
     deadline: Instant
     attempt_count: int = 0
     in_flight: dict[int, api.ForwardAttempt] = field(default_factory=dict)  # attempts by number
-    # Outcome time and cache of each attempt that may have been executed.
+    # End time and cache of each ended attempt that may have been executed.
     executed: list[tuple[Instant, str]] = field(default_factory=list)
     is_over: bool = False
 
@@ -100,7 +100,7 @@
             for number in tracked.in_flight
         )
 
-    # Events
+    # Events that a test passes to the router
 
     def track_request(self, request: api.Request) -> None:
         """Records a new request and passes it to the router."""
@@ -142,7 +142,7 @@
         self.invalidations.append(TrackedInvalidation(object_name, self.now - age))
         self.handle(api.Invalidation(object_name, 1, age))
 
-    # Checks
+    # The call of the router, and the checks of the resulting actions
 
     def handle(self, event: api.Event) -> list[api.Action]:
         """Passes one event to the router and checks each resulting action."""
--- a/tests/routing/proxy_fleet.py
+++ b/tests/routing/proxy_fleet.py
@@ -39,7 +39,7 @@
     """An attempt that was sent to the cache that restarts."""
 
     sent_at: Instant
-    known_start: Instant | None  # start time that the sending proxy knew for the cache, or None
+    known_start: Instant | None  # the cache's start as the sending proxy knew it; None if it knew none
 
 
 class ProxyFleet:
@@ -80,7 +80,7 @@
         self.routers[proxy] = self._start_router(proxy, now)
 
     def announce_start(self, proxy: int, now: Instant, started_at: Instant) -> None:
-        """Informs a proxy that the first cache has restarted."""
+        """Informs a proxy that the restarting cache began to run again at `started_at`."""
         self.known_starts[proxy] = started_at
         restarted = cache(self.restarting_id, weight=LINK_WEIGHT, started_at=started_at)
         update = api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, (restarted,))
@@ -112,7 +112,7 @@
             heappush(self.in_flight, in_flight)
 
     def _transfer(self, cache_id: str, now: Instant) -> Instant:
-        """Starts a response's transfer on a cache's link; returns the time at which it is complete."""
+        """Starts the transfer of a response on a cache's link; returns the end time of the transfer."""
         free_at = self.link_free_at[cache_id]
         slot = min(range(LINK_TRANSFERS), key=free_at.__getitem__)
         free_at[slot] = max(now, free_at[slot]) + int(self.random.expovariate(1 / MEAN_WORK))
--- a/tests/routing/test_admission.py
+++ b/tests/routing/test_admission.py
@@ -106,7 +106,7 @@
 def test_concurrency_limit_of_one_of_many_proxies_allows_bursts(driver: RouterDriver) -> None:
     """Guards against a limit of one attempt in flight at each proxy if many proxies share a cache.
 
-    With such a limit, every fourth request skipped its home cache.
+    With such a limit, every fourth request skipped its home cache, the first in its name's rendezvous order.
     """
     one_of_many = RouterDriver(make_settings(caches=api.TierSettings(12, 0.2, 10 * SECOND, 2.0)))
 
--- a/tests/routing/test_clock_errors.py
+++ b/tests/routing/test_clock_errors.py
@@ -14,7 +14,10 @@
 
 
 def share_of_new_cache(started_at: int, kind: api.EndpointUpdateKind) -> float:
-    """Returns the slow start share of a cache that is first listed at `NOW` with the given start time."""
+    """Returns the slow start share of an endpoint that is first listed at `NOW` with the given start time.
+
+    The slow start share is the part of a warm endpoint's load that a starting endpoint may get.
+    """
     driver = RouterDriver(make_settings(), (cache("a:1"), parent("p:1"), ORIGIN))
     driver.now = NOW
     driver.handle(api.EndpointUpdate(kind, (cache("new:1", started_at=started_at),)))
--- a/tests/routing/test_endpoint_lists.py
+++ b/tests/routing/test_endpoint_lists.py
@@ -41,7 +41,8 @@
     assert len(hashed) == 5
     assert len(driver.state.endpoints.by_id) == len(FLEET)
 
-    # An update that concerns only endpoints the router does not use discards no computed endpoint order.
+    # The update concerns only endpoints that the router does not use. The router therefore keeps the endpoint
+    # orders, the ranked endpoints of each name, that it has computed.
     driver.handle(api.EndpointUpdate(api.EndpointUpdateKind.INCREMENTAL, others))
     driver.request_missed_by_cache("2", "x")
     assert len(hashed) == 5
--- a/tests/routing/test_fleet.py
+++ b/tests/routing/test_fleet.py
@@ -159,7 +159,10 @@
 
 
 def check_slow_start(fleet: ProxyFleet, start: Instant, end: Instant) -> None:
-    """Checks each window that begins with an attempt, from the cache's start at `start` until `end`."""
+    """Checks each window that begins with an attempt against the budget of the cache that restarts.
+
+    The cache started at `start`, and the windows begin before `end`.
+    """
     sent = [
         (attempt.sent_at, (attempt.known_start or 0) >= start)
         for attempt in fleet.sent
--- a/tests/routing/test_health.py
+++ b/tests/routing/test_health.py
@@ -197,7 +197,8 @@
     driver.state.request_fault_share.value = 1.0
     driver.request("first", "known")
     driver.complete_attempt("first", 0, AttemptStatus.OK, cache_status=CacheStatus.HIT)
-    # A request for a known name is retried, even if requests themselves caused all recent errors.
+    # A request for a name that a cache has served is retried, even if requests themselves caused all recent
+    # errors.
     driver.request("second", "known")
     assert forwarded_attempts(driver.complete_attempt("second", 0, AttemptStatus.ERROR))
 
--- a/tests/routing/test_invalidation.py
+++ b/tests/routing/test_invalidation.py
@@ -79,7 +79,10 @@
 
 
 def is_served_from_cache(driver: RouterDriver, request_id: str, age: int, **changes: Any) -> bool:
-    """Whether a request is served from the proxy's response cache; the response's transfer takes 100 ms."""
+    """Whether the router serves a request from the proxy's response cache.
+
+    The cached response has the given age, and its transfer takes 100 ms.
+    """
     cached_response = api.CachedResponse(age, transfer_time=100 * MS)
     actions = driver.request(request_id, cached_response=cached_response, **changes)
     assert (api.ServeCachedResponse(request_id) in actions) is not bool(forwarded_attempts(actions))
--- a/tests/routing/test_limits.py
+++ b/tests/routing/test_limits.py
@@ -85,6 +85,7 @@
     """Guards against the compilation of all modules at each start of a process.
 
     A process can't write the platform's files, so it can't keep what it has compiled for the next start.
+    The build must therefore compile the modules, with the `-O` that the process runs with.
     """
     assert " -O " in DEPLOY["run"]
     assert "-O -m compileall -q olivepost" in DEPLOY["build"]
--- a/tests/routing_state/test_name_table.py
+++ b/tests/routing_state/test_name_table.py
@@ -12,7 +12,10 @@
 
 
 def put_all(table: ExpiringNameTable, now: int) -> None:
-    """Puts each name into the table once, as a new string object like the name of a real request."""
+    """Puts the same `CAPACITY` names into the table at each call.
+
+    Each call makes new string objects, because each real request brings its name as a new string, too.
+    """
     for number in range(CAPACITY):
         table.put(f"{number:016x}.0", NameEntry(now + number, 1, 1.0))
 
--- a/tests/routing_state/test_order_cache.py
+++ b/tests/routing_state/test_order_cache.py
@@ -1,4 +1,4 @@
-"""Tests of the bounded cache of endpoint orders, each the endpoints' rendezvous order for a name."""
+"""Tests of the bounded cache of endpoint orders. An order is the rendezvous order for a name."""
 
 from __future__ import annotations
 
--- a/tests/shared_store/model.py
+++ b/tests/shared_store/model.py
@@ -1,4 +1,7 @@
-"""Emulated branch for tests of the shared store's coordinator: proxies, caches and stores of one location."""
+"""An emulated branch for tests of the shared store's coordinator.
+
+A branch consists of the proxies, caches and stores of one location.
+"""
 
 from __future__ import annotations
 
--- a/tests/shared_store/test_proxies.py
+++ b/tests/shared_store/test_proxies.py
@@ -70,7 +70,7 @@
 
     @property
     def stores(self) -> list[StoreHealth]:
-        """Returns the state of the store as each proxy knows it."""
+        """Returns, for each proxy, the state of the store as that proxy knows it."""
         return [host.coordinator.stores[STORE] for host in self.hosts]
 
     def wait_for_availability(self, is_available: bool = True, timeout_s: float = 10.0) -> bool:
--- a/tests/shared_store/test_quota_keys.py
+++ b/tests/shared_store/test_quota_keys.py
@@ -1,4 +1,7 @@
-"""Tests of quota keys in records: the texts that earlier versions wrote are read, and written unchanged."""
+"""Tests of quota keys in stored records.
+
+The texts that earlier versions wrote for the keys are still read, and are written unchanged.
+"""
 
 import pytest
 
--- a/tests/shared_store/test_reply_shapes.py
+++ b/tests/shared_store/test_reply_shapes.py
@@ -35,7 +35,7 @@
         self._generation = 1
 
     def step(self, number: int) -> None:
-        """Handles one event, in most cases the reply to a command that was sent."""
+        """Passes one event to the coordinator: a reply to one of its commands, or another random event."""
         self.now += self._random_source.randrange(8) * MILLISECOND
         if self._commands and self._random_source.random() < 0.6:
             self._reply(self._commands.pop(self._random_source.randrange(len(self._commands))))
--- a/tests/shared_store/test_store_worker.py
+++ b/tests/shared_store/test_store_worker.py
@@ -35,9 +35,10 @@
 
 
 class WorkerHarness:
-    """A worker of the urgent lane, for the commands that requests wait for, with a stand-in store.
+    """A worker with a stand-in store.
 
-    `replies` contains the events that the worker posts.
+    The worker runs the commands of the urgent lane: those for which requests wait. `replies` contains the
+    events that the worker posts.
     """
 
     def __init__(self, server: Server, **sharing: Any) -> None:
--- a/tests/simulator_adapter/test_wire.py
+++ b/tests/simulator_adapter/test_wire.py
@@ -81,7 +81,7 @@
 
 
 def encode_batches(*batches: list[dict[str, object]]) -> bytes:
-    """Encodes each batch as one line; the lines have consecutive turn numbers."""
+    """Encodes each batch of messages as one line of the adapter's input; `turn` numbers the lines from 1."""
     lines = [{"ts": 10**12 + turn, "turn": turn, "input": batch} for turn, batch in enumerate(batches, 1)]
     return b"".join(json.dumps(line).encode() + b"\n" for line in lines)
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -40,7 +40,7 @@
 
 
 def table_rows(page: Path, headings: tuple[str, ...]) -> list[list[str]]:
-    """Returns the cells of all table rows under the given headings, row by row."""
+    """Returns all table rows under the given headings, each as a list of cells. Header rows are omitted."""
     rows: list[list[str]] = []
     is_wanted = False
     previous = ""
@@ -159,7 +159,10 @@
 
 
 def code_names(page: Path) -> set[str]:
-    """Returns the identifiers in code type on a page; for the glossary, only those in last table columns."""
+    """Returns the identifiers that a page sets in code type.
+
+    On the glossary page, only the identifiers in the last column of a table are returned.
+    """
     text = prose(page.read_text(encoding="utf-8"))
     if page.stem == "glossary":
         rows = [line.strip("|").split("|") for line in text.splitlines() if line.startswith("|")]
