--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -89,7 +89,9 @@
     """The results of all runs of the emulated branch."""
 
     budgets: dict[BudgetCase, list[BudgetRun]]
-    double_fill_shares: dict[bool, list[float]]  # one share for each run, by whether there is a store
+    # For each run, the share of its fills that were double fills, by whether the run had a store. A double
+    # fill is the fill of a name that another cache stores or is filling.
+    double_fill_shares: dict[bool, list[float]]
     histories: list[HistoryRun]
 
 
--- a/olivepost/cli.py
+++ b/olivepost/cli.py
@@ -72,7 +72,7 @@
 
 
 class MissingPackageError(CommandError):
-    """Error: a package that is needed only for an operator's file is not installed."""
+    """Error: a package that only the operator's configuration file requires is not installed."""
 
     def __init__(self, package: str | None) -> None:
         super().__init__(f"an operator's file needs the package '{package}': pip install .[all]")
--- a/olivepost/interface/settings.py
+++ b/olivepost/interface/settings.py
@@ -54,8 +54,9 @@
     proxies: int  # the number of proxies that share the tier
     slow_start_initial_share: float  # the share of its capacity that an endpoint has when it starts
     slow_start_duration: Duration
-    # The work limit of an endpoint in slow start, as a multiple of its capacity in one overload window.
-    # 0 means that there is no limit.
+    # The limit of the work that an endpoint in slow start may get within one overload window, as a multiple
+    # of the endpoint's capacity in that window. Work is the transfer time of responses, and the overload
+    # window is the duration `Settings.overload_window`. 0 means that there is no limit.
     overload_multiple: float
 
 
@@ -71,7 +72,8 @@
     parent_kind: str | None
     origin_kind: str | None
     has_endpoint_weights: bool
-    transfer_rate_kb_per_s: float | None  # the rate of one transfer; None if it is unknown
+    # The rate, in kilobytes per second, at which a single response is transferred; None if it is unknown.
+    transfer_rate_kb_per_s: float | None
     can_collapse_fills: bool
     # Whether an attempt may go directly to a parent or to the origin if no cache may be used.
     allows_direct_forwarding: bool
--- a/olivepost/operator_config/model.py
+++ b/olivepost/operator_config/model.py
@@ -1,4 +1,4 @@
-"""Model of the operator's file, with one optional section for each subsystem."""
+"""Model of the operator's configuration file, which has one optional section for each subsystem."""
 
 from __future__ import annotations
 
--- a/olivepost/proxy/downstream/deadline_watch.py
+++ b/olivepost/proxy/downstream/deadline_watch.py
@@ -14,10 +14,10 @@
 
 
 class DeadlineWatch:
-    """The deadline thread, which runs from `start` until `stopped` is set.
+    """The deadline thread, which checks all client connections and closes those whose deadline has passed.
 
-    The thread does not set the deadlines; each connection sets its own. The thread also calls `on_check` at
-    each check.
+    The thread runs from `start` until `stopped` is set. It does not set the deadlines; each connection sets
+    its own. The thread also calls `on_check` at each check.
     """
 
     def __init__(
--- a/olivepost/proxy/event_log.py
+++ b/olivepost/proxy/event_log.py
@@ -65,8 +65,8 @@
         try:
             data = orjson.dumps(line, default=str, option=orjson.OPT_NON_STR_KEYS) + b"\n"
         except (TypeError, ValueError):
-            # The line is dropped, because a field cannot be serialized. orjson's own error is a subclass of
-            # TypeError.
+            # The line is dropped, because a field cannot be serialized. The error that orjson raises in this
+            # case, JSONEncodeError, is caught as a TypeError.
             self.increment("log_lines_dropped")
             return
         if self._reserve(len(data) + LINE_OVERHEAD_BYTES):
--- a/olivepost/proxy/memory_account.py
+++ b/olivepost/proxy/memory_account.py
@@ -29,6 +29,9 @@
 def memory_account(parts: ProxyParts) -> dict[str, OwnerAccount]:
     """Returns the account of each owner of memory, by the owner's name.
 
+    An owner is a part of the proxy that has a memory budget of its own, such as the connections or the log.
+    Its account states the bytes that it uses and the bytes that its budget allows.
+
     Any thread may call this function, because it only reads counts.
     """
     budget = parts.config.limits.memory
--- a/olivepost/proxy/stall_watch.py
+++ b/olivepost/proxy/stall_watch.py
@@ -41,7 +41,10 @@
         self.busy_since = now
 
     def end_step(self) -> None:
-        """Records that the thread has ended its step, the work since its last wait, and waits again."""
+        """Records that the thread's current step, its work since the last wait, is over.
+
+        The thread waits for its next step from now on.
+        """
         self.busy_since = None
 
 
--- a/olivepost/proxy/upstream/connection_state.py
+++ b/olivepost/proxy/upstream/connection_state.py
@@ -70,7 +70,9 @@
         self._lock = threading.Lock()
         self._pending: dict[str, UpstreamRequest] = {}
         self._past_ids: dict[str, None] = {}  # ids of ended requests that were written, oldest first
-        self._awaited_aborts: list[UpstreamAborted] = []  # awaited aborts that are not reported yet
+        # Aborts whose confirmation the event loop awaits. The thread that confirms an abort to the event loop
+        # removes it from this list first.
+        self._awaited_aborts: list[UpstreamAborted] = []
 
     @property
     def pending_count(self) -> int:
--- a/olivepost/request_lifecycle.py
+++ b/olivepost/request_lifecycle.py
@@ -73,9 +73,8 @@
         self._forward(now, pending, overload=state.arrivals)
 
     def _set_deadline_timer(self, pending: PendingRequest, timeout: Duration) -> None:
-        """Sets the timer that gives a request up shortly before its deadline."""
-        # The timer fires `deadline_margin` before the deadline. This upholds the deadline invariant: the
-        # final response is sent before the client's timeout is over.
+        """Sets the timer that gives a request up shortly, by `deadline_margin`, before its deadline."""
+        # This upholds the deadline invariant: the final response is sent before the client's timeout is over.
         delay = max(0, timeout - self._settings.deadline_margin)
         give_up = partial(self.give_up, pending=pending, reason=api.GiveUpReason.DEADLINE)
         self._actions.set_request_timer(delay, give_up, pending)
--- a/olivepost/routing/capacity.py
+++ b/olivepost/routing/capacity.py
@@ -28,7 +28,8 @@
 # Lowest factor of the concurrency limit, reached if many of an endpoint's responses are late.
 MIN_LIMIT_FACTOR = 0.5
 MAX_LIMIT_FACTOR = 1.5  # factor of the concurrency limit if none of an endpoint's responses is late
-# Decrease of the concurrency limit's factor for each unit of the share of late responses.
+# The factor of the concurrency limit is MAX_LIMIT_FACTOR minus this slope times the share of an endpoint's
+# responses that are late, but at least MIN_LIMIT_FACTOR.
 LIMIT_FACTOR_SLOPE = 2.5
 # Longest plausible time from an endpoint's start to its first listing. An endpoint that is listed later is
 # treated as if it had started when it was listed.
@@ -129,7 +130,9 @@
 def quota_part(state: RoutingState, now: Instant, key: api.QuotaKey) -> QuotaPart:
     """Returns this proxy's part of an endpoint's quota.
 
-    The part depends on the configuration alone. It does not depend on observed rates, because these may fall.
+    The part does not depend on observed rates of work, because these may fall. If such a rate fell after a
+    donation, the part could become smaller than the amount already donated. The part is therefore computed
+    from the configuration, the endpoint's weight and the progress of its slow start alone.
 
     The origin has neither a concurrency limit nor a slow start. This proxy has no quota of the origin to
     donate, so its part is 0. The part is also 0 if the key's endpoint is not listed, or if the listed
--- a/olivepost/shared_store/lua.py
+++ b/olivepost/shared_store/lua.py
@@ -187,7 +187,8 @@
 )
 
 # ARGV from index 4: the name, a location's record, and the number of reports that the location is stale. The
-# location is deleted when the sum of these numbers reaches two. The reply is 'dropped' if the location was
+# store adds up the numbers of all calls since the location was published, and it deletes the location when
+# the sum reaches two. The reply is 'dropped' if the location was
 # deleted, 'counted' if it was not, or 'other' if the store has another record or none.
 REPORT_STALE = (
     _PROLOGUE
--- a/tests/proxy/test_writes.py
+++ b/tests/proxy/test_writes.py
@@ -26,7 +26,11 @@
 
 
 def write_settings(effect: str = "idempotency_key") -> dict[str, Any]:
-    """Returns the example's settings with a first class that accepts writes."""
+    """Returns the router settings of the example configuration, with writes allowed in the first class.
+
+    `effect` is the configured idempotency of that class: "read_like", "idempotency_key" (a write is
+    idempotent if it has a key) or "non_idempotent".
+    """
     example: dict[str, Any] = toy_config()["settings"]
     writable_class = {**example["classes"][0], "effect": effect, "window": 5_000_000_000}
     family = {**example["family-info"], "pass-on": [True]}
--- a/tests/routing/test_levels.py
+++ b/tests/routing/test_levels.py
@@ -22,9 +22,11 @@
 @pytest.mark.parametrize(
     ("level", "gamma"),
     [
-        # Each pair is the level ϑ and the expected factor Γ (the threshold function of the paper). The
-        # first-seen level ϑs is 0.4, and the width ε of the range in which Γ rises from ϑs to 1 is 0.1.
-        (0.5, 0.4),  # Γ is the first-seen level ϑs if the level ϑ is far below 1
+        # The first value of each tuple is the lifetime level ϑ: a name's lifetime is the longest lifetime
+        # times ϑ. The second value is the expected factor Γ, by which the lifetime of a name that was seen
+        # once is multiplied, too (the threshold function of the paper). Γ rises with ϑ from the first-seen
+        # level ϑs, here 0.4, to 1. The range of ϑ in which Γ rises has the width ε, here 0.1.
+        (0.5, 0.4),  # Γ equals ϑs if ϑ is far below 1
         (0.85, 0.4),  # Γ is still ϑs at ϑ = 1 - 3ε/2, where the rise of Γ begins
         (0.9, 0.7),  # Γ = ϑs + (1 - ϑs)/2 at ϑ = 1 - ε, halfway through the rise
         (0.95, 1.0),  # Γ = 1 at ϑ = 1 - ε/2, where the rise ends
--- a/tests/routing_state/test_name_table.py
+++ b/tests/routing_state/test_name_table.py
@@ -40,7 +40,11 @@
 
 
 def test_names_come_and_go_as_in_a_table_that_sorts_them() -> None:
-    """Compares the table with a dictionary while names are renewed, get shorter lifetimes and are evicted."""
+    """Compares the table with a reference while names are renewed, get shorter lifetimes and are evicted.
+
+    The reference is a dictionary of expiry times. Its eviction searches all names for the one that expires
+    first.
+    """
     random_source = random.Random(7)
     table = ExpiringNameTable(50, 4)
     plain: dict[str, int] = {}
--- a/tests/shared_store/test_branch.py
+++ b/tests/shared_store/test_branch.py
@@ -216,9 +216,10 @@
 
 
 def test_owner_whose_lease_was_acquired_by_another_proxy_publishes_nothing() -> None:
-    """Guards against a location that is published under a lease that another proxy has since acquired.
+    """Guards against a proxy that publishes a location after another proxy has acquired the name's lease.
 
-    The store compares the complete lease: its fencing number and its owner's incarnation.
+    The store accepts a location only if the publisher's lease is the same as the lease that the store holds.
+    It compares the complete leases: the fencing number and the owner's incarnation.
     """
     branch = make_branch()
     (generation,) = {
--- a/tests/shared_store/test_records.py
+++ b/tests/shared_store/test_records.py
@@ -67,9 +67,10 @@
     ],
 )
 def test_records_have_the_bytes_of_all_releases_of_version_1(record: StoredRecord, stored: bytes) -> None:
-    """Guards against a change of the stored format, such as one by a renamed attribute.
+    """Guards against an accidental change of the stored format, for example by renaming a record's attribute.
 
-    The literals were written when each attribute still had the name under which it is stored.
+    The expected bytes are literals, which were written when each attribute still had the name under which
+    its value is stored.
     """
     assert encode_record(record) == stored
     assert decode_record(type(record), stored) == record
